--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,15 @@
-# Targets: build, lint, test, demo, fuzz, proofs, bench.
+# Targets: build, lint, fmt, tools, test, demo, proofs, bench.
 GO ?= go
 BIN := bin
 # What is deployed on the users' platform is built by the line of its deploy file.
 DEPLOYED := $(shell sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/system.toml)
 LINT_VERSION := v2.15.0
 LINT := $(BIN)/tools/golangci-lint-$(LINT_VERSION)
+# gopls renames identifiers in all packages at once.
+GOPLS_VERSION := v0.23.0
+GOPLS := $(BIN)/tools/gopls-$(GOPLS_VERSION)
 
-.PHONY: all build lint fmt test demo bench proofs clean
+.PHONY: all build lint fmt tools test demo bench proofs clean
 
 all: build lint test
 
@@ -27,6 +30,13 @@
 fmt: $(LINT)
 	$(LINT) fmt
 
+$(GOPLS):
+	mkdir -p $(BIN)/tools
+	GOBIN=$(CURDIR)/$(BIN)/tools $(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(BIN)/tools/gopls $(GOPLS)
+
+tools: $(LINT) $(GOPLS)
+
 test:
 	bash .ci/test
 
