--- a/directory/directory.go
+++ b/directory/directory.go
@@ -40,7 +40,7 @@
 }
 
 // Few reports whether the instances are so few that they find each other by themselves.
-func (d *Directory) Few() bool { return !d.Forming && d.Count <= topology.Few }
+func (d *Directory) Few() bool { return !d.Forming && d.Count <= topology.FullMeshMax }
 
 // Has reports whether an instance is one of the relays.
 func (d *Directory) Has(id fleet.InstanceID) bool {
--- a/directory/keeper.go
+++ b/directory/keeper.go
@@ -87,7 +87,7 @@
 
 	next := &Directory{Count: count}
 
-	if count > topology.Few {
+	if count > topology.FullMeshMax {
 		next.Relays = k.choose(k.staying(now, current), sizes)
 	}
 
--- a/topology/links.go
+++ b/topology/links.go
@@ -265,7 +265,7 @@
 	l.forget(members)
 
 	count := l.countOf(members)
-	few := l.assigned == nil && count <= Few
+	few := l.assigned == nil && count <= FullMeshMax
 	takesPart := !l.stopping && (l.assigned == nil || slices.ContainsFunc(l.assigned, l.isSelf))
 	answers := func(id fleet.InstanceID) bool { return l.silent[id].IsZero() && !l.gone[id] }
 	answering := l.relaysAmong(l.ranked(members, takesPart, answers))
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -37,9 +37,9 @@
 )
 
 const (
-	// Few is the number of instances up to which each tells each: 12 of them send no
+	// FullMeshMax is the number of instances up to which each tells each: 12 of them send no
 	// more messages than a relay does.
-	Few = 12
+	FullMeshMax = 12
 	// relaysPerDomain is the least number of relays of a failure domain: while one is
 	// lost its members turn to the other.
 	relaysPerDomain = 2
@@ -94,7 +94,7 @@
 
 // RelaysOf returns the relays of ranked members, in their order.
 func RelaysOf(ranked []Member) []Member {
-	if len(ranked) <= Few {
+	if len(ranked) <= FullMeshMax {
 		return ranked
 	}
 
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -85,11 +85,11 @@
 }
 
 func TestFewInstancesTellEachOther(t *testing.T) {
-	members := fleetOf(Few, 4)
+	members := fleetOf(FullMeshMax, 4)
 
 	for _, self := range members {
 		plan := planOf(self, members)
-		if !plan.Relay || len(plan.Relays) != Few-1 {
+		if !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
 			t.Errorf("%s: got relay %t with %d others, want all to tell each other", self.ID, plan.Relay, len(plan.Relays))
 		}
 	}
@@ -134,11 +134,11 @@
 		t.Errorf("by others: got %v, want five without %s", got, leader)
 	}
 
-	few := fleetOf(Few, 4)
+	few := fleetOf(FullMeshMax, 4)
 	l = &Links{Self: few[0]}
 	l.Stop()
 
-	if plan := l.Plan(begin, few); !plan.Relay || len(plan.Relays) != Few-1 {
+	if plan := l.Plan(begin, few); !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
 		t.Errorf("one of few that stops: got relay %t with %d others, want all", plan.Relay, len(plan.Relays))
 	}
 }
