--- a/directory/keeper.go
+++ b/directory/keeper.go
@@ -129,7 +129,7 @@
 	chosen := slices.Clone(relays)
 
 	for domain, size := range sizes {
-		chosen = fill(chosen, candidates[domain], domain, topology.RelaysWanted(size, len(sizes)))
+		chosen = fill(chosen, candidates[domain], domain, topology.TargetRelays(size, len(sizes)))
 	}
 
 	return topology.Rank(chosen)
--- a/directory/keeper_test.go
+++ b/directory/keeper_test.go
@@ -126,7 +126,7 @@
 				}
 			}
 
-			if want := topology.RelaysWanted(size, len(sizes)); relays != min(want, size) {
+			if want := topology.TargetRelays(size, len(sizes)); relays != min(want, size) {
 				t.Errorf("%d instances, %s: got %d relays, want %d", n, domain, relays, want)
 			}
 		}
@@ -155,7 +155,7 @@
 	small, _ := settle(t, &Directory{Relays: topology.RelaysOf(topology.Rank(few)), Count: len(few)}, few)
 
 	large, changes := settle(t, small, members)
-	if got, want := len(large.Relays), 6*topology.RelaysWanted(986/6, 6); got < want || large.Count != len(members) {
+	if got, want := len(large.Relays), 6*topology.TargetRelays(986/6, 6); got < want || large.Count != len(members) {
 		t.Errorf("after growth: got %d relays of %d instances, want %d of %d", got, large.Count, want, len(members))
 	}
 
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -86,9 +86,9 @@
 	return ordered
 }
 
-// RelaysWanted is how many relays a failure domain of some instances should have, one of a
+// TargetRelays is how many relays a failure domain of some instances should have, one of a
 // number of domains.
-func RelaysWanted(instances, domains int) int {
+func TargetRelays(instances, domains int) int {
 	return max(relaysPerDomain, ceil(instances, membersPerRelay), ceil(leaders, max(domains, 1)))
 }
 
@@ -108,7 +108,7 @@
 	var relays []Member
 
 	for _, m := range ranked {
-		if chosen[m.Domain] < RelaysWanted(sizes[m.Domain], len(sizes)) {
+		if chosen[m.Domain] < TargetRelays(sizes[m.Domain], len(sizes)) {
 			chosen[m.Domain]++
 			relays = append(relays, m)
 		}
