--- a/entry/relays.go
+++ b/entry/relays.go
@@ -85,7 +85,7 @@
 	}
 
 	m := redirect{Count: view.Count}
-	preferred := topology.PreferredBy(topology.Member{ID: w.Instance, Domain: w.Domain}, view.Relays)
+	preferred := topology.PreferredRelays(topology.Member{ID: w.Instance, Domain: w.Domain}, view.Relays)
 
 	if parts := packInto(directory.MembersOf(preferred), redirectBytes, memberSize); len(parts) > 0 {
 		m.Relays = parts[0]
--- a/topology/links.go
+++ b/topology/links.go
@@ -298,7 +298,7 @@
 // chooseRelays returns the relays that this instance sends to: the others where it is one.
 func (l *Links) chooseRelays(now time.Time, plan *Plan, relays []Member) []Member {
 	if !plan.Relay {
-		return l.chooseUplink(now, PreferredBy(l.Self, relays))
+		return l.chooseUplink(now, PreferredRelays(l.Self, relays))
 	}
 
 	others := slices.DeleteFunc(slices.Clone(relays), l.isSelf)
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -148,9 +148,9 @@
 	return ids
 }
 
-// PreferredBy orders relays for a member that is none: those of its own domain first,
+// PreferredRelays orders relays for a member that is none: those of its own domain first,
 // each member in an order of its own, so that they spread over the relays.
-func PreferredBy(self Member, relays []Member) []Member {
+func PreferredRelays(self Member, relays []Member) []Member {
 	ordered := slices.Clone(relays)
 	slices.SortStableFunc(ordered, func(a, b Member) int {
 		if own := a.Domain == self.Domain; own != (b.Domain == self.Domain) {
