--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -46,7 +46,7 @@
 	}
 	p.permits = newPermits(p)
 	p.rulesFeed, p.registerFeed = &feed.Follower{}, &feed.Follower{}
-	p.plan.Store(&topology.Plan{Relay: true, Few: true, Leaders: []fleet.InstanceID{
+	p.plan.Store(&topology.Plan{Relay: true, FullMesh: true, Leaders: []fleet.InstanceID{
 		"edge-ballerup-a-1", "edge-ballerup-b-1", "edge-taastrup-1-1", "edge-taastrup-2-1", "edge-hvidovre-1-1",
 	}})
 
--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -76,7 +76,7 @@
 	}
 
 	wait := min(rulesWait, time.Duration(float64(p.currency.Bound)*rulesShare))
-	if !p.plan.Load().Few {
+	if !p.plan.Load().FullMesh {
 		// The others' age is this one's and that of a heartbeat.
 		wait /= 2
 	}
@@ -219,7 +219,7 @@
 	}
 
 	plan := p.plan.Load()
-	if !plan.Few && plan.Leads(p.self()) && plan.Leads(id) && now.Sub(f.aheadAt) >= differing {
+	if !plan.FullMesh && plan.Leads(p.self()) && plan.Leads(id) && now.Sub(f.aheadAt) >= differing {
 		f.ahead, f.aheadAt = id, now
 		p.registerFeed.Redirect()
 	}
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -97,7 +97,7 @@
 	newest := p.makeHeartbeat(now)
 
 	var spent []spentNews
-	if plan.Few || plan.Leads(p.self()) {
+	if plan.FullMesh || plan.Leads(p.self()) {
 		spent = p.makeSpent(now)
 	}
 
@@ -107,7 +107,7 @@
 		w.Relation = plan.Relation(to)
 
 		d := datagram{Heartbeat: &w}
-		if len(spent) == 0 || !plan.Few && !plan.Leads(to) {
+		if len(spent) == 0 || !plan.FullMesh && !plan.Leads(to) {
 			return marshalAll(d)
 		}
 
@@ -132,7 +132,7 @@
 	w.Grants = plan.Leads(p.self()) && p.limits.Grants(now)
 	w.Kept = p.keepers.kept()
 
-	if plan.Relay && !plan.Few {
+	if plan.Relay && !plan.FullMesh {
 		w.Size = 1 + len(plan.Subscribers)
 	}
 
@@ -216,7 +216,7 @@
 	if w.Stopping {
 		p.links.Gone(w.Instance)
 
-		if p.plan.Load().Few {
+		if p.plan.Load().FullMesh {
 			p.members.Met(now, member)
 		} else {
 			p.members.Left(w.Instance)
--- a/entry/heartbeat_test.go
+++ b/entry/heartbeat_test.go
@@ -29,7 +29,7 @@
 		register: &register.Register{}, scheduler: &scheduling.Scheduler{}, rollouts: &rollouts{}, store: platform.NewStore("127.0.0.1:1", nil),
 	}
 
-	p.plan.Store(&topology.Plan{Relay: true, Few: true})
+	p.plan.Store(&topology.Plan{Relay: true, FullMesh: true})
 
 	const other fleet.InstanceID = "entry-2"
 
--- a/entry/losses_test.go
+++ b/entry/losses_test.go
@@ -31,7 +31,7 @@
 		want int
 	}{
 		"a relay":          {topology.Plan{Relay: true}, 3},
-		"one of few":       {topology.Plan{Relay: true, Few: true}, 0},
+		"one of few":       {topology.Plan{Relay: true, FullMesh: true}, 0},
 		"one that is none": {topology.Plan{}, 0},
 	} {
 		clk := clock.NewManual(time.Unix(1_790_000_000, 0))
--- a/entry/pace.go
+++ b/entry/pace.go
@@ -45,7 +45,7 @@
 	switch plan := p.plan.Load(); {
 	case plan.Leads(p.self()):
 		return boardEvery
-	case plan.Few && p.limits.Recorded(now):
+	case plan.FullMesh && p.limits.Recorded(now):
 		return boardRelaxed
 	default:
 		return boardEvery
@@ -59,7 +59,7 @@
 	switch plan := p.plan.Load(); {
 	case plan.Leads(p.self()):
 		return 0
-	case plan.Few && p.limits.Quick(now):
+	case plan.FullMesh && p.limits.Quick(now):
 		return boardReadRelaxed
 	default:
 		return 0
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -34,7 +34,7 @@
 	}
 
 	switch {
-	case plan.Few:
+	case plan.FullMesh:
 	case !leads:
 		p.limits.Keepers(now, plan.Leaders)
 		// It asks the keepers for each request, and has nothing to read.
@@ -65,7 +65,7 @@
 func (p *parts) shareLimits(now time.Time) {
 	plan := p.replan(now)
 
-	if plan.Few {
+	if plan.FullMesh {
 		p.limits.Members(p.members.IDs(), plan.Leaders)
 	} else {
 		p.limits.Keepers(now, plan.Leaders)
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -44,7 +44,7 @@
 		clock.Sleep(ctx, p.clock, reportEvery)
 
 		plan := p.plan.Load()
-		if plan.Few || !plan.Relay || p.stopping.Load() {
+		if plan.FullMesh || !plan.Relay || p.stopping.Load() {
 			continue
 		}
 
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -55,7 +55,7 @@
 func (p *parts) relays() bool {
 	plan := p.plan.Load()
 
-	return !plan.Few && plan.Relay
+	return !plan.FullMesh && plan.Relay
 }
 
 // keepForOthers has a relay read the whole of what it has not kept for others yet.
--- a/entry/usage_counts.go
+++ b/entry/usage_counts.go
@@ -53,7 +53,7 @@
 		leaders := p.leaders(plan)
 
 		for _, t := range p.makeCounts(p.clock.Now()) {
-			if !plan.Few && !plan.Relay {
+			if !plan.FullMesh && !plan.Relay {
 				p.sendAll(addressesOf(plan.Relays[:min(1, len(plan.Relays))]), datagram{Counts: &t})
 
 				continue
--- a/topology/links.go
+++ b/topology/links.go
@@ -52,8 +52,8 @@
 
 // Plan says whom an instance tells, as far as it knows now.
 type Plan struct {
-	// Relay tells that this instance is a relay, and Few that all are.
-	Relay, Few bool
+	// Relay tells that this instance is a relay, and FullMesh that all are.
+	Relay, FullMesh bool
 	// Relays are the other relays where this one is one. Else they are the relays that it
 	// turned to, the first of which counts what it tells.
 	Relays []Member
@@ -280,7 +280,7 @@
 		relays = l.ranked(members, true, func(fleet.InstanceID) bool { return true })
 	}
 
-	plan := &Plan{Few: few, Count: count}
+	plan := &Plan{FullMesh: few, Count: count}
 	// Others may have found sooner that this instance takes the place of a silent relay.
 	plan.Relay = few || slices.ContainsFunc(relays, l.isSelf) || !l.stopping && now.Sub(l.invited) <= subscribed
 	plan.Leaders = l.leaders(now, members, answering, func() []Member {
@@ -302,7 +302,7 @@
 	}
 
 	others := slices.DeleteFunc(slices.Clone(relays), l.isSelf)
-	if plan.Few {
+	if plan.FullMesh {
 		return others
 	}
 
