--- a/entry/directory.go
+++ b/entry/directory.go
@@ -78,7 +78,7 @@
 		return p.members.Count()
 	}
 
-	return max(p.plan.Load().Count, view.Count, 1)
+	return max(p.plan.Load().InstanceCount, view.Count, 1)
 }
 
 // usesBoard reports whether this instance writes and reads the board: the few that lead many do, and
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -121,7 +121,7 @@
 	w := heartbeat{
 		Instance: p.self(), Address: p.settings.Listen.Peers,
 		Domain: p.settings.FailureDomain, Cores: p.settings.Limits.ProcessorCores, Stopping: p.stopping.Load(),
-		Leaders: plan.Leaders, Members: plan.Count, At: now.UnixNano(), ConfirmedAgo: -1, RegisterAgo: -1, Leaving: p.leaving(),
+		Leaders: plan.Leaders, Members: plan.InstanceCount, At: now.UnixNano(), ConfirmedAgo: -1, RegisterAgo: -1, Leaving: p.leaving(),
 		Era: p.store.Era(), Rollouts: p.rollouts.updates(now),
 	}
 
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -200,7 +200,7 @@
 	p.bounds.Store(&s.Bounds)
 	self := board.MemberOf(s.Instance, s.FailureDomain, s.Listen.Peers, s.Limits.ProcessorCores)
 	p.links = &topology.Links{Self: self}
-	p.plan.Store(&topology.Plan{Count: 1})
+	p.plan.Store(&topology.Plan{InstanceCount: 1})
 	p.limits = quota.New(quota.Policy{
 		Self: s.Instance, Window: s.Bounds.LimitWindow, Spread: newsSpread, Quick: p.quickSpread,
 		Tell: func() { p.board.Wake() },
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -30,7 +30,7 @@
 
 	led, leads := before.Leads(p.self()), plan.Leads(p.self())
 	if led != leads || before.Relay != plan.Relay || !slices.Equal(before.Leaders, plan.Leaders) {
-		klog.InfoS("instances that lead", "leaders", plan.Leaders, "leads", leads, "relay", plan.Relay, "members", plan.Count)
+		klog.InfoS("instances that lead", "leaders", plan.Leaders, "leads", leads, "relay", plan.Relay, "members", plan.InstanceCount)
 	}
 
 	switch {
@@ -48,7 +48,7 @@
 
 	p.upstreamChanged()
 
-	if before.Count != plan.Count {
+	if before.InstanceCount != plan.InstanceCount {
 		p.shareBudgets()
 	}
 
--- a/topology/links.go
+++ b/topology/links.go
@@ -61,8 +61,8 @@
 	Subscribers []Member
 	// Leaders lead, in the order in which they are asked.
 	Leaders []fleet.InstanceID
-	// Count is how many instances there are.
-	Count int
+	// InstanceCount is how many instances there are.
+	InstanceCount int
 }
 
 // Relation returns what a message of this instance to another is.
@@ -280,7 +280,7 @@
 		relays = l.ranked(members, true, func(fleet.InstanceID) bool { return true })
 	}
 
-	plan := &Plan{FullMesh: few, Count: count}
+	plan := &Plan{FullMesh: few, InstanceCount: count}
 	// Others may have found sooner that this instance takes the place of a silent relay.
 	plan.Relay = few || slices.ContainsFunc(relays, l.isSelf) || !l.stopping && now.Sub(l.invited) <= subscribed
 	plan.Leaders = l.leaders(now, members, answering, func() []Member {
