--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -97,7 +97,7 @@
 	newest := p.makeHeartbeat(now)
 
 	var spent []spentNews
-	if plan.FullMesh || plan.Leads(p.self()) {
+	if plan.FullMesh || plan.IsLeader(p.self()) {
 		spent = p.makeSpent(now)
 	}
 
@@ -107,7 +107,7 @@
 		w.Relation = plan.Relation(to)
 
 		d := datagram{Heartbeat: &w}
-		if len(spent) == 0 || !plan.FullMesh && !plan.Leads(to) {
+		if len(spent) == 0 || !plan.FullMesh && !plan.IsLeader(to) {
 			return marshalAll(d)
 		}
 
@@ -129,7 +129,7 @@
 		w.Forming = view.Forming
 	}
 
-	w.Grants = plan.Leads(p.self()) && p.limits.Grants(now)
+	w.Grants = plan.IsLeader(p.self()) && p.limits.Grants(now)
 	w.Kept = p.keepers.kept()
 
 	if plan.Relay && !plan.FullMesh {
--- a/entry/news.go
+++ b/entry/news.go
@@ -34,7 +34,7 @@
 // heartbeat. Many instances follow the register of their relays.
 func (p *parts) tellServers(now time.Time, deltas []register.Delta) {
 	plan := p.plan.Load()
-	if !plan.FullMesh || !plan.Leads(p.self()) || len(plan.Relays) == 0 {
+	if !plan.FullMesh || !plan.IsLeader(p.self()) || len(plan.Relays) == 0 {
 		return
 	}
 
--- a/entry/pace.go
+++ b/entry/pace.go
@@ -43,7 +43,7 @@
 	now := p.clock.Now()
 
 	switch plan := p.plan.Load(); {
-	case plan.Leads(p.self()):
+	case plan.IsLeader(p.self()):
 		return boardEvery
 	case plan.FullMesh && p.limits.Recorded(now):
 		return boardRelaxed
@@ -57,7 +57,7 @@
 	now := p.clock.Now()
 
 	switch plan := p.plan.Load(); {
-	case plan.Leads(p.self()):
+	case plan.IsLeader(p.self()):
 		return 0
 	case plan.FullMesh && p.limits.Quick(now):
 		return boardReadRelaxed
@@ -69,7 +69,7 @@
 // boardSoon is the least time between two records: those that write to the board write no
 // more than it takes.
 func (p *parts) boardSoon() time.Duration {
-	if p.plan.Load().Leads(p.self()) {
+	if p.plan.Load().IsLeader(p.self()) {
 		return boardSoonest
 	}
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -28,7 +28,7 @@
 	p.scheduler.SetRelay(plan.Relay)
 	p.permits.Granter.SetLeaders(now, plan.Leaders)
 
-	led, leads := before.Leads(p.self()), plan.Leads(p.self())
+	led, leads := before.IsLeader(p.self()), plan.IsLeader(p.self())
 	if led != leads || before.Relay != plan.Relay || !slices.Equal(before.Leaders, plan.Leaders) {
 		klog.InfoS("instances that lead", "leaders", plan.Leaders, "leads", leads, "relay", plan.Relay, "members", plan.InstanceCount)
 	}
@@ -76,14 +76,14 @@
 func (p *parts) relayPeers(now time.Time) map[fleet.InstanceID]netip.AddrPort {
 	plan := p.replan(now)
 
-	if view := p.directory.Load(); view != nil && view.Forming && !plan.Leads(p.self()) && p.formingTurn.Add(1)%formingTurns != 1 {
+	if view := p.directory.Load(); view != nil && view.Forming && !plan.IsLeader(p.self()) && p.formingTurn.Add(1)%formingTurns != 1 {
 		// All others turn to the first instance at once.
 		return nil
 	}
 
 	peers := addressesOf(plan.Relays)
 
-	if plan.Leads(p.self()) {
+	if plan.IsLeader(p.self()) {
 		// Those that keep limits tell each other, whether they are relays here or not.
 		maps.Copy(peers, p.leaders(plan))
 	}
@@ -134,4 +134,4 @@
 
 // leads tells whether this instance is one of the few that read the store, keep limits
 // and hold duties for all.
-func (p *parts) leads() bool { return p.plan.Load().Leads(p.self()) }
+func (p *parts) leads() bool { return p.plan.Load().IsLeader(p.self()) }
--- a/topology/links.go
+++ b/topology/links.go
@@ -82,8 +82,8 @@
 	return slices.Concat(p.Relays, p.Subscribers)
 }
 
-// Leads tells whether an instance leads.
-func (p *Plan) Leads(id fleet.InstanceID) bool { return slices.Contains(p.Leaders, id) }
+// IsLeader tells whether an instance leads.
+func (p *Plan) IsLeader(id fleet.InstanceID) bool { return slices.Contains(p.Leaders, id) }
 
 // Rank returns the place of an instance among those that lead, or -1.
 func (p *Plan) Rank(id fleet.InstanceID) int { return slices.Index(p.Leaders, id) }
--- a/topology/model_test.go
+++ b/topology/model_test.go
@@ -321,7 +321,7 @@
 				return []Member{node.member}
 			}
 
-			if node.plan != nil && node.plan.Leads(node.member.ID) && m.now.Sub(begin) > 7*time.Second {
+			if node.plan != nil && node.plan.IsLeader(node.member.ID) && m.now.Sub(begin) > 7*time.Second {
 				// Those that lead follow the records.
 				return m.members
 			}
@@ -344,7 +344,7 @@
 	leading := 0
 
 	for _, node := range m.nodes {
-		if node.plan.Leads(node.member.ID) {
+		if node.plan.IsLeader(node.member.ID) {
 			leading++
 		}
 	}
@@ -357,7 +357,7 @@
 		known := 0
 
 		for _, id := range node.plan.Leaders {
-			if i, ok := m.index[id]; ok && m.nodes[i].plan.Leads(id) {
+			if i, ok := m.index[id]; ok && m.nodes[i].plan.IsLeader(id) {
 				known++
 			}
 		}
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestFewLeadAndAllNameTheSame(t *testing.T) {
-	if plan := planOf(Member{ID: "entry-3"}, nil); !plan.Leads("entry-3") {
+	if plan := planOf(Member{ID: "entry-3"}, nil); !plan.IsLeader("entry-3") {
 		t.Error("nobody is known: got no lead, want one")
 	}
 
@@ -56,7 +56,7 @@
 
 	domains := make(map[fleet.FailureDomain]int)
 	for _, m := range members {
-		if planOf(members[0], members).Leads(m.ID) {
+		if planOf(members[0], members).IsLeader(m.ID) {
 			domains[m.Domain]++
 		}
 	}
@@ -125,7 +125,7 @@
 	l := &Links{Self: self}
 	l.Stop()
 
-	if plan := l.Plan(begin, members); plan.Relay || plan.Leads(leader) || len(plan.Leaders) != leaders {
+	if plan := l.Plan(begin, members); plan.Relay || plan.IsLeader(leader) || len(plan.Leaders) != leaders {
 		t.Errorf("while it stops: got relay %t, leaders %v, want others to lead", plan.Relay, plan.Leaders)
 	}
 
@@ -154,7 +154,7 @@
 	l.Gone(leading)
 
 	plan := l.Plan(begin, few)
-	if plan.Leads(leading) || len(plan.Relays) != len(few)-1 {
+	if plan.IsLeader(leading) || len(plan.Relays) != len(few)-1 {
 		t.Errorf("got leaders %v and %d others, want %s to share and not to lead", plan.Leaders, len(plan.Relays), leading)
 	}
 }
@@ -240,7 +240,7 @@
 	l.Plan(begin, members)
 	l.Told(begin, outsider, []fleet.InstanceID{outsider}, 80)
 
-	if !l.Plan(begin, members).Leads(self.ID) {
+	if !l.Plan(begin, members).IsLeader(self.ID) {
 		t.Error("after one that does not lead with it has named others: got no lead, want one")
 	}
 
