--- a/entry/directory.go
+++ b/entry/directory.go
@@ -204,7 +204,7 @@
 		p.outdated = now
 	}
 
-	rank := max(p.plan.Load().Rank(p.self()), 0)
+	rank := max(p.plan.Load().LeaderRank(p.self()), 0)
 	yield := time.Duration(rank) * directoryYield
 	late := changed && (view.Forming || now.Sub(p.outdated) >= directorySettle+yield)
 	refresh := !view.Few() && now.Sub(view.at) >= directoryRefresh+yield
--- a/topology/links.go
+++ b/topology/links.go
@@ -85,8 +85,8 @@
 // IsLeader tells whether an instance leads.
 func (p *Plan) IsLeader(id fleet.InstanceID) bool { return slices.Contains(p.Leaders, id) }
 
-// Rank returns the place of an instance among those that lead, or -1.
-func (p *Plan) Rank(id fleet.InstanceID) int { return slices.Index(p.Leaders, id) }
+// LeaderRank returns the place of an instance among those that lead, or -1.
+func (p *Plan) LeaderRank(id fleet.InstanceID) int { return slices.Index(p.Leaders, id) }
 
 // First tells whether an instance is the first of those that lead.
 func (p *Plan) First(id fleet.InstanceID) bool { return len(p.Leaders) > 0 && p.Leaders[0] == id }
