--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -104,7 +104,7 @@
 // that lead reads it sooner than the others.
 func (p *parts) registerTurn(others float64) time.Duration {
 	share := others
-	if p.plan.Load().First(p.self()) {
+	if p.plan.Load().IsFirstLeader(p.self()) {
 		share = registerFirst
 	}
 
