--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -229,7 +229,7 @@
 		p.members.Met(now, member)
 	}
 
-	p.links.Heard(now, member, w.Relation)
+	p.links.MessageReceived(now, member, w.Relation)
 	p.links.Told(now, w.Instance, w.Leaders, w.Members)
 
 	if w.Size > 0 {
--- a/topology/links.go
+++ b/topology/links.go
@@ -140,8 +140,8 @@
 	at      time.Time
 }
 
-// Heard takes in that a member was heard directly, and what it takes this instance for.
-func (l *Links) Heard(now time.Time, m Member, as Relation) {
+// MessageReceived takes in that a member was heard directly, and what it takes this instance for.
+func (l *Links) MessageReceived(now time.Time, m Member, as Relation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
--- a/topology/model_test.go
+++ b/topology/model_test.go
@@ -95,7 +95,7 @@
 
 	for _, peer := range peers {
 		m.send(node, peer.ID, func(to *modelNode) {
-			to.links.Heard(m.now, node.member, node.plan.Relation(peer.ID))
+			to.links.MessageReceived(m.now, node.member, node.plan.Relation(peer.ID))
 			to.links.Told(m.now, node.member.ID, node.plan.Leaders, node.plan.InstanceCount)
 		})
 	}
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -169,7 +169,7 @@
 	for round := range 100 {
 		for i := range members[1:] {
 			members[i+1].ID = fleet.InstanceID(fmt.Sprint("entry-", round, "-", i))
-			l.Heard(now, members[i+1], ToRelay)
+			l.MessageReceived(now, members[i+1], ToRelay)
 			l.Gone(members[i+1].ID)
 		}
 
