--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -47,7 +47,7 @@
 	if r.Leaving {
 		p.links.Gone(r.Instance)
 	} else {
-		p.links.Known(r.Instance)
+		p.links.RecordRead(r.Instance)
 	}
 
 	p.receiveSpent(now, r)
--- a/topology/links.go
+++ b/topology/links.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// Known takes in that a member has written a record lately: it may answer again.
-func (l *Links) Known(id fleet.InstanceID) {
+// RecordRead takes in that a member has written a record lately: it may answer again.
+func (l *Links) RecordRead(id fleet.InstanceID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.silent, id)
