--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -45,7 +45,7 @@
 	p.members.Heard(now, r)
 
 	if r.Leaving {
-		p.links.Gone(r.Instance)
+		p.links.PeerStopped(r.Instance)
 	} else {
 		p.links.RecordRead(r.Instance)
 	}
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -214,7 +214,7 @@
 	member := board.MemberOf(w.Instance, w.Domain, w.Address, w.Cores)
 
 	if w.Stopping {
-		p.links.Gone(w.Instance)
+		p.links.PeerStopped(w.Instance)
 
 		if p.plan.Load().FullMesh {
 			p.members.Met(now, member)
--- a/topology/links.go
+++ b/topology/links.go
@@ -171,8 +171,8 @@
 	delete(l.gone, id)
 }
 
-// Gone takes in that a member stops.
-func (l *Links) Gone(id fleet.InstanceID) {
+// PeerStopped takes in that a member stops.
+func (l *Links) PeerStopped(id fleet.InstanceID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -151,7 +151,7 @@
 
 	l := &Links{Self: other}
 	l.Plan(begin, few)
-	l.Gone(leading)
+	l.PeerStopped(leading)
 
 	plan := l.Plan(begin, few)
 	if plan.IsLeader(leading) || len(plan.Relays) != len(few)-1 {
@@ -170,7 +170,7 @@
 		for i := range members[1:] {
 			members[i+1].ID = fleet.InstanceID(fmt.Sprint("entry-", round, "-", i))
 			l.MessageReceived(now, members[i+1], ToRelay)
-			l.Gone(members[i+1].ID)
+			l.PeerStopped(members[i+1].ID)
 		}
 
 		l.Plan(now, members)
