--- a/entry/entry.go
+++ b/entry/entry.go
@@ -143,7 +143,7 @@
 
 	klog.InfoS("instance stops", "instance", e.Settings.Instance, "open", p.open.Load())
 	p.stopping.Store(true)
-	p.links.Stop()
+	p.links.StepDown()
 	p.handler.Stopping.Store(true)
 	p.announceStop()
 	clock.Sleep(context.Background(), e.Clock, time.Duration(float64(stop)*lameDuckShare))
--- a/topology/links.go
+++ b/topology/links.go
@@ -185,9 +185,9 @@
 	delete(l.sizes, id)
 }
 
-// Stop makes this instance neither relay nor lead, so that others take its place while it
+// StepDown makes this instance neither relay nor lead, so that others take its place while it
 // can still answer.
-func (l *Links) Stop() {
+func (l *Links) StepDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopping = true
--- a/topology/model_test.go
+++ b/topology/model_test.go
@@ -395,7 +395,7 @@
 	for batch := range slices.Chunk(order, 10) {
 		for _, i := range batch {
 			stopped[i] = m.now
-			m.nodes[i].links.Stop()
+			m.nodes[i].links.StepDown()
 		}
 
 		for i := range 20 {
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -123,7 +123,7 @@
 	self := members[slices.IndexFunc(members, func(m Member) bool { return m.ID == leader })]
 
 	l := &Links{Self: self}
-	l.Stop()
+	l.StepDown()
 
 	if plan := l.Plan(begin, members); plan.Relay || plan.IsLeader(leader) || len(plan.Leaders) != leaders {
 		t.Errorf("while it stops: got relay %t, leaders %v, want others to lead", plan.Relay, plan.Leaders)
@@ -136,7 +136,7 @@
 
 	few := fleetOf(FullMeshMax, 4)
 	l = &Links{Self: few[0]}
-	l.Stop()
+	l.StepDown()
 
 	if plan := l.Plan(begin, few); !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
 		t.Errorf("one of few that stops: got relay %t with %d others, want all", plan.Relay, len(plan.Relays))
