--- a/entry/directory.go
+++ b/entry/directory.go
@@ -121,9 +121,9 @@
 	before := p.directory.Swap(view)
 
 	if view.Few() {
-		p.links.Assign(nil)
+		p.links.AssignRelays(nil)
 	} else {
-		p.links.Assign(view.Relays)
+		p.links.AssignRelays(view.Relays)
 	}
 
 	if before == nil || before.Count != view.Count || len(before.Relays) != len(view.Relays) {
--- a/topology/links.go
+++ b/topology/links.go
@@ -193,8 +193,8 @@
 	l.stopping = true
 }
 
-// Assign sets the relays that a directory names. Without any, they follow from the members.
-func (l *Links) Assign(relays []Member) {
+// AssignRelays sets the relays that a directory names. Without any, they follow from the members.
+func (l *Links) AssignRelays(relays []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.assigned = relays
