--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -233,7 +233,7 @@
 	p.links.Told(now, w.Instance, w.Leaders, w.Members)
 
 	if w.Size > 0 {
-		p.links.Sized(w.Instance, w.Size)
+		p.links.GroupSizeReported(w.Instance, w.Size)
 	}
 }
 
--- a/topology/links.go
+++ b/topology/links.go
@@ -200,8 +200,8 @@
 	l.assigned = relays
 }
 
-// Sized takes in how many instances another relay stands for, itself included.
-func (l *Links) Sized(from fleet.InstanceID, size int) {
+// GroupSizeReported takes in how many instances another relay stands for, itself included.
+func (l *Links) GroupSizeReported(from fleet.InstanceID, size int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
