--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -230,7 +230,7 @@
 	}
 
 	p.links.MessageReceived(now, member, w.Relation)
-	p.links.Told(now, w.Instance, w.Leaders, w.Members)
+	p.links.LeadersReported(now, w.Instance, w.Leaders, w.Members)
 
 	if w.Size > 0 {
 		p.links.GroupSizeReported(w.Instance, w.Size)
--- a/topology/links.go
+++ b/topology/links.go
@@ -208,10 +208,10 @@
 	l.sizes[from] = size
 }
 
-// Told takes in which instances lead as another one knows it, of count that it knows: one
+// LeadersReported takes in which instances lead as another one knows it, of count that it knows: one
 // that leads itself, or the relay that this one turned to. One that has just started knows
 // few and names itself; it is passed over.
-func (l *Links) Told(now time.Time, from fleet.InstanceID, leaders []fleet.InstanceID, count int) {
+func (l *Links) LeadersReported(now time.Time, from fleet.InstanceID, leaders []fleet.InstanceID, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/topology/model_test.go
+++ b/topology/model_test.go
@@ -96,7 +96,7 @@
 	for _, peer := range peers {
 		m.send(node, peer.ID, func(to *modelNode) {
 			to.links.MessageReceived(m.now, node.member, node.plan.Relation(peer.ID))
-			to.links.Told(m.now, node.member.ID, node.plan.Leaders, node.plan.InstanceCount)
+			to.links.LeadersReported(m.now, node.member.ID, node.plan.Leaders, node.plan.InstanceCount)
 		})
 	}
 
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -190,13 +190,13 @@
 	l.Plan(begin, members)
 
 	starting := []fleet.InstanceID{members[79].ID}
-	l.Told(begin, members[79].ID, starting, 1)
+	l.LeadersReported(begin, members[79].ID, starting, 1)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, want) {
 		t.Errorf("leaders after one that knows itself has spoken: got %v, want %v", got, want)
 	}
 
-	l.Told(begin, members[79].ID, starting, 80)
+	l.LeadersReported(begin, members[79].ID, starting, 80)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, starting) {
 		t.Errorf("leaders after one that knows all has spoken: got %v, want %v", got, starting)
@@ -214,7 +214,7 @@
 
 	for round := range 6 {
 		from := views[round%2][0]
-		l.Told(begin, from, views[round%2], len(members))
+		l.LeadersReported(begin, from, views[round%2], len(members))
 
 		if got := l.Plan(begin, members).Leaders; !slices.Equal(got, all) {
 			t.Fatalf("after %s spoke: got %v, want the view of the first in rank, %v", from, got, all)
@@ -222,7 +222,7 @@
 	}
 
 	later := begin.Add(viewLife + time.Second)
-	l.Told(later, all[1], views[1], len(members))
+	l.LeadersReported(later, all[1], views[1], len(members))
 
 	if got := l.Plan(later, members).Leaders; !slices.Equal(got, views[1]) {
 		t.Errorf("after the first is not heard any more: got %v, want %v", got, views[1])
@@ -238,14 +238,14 @@
 
 	l := &Links{Self: self}
 	l.Plan(begin, members)
-	l.Told(begin, outsider, []fleet.InstanceID{outsider}, 80)
+	l.LeadersReported(begin, outsider, []fleet.InstanceID{outsider}, 80)
 
 	if !l.Plan(begin, members).IsLeader(self.ID) {
 		t.Error("after one that does not lead with it has named others: got no lead, want one")
 	}
 
 	others := append(slices.Clone(leaders[1:]), outsider)
-	l.Told(begin, leaders[1], others, 80)
+	l.LeadersReported(begin, leaders[1], others, 80)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, others) {
 		t.Errorf("after one that leads with it has named others: got %v, want %v", got, others)
