--- a/entry/directory.go
+++ b/entry/directory.go
@@ -188,7 +188,7 @@
 func (p *parts) abandoned(view *directoryView) bool {
 	now := p.clock.Now()
 
-	return !view.Few() && !p.links.Linked(now) && !view.Has(p.self()) && now.Sub(view.at) > directoryAbandoned &&
+	return !view.Few() && !p.links.Connected(now) && !view.Has(p.self()) && now.Sub(view.at) > directoryAbandoned &&
 		now.Sub(p.directoryFeed.Reached()) < directoryRefresh
 }
 
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -158,7 +158,7 @@
 	view := p.directory.Load()
 	forming := view != nil && view.Forming && now.Sub(view.at) < directoryAbandoned
 
-	if forming || p.links.Linked(now) {
+	if forming || p.links.Connected(now) {
 		p.unlinkedSince.Store(0)
 
 		return false
--- a/topology/links.go
+++ b/topology/links.go
@@ -241,8 +241,8 @@
 	return ok && now.Sub(at) <= relayPatience
 }
 
-// Linked tells whether this instance hears what others tell.
-func (l *Links) Linked(now time.Time) bool {
+// Connected tells whether this instance hears what others tell.
+func (l *Links) Connected(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
