--- a/entry/directory.go
+++ b/entry/directory.go
@@ -230,7 +230,7 @@
 
 // formDirectory returns the first directory that counts all instances, once no more come.
 func (p *parts) formDirectory(now time.Time, view *directoryView) (*directory.Directory, bool) {
-	sizes, subscribers := p.links.Size(now)
+	sizes, subscribers := p.links.GroupSizes(now)
 
 	if len(subscribers) != p.formed {
 		p.formed, p.formedAt = len(subscribers), now
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -25,7 +25,7 @@
 
 // relayReport is what this relay says of the instances that turned to it.
 func (p *parts) relayReport(now time.Time) directory.Report {
-	sizes, subscribers := p.links.Size(now)
+	sizes, subscribers := p.links.GroupSizes(now)
 	ranked := topology.Rank(subscribers)
 
 	return directory.Report{Relay: p.links.Self, Sizes: sizes, Candidates: ranked[:min(maxCandidates, len(ranked))]}
--- a/topology/links.go
+++ b/topology/links.go
@@ -347,9 +347,9 @@
 	return RelaysOf(ranked)
 }
 
-// Size returns how many instances this one stands for as a relay, by failure domain, and
+// GroupSizes returns how many instances this one stands for as a relay, by failure domain, and
 // those among them that turned to it.
-func (l *Links) Size(now time.Time) (map[fleet.FailureDomain]int, []Member) {
+func (l *Links) GroupSizes(now time.Time) (map[fleet.FailureDomain]int, []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
