--- a/entry/announcements.go
+++ b/entry/announcements.go
@@ -10,13 +10,13 @@
 
 // serverAnnouncedLeaving takes in that a backend server said in an answer that it leaves. The
 // next heartbeats pass it on.
-func (p *parts) serverAnnouncedLeaving(server register.Start) {
+func (p *parts) serverAnnouncedLeaving(server register.Process) {
 	klog.InfoS("backend server announces that it leaves", "server", server)
-	p.markLeaving([]register.Start{server})
+	p.markLeaving([]register.Process{server})
 }
 
 // markLeaving takes in which starts of servers leave.
-func (p *parts) markLeaving(starts []register.Start) {
+func (p *parts) markLeaving(starts []register.Process) {
 	if len(starts) == 0 {
 		return
 	}
@@ -25,6 +25,6 @@
 }
 
 // logBackoff logs that a backend server turned a request away and asked for no further ones.
-func logBackoff(server register.Start, backoff time.Duration) {
+func logBackoff(server register.Process, backoff time.Duration) {
 	klog.InfoS("backend server asks for backoff", "server", server, "backoff", backoff)
 }
--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -118,7 +118,7 @@
 		p := largeParts(clk, accounts, leaving)
 
 		spent := make(map[fleet.Account]bool)
-		left := make(map[register.Start]bool)
+		left := make(map[register.Process]bool)
 		services := make(map[fleet.Service]bool)
 
 		for range 1 + leaving {
@@ -210,7 +210,7 @@
 
 		// All requests of some accounts were lost with servers.
 		for i := range accounts {
-			p.quarantine.Lost(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Start{ID: "i-1"}, quarantine.Strong)
+			p.quarantine.Lost(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Process{ID: "i-1"}, quarantine.Strong)
 		}
 
 		losses := 0
@@ -282,7 +282,7 @@
 	f.Add(data)
 
 	for _, d := range []datagram{
-		{Permit: &ratelimit.Ask{From: "entry-2", Server: register.Start{ID: "i-0000000000"}, Rate: ratelimit.Rate(math.NaN()), Age: -1}},
+		{Permit: &ratelimit.Ask{From: "entry-2", Server: register.Process{ID: "i-0000000000"}, Rate: ratelimit.Rate(math.NaN()), Age: -1}},
 		{Permitted: &ratelimit.Reply{Granted: true, Wait: -1, Rate: -1}},
 		{Prompts: &promptNews{News: scheduling.News{Limits: []scheduling.ServerLimit{{Rate: ratelimit.Rate(math.Inf(1))}}}}},
 	} {
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -47,7 +47,7 @@
 	At   int64 `msgpack:"t"`
 	Echo int64 `msgpack:"e"`
 	// Leaving are backend servers that are known to leave.
-	Leaving []register.Start `msgpack:"l,omitempty"`
+	Leaving []register.Process `msgpack:"l,omitempty"`
 	// Rules is the version in force at the sender, and ConfirmedAgo how long ago it
 	// asked for the newest; a negative age was never confirmed.
 	Rules        uint64        `msgpack:"r"`
@@ -158,8 +158,8 @@
 
 // leaving returns servers that are known to leave. Where they don't fit into one heartbeat,
 // the next heartbeats tell the others.
-func (p *parts) leaving() []register.Start {
-	var starts []register.Start
+func (p *parts) leaving() []register.Process {
+	var starts []register.Process
 
 	for _, s := range p.register.Servers() {
 		if s.Leaving {
@@ -167,7 +167,7 @@
 		}
 	}
 
-	parts := packInto(starts, leavingBytes, func(s register.Start) int { return startBytes + len(s.ID) })
+	parts := packInto(starts, leavingBytes, func(s register.Process) int { return startBytes + len(s.ID) })
 	if len(parts) == 0 {
 		return nil
 	}
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -16,10 +16,10 @@
 type countedPermits struct {
 	mu    sync.Mutex
 	left  int
-	asked []register.Start
+	asked []register.Process
 }
 
-func (p *countedPermits) Ask(_ context.Context, server register.Start, _ ratelimit.Announcement, _ time.Duration) ratelimit.Permit {
+func (p *countedPermits) Ask(_ context.Context, server register.Process, _ ratelimit.Announcement, _ time.Duration) ratelimit.Permit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -40,7 +40,7 @@
 	s.answer = answerAll
 
 	for _, id := range []fleet.InstanceID{"api-1", "api-2", "llm-1", "llm-2"} {
-		s.Scheduler.Merge(register.Start{ID: id}, ratelimit.Announcement{Rate: 1, At: s.clock.Now()})
+		s.Scheduler.Merge(register.Process{ID: id}, ratelimit.Announcement{Rate: 1, At: s.clock.Now()})
 	}
 
 	return s, permits
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -57,8 +57,8 @@
 	later map[Fingerprint]int
 }
 
-func (p *play) start(server int) register.Start {
-	return register.Start{ID: fleet.InstanceID(rune(server)), Incarnation: fleet.Incarnation(p.generation[server])}
+func (p *play) start(server int) register.Process {
+	return register.Process{ID: fleet.InstanceID(rune(server)), Incarnation: fleet.Incarnation(p.generation[server])}
 }
 
 // send sends a stream to a server drawn at random, unless it is held off.
--- a/quarantine/loss.go
+++ b/quarantine/loss.go
@@ -38,7 +38,7 @@
 // ServerKey names one start of a backend server.
 type ServerKey uint64
 
-func keyOf(s register.Start) ServerKey {
+func keyOf(s register.Process) ServerKey {
 	return ServerKey(xxhash.Sum64String(s.String()))
 }
 
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -111,7 +111,7 @@
 
 // Lost takes in that a server ended under a request. The caller has made sure that the
 // server has ended and had not said that it would.
-func (l *Ledger) Lost(now time.Time, f Fingerprint, s register.Start, e Evidence) {
+func (l *Ledger) Lost(now time.Time, f Fingerprint, s register.Process, e Evidence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -20,8 +20,8 @@
 var begin = time.Unix(1000, 0)
 
 // start returns the n-th start of a server.
-func start(n int) register.Start {
-	return register.Start{ID: "i-1", Incarnation: fleet.Incarnation(n + 1)}
+func start(n int) register.Process {
+	return register.Process{ID: "i-1", Incarnation: fleet.Incarnation(n + 1)}
 }
 
 func held(l *Ledger, now time.Time, f Fingerprint) bool {
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -22,7 +22,7 @@
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	From     fleet.InstanceID
 	Number   uint64
-	Server   register.Start
+	Server   register.Process
 	// Rate and Age are what the asker knows of the server's announcement.
 	Rate Rate
 	Age  time.Duration
@@ -44,7 +44,7 @@
 // Known keeps the newest announcements of servers.
 type Known interface {
 	// Merge takes in what another instance knows of a server and returns the newest.
-	Merge(server register.Start, a Announcement) Announcement
+	Merge(server register.Process, a Announcement) Announcement
 }
 
 // Asker asks for permits, and answers the questions of others. Its exported fields are set
@@ -66,7 +66,7 @@
 
 // Ask asks for one request to a server that announced a limit. patience is how long the
 // request can wait. Where no granter replies nothing is granted.
-func (a *Asker) Ask(ctx context.Context, server register.Start, limit Announcement, patience time.Duration) Permit {
+func (a *Asker) Ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) Permit {
 	permit, answered := a.ask(ctx, server, limit, patience)
 	a.Counters.asked(permit, answered)
 
@@ -74,7 +74,7 @@
 }
 
 // ask reports beside the permit whether a granter answered.
-func (a *Asker) ask(ctx context.Context, server register.Start, limit Announcement, patience time.Duration) (Permit, bool) {
+func (a *Asker) ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) (Permit, bool) {
 	ranked := RankOf(server, a.Leaders())
 
 	for _, granter := range ranked[:min(granters, len(ranked))] {
@@ -117,7 +117,7 @@
 
 // merge takes in what another instance knows, unless its message is damaged, and returns
 // the newest.
-func (a *Asker) merge(server register.Start, rate Rate, age time.Duration) Announcement {
+func (a *Asker) merge(server register.Process, rate Rate, age time.Duration) Announcement {
 	if !rate.Usable() || age < 0 {
 		return a.Known.Merge(server, Announcement{})
 	}
--- a/ratelimit/asker_test.go
+++ b/ratelimit/asker_test.go
@@ -11,12 +11,12 @@
 	"monsoonlever/register"
 )
 
-var limited = register.Start{ID: "server", Incarnation: 7}
+var limited = register.Process{ID: "server", Incarnation: 7}
 
 // notes are what an instance knows of one server.
 type notes struct{ newest Announcement }
 
-func (n *notes) Merge(_ register.Start, a Announcement) Announcement {
+func (n *notes) Merge(_ register.Process, a Announcement) Announcement {
 	n.newest = n.newest.Received(a)
 
 	return n.newest
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -45,7 +45,7 @@
 	// turn counts their changes.
 	views   []view
 	turn    uint64
-	grants  map[register.Start]*grants
+	grants  map[register.Process]*grants
 	trimmed time.Time
 }
 
@@ -90,7 +90,7 @@
 
 // Grant answers the question for one request, which can wait as long as patience. One that
 // is neither the first nor the second in order grants nothing.
-func (g *Granter) Grant(now time.Time, server register.Start, rate Rate, patience time.Duration) Permit {
+func (g *Granter) Grant(now time.Time, server register.Process, rate Rate, patience time.Duration) Permit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -119,7 +119,7 @@
 
 // share returns the part of a server's rate that this instance grants: all of it if it is
 // the first in order, and was in all views that others may still have.
-func (g *Granter) share(now time.Time, server register.Start) float64 {
+func (g *Granter) share(now time.Time, server register.Process) float64 {
 	if len(g.views) == 0 {
 		return 0
 	}
@@ -146,16 +146,16 @@
 }
 
 // first reports whether an instance is the first in order for a server.
-func (v view) first(server register.Start, id fleet.InstanceID) bool {
+func (v view) first(server register.Process, id fleet.InstanceID) bool {
 	ranked := RankOf(server, v.leaders)
 
 	return len(ranked) > 0 && ranked[0] == id
 }
 
 // of returns the grants of a server; the granter is locked.
-func (g *Granter) of(now time.Time, server register.Start) *grants {
+func (g *Granter) of(now time.Time, server register.Process) *grants {
 	if g.grants == nil {
-		g.grants = make(map[register.Start]*grants)
+		g.grants = make(map[register.Process]*grants)
 	}
 
 	if now.Sub(g.trimmed) > forgetSpan {
@@ -184,7 +184,7 @@
 
 // RankOf orders instances for a server, alike at all that know the same ones. One that
 // comes or goes moves only the servers that it has.
-func RankOf(server register.Start, ids []fleet.InstanceID) []fleet.InstanceID {
+func RankOf(server register.Process, ids []fleet.InstanceID) []fleet.InstanceID {
 	type rank struct {
 		id     fleet.InstanceID
 		weight uint64
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -25,7 +25,7 @@
 // fleetModel is a number of instances that send to one limited server, without a network.
 type fleetModel struct {
 	random   *rand.Rand
-	server   register.Start
+	server   register.Process
 	now      time.Time
 	granters map[fleet.InstanceID]*Granter
 	ids      []fleet.InstanceID
@@ -48,7 +48,7 @@
 
 func newFleetModel(n int, seed uint64) *fleetModel {
 	m := &fleetModel{
-		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), server: register.Start{ID: "server", Incarnation: 7},
+		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), server: register.Process{ID: "server", Incarnation: 7},
 		granters: make(map[fleet.InstanceID]*Granter), views: make(map[fleet.InstanceID][]fleet.InstanceID),
 		silent: make(map[fleet.InstanceID]time.Time),
 	}
--- a/register/leaving.go
+++ b/register/leaving.go
@@ -9,18 +9,18 @@
 // leavingStarts are the starts of servers that are known to leave, also those whose entry is
 // not there: it may lapse and come back. The zero value is empty.
 type leavingStarts struct {
-	known *simplelru.LRU[Start, struct{}]
+	known *simplelru.LRU[Process, struct{}]
 }
 
-func (l *leavingStarts) add(start Start) {
+func (l *leavingStarts) add(start Process) {
 	if l.known == nil {
 		// It fails for a size that is not positive only.
-		l.known, _ = simplelru.NewLRU[Start, struct{}](maxLeaving, nil)
+		l.known, _ = simplelru.NewLRU[Process, struct{}](maxLeaving, nil)
 	}
 
 	l.known.Add(start, struct{}{})
 }
 
-func (l *leavingStarts) has(start Start) bool {
+func (l *leavingStarts) has(start Process) bool {
 	return l.known != nil && l.known.Contains(start)
 }
--- a/register/leaving_test.go
+++ b/register/leaving_test.go
@@ -14,7 +14,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var r Register
 
-		left := make(map[Start]bool)
+		left := make(map[Process]bool)
 		version := uint64(0)
 		change := func() Change {
 			version++
@@ -35,11 +35,11 @@
 			"whole set": func(*rapid.T) { r.Replace([]Change{change()}) },
 			"old copy":  func(*rapid.T) { r.Restore([]Change{change()}) },
 			"announced": func(*rapid.T) {
-				start := Start{
+				start := Process{
 					ID:          rapid.SampledFrom([]fleet.InstanceID{"i-1", "i-2"}).Draw(t, "who"),
 					Incarnation: fleet.Incarnation(rapid.IntRange(1, 3).Draw(t, "which")),
 				}
-				r.Leave([]Start{start})
+				r.Leave([]Process{start})
 				left[start] = true
 			},
 			"": func(t *rapid.T) {
@@ -60,7 +60,7 @@
 	var r Register
 
 	for i := range 2 * maxLeaving {
-		r.Leave([]Start{{ID: "i-1", Incarnation: fleet.Incarnation(i + 1)}})
+		r.Leave([]Process{{ID: "i-1", Incarnation: fleet.Incarnation(i + 1)}})
 	}
 
 	if got := r.leaving.known.Len(); got != maxLeaving {
--- a/register/register.go
+++ b/register/register.go
@@ -29,15 +29,15 @@
 	"monsoonlever/fleet"
 )
 
-// Start names one start of a backend server.
-type Start struct {
+// Process names one start of a backend server.
+type Process struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	ID          fleet.InstanceID
 	Incarnation fleet.Incarnation
 }
 
 // String returns a text that differs between the starts of a server.
-func (s Start) String() string {
+func (s Process) String() string {
 	if s.Incarnation == 0 {
 		return string(s.ID)
 	}
@@ -66,7 +66,7 @@
 }
 
 // Start returns which start of the server this is.
-func (s Server) Start() Start { return Start{ID: s.ID, Incarnation: s.Incarnation} }
+func (s Server) Start() Process { return Process{ID: s.ID, Incarnation: s.Incarnation} }
 
 // Change is a new entry of a server, or its removal.
 type Change struct {
@@ -207,7 +207,7 @@
 
 // Leave marks starts of servers that are known to leave, and returns what changed. It is final: a server announces it in its answers while its entry can't be
 // written, and an older entry of the same start does not take it back.
-func (r *Register) Leave(starts []Start) []Delta {
+func (r *Register) Leave(starts []Process) []Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
--- a/scheduling/announcements_test.go
+++ b/scheduling/announcements_test.go
@@ -92,9 +92,9 @@
 
 // Guards against a log line and a change of the register for each answer of a server that leaves.
 func TestALeaveIsNotedOnce(t *testing.T) {
-	var got []register.Start
+	var got []register.Process
 
-	s := &Scheduler{Domain: "a", OnLeaving: func(start register.Start) { got = append(got, start) }}
+	s := &Scheduler{Domain: "a", OnLeaving: func(start register.Process) { got = append(got, start) }}
 	s.Update([]register.Server{startOf(500)})
 
 	first, second := pick(t, s, Request{Service: "llm"}), pick(t, s, Request{Service: "llm"})
--- a/scheduling/backoff_test.go
+++ b/scheduling/backoff_test.go
@@ -21,7 +21,7 @@
 		s := &Scheduler{Domain: "a"}
 		ids := []fleet.InstanceID{"i-1", "i-2", "i-3"}
 		starts := map[fleet.InstanceID]fleet.Incarnation{"i-1": 1, "i-2": 1, "i-3": 1}
-		ends := make(map[register.Start]time.Time)
+		ends := make(map[register.Process]time.Time)
 
 		update := func(without fleet.InstanceID) {
 			var servers []register.Server
--- a/scheduling/departed.go
+++ b/scheduling/departed.go
@@ -13,20 +13,20 @@
 // platform's store is away, and come back with it: what the same start announced before holds
 // then. The zero value is empty.
 type departed struct {
-	known *simplelru.LRU[register.Start, *announcements]
+	known *simplelru.LRU[register.Process, *announcements]
 }
 
-func (d *departed) add(start register.Start, a *announcements) {
+func (d *departed) add(start register.Process, a *announcements) {
 	if d.known == nil {
 		// It fails for a size that is not positive only.
-		d.known, _ = simplelru.NewLRU[register.Start, *announcements](maxDeparted, nil)
+		d.known, _ = simplelru.NewLRU[register.Process, *announcements](maxDeparted, nil)
 	}
 
 	d.known.Add(start, a)
 }
 
 // take returns what a start announced before, or nil, and forgets it.
-func (d *departed) take(start register.Start) *announcements {
+func (d *departed) take(start register.Process) *announcements {
 	if d.known == nil {
 		return nil
 	}
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -16,7 +16,7 @@
 // Permits grants requests to servers that announce a limit, over all instances.
 type Permits interface {
 	// Ask asks for one request that can wait for some time.
-	Ask(ctx context.Context, server register.Start, limit ratelimit.Announcement, patience time.Duration) ratelimit.Permit
+	Ask(ctx context.Context, server register.Process, limit ratelimit.Announcement, patience time.Duration) ratelimit.Permit
 }
 
 const (
@@ -171,7 +171,7 @@
 
 // LimitChange says that a server announced another limit than before.
 type LimitChange struct {
-	Server        register.Start
+	Server        register.Process
 	Before, After ratelimit.Rate
 }
 
@@ -187,7 +187,7 @@
 
 // Merge takes in what another instance knows of a server, and returns the newest. Of a
 // server that is not known here it returns what the other knows.
-func (s *Scheduler) Merge(start register.Start, other ratelimit.Announcement) ratelimit.Announcement {
+func (s *Scheduler) Merge(start register.Process, other ratelimit.Announcement) ratelimit.Announcement {
 	byKey := s.byKey.Load()
 	if byKey == nil {
 		return other
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -22,7 +22,7 @@
 }
 
 func (p *scriptedPermits) Ask(
-	_ context.Context, server register.Start, _ ratelimit.Announcement, patience time.Duration,
+	_ context.Context, server register.Process, _ ratelimit.Announcement, patience time.Duration,
 ) ratelimit.Permit {
 	p.asked = append(p.asked, server.ID)
 	wait := max(time.Until(p.rooms[server.ID]), 0)
@@ -237,7 +237,7 @@
 		at = at.Add(way)
 		b.HearNews(at, "a", Peer, news)
 
-		start := register.Start{ID: "i-0"}
+		start := register.Process{ID: "i-0"}
 		known := b.Merge(start, ratelimit.Announcement{})
 		age := at.Sub(known.At)
 		at = at.Add(way)
--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -104,7 +104,7 @@
 
 // keyOfStart differs between the starts of a server, so that news of one is not taken
 // for news of the next.
-func keyOfStart(s register.Start) Key { return keyOf(s.String()) }
+func keyOfStart(s register.Process) Key { return keyOf(s.String()) }
 
 const (
 	// backlogLife is how long the news of a backlog counts that is not told anew: the
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -96,8 +96,8 @@
 	OnLimit func(LimitChange)
 	// OnLeaving is called once where a server first answers that it leaves, and OnBackoff
 	// where one asks for no requests for some time; both may be nil.
-	OnLeaving func(register.Start)
-	OnBackoff func(server register.Start, backoff time.Duration)
+	OnLeaving func(register.Process)
+	OnBackoff func(server register.Process, backoff time.Duration)
 	// Return says how requests return to a server that asked for backoff.
 	Return ReturnPolicy
 	// Counters may be nil.
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -67,7 +67,7 @@
 		return
 	}
 
-	server := register.Start{ID: fleet.InstanceID(fmt.Sprint("i-", len(m.ended)))}
+	server := register.Process{ID: fleet.InstanceID(fmt.Sprint("i-", len(m.ended)))}
 	m.ended = append(m.ended, m.now)
 	m.ledgers[i].Lost(m.now, harmful, server, quarantine.Strong)
 }
