--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -163,7 +163,7 @@
 
 	for _, s := range p.register.Servers() {
 		if s.Leaving {
-			starts = append(starts, s.Start())
+			starts = append(starts, s.Process())
 		}
 	}
 
--- a/entry/rules.go
+++ b/entry/rules.go
@@ -171,7 +171,7 @@
 		switch {
 		case d.After == nil:
 			p.pool.Forget(d.Before.ID)
-		case d.Before != nil && d.Before.Start() != d.After.Start():
+		case d.Before != nil && d.Before.Process() != d.After.Process():
 			// What ran there is lost.
 			p.pool.Cut(d.After.ID)
 		}
--- a/entry/servers.go
+++ b/entry/servers.go
@@ -38,7 +38,7 @@
 	case before == nil:
 		klog.InfoS("backend server came", "server", after.ID, "service", after.Service, "address", after.Address,
 			"failureDomain", after.Domain, "reclaimable", after.Reclaimable)
-	case before.Start() != after.Start():
+	case before.Process() != after.Process():
 		klog.InfoS("backend server started again", "server", after.ID, "service", after.Service,
 			"incarnation", after.Incarnation, "before", before.Incarnation)
 	case after.Leaving && !before.Leaving:
--- a/register/leaving_test.go
+++ b/register/leaving_test.go
@@ -44,11 +44,11 @@
 			},
 			"": func(t *rapid.T) {
 				for _, s := range r.Servers() {
-					if left[s.Start()] && !s.Leaving {
-						t.Errorf("%v: got it ready, want it to leave as it said", s.Start())
+					if left[s.Process()] && !s.Leaving {
+						t.Errorf("%v: got it ready, want it to leave as it said", s.Process())
 					}
 
-					left[s.Start()] = left[s.Start()] || s.Leaving
+					left[s.Process()] = left[s.Process()] || s.Leaving
 				}
 			},
 		})
--- a/register/register.go
+++ b/register/register.go
@@ -65,8 +65,8 @@
 	Reclaimable bool
 }
 
-// Start returns which start of the server this is.
-func (s Server) Start() Process { return Process{ID: s.ID, Incarnation: s.Incarnation} }
+// Process returns which start of the server this is.
+func (s Server) Process() Process { return Process{ID: s.ID, Incarnation: s.Incarnation} }
 
 // Change is a new entry of a server, or its removal.
 type Change struct {
@@ -174,10 +174,10 @@
 
 		s := *c.Server
 		if s.Leaving {
-			r.leaving.add(s.Start())
+			r.leaving.add(s.Process())
 		}
 
-		s.Leaving = r.leaving.has(s.Start())
+		s.Leaving = r.leaving.has(s.Process())
 		r.put(s)
 	}
 }
@@ -215,7 +215,7 @@
 	for _, start := range starts {
 		r.leaving.add(start)
 
-		if s, ok := r.servers[start.ID]; ok && !s.Leaving && s.Start() == start {
+		if s, ok := r.servers[start.ID]; ok && !s.Leaving && s.Process() == start {
 			s.Leaving = true
 			r.put(s)
 		}
@@ -297,7 +297,7 @@
 // digest names a start of a server and whether it leaves. The digests of all servers are added
 // up, so that one change costs the same however many there are.
 func digest(s Server) uint64 {
-	text := s.Start().String()
+	text := s.Process().String()
 	if s.Leaving {
 		text += " leaving"
 	}
--- a/scheduling/announcements_test.go
+++ b/scheduling/announcements_test.go
@@ -101,7 +101,7 @@
 	first.AnnouncedLeaving()
 	second.AnnouncedLeaving()
 
-	if len(got) != 1 || got[0] != startOf(500).Start() {
+	if len(got) != 1 || got[0] != startOf(500).Process() {
 		t.Errorf("noted: got %v, want the server once", got)
 	}
 }
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -82,7 +82,7 @@
 func (a *Assignment) KnownEnded(now time.Time) bool { return a.server.hasEnded(now) }
 
 // Server returns the start of the server that the attempt is at.
-func (a *Assignment) Server() register.Process { return a.server.entry().Start() }
+func (a *Assignment) Server() register.Process { return a.server.entry().Process() }
 
 // Began tells whether the first event has come.
 func (a *Assignment) Began() bool { return a.answering }
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -40,7 +40,7 @@
 // ask asks for a permit and notes until when a server has no room. A caller that left
 // before the reply came says nothing of that.
 func (s *Scheduler) ask(ctx context.Context, clk clock.Clock, one *server, patience time.Duration) ratelimit.Permit {
-	permit := s.Permits.Ask(ctx, one.entry().Start(), one.announced(), max(patience, 0))
+	permit := s.Permits.Ask(ctx, one.entry().Process(), one.announced(), max(patience, 0))
 	if !permit.Granted && ctx.Err() == nil {
 		one.fill(clk.Now().Add(permit.Wait))
 	}
@@ -228,7 +228,7 @@
 
 	changed := before.Rate != next.Rate
 	if changed && s.OnLimit != nil {
-		s.OnLimit(LimitChange{Server: one.entry().Start(), Before: before.Rate, After: next.Rate})
+		s.OnLimit(LimitChange{Server: one.entry().Process(), Before: before.Rate, After: next.Rate})
 	}
 
 	s.outboxes[Downstream].limited(one, changed)
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -132,10 +132,10 @@
 		one := s.servers[entry.ID]
 		if known := one != nil; !known || !one.stays(entry) {
 			if known {
-				s.departed.add(one.entry().Start(), one.announcements)
+				s.departed.add(one.entry().Process(), one.announcements)
 			}
 
-			one = newServer(entry, s.departed.take(entry.Start()))
+			one = newServer(entry, s.departed.take(entry.Process()))
 			one.again = known
 		}
 
@@ -160,7 +160,7 @@
 		one.gone.Store(true)
 
 		if known[id] == nil {
-			s.departed.add(one.entry().Start(), one.announcements)
+			s.departed.add(one.entry().Process(), one.announcements)
 		}
 	}
 
--- a/scheduling/server.go
+++ b/scheduling/server.go
@@ -98,7 +98,7 @@
 
 	s := &server{
 		announcements: known,
-		hash:          xxhash.Sum64String(string(entry.ID)), key: keyOfStart(entry.Start()), parts: make(map[Key]time.Time),
+		hash:          xxhash.Sum64String(string(entry.ID)), key: keyOfStart(entry.Process()), parts: make(map[Key]time.Time),
 		told: make(map[Key]time.Time),
 	}
 	s.registered.Store(&entry)
@@ -117,7 +117,7 @@
 func (s *server) stays(entry register.Server) bool {
 	own := s.entry()
 
-	return own.Start() == entry.Start() && own.Address == entry.Address && own.Service == entry.Service
+	return own.Process() == entry.Process() && own.Address == entry.Address && own.Service == entry.Service
 }
 
 // cost estimates, in tokens of a prompt, what stands before the begin of an answer of
