--- a/entry/announcements.go
+++ b/entry/announcements.go
@@ -21,7 +21,7 @@
 		return
 	}
 
-	p.changeServers(func() []register.Delta { return p.register.Leave(starts) })
+	p.changeServers(func() []register.Delta { return p.register.MarkLeaving(starts) })
 }
 
 // logBackoff logs that a backend server turned a request away and asked for no further ones.
--- a/register/deltas_test.go
+++ b/register/deltas_test.go
@@ -45,7 +45,7 @@
 			case 0:
 				deltas = r.Replace(changes)
 			case 1:
-				deltas = r.Leave([]Process{{ID: "i-3", Incarnation: 1}, {ID: "i-4", Incarnation: 2}})
+				deltas = r.MarkLeaving([]Process{{ID: "i-3", Incarnation: 1}, {ID: "i-4", Incarnation: 2}})
 			default:
 				deltas = r.Apply(changes)
 			}
--- a/register/leaving_test.go
+++ b/register/leaving_test.go
@@ -39,7 +39,7 @@
 					ID:          rapid.SampledFrom([]fleet.InstanceID{"i-1", "i-2"}).Draw(t, "who"),
 					Incarnation: fleet.Incarnation(rapid.IntRange(1, 3).Draw(t, "which")),
 				}
-				r.Leave([]Process{start})
+				r.MarkLeaving([]Process{start})
 				left[start] = true
 			},
 			"": func(t *rapid.T) {
@@ -60,7 +60,7 @@
 	var r Register
 
 	for i := range 2 * maxLeaving {
-		r.Leave([]Process{{ID: "i-1", Incarnation: fleet.Incarnation(i + 1)}})
+		r.MarkLeaving([]Process{{ID: "i-1", Incarnation: fleet.Incarnation(i + 1)}})
 	}
 
 	if got := r.leaving.known.Len(); got != maxLeaving {
--- a/register/register.go
+++ b/register/register.go
@@ -205,9 +205,9 @@
 	}
 }
 
-// Leave marks starts of servers that are known to leave, and returns what changed. It is final: a server announces it in its answers while its entry can't be
+// MarkLeaving marks starts of servers that are known to leave, and returns what changed. It is final: a server announces it in its answers while its entry can't be
 // written, and an older entry of the same start does not take it back.
-func (r *Register) Leave(starts []Process) []Delta {
+func (r *Register) MarkLeaving(starts []Process) []Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -38,7 +38,7 @@
 		t.Error("the same servers: got different digests, want the same")
 	}
 
-	one.Leave([]Process{{ID: "i-2"}})
+	one.MarkLeaving([]Process{{ID: "i-2"}})
 
 	if one.Digest() == other.Digest() {
 		t.Error("one leaves: got the same digest, want another")
@@ -66,7 +66,7 @@
 		t.Error("second start: got the digest of the first, want another")
 	}
 
-	if len(r.Leave([]Process{{ID: "i-1", Incarnation: 500}})) > 0 {
+	if len(r.MarkLeaving([]Process{{ID: "i-1", Incarnation: 500}})) > 0 {
 		t.Error("the first start is said to leave: got news, want none")
 	}
 
@@ -76,7 +76,7 @@
 		t.Errorf("after a late entry of the first start: got %+v, want the second", got)
 	}
 
-	if len(r.Leave([]Process{{ID: "i-1", Incarnation: 900}})) == 0 {
+	if len(r.MarkLeaving([]Process{{ID: "i-1", Incarnation: 900}})) == 0 {
 		t.Error("the second start is said to leave: got no news, want some")
 	}
 }
