--- a/directory/keeper.go
+++ b/directory/keeper.go
@@ -28,9 +28,9 @@
 	Candidates []topology.Member
 }
 
-// Keeper decides which instances relay. The zero value has no reports; it is safe for
+// Planner decides which instances relay. The zero value has no reports; it is safe for
 // concurrent use.
-type Keeper struct {
+type Planner struct {
 	mu      sync.Mutex
 	began   time.Time
 	reports map[fleet.InstanceID]received
@@ -43,7 +43,7 @@
 }
 
 // Report takes a relay's report in.
-func (k *Keeper) Report(now time.Time, r Report) {
+func (k *Planner) Report(now time.Time, r Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -55,7 +55,7 @@
 }
 
 // Reset forgets all reports: this instance did not get any meanwhile.
-func (k *Keeper) Reset() {
+func (k *Planner) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -64,7 +64,7 @@
 
 // Next returns the directory that should follow the current one, and whether it says
 // anything else.
-func (k *Keeper) Next(now time.Time, current *Directory) (*Directory, bool) {
+func (k *Planner) Next(now time.Time, current *Directory) (*Directory, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -95,7 +95,7 @@
 }
 
 // sizes adds up how many instances there are in each failure domain and in all.
-func (k *Keeper) sizes() (map[fleet.FailureDomain]int, int) {
+func (k *Planner) sizes() (map[fleet.FailureDomain]int, int) {
 	sizes := make(map[fleet.FailureDomain]int)
 	count := 0
 
@@ -110,7 +110,7 @@
 }
 
 // staying returns the relays that have reported, or may not have had the time to.
-func (k *Keeper) staying(now time.Time, current *Directory) []topology.Member {
+func (k *Planner) staying(now time.Time, current *Directory) []topology.Member {
 	var staying []topology.Member
 
 	for _, m := range current.Relays {
@@ -124,7 +124,7 @@
 
 // choose fills up the relays of each failure domain from the candidates, and replaces smaller
 // instances by larger ones.
-func (k *Keeper) choose(relays []topology.Member, sizes map[fleet.FailureDomain]int) []topology.Member {
+func (k *Planner) choose(relays []topology.Member, sizes map[fleet.FailureDomain]int) []topology.Member {
 	candidates := k.candidates(relays)
 	chosen := slices.Clone(relays)
 
@@ -136,7 +136,7 @@
 }
 
 // candidates returns those that are no relays yet, by failure domain, the first in rank first.
-func (k *Keeper) candidates(relays []topology.Member) map[fleet.FailureDomain][]topology.Member {
+func (k *Planner) candidates(relays []topology.Member) map[fleet.FailureDomain][]topology.Member {
 	seen := make(map[fleet.InstanceID]bool, len(relays))
 	for _, m := range relays {
 		seen[m.ID] = true
--- a/directory/keeper_test.go
+++ b/directory/keeper_test.go
@@ -77,7 +77,7 @@
 func settle(t *testing.T, current *Directory, members []topology.Member) (*Directory, int) {
 	t.Helper()
 
-	var keeper Keeper
+	var keeper Planner
 
 	changes := 0
 
@@ -108,7 +108,7 @@
 			sizes[m.Domain]++
 		}
 
-		var keeper Keeper
+		var keeper Planner
 
 		keeper.Report(begin, Report{Relay: first, Sizes: sizes, Candidates: members[1:]})
 
@@ -138,7 +138,7 @@
 }
 
 func TestFewInstancesNeedNoRelays(t *testing.T) {
-	var keeper Keeper
+	var keeper Planner
 
 	keeper.Report(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
 
@@ -171,7 +171,7 @@
 	lost := current.Relays[0]
 	left := slices.DeleteFunc(slices.Clone(members), func(m topology.Member) bool { return m == lost })
 
-	var keeper Keeper
+	var keeper Planner
 
 	for round := range 20 {
 		now := begin.Add(time.Duration(round) * time.Second)
@@ -201,7 +201,7 @@
 	members := fleetOf(986, 6)
 	current, _ := settle(t, &Directory{Relays: topology.RelaysOf(topology.Rank(members)), Count: len(members)}, members)
 
-	var keeper Keeper
+	var keeper Planner
 
 	for _, after := range []time.Duration{0, time.Second, silentAfter - time.Millisecond} {
 		if next, changed := keeper.Next(begin.Add(after), current); changed {
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -240,7 +240,7 @@
 		return &view.Directory, false
 	}
 
-	var keeper directory.Keeper
+	var keeper directory.Planner
 
 	keeper.Report(now, directory.Report{Relay: p.links.Self, Sizes: sizes, Candidates: subscribers})
 
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -132,7 +132,7 @@
 	relaying atomic.Bool
 	// formingTurn counts rounds of heartbeats while there are no relays yet.
 	formingTurn atomic.Uint64
-	keeper      directory.Keeper
+	keeper      directory.Planner
 	// outdated is since when the directory should say something else. formed is how many
 	// instances the first one has seen, and formedAt since when. They are used by the keeper's
 	// goroutine alone.
