--- a/directory/keeper.go
+++ b/directory/keeper.go
@@ -42,8 +42,8 @@
 	at time.Time
 }
 
-// Report takes a relay's report in.
-func (k *Planner) Report(now time.Time, r Report) {
+// AddReport takes a relay's report in.
+func (k *Planner) AddReport(now time.Time, r Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
--- a/directory/keeper_test.go
+++ b/directory/keeper_test.go
@@ -86,7 +86,7 @@
 
 		for _, r := range reportsOf(current.Relays, members) {
 			r.Candidates = topology.Rank(r.Candidates)
-			keeper.Report(now, r)
+			keeper.AddReport(now, r)
 		}
 
 		if next, changed := keeper.Next(now, current); changed {
@@ -110,7 +110,7 @@
 
 		var keeper Planner
 
-		keeper.Report(begin, Report{Relay: first, Sizes: sizes, Candidates: members[1:]})
+		keeper.AddReport(begin, Report{Relay: first, Sizes: sizes, Candidates: members[1:]})
 
 		got, changed := keeper.Next(begin, &Directory{Relays: []topology.Member{first}, Count: 1, Forming: true})
 		if !changed || got.Forming || got.Count != n {
@@ -140,7 +140,7 @@
 func TestFewInstancesNeedNoRelays(t *testing.T) {
 	var keeper Planner
 
-	keeper.Report(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
+	keeper.AddReport(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
 
 	got, changed := keeper.Next(begin, &Directory{Count: 1, Forming: true})
 	if !changed || !got.Few() || len(got.Relays) != 0 {
@@ -178,7 +178,7 @@
 
 		others := slices.DeleteFunc(slices.Clone(current.Relays), func(m topology.Member) bool { return m == lost })
 		for _, r := range reportsOf(others, left) {
-			keeper.Report(now, r)
+			keeper.AddReport(now, r)
 		}
 
 		next, changed := keeper.Next(now, current)
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -222,7 +222,7 @@
 	case view.Few():
 		return p.fewDirectory(view)
 	default:
-		p.keeper.Report(now, p.relayReport(now))
+		p.keeper.AddReport(now, p.relayReport(now))
 
 		return p.keeper.Next(now, &view.Directory)
 	}
@@ -242,7 +242,7 @@
 
 	var keeper directory.Planner
 
-	keeper.Report(now, directory.Report{Relay: p.links.Self, Sizes: sizes, Candidates: subscribers})
+	keeper.AddReport(now, directory.Report{Relay: p.links.Self, Sizes: sizes, Candidates: subscribers})
 
 	return keeper.Next(now, &directory.Directory{Relays: view.Relays, Count: 1, Forming: true})
 }
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -58,7 +58,7 @@
 
 // receiveReport takes a relay's report in.
 func (p *parts) receiveReport(now time.Time, m *reportMessage) {
-	p.keeper.Report(now, directory.Report{
+	p.keeper.AddReport(now, directory.Report{
 		Relay: m.Relay.Member(), Sizes: m.Sizes, Candidates: directory.TopologyMembers(m.Candidates),
 	})
 }
