--- a/directory/directory.go
+++ b/directory/directory.go
@@ -42,8 +42,8 @@
 // Few reports whether the instances are so few that they find each other by themselves.
 func (d *Directory) Few() bool { return !d.Forming && d.Count <= topology.FullMeshMax }
 
-// Has reports whether an instance is one of the relays.
-func (d *Directory) Has(id fleet.InstanceID) bool {
+// HasRelay reports whether an instance is one of the relays.
+func (d *Directory) HasRelay(id fleet.InstanceID) bool {
 	for _, m := range d.Relays {
 		if m.ID == id {
 			return true
--- a/directory/keeper.go
+++ b/directory/keeper.go
@@ -74,7 +74,7 @@
 
 	for id, r := range k.reports {
 		// Instances that turned to one that relays no longer are counted elsewhere.
-		if now.Sub(r.at) > silentAfter || !current.Has(id) {
+		if now.Sub(r.at) > silentAfter || !current.HasRelay(id) {
 			delete(k.reports, id)
 		}
 	}
--- a/directory/keeper_test.go
+++ b/directory/keeper_test.go
@@ -186,12 +186,12 @@
 			current = next
 		}
 
-		if now.Sub(begin) < silentAfter && !current.Has(lost.ID) {
+		if now.Sub(begin) < silentAfter && !current.HasRelay(lost.ID) {
 			t.Fatalf("after %v: got the relay replaced, want it kept for %v", now.Sub(begin), silentAfter)
 		}
 	}
 
-	if current.Has(lost.ID) {
+	if current.HasRelay(lost.ID) {
 		t.Error("a silent relay: got it kept, want it replaced")
 	}
 }
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -128,7 +128,7 @@
 
 	if before == nil || before.Count != view.Count || len(before.Relays) != len(view.Relays) {
 		klog.InfoS("directory in force", "instances", view.Count, "relays", len(view.Relays), "forming", view.Forming,
-			"relay", view.Has(p.self()), "end", view.end)
+			"relay", view.HasRelay(p.self()), "end", view.end)
 	}
 
 	if !view.Forming {
@@ -188,7 +188,7 @@
 func (p *parts) abandoned(view *directoryView) bool {
 	now := p.clock.Now()
 
-	return !view.Few() && !p.links.Connected(now) && !view.Has(p.self()) && now.Sub(view.at) > directoryAbandoned &&
+	return !view.Few() && !p.links.Connected(now) && !view.HasRelay(p.self()) && now.Sub(view.at) > directoryAbandoned &&
 		now.Sub(p.directoryFeed.Reached()) < directoryRefresh
 }
 
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -107,7 +107,7 @@
 	}
 
 	next := &directory.Directory{Count: m.Count, Relays: directory.TopologyMembers(m.Relays)}
-	if next.Has(p.self()) {
+	if next.HasRelay(p.self()) {
 		p.relaying.Store(true)
 		p.directoryFeed.Wake()
 
