--- a/directory/directory.go
+++ b/directory/directory.go
@@ -39,8 +39,8 @@
 	Forming bool
 }
 
-// Few reports whether the instances are so few that they find each other by themselves.
-func (d *Directory) Few() bool { return !d.Forming && d.Count <= topology.FullMeshMax }
+// FullMesh reports whether the instances are so few that they find each other by themselves.
+func (d *Directory) FullMesh() bool { return !d.Forming && d.Count <= topology.FullMeshMax }
 
 // HasRelay reports whether an instance is one of the relays.
 func (d *Directory) HasRelay(id fleet.InstanceID) bool {
--- a/directory/keeper.go
+++ b/directory/keeper.go
@@ -193,7 +193,7 @@
 
 // differs reports whether two directories differ by more than a few instances that came or went.
 func differs(a, b *Directory) bool {
-	if a.Forming != b.Forming || a.Few() != b.Few() || math.Abs(float64(a.Count-b.Count)) > countDrift*float64(a.Count) {
+	if a.Forming != b.Forming || a.FullMesh() != b.FullMesh() || math.Abs(float64(a.Count-b.Count)) > countDrift*float64(a.Count) {
 		return true
 	}
 
--- a/directory/keeper_test.go
+++ b/directory/keeper_test.go
@@ -143,7 +143,7 @@
 	keeper.AddReport(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
 
 	got, changed := keeper.Next(begin, &Directory{Count: 1, Forming: true})
-	if !changed || !got.Few() || len(got.Relays) != 0 {
+	if !changed || !got.FullMesh() || len(got.Relays) != 0 {
 		t.Errorf("got %+v, changed %t, want few without relays", got, changed)
 	}
 }
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -67,14 +67,14 @@
 func (p *parts) few() bool {
 	view := p.directory.Load()
 
-	return view != nil && view.Few()
+	return view != nil && view.FullMesh()
 }
 
 // count returns how many instances there are, at least one. It rather counts instances that
 // are gone than misses some: each uses a part of what all may use together.
 func (p *parts) count() int {
 	view := p.directory.Load()
-	if view == nil || view.Few() {
+	if view == nil || view.FullMesh() {
 		return p.members.Count()
 	}
 
@@ -86,7 +86,7 @@
 func (p *parts) usesBoard() bool {
 	view := p.directory.Load()
 
-	return view != nil && !view.Forming && (view.Few() || p.leads())
+	return view != nil && !view.Forming && (view.FullMesh() || p.leads())
 }
 
 // applyDirectory takes the newest directory in.
@@ -120,7 +120,7 @@
 func (p *parts) useDirectory(view *directoryView) {
 	before := p.directory.Swap(view)
 
-	if view.Few() {
+	if view.FullMesh() {
 		p.links.AssignRelays(nil)
 	} else {
 		p.links.AssignRelays(view.Relays)
@@ -135,7 +135,7 @@
 		p.countedAt.CompareAndSwap(nil, &view.at)
 	}
 
-	if before == nil || before.Few() != view.Few() || before.Forming != view.Forming {
+	if before == nil || before.FullMesh() != view.FullMesh() || before.Forming != view.Forming {
 		p.wakeFeeds()
 		p.board.Wake()
 	}
@@ -188,7 +188,7 @@
 func (p *parts) abandoned(view *directoryView) bool {
 	now := p.clock.Now()
 
-	return !view.Few() && !p.links.Connected(now) && !view.HasRelay(p.self()) && now.Sub(view.at) > directoryAbandoned &&
+	return !view.FullMesh() && !p.links.Connected(now) && !view.HasRelay(p.self()) && now.Sub(view.at) > directoryAbandoned &&
 		now.Sub(p.directoryFeed.Reached()) < directoryRefresh
 }
 
@@ -207,7 +207,7 @@
 	rank := max(p.plan.Load().LeaderRank(p.self()), 0)
 	yield := time.Duration(rank) * directoryYield
 	late := changed && (view.Forming || now.Sub(p.outdated) >= directorySettle+yield)
-	refresh := !view.Few() && now.Sub(view.at) >= directoryRefresh+yield
+	refresh := !view.FullMesh() && now.Sub(view.at) >= directoryRefresh+yield
 
 	if late || refresh {
 		p.writeDirectory(ctx, next, view.end)
@@ -219,7 +219,7 @@
 	switch {
 	case view.Forming:
 		return p.formDirectory(now, view)
-	case view.Few():
+	case view.FullMesh():
 		return p.fewDirectory(view)
 	default:
 		p.keeper.AddReport(now, p.relayReport(now))
@@ -261,7 +261,7 @@
 	members := p.members.All()
 	next := &directory.Directory{Count: max(len(members), 1)}
 
-	if next.Few() {
+	if next.FullMesh() {
 		return &view.Directory, false
 	}
 
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -114,7 +114,7 @@
 		return
 	}
 
-	if next.Few() || len(next.Relays) > 0 {
+	if next.FullMesh() || len(next.Relays) > 0 {
 		p.useDirectory(newDirectoryView(next, now, view.end))
 	}
 }
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -106,7 +106,7 @@
 	switch {
 	case view == nil:
 		return replica.Upstream{}
-	case view.Few(), p.alone(), plan.IsLeader(p.self()) && !p.behind(plan):
+	case view.FullMesh(), p.alone(), plan.IsLeader(p.self()) && !p.behind(plan):
 		return replica.Upstream{Origin: true}
 	case view.Forming:
 		// The first instance would have to serve all others at once.
