--- a/entry/datagram.go
+++ b/entry/datagram.go
@@ -115,7 +115,7 @@
 	}
 
 	data, err := msgpack.Marshal(&d)
-	if err != nil || len(data) > gossip.MaxWord {
+	if err != nil || len(data) > gossip.MaxMessageBytes {
 		klog.ErrorS(err, "datagram can't be sent", "bytes", len(data))
 
 		return
--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -228,16 +228,16 @@
 
 func encodeMessage(t *rapid.T, d datagram) []byte {
 	data, err := msgpack.Marshal(&d)
-	if err != nil || len(data) > gossip.MaxWord {
-		t.Fatalf("message: got %d bytes and %v, want at most %d", len(data), err, gossip.MaxWord)
+	if err != nil || len(data) > gossip.MaxMessageBytes {
+		t.Fatalf("message: got %d bytes and %v, want at most %d", len(data), err, gossip.MaxMessageBytes)
 	}
 
 	return data
 }
 
 func decodeMessage(t *rapid.T, data []byte) datagram {
-	if len(data) > gossip.MaxWord {
-		t.Fatalf("message: got %d bytes, want at most %d", len(data), gossip.MaxWord)
+	if len(data) > gossip.MaxMessageBytes {
+		t.Fatalf("message: got %d bytes, want at most %d", len(data), gossip.MaxMessageBytes)
 	}
 
 	var d datagram
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -288,7 +288,7 @@
 		both := first
 		both.Spent = &spent[0]
 
-		if data, err := msgpack.Marshal(&both); err != nil || len(data) <= gossip.MaxWord {
+		if data, err := msgpack.Marshal(&both); err != nil || len(data) <= gossip.MaxMessageBytes {
 			return [][]byte{data}, err
 		}
 	}
--- a/entry/prompts_test.go
+++ b/entry/prompts_test.go
@@ -30,8 +30,8 @@
 
 	for _, part := range splitNews(news) {
 		data, err := msgpack.Marshal(&datagram{Prompts: &promptNews{Instance: "edge-ballerup-a-12", Subscribes: true, News: part}})
-		if err != nil || len(data) > gossip.MaxWord {
-			t.Fatalf("datagram: got %d bytes and %v, want at most %d", len(data), err, gossip.MaxWord)
+		if err != nil || len(data) > gossip.MaxMessageBytes {
+			t.Fatalf("datagram: got %d bytes and %v, want at most %d", len(data), err, gossip.MaxMessageBytes)
 		}
 
 		var d datagram
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// MaxWord bounds a word to what a datagram holds without being split.
-	MaxWord = 1400
+	// MaxMessageBytes bounds a word to what a datagram holds without being split.
+	MaxMessageBytes = 1400
 	// PerPeer is the time between two words per peer: at most some 170 datagrams a
 	// second leave an instance, however many there are.
 	PerPeer = 6 * time.Millisecond
@@ -103,7 +103,7 @@
 		}
 
 		for _, word := range words {
-			if len(word) > MaxWord {
+			if len(word) > MaxMessageBytes {
 				klog.ErrorS(nil, "word is not sent: it is too long", "to", id, "bytes", len(word))
 
 				continue
@@ -127,7 +127,7 @@
 }
 
 func (e *Exchange) receive(ctx context.Context) {
-	buffer := make([]byte, MaxWord)
+	buffer := make([]byte, MaxMessageBytes)
 
 	for ctx.Err() == nil {
 		n, from, err := e.Conn.ReadFrom(buffer)
