--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -26,9 +26,9 @@
 const (
 	// MaxMessageBytes bounds a word to what a datagram holds without being split.
 	MaxMessageBytes = 1400
-	// PerPeer is the time between two words per peer: at most some 170 datagrams a
+	// IntervalPerPeer is the time between two words per peer: at most some 170 datagrams a
 	// second leave an instance, however many there are.
-	PerPeer = 6 * time.Millisecond
+	IntervalPerPeer = 6 * time.Millisecond
 	// minEvery keeps few instances from waking each other more often than the news
 	// is worth.
 	minEvery = 150 * time.Millisecond
@@ -36,7 +36,7 @@
 
 // Every returns the time between two words of an instance with n peers.
 func Every(n int) time.Duration {
-	return max(time.Duration(n)*PerPeer, minEvery)
+	return max(time.Duration(n)*IntervalPerPeer, minEvery)
 }
 
 // Exchange sends and receives. Its fields are set before Run.
