--- a/entry/parts.go
+++ b/entry/parts.go
@@ -409,5 +409,5 @@
 func (p *parts) quickSpread(n int) time.Duration {
 	peers := len(p.plan.Load().Peers())
 
-	return lostHeartbeats * max(gossip.Every(n-1), gossip.Every(peers))
+	return lostHeartbeats * max(gossip.Interval(n-1), gossip.Interval(peers))
 }
--- a/entry/prompts.go
+++ b/entry/prompts.go
@@ -36,7 +36,7 @@
 	for ctx.Err() == nil {
 		select {
 		case <-p.scheduler.Ready(to):
-		case <-p.clock.After(gossip.Every(0)):
+		case <-p.clock.After(gossip.Interval(0)):
 		case <-ctx.Done():
 			return
 		}
--- a/entry/usage_counts.go
+++ b/entry/usage_counts.go
@@ -74,7 +74,7 @@
 // countsPace is the time between two messages of an instance with its counts.
 func (p *parts) countsPace() time.Duration {
 	if p.few() {
-		return gossip.Every(p.count() - 1)
+		return gossip.Interval(p.count() - 1)
 	}
 
 	return countsEvery
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -34,8 +34,8 @@
 	minEvery = 150 * time.Millisecond
 )
 
-// Every returns the time between two words of an instance with n peers.
-func Every(n int) time.Duration {
+// Interval returns the time between two words of an instance with n peers.
+func Interval(n int) time.Duration {
 	return max(time.Duration(n)*IntervalPerPeer, minEvery)
 }
 
@@ -76,7 +76,7 @@
 	for ctx.Err() == nil {
 		peers := peersOf(e.Clock.Now())
 		e.sendAll(peers)
-		clock.Sleep(ctx, e.Clock, Every(len(peers)))
+		clock.Sleep(ctx, e.Clock, Interval(len(peers)))
 	}
 }
 
