--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -273,7 +273,7 @@
 // gossips returns the exchange of heartbeats over a socket.
 func (p *parts) gossips(conn net.PacketConn) *gossip.Exchange {
 	e := &gossip.Exchange{
-		Conn: conn, Clock: p.clock, Words: p.makeHeartbeats, Receive: p.receiveDatagram,
+		Conn: conn, Clock: p.clock, Messages: p.makeHeartbeats, Receive: p.receiveDatagram,
 		Peers: []func(time.Time) map[fleet.InstanceID]netip.AddrPort{p.relayPeers, p.subscribers},
 	}
 	p.gossip.Store(e)
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -46,9 +46,9 @@
 	// Peers return the current receivers and their addresses, in groups. Each group has its own
 	// pace, which follows from its size.
 	Peers []func(now time.Time) map[fleet.InstanceID]netip.AddrPort
-	// Words prepares the newest words of a round, and returns what makes those for one
+	// Messages prepares the newest words of a round, and returns what makes those for one
 	// instance, of at most MaxWord bytes each.
-	Words func(now time.Time) func(to fleet.InstanceID) ([][]byte, error)
+	Messages func(now time.Time) func(to fleet.InstanceID) ([][]byte, error)
 	// Receive takes a word in, with where it came from. The bytes are valid until it
 	// returns.
 	Receive func(now time.Time, from netip.AddrPort, word []byte)
@@ -92,7 +92,7 @@
 		return
 	}
 
-	wordsFor := e.Words(e.Clock.Now())
+	wordsFor := e.Messages(e.Clock.Now())
 
 	for id, address := range peers {
 		words, err := wordsFor(id)
