--- a/gossip/questions.go
+++ b/gossip/questions.go
@@ -18,9 +18,9 @@
 	silentSpan = 300 * time.Millisecond
 )
 
-// Questions asks other instances and matches their replies, of type T. Questions and
+// Requests asks other instances and matches their replies, of type T. Requests and
 // replies are datagrams, any of which may be lost. The zero value is ready for use.
-type Questions[T any] struct {
+type Requests[T any] struct {
 	mu      sync.Mutex
 	number  uint64
 	waiting map[uint64]chan T
@@ -31,7 +31,7 @@
 // Ask has send ask another instance a question with a number, and returns the reply. It
 // returns false if none comes in time, if the instance did not reply a moment ago, or if
 // ctx ends.
-func (q *Questions[T]) Ask(ctx context.Context, clk clock.Clock, to fleet.InstanceID, send func(number uint64)) (T, bool) {
+func (q *Requests[T]) Ask(ctx context.Context, clk clock.Clock, to fleet.InstanceID, send func(number uint64)) (T, bool) {
 	var none T
 
 	number, replies, ok := q.open(clk.Now(), to)
@@ -56,7 +56,7 @@
 }
 
 // Replied takes the reply to a question in. One that comes too late is dropped.
-func (q *Questions[T]) Replied(number uint64, reply T) {
+func (q *Requests[T]) Replied(number uint64, reply T) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -66,7 +66,7 @@
 	}
 }
 
-func (q *Questions[T]) open(now time.Time, to fleet.InstanceID) (uint64, <-chan T, bool) {
+func (q *Requests[T]) open(now time.Time, to fleet.InstanceID) (uint64, <-chan T, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -87,19 +87,19 @@
 	return q.number, replies, true
 }
 
-func (q *Questions[T]) close(number uint64) {
+func (q *Requests[T]) close(number uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.waiting, number)
 }
 
-func (q *Questions[T]) replied(by fleet.InstanceID) {
+func (q *Requests[T]) replied(by fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.silent, by)
 }
 
-func (q *Questions[T]) missed(now time.Time, by fleet.InstanceID) {
+func (q *Requests[T]) missed(now time.Time, by fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.silent[by] = now
--- a/gossip/questions_test.go
+++ b/gossip/questions_test.go
@@ -11,7 +11,7 @@
 
 func TestAQuestionGetsItsReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q Questions[string]
+		var q Requests[string]
 
 		got, ok := q.Ask(t.Context(), clock.System{}, "entry-2", func(number uint64) {
 			go func() {
@@ -29,7 +29,7 @@
 // One that does not reply is waited for once, and then not asked for a while.
 func TestOneThatDoesNotReplyIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q Questions[string]
+		var q Requests[string]
 
 		asked := 0
 		ask := func() time.Duration {
@@ -62,7 +62,7 @@
 // A caller that leaves says nothing of the instance that was asked.
 func TestACallerThatLeavesSilencesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q Questions[string]
+		var q Requests[string]
 
 		gone, leave := context.WithCancel(t.Context())
 		leave()
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -50,7 +50,7 @@
 	// nothing, since others take its place. Nil is always.
 	Current func() bool
 
-	questions gossip.Questions[bool]
+	questions gossip.Requests[bool]
 
 	mu      sync.Mutex
 	refused map[loanKey]refusedAsk
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -61,7 +61,7 @@
 	// Counters count the questions; nil counts none.
 	Counters *Counters
 
-	questions gossip.Questions[Reply]
+	questions gossip.Requests[Reply]
 }
 
 // Ask asks for one request to a server that announced a limit. patience is how long the
