--- a/gossip/questions.go
+++ b/gossip/questions.go
@@ -28,10 +28,10 @@
 	silent map[fleet.InstanceID]time.Time
 }
 
-// Ask has send ask another instance a question with a number, and returns the reply. It
+// Do has send ask another instance a question with a number, and returns the reply. It
 // returns false if none comes in time, if the instance did not reply a moment ago, or if
 // ctx ends.
-func (q *Requests[T]) Ask(ctx context.Context, clk clock.Clock, to fleet.InstanceID, send func(number uint64)) (T, bool) {
+func (q *Requests[T]) Do(ctx context.Context, clk clock.Clock, to fleet.InstanceID, send func(number uint64)) (T, bool) {
 	var none T
 
 	number, replies, ok := q.open(clk.Now(), to)
--- a/gossip/questions_test.go
+++ b/gossip/questions_test.go
@@ -13,7 +13,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var q Requests[string]
 
-		got, ok := q.Ask(t.Context(), clock.System{}, "entry-2", func(number uint64) {
+		got, ok := q.Do(t.Context(), clock.System{}, "entry-2", func(number uint64) {
 			go func() {
 				q.Replied(number+1, "another")
 				q.Replied(number, "yes")
@@ -35,7 +35,7 @@
 		ask := func() time.Duration {
 			began := time.Now()
 
-			if got, ok := q.Ask(t.Context(), clock.System{}, "entry-2", func(uint64) { asked++ }); ok {
+			if got, ok := q.Do(t.Context(), clock.System{}, "entry-2", func(uint64) { asked++ }); ok {
 				t.Errorf("got %q, want no reply", got)
 			}
 
@@ -66,10 +66,10 @@
 
 		gone, leave := context.WithCancel(t.Context())
 		leave()
-		q.Ask(gone, clock.System{}, "entry-2", func(uint64) {})
+		q.Do(gone, clock.System{}, "entry-2", func(uint64) {})
 
 		asked := false
-		q.Ask(t.Context(), clock.System{}, "entry-2", func(uint64) { asked = true })
+		q.Do(t.Context(), clock.System{}, "entry-2", func(uint64) { asked = true })
 
 		if !asked {
 			t.Error("after a caller that left: got no question, want one")
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -122,7 +122,7 @@
 		return false
 	}
 
-	granted, answered := l.questions.Ask(ctx, l.Clock, holder, func(number uint64) {
+	granted, answered := l.questions.Do(ctx, l.Clock, holder, func(number uint64) {
 		l.Send(holder, Ask{From: l.Self, Number: number, Account: name, Cost: cost})
 	})
 	if answered {
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -82,7 +82,7 @@
 			return a.Granter.Grant(a.Clock.Now(), server, limit.Rate, patience), true
 		}
 
-		reply, ok := a.questions.Ask(ctx, a.Clock, granter, func(number uint64) {
+		reply, ok := a.questions.Do(ctx, a.Clock, granter, func(number uint64) {
 			a.Send(granter, Ask{
 				From: a.Self, Number: number, Server: server, Rate: limit.Rate, Age: a.Clock.Now().Sub(limit.At), Patience: patience,
 			})
