--- a/gossip/questions.go
+++ b/gossip/questions.go
@@ -55,8 +55,8 @@
 	return none, false
 }
 
-// Replied takes the reply to a question in. One that comes too late is dropped.
-func (q *Requests[T]) Replied(number uint64, reply T) {
+// Reply takes the reply to a question in. One that comes too late is dropped.
+func (q *Requests[T]) Reply(number uint64, reply T) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/gossip/questions_test.go
+++ b/gossip/questions_test.go
@@ -15,9 +15,9 @@
 
 		got, ok := q.Do(t.Context(), clock.System{}, "entry-2", func(number uint64) {
 			go func() {
-				q.Replied(number+1, "another")
-				q.Replied(number, "yes")
-				q.Replied(number, "again")
+				q.Reply(number+1, "another")
+				q.Reply(number, "yes")
+				q.Reply(number, "again")
 			}()
 		})
 		if !ok || got != "yes" {
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -110,7 +110,7 @@
 }
 
 // Answered takes an answer in. One that comes too late is dropped.
-func (l *Loans) Answered(r Reply) { l.questions.Replied(r.Number, r.Granted) }
+func (l *Loans) Answered(r Reply) { l.questions.Reply(r.Number, r.Granted) }
 
 func (l *Loans) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
 	if holder == l.Self {
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -126,4 +126,4 @@
 }
 
 // Replied takes the reply to a question in. One that comes too late is dropped.
-func (a *Asker) Replied(r Reply) { a.questions.Replied(r.Number, r) }
+func (a *Asker) Replied(r Reply) { a.questions.Reply(r.Number, r) }
