--- a/gossip/questions.go
+++ b/gossip/questions.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// ReplyPatience is how long a reply is waited for: some ten round trips between
+	// ReplyTimeout is how long a reply is waited for: some ten round trips between
 	// failure domains, and little against the objective of a large request.
-	ReplyPatience = 60 * time.Millisecond
+	ReplyTimeout = 60 * time.Millisecond
 	// silentSpan is how long an instance that did not reply is not asked again: it may be
 	// gone, and each question would wait for it.
 	silentSpan = 300 * time.Millisecond
@@ -47,7 +47,7 @@
 		q.replied(to)
 
 		return reply, true
-	case <-clk.After(ReplyPatience):
+	case <-clk.After(ReplyTimeout):
 		q.missed(clk.Now(), to)
 	case <-ctx.Done():
 	}
--- a/gossip/questions_test.go
+++ b/gossip/questions_test.go
@@ -42,8 +42,8 @@
 			return time.Since(began)
 		}
 
-		if got := ask(); got != ReplyPatience {
-			t.Errorf("first wait: got %v, want %v", got, ReplyPatience)
+		if got := ask(); got != ReplyTimeout {
+			t.Errorf("first wait: got %v, want %v", got, ReplyTimeout)
 		}
 
 		if got := ask(); got != 0 || asked != 1 {
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -186,7 +186,7 @@
 		t.Errorf("nobody answers: got %+v, want a refusal with a time to come back", got)
 	}
 
-	if took, most := time.Since(begun), (holders+1)*gossip.ReplyPatience; took > most {
+	if took, most := time.Since(begun), (holders+1)*gossip.ReplyTimeout; took > most {
 		t.Errorf("refused after %v, want at most %v", took, most)
 	}
 
