--- a/board/board.go
+++ b/board/board.go
@@ -110,8 +110,8 @@
 type Board struct {
 	Log   Log
 	Clock clock.Clock
-	// Every is the time between two rounds, and Soon the least.
-	Every func() time.Duration
+	// Interval is the time between two rounds, and Soon the least.
+	Interval func() time.Duration
 	Soon  func() time.Duration
 	// ReadEvery is the least time between two reads; nil reads in each round.
 	ReadEvery func() time.Duration
@@ -185,7 +185,7 @@
 	clock.Sleep(ctx, b.Clock, b.Soon())
 
 	select {
-	case <-b.Clock.After(max(b.Every()-b.Clock.Now().Sub(began), 0)):
+	case <-b.Clock.After(max(b.Interval()-b.Clock.Now().Sub(began), 0)):
 	case <-b.wake.C():
 	case <-ctx.Done():
 	}
