--- a/board/board.go
+++ b/board/board.go
@@ -112,7 +112,7 @@
 	Clock clock.Clock
 	// Interval is the time between two rounds, and Soon the least.
 	Interval func() time.Duration
-	Soon  func() time.Duration
+	MinInterval  func() time.Duration
 	// ReadEvery is the least time between two reads; nil reads in each round.
 	ReadEvery func() time.Duration
 	// Begin ends before the first round, so that what callers wait for first is not
@@ -182,7 +182,7 @@
 
 // pause waits for the next round, which is made sooner if it was asked for.
 func (b *Board) pause(ctx context.Context, began time.Time) {
-	clock.Sleep(ctx, b.Clock, b.Soon())
+	clock.Sleep(ctx, b.Clock, b.MinInterval())
 
 	select {
 	case <-b.Clock.After(max(b.Interval()-b.Clock.Now().Sub(began), 0)):
