--- a/board/board.go
+++ b/board/board.go
@@ -113,8 +113,8 @@
 	// Interval is the time between two rounds, and Soon the least.
 	Interval func() time.Duration
 	MinInterval  func() time.Duration
-	// ReadEvery is the least time between two reads; nil reads in each round.
-	ReadEvery func() time.Duration
+	// ReadInterval is the least time between two reads; nil reads in each round.
+	ReadInterval func() time.Duration
 	// Begin ends before the first round, so that what callers wait for first is not
 	// held up by what is kept of the board; it may be nil.
 	Begin func(ctx context.Context)
@@ -174,7 +174,7 @@
 }
 
 func (b *Board) readDue(now time.Time) bool {
-	return b.readAt.IsZero() || b.ReadEvery == nil || now.Sub(b.readAt) >= b.ReadEvery()
+	return b.readAt.IsZero() || b.ReadInterval == nil || now.Sub(b.readAt) >= b.ReadInterval()
 }
 
 // Wake asks for the next round to be made soon.
