--- a/board/board.go
+++ b/board/board.go
@@ -115,9 +115,9 @@
 	MinInterval  func() time.Duration
 	// ReadInterval is the least time between two reads; nil reads in each round.
 	ReadInterval func() time.Duration
-	// Begin ends before the first round, so that what callers wait for first is not
+	// BeforeFirstRound ends before the first round, so that what callers wait for first is not
 	// held up by what is kept of the board; it may be nil.
-	Begin func(ctx context.Context)
+	BeforeFirstRound func(ctx context.Context)
 	// Active reports whether this instance writes and reads now; nil is always.
 	Active func() bool
 	// Write makes the next record.
@@ -137,8 +137,8 @@
 
 // Run writes and reads until ctx ends.
 func (b *Board) Run(ctx context.Context) {
-	if b.Begin != nil {
-		b.Begin(ctx)
+	if b.BeforeFirstRound != nil {
+		b.BeforeFirstRound(ctx)
 	}
 
 	for ctx.Err() == nil {
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -221,7 +221,7 @@
 	p.handler = &platform.Handler{Clock: e.Clock, Serve: p.serve, BodyBytes: p.bodyBytes}
 	p.board = &board.Board{
 		Log: p.store.Board(), Clock: e.Clock, Interval: p.boardPace, MinInterval: p.boardSoon, ReadInterval: p.boardReads,
-		Begin: p.awaitRules, Active: p.usesBoard,
+		BeforeFirstRound: p.awaitRules, Active: p.usesBoard,
 		Write: p.writeRecord, Receive: p.receiveRecord, Reached: p.boardReached,
 	}
 	p.startup = newStartup(e.Clock)
