--- a/board/board.go
+++ b/board/board.go
@@ -124,8 +124,8 @@
 	Write func(now time.Time) Record
 	// Receive takes a record in, also those of this instance.
 	Receive func(now time.Time, r Record)
-	// Reached is told when a round has read to the end.
-	Reached func(now time.Time)
+	// CaughtUp is told when a round has read to the end.
+	CaughtUp func(now time.Time)
 
 	wake  feed.Signal
 	next  feed.Position
@@ -261,7 +261,7 @@
 	}
 
 	b.readAt = now
-	b.Reached(now)
+	b.CaughtUp(now)
 
 	return false, nil
 }
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -222,7 +222,7 @@
 	p.board = &board.Board{
 		Log: p.store.Board(), Clock: e.Clock, Interval: p.boardPace, MinInterval: p.boardSoon, ReadInterval: p.boardReads,
 		BeforeFirstRound: p.awaitRules, Active: p.usesBoard,
-		Write: p.writeRecord, Receive: p.receiveRecord, Reached: p.boardReached,
+		Write: p.writeRecord, Receive: p.receiveRecord, CaughtUp: p.boardReached,
 	}
 	p.startup = newStartup(e.Clock)
 	p.duties = newDuties(p)
