--- a/board/board.go
+++ b/board/board.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// Last appends one more record, as an instance that stops does.
-func (b *Board) Last(ctx context.Context, r Record) error {
+// AppendFinal appends one more record, as an instance that stops does.
+func (b *Board) AppendFinal(ctx context.Context, r Record) error {
 	return b.append(ctx, r)
 }
 
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -100,7 +100,7 @@
 	}
 	p.duties.release(now, &r)
 
-	if err := p.board.Last(ctx, r); err != nil {
+	if err := p.board.AppendFinal(ctx, r); err != nil {
 		klog.InfoS("the others were not told of the stop", "err", err.Error())
 	}
 }
