--- a/board/board.go
+++ b/board/board.go
@@ -55,8 +55,8 @@
 	Cores   float64             `msgpack:"c"`
 	// Leaving is set in the last record of an instance that stops.
 	Leaving bool `msgpack:"q,omitempty"`
-	// Spent is what this instance has spent of the limits of client accounts.
-	Spent []quota.Spent `msgpack:"d,omitempty"`
+	// Consumed is what this instance has spent of the limits of client accounts.
+	Consumed []quota.Spent `msgpack:"d,omitempty"`
 	// Known is what all instances have spent, told by those that lead.
 	Known []quota.Known `msgpack:"k,omitempty"`
 	// Work is what all instances measured of services of model engines, told by those that
