--- a/board/board.go
+++ b/board/board.go
@@ -57,8 +57,8 @@
 	Leaving bool `msgpack:"q,omitempty"`
 	// Consumed is what this instance has spent of the limits of client accounts.
 	Consumed []quota.Spent `msgpack:"d,omitempty"`
-	// Known is what all instances have spent, told by those that lead.
-	Known []quota.Known `msgpack:"k,omitempty"`
+	// TotalConsumed is what all instances have spent, told by those that lead.
+	TotalConsumed []quota.Known `msgpack:"k,omitempty"`
 	// Work is what all instances measured of services of model engines, told by those that
 	// lead.
 	Work []scheduling.Work `msgpack:"w,omitempty"`
