--- a/board/board.go
+++ b/board/board.go
@@ -81,7 +81,7 @@
 	// Offset is the place of the record, from 1, and Copied tells that it is one of an older
 	// copy; both are set by the reader.
 	Offset provider.Offset `msgpack:"-"`
-	Copied bool            `msgpack:"-"`
+	FromOldCopy bool            `msgpack:"-"`
 }
 
 // Log is one topic of the platform's log.
@@ -276,7 +276,7 @@
 		}
 
 		r.Offset = provider.Offset(e.At) + 1
-		r.Copied = r.Era < e.At.Era()
+		r.FromOldCopy = r.Era < e.At.Era()
 		b.Receive(now, r)
 	}
 }
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -199,7 +199,7 @@
 // came back nobody's grant is the newest: what it says is passed over, and an instance that
 // finds it at its start waits as long as the others.
 func (d *duties) receiveLease(now time.Time, r board.Record) {
-	if era := feed.Position(r.Offset - 1).Era(); r.Copied {
+	if era := feed.Position(r.Offset - 1).Era(); r.FromOldCopy {
 		if era > d.era {
 			d.era = era
 			d.core.Lost(now)
--- a/entry/eras_test.go
+++ b/entry/eras_test.go
@@ -102,7 +102,7 @@
 	at := func(offset uint64) provider.Offset { return provider.Offset(feed.PositionOf(2, offset)) + 1 }
 
 	// Its holder gave it up in what the copy has, and took it again in what it lacks.
-	d.receiveLease(now, board.Record{Offset: at(4), Copied: true, Leases: []lease.Record{
+	d.receiveLease(now, board.Record{Offset: at(4), FromOldCopy: true, Leases: []lease.Record{
 		{Kind: lease.Acquire, Role: dutyRole, Holder: other, Sequence: 1, Term: config.Term},
 	}})
 	d.core.CaughtUp(now)
