--- a/board/members.go
+++ b/board/members.go
@@ -26,8 +26,8 @@
 	at time.Time
 }
 
-// Heard takes a record of an instance in.
-func (m *Members) Heard(now time.Time, r Record) {
+// ReceiveRecord takes a record of an instance in.
+func (m *Members) ReceiveRecord(now time.Time, r Record) {
 	if !r.Leaving {
 		m.Met(now, MemberOf(r.Instance, r.Domain, r.Address, r.Cores))
 
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -42,7 +42,7 @@
 
 // receiveRecord takes the record of any instance in, in the order of the log.
 func (p *parts) receiveRecord(now time.Time, r board.Record) {
-	p.members.Heard(now, r)
+	p.members.ReceiveRecord(now, r)
 
 	if r.Leaving {
 		p.links.PeerStopped(r.Instance)
