--- a/board/members.go
+++ b/board/members.go
@@ -29,7 +29,7 @@
 // ReceiveRecord takes a record of an instance in.
 func (m *Members) ReceiveRecord(now time.Time, r Record) {
 	if !r.Leaving {
-		m.Met(now, MemberOf(r.Instance, r.Domain, r.Address, r.Cores))
+		m.Add(now, MemberOf(r.Instance, r.Domain, r.Address, r.Cores))
 
 		return
 	}
@@ -45,8 +45,8 @@
 	return topology.Member{ID: id, Domain: domain, Address: at, Cores: cores}
 }
 
-// Met takes in that an instance was heard directly.
-func (m *Members) Met(now time.Time, member topology.Member) {
+// Add takes in that an instance was heard directly.
+func (m *Members) Add(now time.Time, member topology.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -217,7 +217,7 @@
 		p.links.PeerStopped(w.Instance)
 
 		if p.plan.Load().FullMesh {
-			p.members.Met(now, member)
+			p.members.Add(now, member)
 		} else {
 			p.members.Left(w.Instance)
 		}
@@ -226,7 +226,7 @@
 	}
 
 	if p.few() {
-		p.members.Met(now, member)
+		p.members.Add(now, member)
 	}
 
 	p.links.MessageReceived(now, member, w.Relation)
--- a/entry/usage_counts.go
+++ b/entry/usage_counts.go
@@ -196,7 +196,7 @@
 	if p.few() {
 		p.members.Seen(now, t.Instance)
 	} else {
-		p.members.Met(now, topology.Member{ID: t.Instance})
+		p.members.Add(now, topology.Member{ID: t.Instance})
 	}
 
 	p.duties.count(t)
