--- a/board/members.go
+++ b/board/members.go
@@ -34,7 +34,7 @@
 		return
 	}
 
-	m.Left(r.Instance)
+	m.Remove(r.Instance)
 }
 
 // MemberOf returns an instance as it tells of itself.
@@ -57,8 +57,8 @@
 	m.heard[member.ID] = heardMember{Member: member, at: now}
 }
 
-// Left takes in that an instance stops.
-func (m *Members) Left(id fleet.InstanceID) {
+// Remove takes in that an instance stops.
+func (m *Members) Remove(id fleet.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.heard, id)
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -219,7 +219,7 @@
 		if p.plan.Load().FullMesh {
 			p.members.Add(now, member)
 		} else {
-			p.members.Left(w.Instance)
+			p.members.Remove(w.Instance)
 		}
 
 		return
