--- a/board/members.go
+++ b/board/members.go
@@ -64,8 +64,8 @@
 	delete(m.heard, id)
 }
 
-// Seen takes in that an instance that is known has said something.
-func (m *Members) Seen(now time.Time, id fleet.InstanceID) {
+// Refresh takes in that an instance that is known has said something.
+func (m *Members) Refresh(now time.Time, id fleet.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
--- a/entry/usage_counts.go
+++ b/entry/usage_counts.go
@@ -194,7 +194,7 @@
 	}
 
 	if p.few() {
-		p.members.Seen(now, t.Instance)
+		p.members.Refresh(now, t.Instance)
 	} else {
 		p.members.Add(now, topology.Member{ID: t.Instance})
 	}
