--- a/board/board.go
+++ b/board/board.go
@@ -80,7 +80,7 @@
 
 	// Offset is the place of the record, from 1, and Copied tells that it is one of an older
 	// copy; both are set by the reader.
-	Offset provider.Offset `msgpack:"-"`
+	Offset      provider.Offset `msgpack:"-"`
 	FromOldCopy bool            `msgpack:"-"`
 }
 
@@ -111,8 +111,8 @@
 	Log   Log
 	Clock clock.Clock
 	// Interval is the time between two rounds, and Soon the least.
-	Interval func() time.Duration
-	MinInterval  func() time.Duration
+	Interval    func() time.Duration
+	MinInterval func() time.Duration
 	// ReadInterval is the least time between two reads; nil reads in each round.
 	ReadInterval func() time.Duration
 	// BeforeFirstRound ends before the first round, so that what callers wait for first is not
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -16,18 +16,18 @@
 func (p *parts) writeRecord(now time.Time) board.Record {
 	spent, known := p.limits.Record(now)
 	r := board.Record{
-		Instance:    p.self(),
-		Incarnation: p.duties.incarnation,
-		Era:         p.store.Era(),
-		Clock:       now.UnixNano(),
-		Address:     p.settings.Listen.Peers,
-		Domain:      p.settings.FailureDomain,
-		Cores:       p.settings.Limits.ProcessorCores,
-		Leaving:     p.stopping.Load(),
-		Consumed:       spent,
-		TotalConsumed:       known,
-		Usage:       p.counter.Recent(),
-		Losses:      p.quarantine.Record(now),
+		Instance:      p.self(),
+		Incarnation:   p.duties.incarnation,
+		Era:           p.store.Era(),
+		Clock:         now.UnixNano(),
+		Address:       p.settings.Listen.Peers,
+		Domain:        p.settings.FailureDomain,
+		Cores:         p.settings.Limits.ProcessorCores,
+		Leaving:       p.stopping.Load(),
+		Consumed:      spent,
+		TotalConsumed: known,
+		Usage:         p.counter.Recent(),
+		Losses:        p.quarantine.Record(now),
 	}
 
 	if p.leads() {
--- a/topology/links.go
+++ b/topology/links.go
@@ -89,7 +89,9 @@
 func (p *Plan) LeaderRank(id fleet.InstanceID) int { return slices.Index(p.Leaders, id) }
 
 // IsFirstLeader tells whether an instance is the first of those that lead.
-func (p *Plan) IsFirstLeader(id fleet.InstanceID) bool { return len(p.Leaders) > 0 && p.Leaders[0] == id }
+func (p *Plan) IsFirstLeader(id fleet.InstanceID) bool {
+	return len(p.Leaders) > 0 && p.Leaders[0] == id
+}
 
 // Links remembers who was heard directly. Its exported fields are set before its first
 // use; it is safe for concurrent use.
