--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -19,7 +19,7 @@
 	asked []register.Process
 }
 
-func (p *countedPermits) Ask(_ context.Context, server register.Process, _ ratelimit.Announcement, _ time.Duration) ratelimit.Permit {
+func (p *countedPermits) Acquire(_ context.Context, server register.Process, _ ratelimit.Announcement, _ time.Duration) ratelimit.Permit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -66,7 +66,7 @@
 
 // Ask asks for one request to a server that announced a limit. patience is how long the
 // request can wait. Where no granter replies nothing is granted.
-func (a *Asker) Ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) Permit {
+func (a *Asker) Acquire(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) Permit {
 	permit, answered := a.ask(ctx, server, limit, patience)
 	a.Counters.asked(permit, answered)
 
--- a/ratelimit/asker_test.go
+++ b/ratelimit/asker_test.go
@@ -62,7 +62,7 @@
 func (d *desks) ask(t *testing.T, from fleet.InstanceID) Permit {
 	t.Helper()
 
-	return d.askers[from].Ask(t.Context(), limited, Announcement{Rate: 10, At: time.Now()}, 0)
+	return d.askers[from].Acquire(t.Context(), limited, Announcement{Rate: 10, At: time.Now()}, 0)
 }
 
 // One instance grants the requests of all: together they get what the server takes.
@@ -193,7 +193,7 @@
 
 		d.known[ranked[0]].newest = Announcement{Rate: Unlimited, At: time.Now()}
 
-		if got := d.askers[asks].Ask(t.Context(), limited, d.known[asks].newest, 0); !got.Granted {
+		if got := d.askers[asks].Acquire(t.Context(), limited, d.known[asks].newest, 0); !got.Granted {
 			t.Errorf("got %+v, want it granted", got)
 		}
 
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -15,8 +15,8 @@
 
 // Permits grants requests to servers that announce a limit, over all instances.
 type Permits interface {
-	// Ask asks for one request that can wait for some time.
-	Ask(ctx context.Context, server register.Process, limit ratelimit.Announcement, patience time.Duration) ratelimit.Permit
+	// Acquire asks for one request that can wait for some time.
+	Acquire(ctx context.Context, server register.Process, limit ratelimit.Announcement, patience time.Duration) ratelimit.Permit
 }
 
 const (
@@ -40,7 +40,7 @@
 // ask asks for a permit and notes until when a server has no room. A caller that left
 // before the reply came says nothing of that.
 func (s *Scheduler) ask(ctx context.Context, clk clock.Clock, one *server, patience time.Duration) ratelimit.Permit {
-	permit := s.Permits.Ask(ctx, one.entry().Process(), one.announced(), max(patience, 0))
+	permit := s.Permits.Acquire(ctx, one.entry().Process(), one.announced(), max(patience, 0))
 	if !permit.Granted && ctx.Err() == nil {
 		one.fill(clk.Now().Add(permit.Wait))
 	}
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -21,7 +21,7 @@
 	asked []fleet.InstanceID
 }
 
-func (p *scriptedPermits) Ask(
+func (p *scriptedPermits) Acquire(
 	_ context.Context, server register.Process, _ ratelimit.Announcement, patience time.Duration,
 ) ratelimit.Permit {
 	p.asked = append(p.asked, server.ID)
