--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -62,7 +62,7 @@
 
 	for _, a := range allowances {
 		p.limits.Take(clk.Now(), a.Account, 1234)
-		p.counter.Began(a.Account)
+		p.counter.RequestStarted(a.Account)
 	}
 
 	var changes []register.Change
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -94,7 +94,7 @@
 func (j *job) countBegin() {
 	if !j.began && j.account != nil {
 		j.began = true
-		j.forwarder.Usage.Began(j.account.Name)
+		j.forwarder.Usage.RequestStarted(j.account.Name)
 	}
 }
 
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -75,7 +75,7 @@
 
 type countedUsage struct{ began atomic.Int64 }
 
-func (u *countedUsage) Began(fleet.Account) { u.began.Add(1) }
+func (u *countedUsage) RequestStarted(fleet.Account) { u.began.Add(1) }
 
 // site is a forwarder whose backend servers are scripts behind pipes: what they see has
 // been sent, without a network.
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -80,7 +80,7 @@
 
 // Usage counts requests as they begin to run.
 type Usage interface {
-	Began(account fleet.Account)
+	RequestStarted(account fleet.Account)
 }
 
 // Limits holds the limits of client accounts.
--- a/usage/ledger_test.go
+++ b/usage/ledger_test.go
@@ -94,7 +94,7 @@
 func TestCountsAreToldForTheirTime(t *testing.T) {
 	now := at(0.5)
 	c := &Counter{Width: time.Second, Keep: 6 * time.Second, Now: func() time.Time { return now }}
-	c.Began("a")
+	c.RequestStarted("a")
 
 	now = at(6.9)
 	if got := c.Recent(); len(got) != 1 || got[0].Requests != 1 {
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -59,7 +59,7 @@
 }
 
 // Began counts a request that began to run now.
-func (c *Counter) Began(account fleet.Account) {
+func (c *Counter) RequestStarted(account fleet.Account) {
 	w := Of(c.Now(), c.Width)
 
 	c.mu.Lock()
