--- a/entry/limits.go
+++ b/entry/limits.go
@@ -25,6 +25,6 @@
 		Self: p.self(), Clock: p.clock, Known: p.scheduler, Granter: &ratelimit.Granter{Self: p.self()},
 		Counters: ratelimit.NewCounters(p.metrics),
 		Leaders:  func() []fleet.InstanceID { return p.plan.Load().Leaders },
-		Send:     func(to fleet.InstanceID, ask ratelimit.Ask) { p.sendDatagram(to, datagram{Permit: &ask}) },
+		Send:     func(to fleet.InstanceID, ask ratelimit.PermitRequest) { p.sendDatagram(to, datagram{Permit: &ask}) },
 	}
 }
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -17,8 +17,8 @@
 	maxPatience = 2 * time.Second
 )
 
-// Ask is the question for a permit.
-type Ask struct {
+// PermitRequest is the question for a permit.
+type PermitRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	From     fleet.InstanceID
 	Number   uint64
@@ -57,7 +57,7 @@
 	// Leaders returns the instances that lead.
 	Leaders func() []fleet.InstanceID
 	// Send sends a question to another instance.
-	Send func(to fleet.InstanceID, ask Ask)
+	Send func(to fleet.InstanceID, ask PermitRequest)
 	// Counters count the questions; nil counts none.
 	Counters *Counters
 
@@ -83,7 +83,7 @@
 		}
 
 		reply, ok := a.questions.Do(ctx, a.Clock, granter, func(number uint64) {
-			a.Send(granter, Ask{
+			a.Send(granter, PermitRequest{
 				From: a.Self, Number: number, Server: server, Rate: limit.Rate, Age: a.Clock.Now().Sub(limit.At), Patience: patience,
 			})
 		})
@@ -102,7 +102,7 @@
 }
 
 // Answer answers another instance's question.
-func (a *Asker) Answer(ask Ask) Reply {
+func (a *Asker) Answer(ask PermitRequest) Reply {
 	known := a.merge(ask.Server, ask.Rate, ask.Age)
 	now := a.Clock.Now()
 	reply := Reply{Number: ask.Number, Granted: true, Rate: known.Rate, Age: now.Sub(known.At)}
--- a/ratelimit/asker_test.go
+++ b/ratelimit/asker_test.go
@@ -43,7 +43,7 @@
 		d.askers[id] = &Asker{
 			Self: id, Clock: clock.System{}, Known: d.known[id], Granter: &Granter{Self: id},
 			Leaders: func() []fleet.InstanceID { return ids },
-			Send:    func(to fleet.InstanceID, ask Ask) { d.send(to, ask) },
+			Send:    func(to fleet.InstanceID, ask PermitRequest) { d.send(to, ask) },
 		}
 		d.askers[id].Granter.SetLeaders(time.Now(), ids)
 	}
@@ -51,7 +51,7 @@
 	return d, RankOf(limited, ids)
 }
 
-func (d *desks) send(to fleet.InstanceID, ask Ask) {
+func (d *desks) send(to fleet.InstanceID, ask PermitRequest) {
 	d.asked[to]++
 
 	if !d.away[to] {
@@ -210,7 +210,7 @@
 		known := Announcement{Rate: 10, At: time.Now()}
 		d.known[ranked[0]].newest = known
 
-		for name, ask := range map[string]Ask{
+		for name, ask := range map[string]PermitRequest{
 			"not a number":      {Rate: Rate(math.NaN())},
 			"a negative rate":   {Rate: -1},
 			"without end":       {Rate: Rate(math.Inf(1))},
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -21,7 +21,7 @@
 	asker := &Asker{Self: self, Clock: clock.NewSteady(), Known: &notes{}, Granter: &Granter{Self: self}}
 	asker.Granter.SetLeaders(asker.Clock.Now(), leaders)
 
-	question, err := msgpack.Marshal(&Ask{
+	question, err := msgpack.Marshal(&PermitRequest{
 		From: "entry-9", Number: 1, Server: server, Rate: 1.5, Age: time.Second, Patience: time.Millisecond,
 	})
 	if err != nil {
@@ -31,7 +31,7 @@
 	b.ReportMetric(float64(len(question)), "question-B")
 
 	for b.Loop() {
-		var ask Ask
+		var ask PermitRequest
 		if err := codec.Unmarshal(question, &ask); err != nil {
 			b.Fatal(err)
 		}
