--- a/entry/datagram.go
+++ b/entry/datagram.go
@@ -26,8 +26,8 @@
 	Ask   *quota.Ask   `msgpack:"a,omitempty"`
 	Reply *quota.Reply `msgpack:"r,omitempty"`
 	// Permit and Permitted grant requests to backend servers that limit them.
-	Permit    *ratelimit.PermitRequest `msgpack:"l,omitempty"`
-	Permitted *ratelimit.Reply         `msgpack:"m,omitempty"`
+	Permit    *ratelimit.PermitRequest  `msgpack:"l,omitempty"`
+	Permitted *ratelimit.PermitResponse `msgpack:"m,omitempty"`
 	// Servers are changes of backend servers.
 	Servers []serverNews `msgpack:"s,omitempty"`
 	// Prompts is what another instance knows of prompts at model engines.
--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -283,7 +283,7 @@
 
 	for _, d := range []datagram{
 		{Permit: &ratelimit.PermitRequest{From: "entry-2", Server: register.Process{ID: "i-0000000000"}, Rate: ratelimit.Rate(math.NaN()), Age: -1}},
-		{Permitted: &ratelimit.Reply{Granted: true, Wait: -1, Rate: -1}},
+		{Permitted: &ratelimit.PermitResponse{Granted: true, Wait: -1, Rate: -1}},
 		{Prompts: &promptNews{News: scheduling.News{Limits: []scheduling.ServerLimit{{Rate: ratelimit.Rate(math.Inf(1))}}}}},
 	} {
 		data, err := msgpack.Marshal(&d)
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -30,8 +30,8 @@
 	Patience time.Duration
 }
 
-// Reply is the answer to an Ask.
-type Reply struct {
+// PermitResponse is the answer to an Ask.
+type PermitResponse struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Number   uint64
 	Granted  bool
@@ -61,7 +61,7 @@
 	// Counters count the questions; nil counts none.
 	Counters *Counters
 
-	questions gossip.Requests[Reply]
+	questions gossip.Requests[PermitResponse]
 }
 
 // Ask asks for one request to a server that announced a limit. patience is how long the
@@ -102,10 +102,10 @@
 }
 
 // Answer answers another instance's question.
-func (a *Asker) Answer(ask PermitRequest) Reply {
+func (a *Asker) Answer(ask PermitRequest) PermitResponse {
 	known := a.merge(ask.Server, ask.Rate, ask.Age)
 	now := a.Clock.Now()
-	reply := Reply{Number: ask.Number, Granted: true, Rate: known.Rate, Age: now.Sub(known.At)}
+	reply := PermitResponse{Number: ask.Number, Granted: true, Rate: known.Rate, Age: now.Sub(known.At)}
 
 	if known.Rate != Unlimited {
 		permit := a.Granter.Grant(now, ask.Server, known.Rate, min(ask.Patience, maxPatience))
@@ -126,4 +126,4 @@
 }
 
 // Replied takes the reply to a question in. One that comes too late is dropped.
-func (a *Asker) Replied(r Reply) { a.questions.Reply(r.Number, r) }
+func (a *Asker) Replied(r PermitResponse) { a.questions.Reply(r.Number, r) }
