--- a/entry/limits.go
+++ b/entry/limits.go
@@ -20,8 +20,8 @@
 }
 
 // newPermits returns what asks for permits of this instance's requests and answers others.
-func newPermits(p *parts) *ratelimit.Asker {
-	return &ratelimit.Asker{
+func newPermits(p *parts) *ratelimit.Limiter {
+	return &ratelimit.Limiter{
 		Self: p.self(), Clock: p.clock, Known: p.scheduler, Granter: &ratelimit.Granter{Self: p.self()},
 		Counters: ratelimit.NewCounters(p.metrics),
 		Leaders:  func() []fleet.InstanceID { return p.plan.Load().Leaders },
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -88,7 +88,7 @@
 	limits    *quota.Quota
 	loans     *quota.Loans
 	// permits grant requests to backend servers that limit them.
-	permits   *ratelimit.Asker
+	permits   *ratelimit.Limiter
 	retries   *retry.Budgets
 	scheduler *scheduling.Scheduler
 	pool      *upstream.Pool
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -47,9 +47,9 @@
 	Merge(server register.Process, a Announcement) Announcement
 }
 
-// Asker asks for permits, and answers the questions of others. Its exported fields are set
+// Limiter asks for permits, and answers the questions of others. Its exported fields are set
 // before its first use.
-type Asker struct {
+type Limiter struct {
 	Self    fleet.InstanceID
 	Clock   clock.Clock
 	Granter *Granter
@@ -66,7 +66,7 @@
 
 // Ask asks for one request to a server that announced a limit. patience is how long the
 // request can wait. Where no granter replies nothing is granted.
-func (a *Asker) Acquire(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) Permit {
+func (a *Limiter) Acquire(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) Permit {
 	permit, answered := a.ask(ctx, server, limit, patience)
 	a.Counters.asked(permit, answered)
 
@@ -74,7 +74,7 @@
 }
 
 // ask reports beside the permit whether a granter answered.
-func (a *Asker) ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) (Permit, bool) {
+func (a *Limiter) ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) (Permit, bool) {
 	ranked := RankOf(server, a.Leaders())
 
 	for _, granter := range ranked[:min(granters, len(ranked))] {
@@ -102,7 +102,7 @@
 }
 
 // Answer answers another instance's question.
-func (a *Asker) Answer(ask PermitRequest) PermitResponse {
+func (a *Limiter) Answer(ask PermitRequest) PermitResponse {
 	known := a.merge(ask.Server, ask.Rate, ask.Age)
 	now := a.Clock.Now()
 	reply := PermitResponse{Number: ask.Number, Granted: true, Rate: known.Rate, Age: now.Sub(known.At)}
@@ -117,7 +117,7 @@
 
 // merge takes in what another instance knows, unless its message is damaged, and returns
 // the newest.
-func (a *Asker) merge(server register.Process, rate Rate, age time.Duration) Announcement {
+func (a *Limiter) merge(server register.Process, rate Rate, age time.Duration) Announcement {
 	if !rate.Usable() || age < 0 {
 		return a.Known.Merge(server, Announcement{})
 	}
@@ -126,4 +126,4 @@
 }
 
 // Replied takes the reply to a question in. One that comes too late is dropped.
-func (a *Asker) Replied(r PermitResponse) { a.questions.Reply(r.Number, r) }
+func (a *Limiter) Replied(r PermitResponse) { a.questions.Reply(r.Number, r) }
--- a/ratelimit/asker_test.go
+++ b/ratelimit/asker_test.go
@@ -24,7 +24,7 @@
 
 // desks are askers that reach each other.
 type desks struct {
-	askers map[fleet.InstanceID]*Asker
+	askers map[fleet.InstanceID]*Limiter
 	known  map[fleet.InstanceID]*notes
 	// away don't get questions, and asked counts those that came to each.
 	away  map[fleet.InstanceID]bool
@@ -34,13 +34,13 @@
 // newDesks returns askers of which all lead, and their names in the order for the server.
 func newDesks(ids ...fleet.InstanceID) (*desks, []fleet.InstanceID) {
 	d := &desks{
-		askers: make(map[fleet.InstanceID]*Asker), known: make(map[fleet.InstanceID]*notes),
+		askers: make(map[fleet.InstanceID]*Limiter), known: make(map[fleet.InstanceID]*notes),
 		away: make(map[fleet.InstanceID]bool), asked: make(map[fleet.InstanceID]int),
 	}
 
 	for _, id := range ids {
 		d.known[id] = &notes{}
-		d.askers[id] = &Asker{
+		d.askers[id] = &Limiter{
 			Self: id, Clock: clock.System{}, Known: d.known[id], Granter: &Granter{Self: id},
 			Leaders: func() []fleet.InstanceID { return ids },
 			Send:    func(to fleet.InstanceID, ask PermitRequest) { d.send(to, ask) },
