--- a/entry/datagram.go
+++ b/entry/datagram.go
@@ -68,7 +68,7 @@
 		reply := p.loans.Lend(*d.Ask)
 		p.sendAll(map[fleet.InstanceID]netip.AddrPort{d.Ask.From: from}, datagram{Reply: &reply})
 	case d.Permit != nil:
-		reply := p.permits.Answer(*d.Permit)
+		reply := p.permits.HandleRequest(*d.Permit)
 		p.sendAll(map[fleet.InstanceID]netip.AddrPort{d.Permit.From: from}, datagram{Permitted: &reply})
 	case d.Permitted != nil:
 		p.permits.Replied(*d.Permitted)
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -101,8 +101,8 @@
 	return Permit{Wait: retryLater}, false
 }
 
-// Answer answers another instance's question.
-func (a *Limiter) Answer(ask PermitRequest) PermitResponse {
+// HandleRequest answers another instance's question.
+func (a *Limiter) HandleRequest(ask PermitRequest) PermitResponse {
 	known := a.merge(ask.Server, ask.Rate, ask.Age)
 	now := a.Clock.Now()
 	reply := PermitResponse{Number: ask.Number, Granted: true, Rate: known.Rate, Age: now.Sub(known.At)}
--- a/ratelimit/asker_test.go
+++ b/ratelimit/asker_test.go
@@ -55,7 +55,7 @@
 	d.asked[to]++
 
 	if !d.away[to] {
-		d.askers[ask.From].Replied(d.askers[to].Answer(ask))
+		d.askers[ask.From].Replied(d.askers[to].HandleRequest(ask))
 	}
 }
 
@@ -220,7 +220,7 @@
 			ask.Server = limited
 
 			for range 100 {
-				if got := d.askers[ranked[0]].Answer(ask); got.Wait > maxPatience+time.Second {
+				if got := d.askers[ranked[0]].HandleRequest(ask); got.Wait > maxPatience+time.Second {
 					t.Errorf("%s: got %+v, want a wait of %v or so at most", name, got, maxPatience)
 				}
 			}
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -36,7 +36,7 @@
 			b.Fatal(err)
 		}
 
-		reply := asker.Answer(ask)
+		reply := asker.HandleRequest(ask)
 		if _, err := msgpack.Marshal(&reply); err != nil {
 			b.Fatal(err)
 		}
