--- a/entry/datagram.go
+++ b/entry/datagram.go
@@ -71,7 +71,7 @@
 		reply := p.permits.HandleRequest(*d.Permit)
 		p.sendAll(map[fleet.InstanceID]netip.AddrPort{d.Permit.From: from}, datagram{Permitted: &reply})
 	case d.Permitted != nil:
-		p.permits.Replied(*d.Permitted)
+		p.permits.HandleResponse(*d.Permitted)
 	case len(d.Servers) > 0:
 		p.receiveServers(now, d.Servers)
 	case d.Prompts != nil:
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -125,5 +125,5 @@
 	return a.Known.Merge(server, Announcement{Rate: rate, At: a.Clock.Now().Add(-age)})
 }
 
-// Replied takes the reply to a question in. One that comes too late is dropped.
-func (a *Limiter) Replied(r PermitResponse) { a.questions.Reply(r.Number, r) }
+// HandleResponse takes the reply to a question in. One that comes too late is dropped.
+func (a *Limiter) HandleResponse(r PermitResponse) { a.questions.Reply(r.Number, r) }
--- a/ratelimit/asker_test.go
+++ b/ratelimit/asker_test.go
@@ -55,7 +55,7 @@
 	d.asked[to]++
 
 	if !d.away[to] {
-		d.askers[ask.From].Replied(d.askers[to].HandleRequest(ask))
+		d.askers[ask.From].HandleResponse(d.askers[to].HandleRequest(ask))
 	}
 }
 
