--- a/entry/limits.go
+++ b/entry/limits.go
@@ -22,7 +22,7 @@
 // newPermits returns what asks for permits of this instance's requests and answers others.
 func newPermits(p *parts) *ratelimit.Limiter {
 	return &ratelimit.Limiter{
-		Self: p.self(), Clock: p.clock, Known: p.scheduler, Granter: &ratelimit.Granter{Self: p.self()},
+		Self: p.self(), Clock: p.clock, Announcements: p.scheduler, Granter: &ratelimit.Granter{Self: p.self()},
 		Counters: ratelimit.NewCounters(p.metrics),
 		Leaders:  func() []fleet.InstanceID { return p.plan.Load().Leaders },
 		Send:     func(to fleet.InstanceID, ask ratelimit.PermitRequest) { p.sendDatagram(to, datagram{Permit: &ask}) },
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -50,10 +50,10 @@
 // Limiter asks for permits, and answers the questions of others. Its exported fields are set
 // before its first use.
 type Limiter struct {
-	Self    fleet.InstanceID
-	Clock   clock.Clock
-	Granter *Granter
-	Known   Known
+	Self          fleet.InstanceID
+	Clock         clock.Clock
+	Granter       *Granter
+	Announcements Known
 	// Leaders returns the instances that lead.
 	Leaders func() []fleet.InstanceID
 	// Send sends a question to another instance.
@@ -119,10 +119,10 @@
 // the newest.
 func (a *Limiter) merge(server register.Process, rate Rate, age time.Duration) Announcement {
 	if !rate.Usable() || age < 0 {
-		return a.Known.Merge(server, Announcement{})
+		return a.Announcements.Merge(server, Announcement{})
 	}
 
-	return a.Known.Merge(server, Announcement{Rate: rate, At: a.Clock.Now().Add(-age)})
+	return a.Announcements.Merge(server, Announcement{Rate: rate, At: a.Clock.Now().Add(-age)})
 }
 
 // HandleResponse takes the reply to a question in. One that comes too late is dropped.
--- a/ratelimit/asker_test.go
+++ b/ratelimit/asker_test.go
@@ -41,7 +41,7 @@
 	for _, id := range ids {
 		d.known[id] = &notes{}
 		d.askers[id] = &Limiter{
-			Self: id, Clock: clock.System{}, Known: d.known[id], Granter: &Granter{Self: id},
+			Self: id, Clock: clock.System{}, Announcements: d.known[id], Granter: &Granter{Self: id},
 			Leaders: func() []fleet.InstanceID { return ids },
 			Send:    func(to fleet.InstanceID, ask PermitRequest) { d.send(to, ask) },
 		}
