--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -41,8 +41,8 @@
 	Age  time.Duration
 }
 
-// Known keeps the newest announcements of servers.
-type Known interface {
+// Announcements keeps the newest announcements of servers.
+type Announcements interface {
 	// Merge takes in what another instance knows of a server and returns the newest.
 	Merge(server register.Process, a Announcement) Announcement
 }
@@ -53,7 +53,7 @@
 	Self          fleet.InstanceID
 	Clock         clock.Clock
 	Granter       *Granter
-	Announcements Known
+	Announcements Announcements
 	// Leaders returns the instances that lead.
 	Leaders func() []fleet.InstanceID
 	// Send sends a question to another instance.
