--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -75,7 +75,7 @@
 
 // ask reports beside the permit whether a granter answered.
 func (a *Limiter) ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) (Permit, bool) {
-	ranked := RankOf(server, a.Leaders())
+	ranked := RankLeaders(server, a.Leaders())
 
 	for _, granter := range ranked[:min(granters, len(ranked))] {
 		if granter == a.Self {
--- a/ratelimit/asker_test.go
+++ b/ratelimit/asker_test.go
@@ -48,7 +48,7 @@
 		d.askers[id].Granter.SetLeaders(time.Now(), ids)
 	}
 
-	return d, RankOf(limited, ids)
+	return d, RankLeaders(limited, ids)
 }
 
 func (d *desks) send(to fleet.InstanceID, ask PermitRequest) {
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkAnswer(b *testing.B) {
 	leaders := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 	server := register.Process{ID: "i-0123456789", Incarnation: 1_790_000_000_123}
-	self := RankOf(server, leaders)[0]
+	self := RankLeaders(server, leaders)[0]
 	asker := &Limiter{Self: self, Clock: clock.NewSteady(), Announcements: &notes{}, Granter: &Granter{Self: self}}
 	asker.Granter.SetLeaders(asker.Clock.Now(), leaders)
 
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -125,7 +125,7 @@
 	}
 
 	last := g.views[len(g.views)-1]
-	place := slices.Index(RankOf(server, last.leaders), g.Self)
+	place := slices.Index(RankLeaders(server, last.leaders), g.Self)
 
 	if place < 0 || place >= granters {
 		return 0
@@ -147,7 +147,7 @@
 
 // first reports whether an instance is the first in order for a server.
 func (v view) first(server register.Process, id fleet.InstanceID) bool {
-	ranked := RankOf(server, v.leaders)
+	ranked := RankLeaders(server, v.leaders)
 
 	return len(ranked) > 0 && ranked[0] == id
 }
@@ -182,9 +182,9 @@
 // granters is how many of the ranked leaders grant requests to one server.
 const granters = 2
 
-// RankOf orders instances for a server, alike at all that know the same ones. One that
+// RankLeaders orders instances for a server, alike at all that know the same ones. One that
 // comes or goes moves only the servers that it has.
-func RankOf(server register.Process, ids []fleet.InstanceID) []fleet.InstanceID {
+func RankLeaders(server register.Process, ids []fleet.InstanceID) []fleet.InstanceID {
 	type rank struct {
 		id     fleet.InstanceID
 		weight uint64
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -95,7 +95,7 @@
 
 // ask does what an Asker does: the second in order is asked where the first is silent.
 func (m *fleetModel) ask(from fleet.InstanceID, rate Rate, patience time.Duration) {
-	ranked := RankOf(m.server, m.views[from])
+	ranked := RankLeaders(m.server, m.views[from])
 
 	for place, id := range ranked[:min(granters, len(ranked))] {
 		if m.now.Before(m.silent[id]) || place == 0 && m.random.Float64() < m.lost {
