--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -181,7 +181,7 @@
 		c := changing{
 			instances: rapid.SampledFrom([]int{1, 4, 9, 80}).Draw(t, "instances"),
 			seed:      rapid.Uint64().Draw(t, "seed"),
-			rate:      Rate(rapid.Float64Range(float64(Least), 40).Draw(t, "rate")),
+			rate:      Rate(rapid.Float64Range(float64(MinRate), 40).Draw(t, "rate")),
 			late:      time.Duration(rapid.Int64Range(0, int64(settleSpan)).Draw(t, "learns within")),
 			between:   time.Duration(rapid.Int64Range(int64(settleSpan), int64(12*time.Second)).Draw(t, "between changes")),
 			patience:  time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "patience")),
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -28,9 +28,9 @@
 const (
 	// Unlimited is the rate of a server that announces none.
 	Unlimited Rate = 0
-	// Least is the rate at which a server that takes no requests at all is still asked
+	// MinRate is the rate at which a server that takes no requests at all is still asked
 	// whether that has changed: only an answer can tell.
-	Least Rate = 0.25
+	MinRate Rate = 0.25
 )
 
 // Usable reports whether a rate that came in a message is one.
