--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -118,7 +118,7 @@
 // merge takes in what another instance knows, unless its message is damaged, and returns
 // the newest.
 func (a *Limiter) merge(server register.Process, rate Rate, age time.Duration) Announcement {
-	if !rate.Usable() || age < 0 {
+	if !rate.Valid() || age < 0 {
 		return a.Announcements.Merge(server, Announcement{})
 	}
 
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -33,8 +33,8 @@
 	MinRate Rate = 0.25
 )
 
-// Usable reports whether a rate that came in a message is one.
-func (r Rate) Usable() bool { return r >= 0 && !math.IsInf(float64(r), 1) }
+// Valid reports whether a rate that came in a message is one.
+func (r Rate) Valid() bool { return r >= 0 && !math.IsInf(float64(r), 1) }
 
 // Announcement is what a server said that it takes. At is when it said so: for a limit no
 // earlier, and for what lifts or raises one no later than that.
--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -282,7 +282,7 @@
 	}
 
 	for _, l := range n.Limits {
-		if one := (*byKey)[l.Server]; one != nil && l.Rate.Usable() {
+		if one := (*byKey)[l.Server]; one != nil && l.Rate.Valid() {
 			s.receiveLimit(now, one, l, as == Subscriber)
 		}
 	}
