--- a/entry/parts.go
+++ b/entry/parts.go
@@ -205,7 +205,7 @@
 		Self: s.Instance, Window: s.Bounds.LimitWindow, Spread: newsSpread, Quick: p.quickSpread,
 		Tell: func() { p.board.Wake() },
 	})
-	p.loans = &quota.Loans{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.Ask) {
+	p.loans = &quota.Loans{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.LoanRequest) {
 		p.sendDatagram(to, datagram{Ask: &ask})
 	}}
 	p.permits = newPermits(p)
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -20,8 +20,8 @@
 	refusedLoan = 200 * time.Millisecond
 )
 
-// Ask is the question for a loan.
-type Ask struct {
+// LoanRequest is the question for a loan.
+type LoanRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	From     fleet.InstanceID
 	Number   uint64
@@ -45,7 +45,7 @@
 	Clock clock.Clock
 	Self  fleet.InstanceID
 	// Send sends a question to another instance.
-	Send func(to fleet.InstanceID, ask Ask)
+	Send func(to fleet.InstanceID, ask LoanRequest)
 	// Current tells whether this instance still takes requests: one that is cut off lends
 	// nothing, since others take its place. Nil is always.
 	Current func() bool
@@ -101,7 +101,7 @@
 }
 
 // Lend answers another instance's question.
-func (l *Loans) Lend(ask Ask) Reply {
+func (l *Loans) Lend(ask LoanRequest) Reply {
 	if l.Current != nil && !l.Current() {
 		return Reply{Number: ask.Number}
 	}
@@ -123,7 +123,7 @@
 	}
 
 	granted, answered := l.questions.Do(ctx, l.Clock, holder, func(number uint64) {
-		l.Send(holder, Ask{From: l.Self, Number: number, Account: name, Cost: cost})
+		l.Send(holder, LoanRequest{From: l.Self, Number: number, Account: name, Cost: cost})
 	})
 	if answered {
 		l.remember(key, cost, granted)
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -128,7 +128,7 @@
 	}
 
 	d.lender = &Loans{Quota: quotas[holder], Clock: clk, Self: holder}
-	d.borrower = &Loans{Quota: quotas[other], Clock: clk, Self: other, Send: func(to fleet.InstanceID, ask Ask) {
+	d.borrower = &Loans{Quota: quotas[other], Clock: clk, Self: other, Send: func(to fleet.InstanceID, ask LoanRequest) {
 		d.asks++
 
 		if to == holder && !d.lose {
@@ -166,13 +166,13 @@
 	current := false
 	d.lender.Current = func() bool { return current }
 
-	if got := d.lender.Lend(Ask{From: d.borrower.Self, Account: "a", Cost: 100}); got.Granted {
+	if got := d.lender.Lend(LoanRequest{From: d.borrower.Self, Account: "a", Cost: 100}); got.Granted {
 		t.Error("while it is not current: got a loan, want none")
 	}
 
 	current = true
 
-	if got := d.lender.Lend(Ask{From: d.borrower.Self, Account: "a", Cost: 100}); !got.Granted {
+	if got := d.lender.Lend(LoanRequest{From: d.borrower.Self, Account: "a", Cost: 100}); !got.Granted {
 		t.Error("once it is current: got no loan, want one")
 	}
 }
@@ -204,7 +204,7 @@
 	q := New(Policy{Window: 8 * time.Second, Spread: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
 
-	loans := &Loans{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, Ask) {}}
+	loans := &Loans{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
 	decided := make(chan Decision)
 	take := func() { decided <- loans.Take(t.Context(), "acme", 100) }
 
@@ -230,7 +230,7 @@
 	q := New(Policy{Window: 8 * time.Second, Spread: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
 
-	loans := &Loans{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, Ask) {}}
+	loans := &Loans{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
 	decided := make(chan Decision, 1)
 
 	go func() { decided <- loans.Take(t.Context(), "acme", 100) }()
