--- a/entry/datagram.go
+++ b/entry/datagram.go
@@ -23,8 +23,8 @@
 	// Forwarded are counts of several instances, as their relay passes them on.
 	Forwarded []usageCounts `msgpack:"y,omitempty"`
 	// Ask and Reply lend limits of client accounts.
-	Ask   *quota.LoanRequest `msgpack:"a,omitempty"`
-	Reply *quota.Reply       `msgpack:"r,omitempty"`
+	Ask   *quota.LoanRequest  `msgpack:"a,omitempty"`
+	Reply *quota.LoanResponse `msgpack:"r,omitempty"`
 	// Permit and Permitted grant requests to backend servers that limit them.
 	Permit    *ratelimit.PermitRequest  `msgpack:"l,omitempty"`
 	Permitted *ratelimit.PermitResponse `msgpack:"m,omitempty"`
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -29,8 +29,8 @@
 	Cost     float64
 }
 
-// Reply is the answer to an Ask.
-type Reply struct {
+// LoanResponse is the answer to an Ask.
+type LoanResponse struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Number   uint64
 	Granted  bool
@@ -101,16 +101,16 @@
 }
 
 // Lend answers another instance's question.
-func (l *Loans) Lend(ask LoanRequest) Reply {
+func (l *Loans) Lend(ask LoanRequest) LoanResponse {
 	if l.Current != nil && !l.Current() {
-		return Reply{Number: ask.Number}
+		return LoanResponse{Number: ask.Number}
 	}
 
-	return Reply{Number: ask.Number, Granted: l.Quota.LendTo(l.Clock.Now(), ask.From, ask.Account, ask.Cost).Granted}
+	return LoanResponse{Number: ask.Number, Granted: l.Quota.LendTo(l.Clock.Now(), ask.From, ask.Account, ask.Cost).Granted}
 }
 
 // Answered takes an answer in. One that comes too late is dropped.
-func (l *Loans) Answered(r Reply) { l.questions.Reply(r.Number, r.Granted) }
+func (l *Loans) Answered(r LoanResponse) { l.questions.Reply(r.Number, r.Granted) }
 
 func (l *Loans) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
 	if holder == l.Self {
