--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -38,7 +38,7 @@
 		clock:   clk,
 		metrics: metrics.NewSet(),
 		duties:  &duties{incarnation: 1, ledger: usage.NewLedger(usage.Policy{Width: 5 * time.Second}, clk.Now())},
-		members: &board.Members{}, links: &topology.Links{}, loans: &quota.Loans{Quota: quota.New(quota.Policy{}), Clock: clk},
+		members: &board.Members{}, links: &topology.Links{}, loans: &quota.Limiter{Quota: quota.New(quota.Policy{}), Clock: clk},
 		limits:   quota.New(quota.Policy{Window: 8 * time.Second}),
 		counter:  &usage.Counter{Width: 5 * time.Second, Keep: 15 * time.Second, Now: clk.Now},
 		currency: &currency.Tracker{Clock: clk}, registered: &currency.Tracker{Clock: clk},
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -86,7 +86,7 @@
 	// serversMu is held while the register is changed and the change takes effect.
 	serversMu sync.Mutex
 	limits    *quota.Quota
-	loans     *quota.Loans
+	loans     *quota.Limiter
 	// permits grant requests to backend servers that limit them.
 	permits   *ratelimit.Limiter
 	retries   *retry.Budgets
@@ -205,7 +205,7 @@
 		Self: s.Instance, Window: s.Bounds.LimitWindow, Spread: newsSpread, Quick: p.quickSpread,
 		Tell: func() { p.board.Wake() },
 	})
-	p.loans = &quota.Loans{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.LoanRequest) {
+	p.loans = &quota.Limiter{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.LoanRequest) {
 		p.sendDatagram(to, datagram{Ask: &ask})
 	}}
 	p.permits = newPermits(p)
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -36,11 +36,11 @@
 	Granted  bool
 }
 
-// Loans takes from a Quota, and borrows from the holders of reserves what the part of
+// Limiter takes from a Quota, and borrows from the holders of reserves what the part of
 // this instance does not cover. A question or answer that is lost costs the lender
 // what it lent until the window is over; nothing is ever spent twice. Its exported
 // fields are set before its first use.
-type Loans struct {
+type Limiter struct {
 	Quota *Quota
 	Clock clock.Clock
 	Self  fleet.InstanceID
@@ -67,7 +67,7 @@
 }
 
 // Take spends cost of an account's allowance here or at a holder of its reserve.
-func (l *Loans) Take(ctx context.Context, name fleet.Account, cost float64) Decision {
+func (l *Limiter) Take(ctx context.Context, name fleet.Account, cost float64) Decision {
 	l.awaitRead(ctx)
 
 	decision := l.Quota.Take(l.Clock.Now(), name, cost)
@@ -86,7 +86,7 @@
 
 // awaitRead waits for a moment at an instance that has just started and has not read yet
 // what the others have spent.
-func (l *Loans) awaitRead(ctx context.Context) {
+func (l *Limiter) awaitRead(ctx context.Context) {
 	select {
 	case <-l.Quota.Read():
 		return
@@ -101,7 +101,7 @@
 }
 
 // Lend answers another instance's question.
-func (l *Loans) Lend(ask LoanRequest) LoanResponse {
+func (l *Limiter) Lend(ask LoanRequest) LoanResponse {
 	if l.Current != nil && !l.Current() {
 		return LoanResponse{Number: ask.Number}
 	}
@@ -110,9 +110,9 @@
 }
 
 // Answered takes an answer in. One that comes too late is dropped.
-func (l *Loans) Answered(r LoanResponse) { l.questions.Reply(r.Number, r.Granted) }
+func (l *Limiter) Answered(r LoanResponse) { l.questions.Reply(r.Number, r.Granted) }
 
-func (l *Loans) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
+func (l *Limiter) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
 	if holder == l.Self {
 		return l.Quota.Lend(l.Clock.Now(), name, cost).Granted
 	}
@@ -133,7 +133,7 @@
 }
 
 // refusedRecently reports whether a holder had too little for as much a moment ago.
-func (l *Loans) refusedRecently(key loanKey, cost float64) bool {
+func (l *Limiter) refusedRecently(key loanKey, cost float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -142,7 +142,7 @@
 	return ok && cost >= last.cost && l.Clock.Now().Sub(last.at) < refusedLoan
 }
 
-func (l *Loans) remember(key loanKey, cost float64, granted bool) {
+func (l *Limiter) remember(key loanKey, cost float64, granted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -100,7 +100,7 @@
 
 // desks are the loans of two instances, of which the second one lends.
 type desks struct {
-	borrower, lender *Loans
+	borrower, lender *Limiter
 	asks             int
 	lose             bool
 }
@@ -127,8 +127,8 @@
 		}
 	}
 
-	d.lender = &Loans{Quota: quotas[holder], Clock: clk, Self: holder}
-	d.borrower = &Loans{Quota: quotas[other], Clock: clk, Self: other, Send: func(to fleet.InstanceID, ask LoanRequest) {
+	d.lender = &Limiter{Quota: quotas[holder], Clock: clk, Self: holder}
+	d.borrower = &Limiter{Quota: quotas[other], Clock: clk, Self: other, Send: func(to fleet.InstanceID, ask LoanRequest) {
 		d.asks++
 
 		if to == holder && !d.lose {
@@ -204,7 +204,7 @@
 	q := New(Policy{Window: 8 * time.Second, Spread: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
 
-	loans := &Loans{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
+	loans := &Limiter{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
 	decided := make(chan Decision)
 	take := func() { decided <- loans.Take(t.Context(), "acme", 100) }
 
@@ -230,7 +230,7 @@
 	q := New(Policy{Window: 8 * time.Second, Spread: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
 
-	loans := &Loans{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
+	loans := &Limiter{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
 	decided := make(chan Decision, 1)
 
 	go func() { decided <- loans.Take(t.Context(), "acme", 100) }()
