--- a/entry/datagram.go
+++ b/entry/datagram.go
@@ -79,7 +79,7 @@
 	case len(d.Losses) > 0:
 		p.receiveLosses(now, d.Losses)
 	case d.Reply != nil:
-		p.loans.Answered(*d.Reply)
+		p.loans.HandleResponse(*d.Reply)
 	default:
 		p.receiveRelayed(now, &d)
 	}
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -109,8 +109,8 @@
 	return LoanResponse{Number: ask.Number, Granted: l.Quota.LendTo(l.Clock.Now(), ask.From, ask.Account, ask.Cost).Granted}
 }
 
-// Answered takes an answer in. One that comes too late is dropped.
-func (l *Limiter) Answered(r LoanResponse) { l.questions.Reply(r.Number, r.Granted) }
+// HandleResponse takes an answer in. One that comes too late is dropped.
+func (l *Limiter) HandleResponse(r LoanResponse) { l.questions.Reply(r.Number, r.Granted) }
 
 func (l *Limiter) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
 	if holder == l.Self {
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -132,7 +132,7 @@
 		d.asks++
 
 		if to == holder && !d.lose {
-			d.borrower.Answered(d.lender.Lend(ask))
+			d.borrower.HandleResponse(d.lender.Lend(ask))
 		}
 	}}
 
