--- a/entry/datagram.go
+++ b/entry/datagram.go
@@ -65,7 +65,7 @@
 		p.rollouts.table.Record(d.Trials.Instance, d.Trials.Incarnation, d.Trials.Counts)
 	case d.Ask != nil:
 		// One that has just started, or stops, is no member here.
-		reply := p.loans.Lend(*d.Ask)
+		reply := p.loans.HandleRequest(*d.Ask)
 		p.sendAll(map[fleet.InstanceID]netip.AddrPort{d.Ask.From: from}, datagram{Reply: &reply})
 	case d.Permit != nil:
 		reply := p.permits.HandleRequest(*d.Permit)
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Lend answers another instance's question.
-func (l *Limiter) Lend(ask LoanRequest) LoanResponse {
+// HandleRequest answers another instance's question.
+func (l *Limiter) HandleRequest(ask LoanRequest) LoanResponse {
 	if l.Current != nil && !l.Current() {
 		return LoanResponse{Number: ask.Number}
 	}
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -132,7 +132,7 @@
 		d.asks++
 
 		if to == holder && !d.lose {
-			d.borrower.HandleResponse(d.lender.Lend(ask))
+			d.borrower.HandleResponse(d.lender.HandleRequest(ask))
 		}
 	}}
 
@@ -166,13 +166,13 @@
 	current := false
 	d.lender.Current = func() bool { return current }
 
-	if got := d.lender.Lend(LoanRequest{From: d.borrower.Self, Account: "a", Cost: 100}); got.Granted {
+	if got := d.lender.HandleRequest(LoanRequest{From: d.borrower.Self, Account: "a", Cost: 100}); got.Granted {
 		t.Error("while it is not current: got a loan, want none")
 	}
 
 	current = true
 
-	if got := d.lender.Lend(LoanRequest{From: d.borrower.Self, Account: "a", Cost: 100}); !got.Granted {
+	if got := d.lender.HandleRequest(LoanRequest{From: d.borrower.Self, Account: "a", Cost: 100}); !got.Granted {
 		t.Error("once it is current: got no loan, want one")
 	}
 }
