--- a/entry/spent.go
+++ b/entry/spent.go
@@ -67,7 +67,7 @@
 	p.spentSeen.heard(n)
 
 	if n.Echo != 0 {
-		p.limits.Heard(time.Unix(0, n.Echo), n.Instance)
+		p.limits.Acknowledged(time.Unix(0, n.Echo), n.Instance)
 	}
 }
 
--- a/quota/hear.go
+++ b/quota/hear.go
@@ -6,9 +6,9 @@
 	"monsoonlever/fleet"
 )
 
-// Heard is told that another instance has heard this one directly, what this one
+// Acknowledged is told that another instance has heard this one directly, what this one
 // had spent by then included.
-func (q *Quota) Heard(at time.Time, id fleet.InstanceID) {
+func (q *Quota) Acknowledged(at time.Time, id fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -94,7 +94,7 @@
 
 			to.heard[i], to.echo[i] = now, now
 			to.quota.Hear(now, from.id, 1, from.quota.Spent(now))
-			to.quota.Heard(from.echo[j], from.id)
+			to.quota.Acknowledged(from.echo[j], from.id)
 		}
 	}
 }
@@ -315,8 +315,8 @@
 		return q.Take(now, "a", 100).Granted || q.LendTo(now, "entry-9", "a", 100).Granted
 	}
 
-	q.Heard(now, "entry-2")
-	q.Heard(now, "entry-3")
+	q.Acknowledged(now, "entry-2")
+	q.Acknowledged(now, "entry-3")
 
 	if granted() {
 		t.Error("before it has read what was recorded: got a grant, want none")
@@ -334,7 +334,7 @@
 		t.Error("without news of the others: got a grant, want none")
 	}
 
-	q.Heard(now, "entry-4")
+	q.Acknowledged(now, "entry-4")
 
 	if granted() {
 		t.Error("heard by one other: got a grant, want none")
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -43,7 +43,7 @@
 	for i, q := range g.quotas {
 		if i != from && g.random.IntN(10) > 0 {
 			q.Hear(now, g.ids[from], g.incarnation, spent)
-			q.Heard(now, g.ids[from])
+			q.Acknowledged(now, g.ids[from])
 		}
 	}
 }
