--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -66,7 +66,7 @@
 	case p.early != nil:
 		p.early.Add(r.Instance, r.Incarnation, time.Unix(0, r.Clock), r.Consumed, r.TotalConsumed)
 	case r.Instance != p.self():
-		p.limits.Hear(now, r.Instance, r.Incarnation, r.Consumed)
+		p.limits.Receive(now, r.Instance, r.Incarnation, r.Consumed)
 	}
 }
 
--- a/entry/spent.go
+++ b/entry/spent.go
@@ -63,7 +63,7 @@
 		return
 	}
 
-	p.limits.Hear(now, n.Instance, n.Incarnation, n.Spent)
+	p.limits.Receive(now, n.Instance, n.Incarnation, n.Spent)
 	p.spentSeen.heard(n)
 
 	if n.Echo != 0 {
--- a/quota/hear.go
+++ b/quota/hear.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// Hear takes in what another instance has spent since its start.
-func (q *Quota) Hear(now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, spent []Spent) {
+// Receive takes in what another instance has spent since its start.
+func (q *Quota) Receive(now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, spent []Spent) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -93,7 +93,7 @@
 			}
 
 			to.heard[i], to.echo[i] = now, now
-			to.quota.Hear(now, from.id, 1, from.quota.Spent(now))
+			to.quota.Receive(now, from.id, 1, from.quota.Spent(now))
 			to.quota.Acknowledged(from.echo[j], from.id)
 		}
 	}
@@ -122,7 +122,7 @@
 		node.heard[r.from] = now
 
 		if r.from != self {
-			node.quota.Hear(now, f.nodes[r.from].id, 1, r.spent)
+			node.quota.Receive(now, f.nodes[r.from].id, 1, r.spent)
 		}
 	}
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -42,7 +42,7 @@
 func (g *group) say(now time.Time, from int, spent []Spent) {
 	for i, q := range g.quotas {
 		if i != from && g.random.IntN(10) > 0 {
-			q.Hear(now, g.ids[from], g.incarnation, spent)
+			q.Receive(now, g.ids[from], g.incarnation, spent)
 			q.Acknowledged(now, g.ids[from])
 		}
 	}
@@ -136,7 +136,7 @@
 
 		for _, n := range g.pending {
 			if n.from != i && now.Sub(n.at) < 2*time.Second {
-				q.Hear(now, g.ids[n.from], g.incarnation, n.spent)
+				q.Receive(now, g.ids[n.from], g.incarnation, n.spent)
 			}
 		}
 
@@ -304,7 +304,7 @@
 
 	q := newGroup(1, policy).quotas[0]
 	q.Reached(now)
-	q.Hear(now, "old", 1, old.Spent(now))
+	q.Receive(now, "old", 1, old.Spent(now))
 
 	granted := 0.0
 	for q.Take(now, "a", 10_000).Granted {
