--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -57,7 +57,7 @@
 	}
 
 	p.limits.Configure(allowances)
-	p.limits.Members([]fleet.InstanceID{"edge-ballerup-a-12"}, nil)
+	p.limits.SetMembers([]fleet.InstanceID{"edge-ballerup-a-12"}, nil)
 	p.limits.Reached(clk.Now())
 
 	for _, a := range allowances {
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -66,7 +66,7 @@
 	plan := p.replan(now)
 
 	if plan.FullMesh {
-		p.limits.Members(p.members.IDs(), plan.Leaders)
+		p.limits.SetMembers(p.members.IDs(), plan.Leaders)
 	} else {
 		p.limits.Keepers(now, plan.Leaders)
 	}
--- a/quota/hear.go
+++ b/quota/hear.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Members sets which instances share the allowances, this one among them, and which of
+// SetMembers sets which instances share the allowances, this one among them, and which of
 // them record what all have spent. Where none is named, each records its own.
-func (q *Quota) Members(ids, recorders []fleet.InstanceID) {
+func (q *Quota) SetMembers(ids, recorders []fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -83,7 +83,7 @@
 	})
 
 	for i, q := range g.quotas {
-		q.Members(g.ids, g.ids[:min(5, n)])
+		q.SetMembers(g.ids, g.ids[:min(5, n)])
 		q.policy.Tell = func() { g.asked[i] = true }
 	}
 
@@ -105,7 +105,7 @@
 	}
 
 	for _, q := range g.quotas {
-		q.Members(g.ids, nil)
+		q.SetMembers(g.ids, nil)
 		q.Reached(start)
 	}
 
@@ -293,7 +293,7 @@
 func TestAnInstanceThatStartsCountsOnlyWhatIsRecent(t *testing.T) {
 	old := New(policy)
 	old.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
-	old.Members([]fleet.InstanceID{"old"}, nil)
+	old.SetMembers([]fleet.InstanceID{"old"}, nil)
 
 	now := start
 	for range 60 {
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -91,7 +91,7 @@
 	}
 
 	recorders := slices.DeleteFunc(slices.Clone(g.ids[:5]), func(id fleet.InstanceID) bool { return id == want[0] })
-	g.quotas[3].Members(left, recorders)
+	g.quotas[3].SetMembers(left, recorders)
 
 	if got := g.quotas[3].Holders("a"); got[0] != want[1] {
 		t.Errorf("holders after one has left: got %v, want %v to stay", got, want[1])
@@ -113,7 +113,7 @@
 	for _, id := range ids {
 		q := New(Policy{Self: id, Window: 8 * time.Second, Spread: 2 * time.Second})
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
-		q.Members(ids, nil)
+		q.SetMembers(ids, nil)
 		q.Reached(clk.Now())
 		quotas[id] = q
 	}
@@ -216,7 +216,7 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 
-	q.Members([]fleet.InstanceID{"entry-1"}, nil)
+	q.SetMembers([]fleet.InstanceID{"entry-1"}, nil)
 	q.Reached(clk.Now())
 
 	if d := <-decided; !d.Granted {
@@ -257,7 +257,7 @@
 func TestALenderThatNoLongerLimitsAnAccountLends(t *testing.T) {
 	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, Spread: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 1000}})
-	q.Members([]fleet.InstanceID{"entry-1"}, nil)
+	q.SetMembers([]fleet.InstanceID{"entry-1"}, nil)
 	q.Reached(start)
 
 	if got := q.LendTo(start, "entry-2", "acme", 5000); got.Granted {
