--- a/entry/parts.go
+++ b/entry/parts.go
@@ -355,7 +355,7 @@
 		return false
 	}
 
-	limits := p.limits.Known() || p.clock.Now().Sub(*counted) > limitsPatience
+	limits := p.limits.HasSynced() || p.clock.Now().Sub(*counted) > limitsPatience
 
 	return !p.stopping.Load() && p.serving() && limits
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -38,7 +38,7 @@
 	case !leads:
 		p.limits.Keepers(now, plan.Leaders)
 		// It asks the keepers for each request, and has nothing to read.
-		if p.keepers.kept() && !p.limits.Known() {
+		if p.keepers.kept() && !p.limits.HasSynced() {
 			p.limits.Reached(now)
 		}
 	case !led || !slices.Equal(before.Leaders, plan.Leaders):
--- a/quota/hear.go
+++ b/quota/hear.go
@@ -70,8 +70,8 @@
 	q.placeReserves()
 }
 
-// Known tells whether the others' news was read at least once.
-func (q *Quota) Known() bool {
+// HasSynced tells whether the others' news was read at least once.
+func (q *Quota) HasSynced() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -322,7 +322,7 @@
 	q := New(policy)
 	q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 
-	if q.Known() {
+	if q.HasSynced() {
 		t.Error("before anything was read: got known, want not")
 	}
 
