--- a/quota/hear.go
+++ b/quota/hear.go
@@ -78,8 +78,8 @@
 	return !q.reached.IsZero()
 }
 
-// Read returns a channel that is closed once the others' news was read.
-func (q *Quota) Read() <-chan struct{} { return q.read }
+// Synced returns a channel that is closed once the others' news was read.
+func (q *Quota) Synced() <-chan struct{} { return q.read }
 
 // Reached is told that the others' news was read to its end.
 func (q *Quota) Reached(now time.Time) {
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -88,13 +88,13 @@
 // what the others have spent.
 func (l *Limiter) awaitRead(ctx context.Context) {
 	select {
-	case <-l.Quota.Read():
+	case <-l.Quota.Synced():
 		return
 	default:
 	}
 
 	select {
-	case <-l.Quota.Read():
+	case <-l.Quota.Synced():
 	case <-l.Clock.After(readPatience):
 	case <-ctx.Done():
 	}
