--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -58,7 +58,7 @@
 
 	p.limits.Configure(allowances)
 	p.limits.SetMembers([]fleet.InstanceID{"edge-ballerup-a-12"}, nil)
-	p.limits.Reached(clk.Now())
+	p.limits.MarkSynced(clk.Now())
 
 	for _, a := range allowances {
 		p.limits.Take(clk.Now(), a.Account, 1234)
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -82,7 +82,7 @@
 	}
 
 	p.shareLimits(now)
-	p.limits.Reached(now)
+	p.limits.MarkSynced(now)
 	p.shareBudgets()
 	p.duties.reached(now)
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -39,7 +39,7 @@
 		p.limits.Keepers(now, plan.Leaders)
 		// It asks the keepers for each request, and has nothing to read.
 		if p.keepers.kept() && !p.limits.HasSynced() {
-			p.limits.Reached(now)
+			p.limits.MarkSynced(now)
 		}
 	case !led || !slices.Equal(before.Leaders, plan.Leaders):
 		// It keeps limits with the others once it has read what was recorded.
--- a/quota/hear.go
+++ b/quota/hear.go
@@ -81,8 +81,8 @@
 // Synced returns a channel that is closed once the others' news was read.
 func (q *Quota) Synced() <-chan struct{} { return q.read }
 
-// Reached is told that the others' news was read to its end.
-func (q *Quota) Reached(now time.Time) {
+// MarkSynced is told that the others' news was read to its end.
+func (q *Quota) MarkSynced(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -136,7 +136,7 @@
 	}
 
 	node.quota.Keepers(now, node.keepers)
-	node.quota.Reached(now)
+	node.quota.MarkSynced(now)
 }
 
 func (f *fleetOfKeepers) step(now time.Time, tick int) {
@@ -284,7 +284,7 @@
 				from.Record(now)
 			}
 
-			from.Reached(now)
+			from.MarkSynced(now)
 		}
 	}
 	before := refused(slow, func(now time.Time, i int, cost float64) bool { return shared.take(now, i, cost).Granted })
@@ -306,7 +306,7 @@
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, Spread: 2 * time.Second})
 	q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
-	q.Reached(start)
+	q.MarkSynced(start)
 	q.Keepers(start.Add(time.Second), ids)
 
 	now := start.Add(2 * time.Second)
@@ -322,7 +322,7 @@
 		t.Error("before it has read what was recorded: got a grant, want none")
 	}
 
-	q.Reached(now)
+	q.MarkSynced(now)
 
 	if !granted() {
 		t.Error("with two others that hear it: got no grant, want one")
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -106,7 +106,7 @@
 
 	for _, q := range g.quotas {
 		q.SetMembers(g.ids, nil)
-		q.Reached(start)
+		q.MarkSynced(start)
 	}
 
 	return g
@@ -140,7 +140,7 @@
 			}
 		}
 
-		q.Reached(now)
+		q.MarkSynced(now)
 	}
 }
 
@@ -297,13 +297,13 @@
 
 	now := start
 	for range 60 {
-		old.Reached(now)
+		old.MarkSynced(now)
 		old.Take(now, "a", 30_000)
 		now = now.Add(time.Second)
 	}
 
 	q := newGroup(1, policy).quotas[0]
-	q.Reached(now)
+	q.MarkSynced(now)
 	q.Receive(now, "old", 1, old.Spent(now))
 
 	granted := 0.0
@@ -405,7 +405,7 @@
 			}
 
 			q.InheritAll(now, &past)
-			q.Reached(now)
+			q.MarkSynced(now)
 		}
 
 		next.incarnation = 2
@@ -459,7 +459,7 @@
 
 	q := newGroup(1, policy).quotas[0]
 	q.InheritAll(at(10), &past)
-	q.Reached(at(10))
+	q.MarkSynced(at(10))
 
 	for _, tt := range []struct {
 		after float64
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -114,7 +114,7 @@
 		q := New(Policy{Self: id, Window: 8 * time.Second, Spread: 2 * time.Second})
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 		q.SetMembers(ids, nil)
-		q.Reached(clk.Now())
+		q.MarkSynced(clk.Now())
 		quotas[id] = q
 	}
 
@@ -217,7 +217,7 @@
 	}
 
 	q.SetMembers([]fleet.InstanceID{"entry-1"}, nil)
-	q.Reached(clk.Now())
+	q.MarkSynced(clk.Now())
 
 	if d := <-decided; !d.Granted {
 		t.Errorf("after the first read: got %+v, want it granted", d)
@@ -258,7 +258,7 @@
 	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, Spread: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 1000}})
 	q.SetMembers([]fleet.InstanceID{"entry-1"}, nil)
-	q.Reached(start)
+	q.MarkSynced(start)
 
 	if got := q.LendTo(start, "entry-2", "acme", 5000); got.Granted {
 		t.Error("above the limit: got it granted, want it refused")
