--- a/board/board.go
+++ b/board/board.go
@@ -58,7 +58,7 @@
 	// Consumed is what this instance has spent of the limits of client accounts.
 	Consumed []quota.Spent `msgpack:"d,omitempty"`
 	// TotalConsumed is what all instances have spent, told by those that lead.
-	TotalConsumed []quota.Known `msgpack:"k,omitempty"`
+	TotalConsumed []quota.GlobalConsumption `msgpack:"k,omitempty"`
 	// Work is what all instances measured of services of model engines, told by those that
 	// lead.
 	Work []scheduling.Work `msgpack:"w,omitempty"`
--- a/quota/known.go
+++ b/quota/known.go
@@ -6,9 +6,9 @@
 	"monsoonlever/fleet"
 )
 
-// Known is what all instances have spent of an account's limit within the last window,
+// GlobalConsumption is what all instances have spent of an account's limit within the last window,
 // as far as one of them knows, by age: the oldest part of the window first.
-type Known struct {
+type GlobalConsumption struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Account  fleet.Account
 	Ages     []uint32
@@ -16,7 +16,7 @@
 
 // recordAll returns what all have spent. An instance that has not read what was spent
 // before it started does not know it.
-func (q *Quota) recordAll(now time.Time) []Known {
+func (q *Quota) recordAll(now time.Time) []GlobalConsumption {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -24,7 +24,7 @@
 		return nil
 	}
 
-	all := make([]Known, 0, len(q.accounts))
+	all := make([]GlobalConsumption, 0, len(q.accounts))
 
 	for name, a := range q.accounts {
 		sum := a.own.ages(now, q.policy.Window)
@@ -35,7 +35,7 @@
 		}
 
 		a.knownRecorded = a.known
-		all = append(all, Known{Account: name, Ages: sum})
+		all = append(all, GlobalConsumption{Account: name, Ages: sum})
 	}
 
 	return all
@@ -49,7 +49,7 @@
 
 // inheritKnown takes in what all had spent at a time before this instance started. The
 // runs that were recorded until then tell the same spending when they are heard.
-func (q *Quota) inheritKnown(now, at time.Time, known []Known, runs []run) {
+func (q *Quota) inheritKnown(now, at time.Time, known []GlobalConsumption, runs []run) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/past.go
+++ b/quota/past.go
@@ -20,7 +20,7 @@
 	// elapsed is the time from the first record to the newest.
 	elapsed time.Duration
 	// known is the newest record of what all have spent, and knownAt when that was.
-	known   []Known
+	known   []GlobalConsumption
 	knownAt time.Duration
 }
 
@@ -40,7 +40,7 @@
 
 // Add takes a record in that a run made when its clock said at.
 func (p *Past) Add(
-	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent, known []Known,
+	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent, known []GlobalConsumption,
 ) {
 	p.addRun(id, incarnation, at, spent)
 
--- a/quota/record.go
+++ b/quota/record.go
@@ -78,7 +78,7 @@
 // Record returns what a record that outlives this instance should tell: what this
 // instance has spent, and what all have, as far as it is known here. One that others
 // hear leaves both to those that record for all.
-func (q *Quota) Record(now time.Time) ([]Spent, []Known) {
+func (q *Quota) Record(now time.Time) ([]Spent, []GlobalConsumption) {
 	q.mu.Lock()
 	forAll, recorded := len(q.recorders) > 0 && q.recorder(), q.recorded(now)
 	q.mu.Unlock()
