--- a/entry/parts.go
+++ b/entry/parts.go
@@ -153,7 +153,7 @@
 
 	// early holds what the records say of the time before, until the board was first
 	// read to its end; it is nil from then on.
-	early  *quota.Past
+	early  *quota.EarlierRecords
 	echoes echoes
 	// spentSeen are the echoes of news of limits.
 	spentSeen spentSeen
@@ -190,7 +190,7 @@
 		},
 		members:    &board.Members{},
 		quarantine: &quarantine.Ledger{},
-		early:      &quota.Past{},
+		early:      &quota.EarlierRecords{},
 		counter:    &usage.Counter{Width: s.Bounds.UsageWindow, Keep: usageKeep, Now: time.Now},
 	}
 	p.scheduler.OnLeaving = p.serverAnnouncedLeaving
--- a/quota/past.go
+++ b/quota/past.go
@@ -6,7 +6,7 @@
 	"monsoonlever/fleet"
 )
 
-// Past collects what was recorded before an instance started, in the order of the
+// EarlierRecords collects what was recorded before an instance started, in the order of the
 // records. Of each run of an instance the newest record counts; one run does not
 // replace the one before, whose spending still counts in the window. The zero value is
 // empty.
@@ -15,7 +15,7 @@
 // between two of its own. Times of day may jump and differ. Where no run has a record
 // on both sides of a gap, the gap counts as no time, which keeps spending in the window
 // for longer than it is.
-type Past struct {
+type EarlierRecords struct {
 	runs []run
 	// elapsed is the time from the first record to the newest.
 	elapsed time.Duration
@@ -39,7 +39,7 @@
 }
 
 // Add takes a record in that a run made when its clock said at.
-func (p *Past) Add(
+func (p *EarlierRecords) Add(
 	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent, known []GlobalConsumption,
 ) {
 	p.addRun(id, incarnation, at, spent)
@@ -49,7 +49,7 @@
 	}
 }
 
-func (p *Past) addRun(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent) {
+func (p *EarlierRecords) addRun(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent) {
 	for i := range p.runs {
 		r := &p.runs[i]
 		if r.instance != id || r.incarnation != incarnation {
@@ -67,7 +67,7 @@
 
 // InheritAll takes in what was recorded before this instance started. All instances
 // may have ended since, each with its part of what is spent before it is recorded.
-func (q *Quota) InheritAll(now time.Time, p *Past) {
+func (q *Quota) InheritAll(now time.Time, p *EarlierRecords) {
 	if len(p.known) > 0 && p.elapsed-p.knownAt <= knownLife {
 		q.inheritKnown(now, now.Add(p.knownAt-p.elapsed), p.known, p.runs)
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -370,7 +370,7 @@
 
 		now := start
 
-		var past Past
+		var past EarlierRecords
 
 		// Records are written every two seconds, and soon after one is asked for.
 		asked := make([]bool, n)
@@ -450,7 +450,7 @@
 		return []Spent{{Account: "a", Total: total, Recent: recent, Asked: total, Ages: ages}}
 	}
 
-	var past Past
+	var past EarlierRecords
 	// One run ended early, another goes on and shows how long ago that was. Its clock
 	// began at another time.
 	past.Add("entry-2", 1, at(0), spent(900_000, 0, 0, 0, 0, 0, 0, 0, 80_000), nil)
