--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -73,7 +73,7 @@
 // boardReached is told that all records were taken in.
 func (p *parts) boardReached(now time.Time) {
 	if p.early != nil {
-		p.limits.InheritAll(now, p.early)
+		p.limits.Restore(now, p.early)
 		p.early = nil
 	}
 
--- a/quota/past.go
+++ b/quota/past.go
@@ -65,9 +65,9 @@
 	p.runs = append(p.runs, run{instance: id, incarnation: incarnation, clock: at, elapsed: p.elapsed, spent: spent})
 }
 
-// InheritAll takes in what was recorded before this instance started. All instances
+// Restore takes in what was recorded before this instance started. All instances
 // may have ended since, each with its part of what is spent before it is recorded.
-func (q *Quota) InheritAll(now time.Time, p *EarlierRecords) {
+func (q *Quota) Restore(now time.Time, p *EarlierRecords) {
 	if len(p.known) > 0 && p.elapsed-p.knownAt <= knownLife {
 		q.inheritKnown(now, now.Add(p.knownAt-p.elapsed), p.known, p.runs)
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -404,7 +404,7 @@
 				past.Add(id, 2, now, nil, nil)
 			}
 
-			q.InheritAll(now, &past)
+			q.Restore(now, &past)
 			q.MarkSynced(now)
 		}
 
@@ -458,7 +458,7 @@
 	past.Add("entry-3", 1, at(5004), spent(200_000, 100_000, 0, 0, 0, 0, 0, 0, 100_000), nil)
 
 	q := newGroup(1, policy).quotas[0]
-	q.InheritAll(at(10), &past)
+	q.Restore(at(10), &past)
 	q.MarkSynced(at(10))
 
 	for _, tt := range []struct {
