--- a/quota/past.go
+++ b/quota/past.go
@@ -80,14 +80,14 @@
 	}
 
 	for _, r := range p.runs {
-		q.Inherit(r.instance, r.incarnation, now.Add(r.elapsed-p.elapsed), r.spent, Untold/float64(len(instances)))
+		q.RestoreInstance(r.instance, r.incarnation, now.Add(r.elapsed-p.elapsed), r.spent, Untold/float64(len(instances)))
 	}
 }
 
-// Inherit takes in what an instance had recorded at a time before this one started. It
+// RestoreInstance takes in what an instance had recorded at a time before this one started. It
 // may have ended since; untold is the part of each allowance that it may have spent
 // after that without telling anybody.
-func (q *Quota) Inherit(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent, untold float64) {
+func (q *Quota) RestoreInstance(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent, untold float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
