--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -55,7 +55,7 @@
 	for i := range n {
 		id := fleet.InstanceID(fmt.Sprint("entry-", i))
 		q := New(Policy{
-			Self: id, Window: 8 * time.Second, Spread: 4500 * time.Millisecond,
+			Self: id, Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
 			Quick: func(int) time.Duration { return 600 * time.Millisecond },
 		})
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
@@ -271,7 +271,7 @@
 	got := refused(kept.step, kept.take)
 
 	shared := newLendingGroup(instances, Policy{
-		Window: 8 * time.Second, Spread: 4500 * time.Millisecond,
+		Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
 		Quick: func(int) time.Duration { return 3500 * time.Millisecond },
 	})
 	slow := func(now time.Time, tick int) {
@@ -304,7 +304,7 @@
 // nothing.
 func TestAKeeperWithoutTheOthersGrantsNothing(t *testing.T) {
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
-	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, Spread: 2 * time.Second})
+	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, PropagationDelay: 2 * time.Second})
 	q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 	q.MarkSynced(start)
 	q.Keepers(start.Add(time.Second), ids)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -40,8 +40,8 @@
 	Self fleet.InstanceID
 	// Window is the span over which allowances hold.
 	Window time.Duration
-	// Spread is the time in which what an instance has spent is known to all.
-	Spread time.Duration
+	// PropagationDelay is the time in which what an instance has spent is known to all.
+	PropagationDelay time.Duration
 	// Quick is the same while all members are heard directly, which Heard tells;
 	// zero is never.
 	Quick func(members int) time.Duration
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -12,11 +12,11 @@
 	"monsoonlever/fleet"
 )
 
-var policy = Policy{Window: 8 * time.Second, Spread: 2500 * time.Millisecond}
+var policy = Policy{Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond}
 
 // quickPolicy is that of instances which hear each other directly.
 var quickPolicy = Policy{
-	Window: 8 * time.Second, Spread: 2500 * time.Millisecond,
+	Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond,
 	Quick: func(int) time.Duration { return 450 * time.Millisecond },
 }
 
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -14,7 +14,7 @@
 
 // manyPolicy is that of many instances, whose words are slower.
 var manyPolicy = Policy{
-	Window: 8 * time.Second, Spread: 4500 * time.Millisecond,
+	Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
 	Quick: func(int) time.Duration { return 1500 * time.Millisecond },
 }
 
@@ -111,7 +111,7 @@
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 
 	for _, id := range ids {
-		q := New(Policy{Self: id, Window: 8 * time.Second, Spread: 2 * time.Second})
+		q := New(Policy{Self: id, Window: 8 * time.Second, PropagationDelay: 2 * time.Second})
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 		q.SetMembers(ids, nil)
 		q.MarkSynced(clk.Now())
@@ -201,7 +201,7 @@
 // waits for that, and is not sent away for seconds.
 func TestARequestWaitsForTheFirstRead(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
-	q := New(Policy{Window: 8 * time.Second, Spread: time.Second})
+	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
 
 	loans := &Limiter{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
@@ -227,7 +227,7 @@
 // A store that does not answer must not hold requests.
 func TestTheWaitForTheFirstReadIsBounded(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
-	q := New(Policy{Window: 8 * time.Second, Spread: time.Second})
+	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
 
 	loans := &Limiter{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
@@ -255,7 +255,7 @@
 
 // An account whose limit was lifted must not be refused to borrowers that have yet to get the new rules.
 func TestALenderThatNoLongerLimitsAnAccountLends(t *testing.T) {
-	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, Spread: time.Second})
+	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 1000}})
 	q.SetMembers([]fleet.InstanceID{"entry-1"}, nil)
 	q.MarkSynced(start)
--- a/quota/room.go
+++ b/quota/room.go
@@ -21,7 +21,7 @@
 	share := q.share(now, a, unseen)
 	window := now.Add(-q.policy.Window)
 
-	if now.Sub(q.reached) > q.policy.Spread && unseen == q.policy.Spread {
+	if now.Sub(q.reached) > q.policy.PropagationDelay && unseen == q.policy.PropagationDelay {
 		// Nothing new is known of the others: the part of the whole is kept to.
 		rest = max(amount-a.elsewhere(window), 0)
 
@@ -48,12 +48,12 @@
 // spread returns the time in which what this instance spends is known to all.
 func (q *Quota) spread(now time.Time) time.Duration {
 	if q.policy.Quick == nil {
-		return q.policy.Spread
+		return q.policy.PropagationDelay
 	}
 
-	quick := min(q.policy.Quick(len(q.members)), q.policy.Spread)
+	quick := min(q.policy.Quick(len(q.members)), q.policy.PropagationDelay)
 	if !q.allHear(now, quick) {
-		return q.policy.Spread
+		return q.policy.PropagationDelay
 	}
 
 	return quick
