--- a/entry/parts.go
+++ b/entry/parts.go
@@ -202,7 +202,7 @@
 	p.links = &topology.Links{Self: self}
 	p.plan.Store(&topology.Plan{InstanceCount: 1})
 	p.limits = quota.New(quota.Policy{
-		Self: s.Instance, Window: s.Bounds.LimitWindow, PropagationDelay: newsSpread, Quick: p.quickSpread,
+		Self: s.Instance, Window: s.Bounds.LimitWindow, PropagationDelay: newsSpread, DirectDelay: p.quickSpread,
 		Tell: func() { p.board.Wake() },
 	})
 	p.loans = &quota.Limiter{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.LoanRequest) {
--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -56,7 +56,7 @@
 		id := fleet.InstanceID(fmt.Sprint("entry-", i))
 		q := New(Policy{
 			Self: id, Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
-			Quick: func(int) time.Duration { return 600 * time.Millisecond },
+			DirectDelay: func(int) time.Duration { return 600 * time.Millisecond },
 		})
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 
@@ -272,7 +272,7 @@
 
 	shared := newLendingGroup(instances, Policy{
 		Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
-		Quick: func(int) time.Duration { return 3500 * time.Millisecond },
+		DirectDelay: func(int) time.Duration { return 3500 * time.Millisecond },
 	})
 	slow := func(now time.Time, tick int) {
 		for i, from := range shared.quotas {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -42,9 +42,9 @@
 	Window time.Duration
 	// PropagationDelay is the time in which what an instance has spent is known to all.
 	PropagationDelay time.Duration
-	// Quick is the same while all members are heard directly, which Heard tells;
+	// DirectDelay is the same while all members are heard directly, which Heard tells;
 	// zero is never.
-	Quick func(members int) time.Duration
+	DirectDelay func(members int) time.Duration
 	// Tell asks for the next record of what was spent to be made soon; nil is not
 	// asked. Together all instances have spent no more than Untold of an allowance,
 	// and one request each, that no record tells.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -17,7 +17,7 @@
 // quickPolicy is that of instances which hear each other directly.
 var quickPolicy = Policy{
 	Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond,
-	Quick: func(int) time.Duration { return 450 * time.Millisecond },
+	DirectDelay: func(int) time.Duration { return 450 * time.Millisecond },
 }
 
 var start = time.Unix(1000, 0)
@@ -98,7 +98,7 @@
 		p := policyOf(id)
 		q := New(p)
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
-		g.quick = p.Quick != nil
+		g.quick = p.DirectDelay != nil
 		g.quotas = append(g.quotas, q)
 		g.ids = append(g.ids, id)
 		g.asked = append(g.asked, false)
--- a/quota/record.go
+++ b/quota/record.go
@@ -59,12 +59,12 @@
 		return true
 	}
 
-	if q.policy.Quick == nil || q.recorder() {
+	if q.policy.DirectDelay == nil || q.recorder() {
 		return false
 	}
 
 	hear := 0
-	span := q.policy.Quick(len(q.members))
+	span := q.policy.DirectDelay(len(q.members))
 
 	for _, id := range q.recorders {
 		if at, ok := q.heard[id]; ok && now.Sub(at) <= span {
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -15,7 +15,7 @@
 // manyPolicy is that of many instances, whose words are slower.
 var manyPolicy = Policy{
 	Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
-	Quick: func(int) time.Duration { return 1500 * time.Millisecond },
+	DirectDelay: func(int) time.Duration { return 1500 * time.Millisecond },
 }
 
 // An account that asks many instances for half of its limit, now and then with a
--- a/quota/room.go
+++ b/quota/room.go
@@ -47,11 +47,11 @@
 
 // spread returns the time in which what this instance spends is known to all.
 func (q *Quota) spread(now time.Time) time.Duration {
-	if q.policy.Quick == nil {
+	if q.policy.DirectDelay == nil {
 		return q.policy.PropagationDelay
 	}
 
-	quick := min(q.policy.Quick(len(q.members)), q.policy.PropagationDelay)
+	quick := min(q.policy.DirectDelay(len(q.members)), q.policy.PropagationDelay)
 	if !q.allHear(now, quick) {
 		return q.policy.PropagationDelay
 	}
@@ -74,7 +74,7 @@
 }
 
 func (q *Quota) quick(now time.Time) bool {
-	return q.policy.Quick != nil && len(q.members) > 1 && q.allHear(now, q.policy.Quick(len(q.members)))
+	return q.policy.DirectDelay != nil && len(q.members) > 1 && q.allHear(now, q.policy.DirectDelay(len(q.members)))
 }
 
 // Quick tells whether all others hear this instance directly.
