--- a/entry/parts.go
+++ b/entry/parts.go
@@ -203,7 +203,7 @@
 	p.plan.Store(&topology.Plan{InstanceCount: 1})
 	p.limits = quota.New(quota.Policy{
 		Self: s.Instance, Window: s.Bounds.LimitWindow, PropagationDelay: newsSpread, DirectDelay: p.quickSpread,
-		Tell: func() { p.board.Wake() },
+		RequestRecord: func() { p.board.Wake() },
 	})
 	p.loans = &quota.Limiter{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.LoanRequest) {
 		p.sendDatagram(to, datagram{Ask: &ask})
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -45,10 +45,10 @@
 	// DirectDelay is the same while all members are heard directly, which Heard tells;
 	// zero is never.
 	DirectDelay func(members int) time.Duration
-	// Tell asks for the next record of what was spent to be made soon; nil is not
+	// RequestRecord asks for the next record of what was spent to be made soon; nil is not
 	// asked. Together all instances have spent no more than Untold of an allowance,
 	// and one request each, that no record tells.
-	Tell func()
+	RequestRecord func()
 }
 
 // Untold is the part of an allowance that may be spent before it is recorded.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -84,7 +84,7 @@
 
 	for i, q := range g.quotas {
 		q.SetMembers(g.ids, g.ids[:min(5, n)])
-		q.policy.Tell = func() { g.asked[i] = true }
+		q.policy.RequestRecord = func() { g.asked[i] = true }
 	}
 
 	return g
@@ -375,7 +375,7 @@
 		// Records are written every two seconds, and soon after one is asked for.
 		asked := make([]bool, n)
 		for i, q := range g.quotas {
-			q.policy.Tell = func() { asked[i] = true }
+			q.policy.RequestRecord = func() { asked[i] = true }
 		}
 
 		for tick := range 130 {
--- a/quota/record.go
+++ b/quota/record.go
@@ -15,7 +15,7 @@
 // tell asks for a record if much was spent that none tells. While others hear this
 // instance, it is enough that those record it who record for all.
 func (q *Quota) tell(now time.Time, a *account) {
-	if q.policy.Tell == nil || q.recorded(now) {
+	if q.policy.RequestRecord == nil || q.recorded(now) {
 		return
 	}
 
@@ -23,7 +23,7 @@
 	all := a.known-a.knownRecorded > recordPart*Untold*a.allowance.Amount
 
 	if own || all && q.recorder() {
-		q.policy.Tell()
+		q.policy.RequestRecord()
 	}
 }
 
