--- a/quota/known.go
+++ b/quota/known.go
@@ -66,7 +66,7 @@
 		// What was spent after the record is not told by anybody. It is no part of what
 		// this instance records: instances that start one after the other would add it
 		// up.
-		a.unheard.add(now, Untold*a.allowance.Amount)
+		a.unheard.add(now, UnrecordedFraction*a.allowance.Amount)
 	}
 
 	q.covered = make(map[fleet.InstanceID]fleet.Incarnation, len(runs))
--- a/quota/past.go
+++ b/quota/past.go
@@ -80,7 +80,7 @@
 	}
 
 	for _, r := range p.runs {
-		q.RestoreInstance(r.instance, r.incarnation, now.Add(r.elapsed-p.elapsed), r.spent, Untold/float64(len(instances)))
+		q.RestoreInstance(r.instance, r.incarnation, now.Add(r.elapsed-p.elapsed), r.spent, UnrecordedFraction/float64(len(instances)))
 	}
 }
 
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -51,8 +51,8 @@
 	RequestRecord func()
 }
 
-// Untold is the part of an allowance that may be spent before it is recorded.
-const Untold = 0.25
+// UnrecordedFraction is the part of an allowance that may be spent before it is recorded.
+const UnrecordedFraction = 0.25
 
 // Allowance is what an account may spend in a window, over all instances.
 type Allowance struct {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -473,7 +473,7 @@
 		}
 
 		// Two instances may each have spent their part of what is not recorded.
-		most := tt.want + Untold*amount
+		most := tt.want + UnrecordedFraction*amount
 		if known < tt.want || known > most {
 			t.Errorf("known %.1f s later: got %.0f, want %.0f to %.0f", tt.after, known, tt.want, most)
 		}
--- a/quota/record.go
+++ b/quota/record.go
@@ -20,7 +20,7 @@
 	}
 
 	own := a.own.total-a.recorded > recordPart*q.untold(a)
-	all := a.known-a.knownRecorded > recordPart*Untold*a.allowance.Amount
+	all := a.known-a.knownRecorded > recordPart*UnrecordedFraction*a.allowance.Amount
 
 	if own || all && q.recorder() {
 		q.policy.RequestRecord()
@@ -36,7 +36,7 @@
 		part = (1-reservePart)*part + held
 	}
 
-	return Untold * a.allowance.Amount * part
+	return UnrecordedFraction * a.allowance.Amount * part
 }
 
 // recorder tells whether this instance records what all have spent.
