--- a/entry/spent.go
+++ b/entry/spent.go
@@ -19,9 +19,9 @@
 	At   int64 `msgpack:"t"`
 	Echo int64 `msgpack:"e"`
 	// Part is the place among Parts.
-	Part  int           `msgpack:"p"`
-	Parts int           `msgpack:"k"`
-	Spent []quota.Spent `msgpack:"s"`
+	Part  int                 `msgpack:"p"`
+	Parts int                 `msgpack:"k"`
+	Spent []quota.Consumption `msgpack:"s"`
 }
 
 // spentBytes is what the spending of one account takes beside its name.
@@ -29,9 +29,9 @@
 
 // makeSpent makes the news of what this instance has spent, without an echo.
 func (p *parts) makeSpent(now time.Time) []spentNews {
-	spent := pack(p.limits.Spent(now), func(s quota.Spent) int { return spentBytes + len(s.Account) })
+	spent := pack(p.limits.Spent(now), func(s quota.Consumption) int { return spentBytes + len(s.Account) })
 	if len(spent) == 0 {
-		spent = [][]quota.Spent{nil}
+		spent = [][]quota.Consumption{nil}
 	}
 
 	news := make([]spentNews, 0, len(spent))
--- a/quota/hear.go
+++ b/quota/hear.go
@@ -18,7 +18,7 @@
 }
 
 // Receive takes in what another instance has spent since its start.
-func (q *Quota) Receive(now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, spent []Spent) {
+func (q *Quota) Receive(now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, spent []Consumption) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -46,7 +46,7 @@
 
 type keeperRecord struct {
 	from  int
-	spent []Spent
+	spent []Consumption
 }
 
 func newFleetOfKeepers(n int, seed uint64) *fleetOfKeepers {
--- a/quota/past.go
+++ b/quota/past.go
@@ -35,12 +35,12 @@
 	// clock is the run's own clock at its newest record, and elapsed when that was.
 	clock   time.Time
 	elapsed time.Duration
-	spent   []Spent
+	spent   []Consumption
 }
 
 // Add takes a record in that a run made when its clock said at.
 func (p *EarlierRecords) Add(
-	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent, known []GlobalConsumption,
+	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption, known []GlobalConsumption,
 ) {
 	p.addRun(id, incarnation, at, spent)
 
@@ -49,7 +49,7 @@
 	}
 }
 
-func (p *EarlierRecords) addRun(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent) {
+func (p *EarlierRecords) addRun(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption) {
 	for i := range p.runs {
 		r := &p.runs[i]
 		if r.instance != id || r.incarnation != incarnation {
@@ -87,7 +87,7 @@
 // RestoreInstance takes in what an instance had recorded at a time before this one started. It
 // may have ended since; untold is the part of each allowance that it may have spent
 // after that without telling anybody.
-func (q *Quota) RestoreInstance(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent, untold float64) {
+func (q *Quota) RestoreInstance(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption, untold float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -63,8 +63,8 @@
 	Rate float64
 }
 
-// Spent is what one instance has spent of an account's limit since its start.
-type Spent struct {
+// Consumption is what one instance has spent of an account's limit since its start.
+type Consumption struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Account  fleet.Account
 	Total    float64
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -39,7 +39,7 @@
 }
 
 // say passes one word to all others, but for one in ten that is lost.
-func (g *group) say(now time.Time, from int, spent []Spent) {
+func (g *group) say(now time.Time, from int, spent []Consumption) {
 	for i, q := range g.quotas {
 		if i != from && g.random.IntN(10) > 0 {
 			q.Receive(now, g.ids[from], g.incarnation, spent)
@@ -65,7 +65,7 @@
 type news struct {
 	at    time.Time
 	from  int
-	spent []Spent
+	spent []Consumption
 }
 
 // newGroup returns n instances without reserves.
@@ -441,13 +441,13 @@
 func TestWhatIsInheritedIsAsOldAsItWas(t *testing.T) {
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-	spent := func(total float64, ages ...uint32) []Spent {
+	spent := func(total float64, ages ...uint32) []Consumption {
 		recent := 0.0
 		for _, part := range ages {
 			recent += float64(part)
 		}
 
-		return []Spent{{Account: "a", Total: total, Recent: recent, Asked: total, Ages: ages}}
+		return []Consumption{{Account: "a", Total: total, Recent: recent, Asked: total, Ages: ages}}
 	}
 
 	var past EarlierRecords
--- a/quota/record.go
+++ b/quota/record.go
@@ -78,7 +78,7 @@
 // Record returns what a record that outlives this instance should tell: what this
 // instance has spent, and what all have, as far as it is known here. One that others
 // hear leaves both to those that record for all.
-func (q *Quota) Record(now time.Time) ([]Spent, []GlobalConsumption) {
+func (q *Quota) Record(now time.Time) ([]Consumption, []GlobalConsumption) {
 	q.mu.Lock()
 	forAll, recorded := len(q.recorders) > 0 && q.recorder(), q.recorded(now)
 	q.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-func (q *Quota) recordOwn(now time.Time) []Spent {
+func (q *Quota) recordOwn(now time.Time) []Consumption {
 	spent := q.Spent(now)
 
 	q.mu.Lock()
@@ -110,17 +110,17 @@
 }
 
 // Spent returns what this instance has spent since its start, for the others.
-func (q *Quota) Spent(now time.Time) []Spent {
+func (q *Quota) Spent(now time.Time) []Consumption {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	var all []Spent
+	var all []Consumption
 
 	window := now.Add(-q.policy.Window)
 
 	for name, a := range q.accounts {
 		if a.ownAsked.total > 0 || a.own.total > 0 {
-			all = append(all, Spent{
+			all = append(all, Consumption{
 				Account: name, Total: a.own.total, Recent: a.own.since(window), Asked: a.ownAsked.total,
 			})
 		}
