--- a/forward/forward.go
+++ b/forward/forward.go
@@ -244,6 +244,6 @@
 
 	return &Refusal{
 		Reason: OverLimit, NotRun: true, RetryAfter: decision.RetryAfter,
-		Cause: fmt.Sprintf("cost %.0f, part %.0f of %.0f left", j.cost(), decision.Part, decision.Remaining),
+		Cause: fmt.Sprintf("cost %.0f, part %.0f of %.0f left", j.cost(), decision.Share, decision.Remaining),
 	}
 }
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -77,7 +77,7 @@
 
 	for _, holder := range l.Quota.Holders(name) {
 		if l.borrow(ctx, holder, name, cost) {
-			return Decision{Granted: true, Remaining: decision.Remaining, Part: decision.Part, Lender: holder}
+			return Decision{Granted: true, Remaining: decision.Remaining, Share: decision.Share, Lender: holder}
 		}
 	}
 
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -196,9 +196,9 @@
 	Granted bool
 	// RetryAfter is when there may be room, where nothing was granted.
 	RetryAfter time.Duration
-	// Remaining is what was left of the allowance, and Part what this instance could
+	// Remaining is what was left of the allowance, and Share what this instance could
 	// spend of it, for logs.
-	Remaining, Part float64
+	Remaining, Share float64
 	// Lender is the instance that the allowance was borrowed from, or empty.
 	Lender fleet.InstanceID
 }
@@ -236,8 +236,8 @@
 	if recent+cost <= part || recent == 0 && cost <= q.large(a)*rest && recent+cost <= rest {
 		q.spend(now, a, cost)
 
-		return Decision{Granted: true, Remaining: rest, Part: part}
+		return Decision{Granted: true, Remaining: rest, Share: part}
 	}
 
-	return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Part: part}
+	return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Share: part}
 }
--- a/quota/reserve.go
+++ b/quota/reserve.go
@@ -116,16 +116,16 @@
 	part += q.held(a) * rest
 
 	if recent+cost > part {
-		return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Part: part}
+		return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Share: part}
 	}
 
 	if untold := a.own.total - a.recorded; untold > 0 && untold+cost > q.untold(a) {
 		q.tell(now, a)
 
-		return Decision{RetryAfter: firstRetry, Remaining: rest, Part: part}
+		return Decision{RetryAfter: firstRetry, Remaining: rest, Share: part}
 	}
 
 	q.spend(now, a, cost)
 
-	return Decision{Granted: true, Remaining: rest, Part: part}
+	return Decision{Granted: true, Remaining: rest, Share: part}
 }
