--- a/entry/pace.go
+++ b/entry/pace.go
@@ -45,7 +45,7 @@
 	switch plan := p.plan.Load(); {
 	case plan.IsLeader(p.self()):
 		return boardEvery
-	case plan.FullMesh && p.limits.Recorded(now):
+	case plan.FullMesh && p.limits.RecordedByOthers(now):
 		return boardRelaxed
 	default:
 		return boardEvery
--- a/quota/record.go
+++ b/quota/record.go
@@ -44,9 +44,9 @@
 	return len(q.recorders) == 0 || slices.Contains(q.recorders, q.policy.Self)
 }
 
-// Recorded tells whether others record what this instance spends: most of those that
+// RecordedByOthers tells whether others record what this instance spends: most of those that
 // record for all hear it directly.
-func (q *Quota) Recorded(now time.Time) bool {
+func (q *Quota) RecordedByOthers(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
