--- a/entry/spent.go
+++ b/entry/spent.go
@@ -29,7 +29,7 @@
 
 // makeSpent makes the news of what this instance has spent, without an echo.
 func (p *parts) makeSpent(now time.Time) []spentNews {
-	spent := pack(p.limits.Spent(now), func(s quota.Consumption) int { return spentBytes + len(s.Account) })
+	spent := pack(p.limits.Consumption(now), func(s quota.Consumption) int { return spentBytes + len(s.Account) })
 	if len(spent) == 0 {
 		spent = [][]quota.Consumption{nil}
 	}
--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -93,7 +93,7 @@
 			}
 
 			to.heard[i], to.echo[i] = now, now
-			to.quota.Receive(now, from.id, 1, from.quota.Spent(now))
+			to.quota.Receive(now, from.id, 1, from.quota.Consumption(now))
 			to.quota.Acknowledged(from.echo[j], from.id)
 		}
 	}
@@ -277,7 +277,7 @@
 	slow := func(now time.Time, tick int) {
 		for i, from := range shared.quotas {
 			if tick%12 == i%12 {
-				shared.say(now, i, from.Spent(now))
+				shared.say(now, i, from.Consumption(now))
 			}
 
 			if tick%49 == i%49 {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -117,7 +117,7 @@
 func (g *group) exchange(now time.Time, tick int) {
 	if g.quick {
 		for i, from := range g.quotas {
-			g.say(now, i, from.Spent(now))
+			g.say(now, i, from.Consumption(now))
 		}
 	}
 
@@ -304,7 +304,7 @@
 
 	q := newGroup(1, policy).quotas[0]
 	q.MarkSynced(now)
-	q.Receive(now, "old", 1, old.Spent(now))
+	q.Receive(now, "old", 1, old.Consumption(now))
 
 	granted := 0.0
 	for q.Take(now, "a", 10_000).Granted {
--- a/quota/record.go
+++ b/quota/record.go
@@ -94,7 +94,7 @@
 }
 
 func (q *Quota) recordOwn(now time.Time) []Consumption {
-	spent := q.Spent(now)
+	spent := q.Consumption(now)
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -109,8 +109,8 @@
 	return spent
 }
 
-// Spent returns what this instance has spent since its start, for the others.
-func (q *Quota) Spent(now time.Time) []Consumption {
+// Consumption returns what this instance has spent since its start, for the others.
+func (q *Quota) Consumption(now time.Time) []Consumption {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -148,11 +148,11 @@
 		t.Fatalf("large request: got %+v, want it borrowed from %s", got, d.lender.Self)
 	}
 
-	if spent := d.lender.Quota.Spent(clk.Now()); len(spent) != 1 || spent[0].Total != amount/5 {
+	if spent := d.lender.Quota.Consumption(clk.Now()); len(spent) != 1 || spent[0].Total != amount/5 {
 		t.Errorf("spent by the lender: got %+v, want %d", spent, amount/5)
 	}
 
-	for _, s := range d.borrower.Quota.Spent(clk.Now()) {
+	for _, s := range d.borrower.Quota.Consumption(clk.Now()) {
 		if s.Total != 0 {
 			t.Errorf("spent by the borrower: got %.0f, want 0", s.Total)
 		}
