--- a/entry/pace.go
+++ b/entry/pace.go
@@ -59,7 +59,7 @@
 	switch plan := p.plan.Load(); {
 	case plan.IsLeader(p.self()):
 		return 0
-	case plan.FullMesh && p.limits.Quick(now):
+	case plan.FullMesh && p.limits.AcknowledgedByAll(now):
 		return boardReadRelaxed
 	default:
 		return 0
--- a/quota/room.go
+++ b/quota/room.go
@@ -77,8 +77,8 @@
 	return q.policy.DirectDelay != nil && len(q.members) > 1 && q.allHear(now, q.policy.DirectDelay(len(q.members)))
 }
 
-// Quick tells whether all others hear this instance directly.
-func (q *Quota) Quick(now time.Time) bool {
+// AcknowledgedByAll tells whether all others hear this instance directly.
+func (q *Quota) AcknowledgedByAll(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
