--- a/entry/peers.go
+++ b/entry/peers.go
@@ -36,7 +36,7 @@
 	switch {
 	case plan.FullMesh:
 	case !leads:
-		p.limits.Keepers(now, plan.Leaders)
+		p.limits.SetCoordinators(now, plan.Leaders)
 		// It asks the keepers for each request, and has nothing to read.
 		if p.keepers.kept() && !p.limits.HasSynced() {
 			p.limits.MarkSynced(now)
@@ -68,7 +68,7 @@
 	if plan.FullMesh {
 		p.limits.SetMembers(p.members.IDs(), plan.Leaders)
 	} else {
-		p.limits.Keepers(now, plan.Leaders)
+		p.limits.SetCoordinators(now, plan.Leaders)
 	}
 }
 
--- a/quota/keepers.go
+++ b/quota/keepers.go
@@ -17,7 +17,7 @@
 	quorumSpan = 1500 * time.Millisecond
 )
 
-// Keepers sets which instances keep the limits for all others: of many instances each
+// SetCoordinators sets which instances keep the limits for all others: of many instances each
 // part would be too small for one request, and what each tells would have to reach all.
 // The keepers divide and tell what is spent among themselves; every other instance asks
 // one of them for each request. With 195 instances and an account at nine tenths of its
@@ -25,7 +25,7 @@
 // (TestFewKeepersServeManyInstances).
 //
 // One that comes to keep limits grants nothing before it has read what was recorded.
-func (q *Quota) Keepers(now time.Time, ids []fleet.InstanceID) {
+func (q *Quota) SetCoordinators(now time.Time, ids []fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -135,7 +135,7 @@
 		}
 	}
 
-	node.quota.Keepers(now, node.keepers)
+	node.quota.SetCoordinators(now, node.keepers)
 	node.quota.MarkSynced(now)
 }
 
@@ -307,7 +307,7 @@
 	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, PropagationDelay: 2 * time.Second})
 	q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 	q.MarkSynced(start)
-	q.Keepers(start.Add(time.Second), ids)
+	q.SetCoordinators(start.Add(time.Second), ids)
 
 	now := start.Add(2 * time.Second)
 
