--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -129,7 +129,7 @@
 		w.Forming = view.Forming
 	}
 
-	w.Grants = plan.IsLeader(p.self()) && p.limits.Grants(now)
+	w.Grants = plan.IsLeader(p.self()) && p.limits.CanGrant(now)
 	w.Kept = p.keepers.kept()
 
 	if plan.Relay && !plan.FullMesh {
--- a/quota/keepers.go
+++ b/quota/keepers.go
@@ -56,8 +56,8 @@
 	return q.Lend(now, name, cost)
 }
 
-// Grants reports whether this instance keeps limits and may grant something now.
-func (q *Quota) Grants(now time.Time) bool {
+// CanGrant reports whether this instance keeps limits and may grant something now.
+func (q *Quota) CanGrant(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
