--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -162,7 +162,7 @@
 		return true
 	}
 
-	for _, id := range node.quota.Holders("a") {
+	for _, id := range node.quota.Lenders("a") {
 		j := slices.IndexFunc(f.nodes, func(n *keeperNode) bool { return n.id == id })
 		lender := f.nodes[j]
 
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -75,7 +75,7 @@
 		return decision
 	}
 
-	for _, holder := range l.Quota.Holders(name) {
+	for _, holder := range l.Quota.Lenders(name) {
 		if l.borrow(ctx, holder, name, cost) {
 			return Decision{Granted: true, Remaining: decision.Remaining, Share: decision.Share, Lender: holder}
 		}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -51,7 +51,7 @@
 // take asks one instance, and then the holders of the reserve if there are any.
 func (g *group) take(now time.Time, i int, cost float64) Decision {
 	d := g.quotas[i].Take(now, "a", cost)
-	for _, holder := range g.quotas[i].Holders("a") {
+	for _, holder := range g.quotas[i].Lenders("a") {
 		if d.Granted {
 			break
 		}
--- a/quota/reserve.go
+++ b/quota/reserve.go
@@ -22,10 +22,10 @@
 	fewest = 4
 )
 
-// Holders returns the instances that are asked for a loan of an account's limit, in their
+// Lenders returns the instances that are asked for a loan of an account's limit, in their
 // order: those that hold its reserve, and then the other keepers where there are some. All
 // that know the same members name the same ones.
-func (q *Quota) Holders(name fleet.Account) []fleet.InstanceID {
+func (q *Quota) Lenders(name fleet.Account) []fleet.InstanceID {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -70,14 +70,14 @@
 
 func TestAllInstancesNameTheSameHolders(t *testing.T) {
 	g := newLendingGroup(30, manyPolicy)
-	want := g.quotas[0].Holders("a")
+	want := g.quotas[0].Lenders("a")
 
 	if len(want) != holders {
 		t.Fatalf("holders: got %v, want %d", want, holders)
 	}
 
 	for i, q := range g.quotas {
-		if got := q.Holders("a"); got[0] != want[0] || got[1] != want[1] {
+		if got := q.Lenders("a"); got[0] != want[0] || got[1] != want[1] {
 			t.Errorf("holders by instance %d: got %v, want %v", i, got, want)
 		}
 	}
@@ -93,7 +93,7 @@
 	recorders := slices.DeleteFunc(slices.Clone(g.ids[:5]), func(id fleet.InstanceID) bool { return id == want[0] })
 	g.quotas[3].SetMembers(left, recorders)
 
-	if got := g.quotas[3].Holders("a"); got[0] != want[1] {
+	if got := g.quotas[3].Lenders("a"); got[0] != want[1] {
 		t.Errorf("holders after one has left: got %v, want %v to stay", got, want[1])
 	}
 }
@@ -118,11 +118,11 @@
 		quotas[id] = q
 	}
 
-	holder := quotas["entry-1"].Holders("a")[0]
+	holder := quotas["entry-1"].Lenders("a")[0]
 	other := ids[0]
 
 	for _, id := range ids {
-		if id != holder && id != quotas["entry-1"].Holders("a")[1] {
+		if id != holder && id != quotas["entry-1"].Lenders("a")[1] {
 			other = id
 		}
 	}
