--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -53,7 +53,7 @@
 		told:   make(map[fleet.InstanceID]time.Time),
 		fixed:  make(map[Window]Report),
 		sent:   make(map[Window]bool),
-		begun:  Of(now, p.Width),
+		begun:  WindowOf(now, p.Width),
 	}
 }
 
@@ -129,7 +129,7 @@
 
 	var due []Report
 
-	for w := max(l.begun, Of(now.Add(-l.policy.Late), l.policy.Width)); ; w++ {
+	for w := max(l.begun, WindowOf(now.Add(-l.policy.Late), l.policy.Width)); ; w++ {
 		end := w.End(l.policy.Width)
 		if now.Before(end.Add(l.policy.Settle)) {
 			return due
@@ -171,7 +171,7 @@
 
 // forget drops windows that can be reported no more.
 func (l *Ledger) forget(now time.Time) {
-	oldest := Of(now.Add(-2*l.policy.Late), l.policy.Width)
+	oldest := WindowOf(now.Add(-2*l.policy.Late), l.policy.Width)
 
 	for w := range l.counts {
 		if w < oldest {
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -26,8 +26,8 @@
 // Window is the number of a window of time, counted from 1970.
 type Window int64
 
-// Of returns the window that a time lies in.
-func Of(t time.Time, width time.Duration) Window {
+// WindowOf returns the window that a time lies in.
+func WindowOf(t time.Time, width time.Duration) Window {
 	return Window(t.UnixNano() / int64(width))
 }
 
@@ -60,7 +60,7 @@
 
 // Began counts a request that began to run now.
 func (c *Counter) RequestStarted(account fleet.Account) {
-	w := Of(c.Now(), c.Width)
+	w := WindowOf(c.Now(), c.Width)
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +78,7 @@
 
 // Recent returns the counts of the newest windows and forgets older ones.
 func (c *Counter) Recent() []Count {
-	oldest := Of(c.Now().Add(-c.Keep), c.Width)
+	oldest := WindowOf(c.Now().Add(-c.Keep), c.Width)
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
