--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -40,7 +40,7 @@
 		duties:  &duties{incarnation: 1, ledger: usage.NewLedger(usage.Policy{Width: 5 * time.Second}, clk.Now())},
 		members: &board.Members{}, links: &topology.Links{}, loans: &quota.Limiter{Quota: quota.New(quota.Policy{}), Clock: clk},
 		limits:   quota.New(quota.Policy{Window: 8 * time.Second}),
-		counter:  &usage.Counter{Width: 5 * time.Second, Keep: 15 * time.Second, Now: clk.Now},
+		counter:  &usage.Counter{Width: 5 * time.Second, Retention: 15 * time.Second, Now: clk.Now},
 		currency: &currency.Tracker{Clock: clk}, registered: &currency.Tracker{Clock: clk},
 		register: &register.Register{}, scheduler: &scheduling.Scheduler{}, rollouts: &rollouts{}, store: platform.NewStore("127.0.0.1:1", nil), quarantine: &quarantine.Ledger{},
 	}
--- a/entry/heartbeat_test.go
+++ b/entry/heartbeat_test.go
@@ -24,7 +24,7 @@
 	clk := clock.NewManual(time.Unix(1000, 0))
 	p := &parts{
 		clock: clk, duties: &duties{}, limits: quota.New(quota.Policy{}), members: &board.Members{}, links: &topology.Links{},
-		counter:  &usage.Counter{Width: time.Second, Keep: time.Second, Now: clk.Now},
+		counter:  &usage.Counter{Width: time.Second, Retention: time.Second, Now: clk.Now},
 		currency: &currency.Tracker{Clock: clk}, registered: &currency.Tracker{Clock: clk},
 		register: &register.Register{}, scheduler: &scheduling.Scheduler{}, rollouts: &rollouts{}, store: platform.NewStore("127.0.0.1:1", nil),
 	}
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -191,7 +191,7 @@
 		members:    &board.Members{},
 		quarantine: &quarantine.Ledger{},
 		early:      &quota.EarlierRecords{},
-		counter:    &usage.Counter{Width: s.Bounds.UsageWindow, Keep: usageKeep, Now: time.Now},
+		counter:    &usage.Counter{Width: s.Bounds.UsageWindow, Retention: usageKeep, Now: time.Now},
 	}
 	p.scheduler.OnLeaving = p.serverAnnouncedLeaving
 	p.store = platform.NewStore(s.Store, p.eraRose)
--- a/usage/ledger_test.go
+++ b/usage/ledger_test.go
@@ -93,7 +93,7 @@
 // Windows may be shorter than the pace at which counts are told.
 func TestCountsAreToldForTheirTime(t *testing.T) {
 	now := at(0.5)
-	c := &Counter{Width: time.Second, Keep: 6 * time.Second, Now: func() time.Time { return now }}
+	c := &Counter{Width: time.Second, Retention: 6 * time.Second, Now: func() time.Time { return now }}
 	c.RequestStarted("a")
 
 	now = at(6.9)
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -48,9 +48,9 @@
 type Counter struct {
 	// Width is the width of a window.
 	Width time.Duration
-	// Keep is how long after its end a window is told to others: a count must survive
+	// Retention is how long after its end a window is told to others: a count must survive
 	// messages that are lost.
-	Keep time.Duration
+	Retention time.Duration
 	// Now is the time of day, which windows follow.
 	Now func() time.Time
 
@@ -78,7 +78,7 @@
 
 // Recent returns the counts of the newest windows and forgets older ones.
 func (c *Counter) Recent() []Count {
-	oldest := WindowOf(c.Now().Add(-c.Keep), c.Width)
+	oldest := WindowOf(c.Now().Add(-c.Retention), c.Width)
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
