--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -11,8 +11,8 @@
 type Policy struct {
 	// Width is the width of a window.
 	Width time.Duration
-	// Settle is the time after the end of a window in which counts still come.
-	Settle time.Duration
+	// SettleDelay is the time after the end of a window in which counts still come.
+	SettleDelay time.Duration
 	// Patience is how long a report waits for a member that has told nothing since
 	// the end of the window.
 	Patience time.Duration
@@ -131,7 +131,7 @@
 
 	for w := max(l.begun, WindowOf(now.Add(-l.policy.Late), l.policy.Width)); ; w++ {
 		end := w.End(l.policy.Width)
-		if now.Before(end.Add(l.policy.Settle)) {
+		if now.Before(end.Add(l.policy.SettleDelay)) {
 			return due
 		}
 
