--- a/entry/duties.go
+++ b/entry/duties.go
@@ -100,10 +100,10 @@
 		cloud:       platform.NewCloud(p.settings.Cloud, p.settings.Instance),
 		incarnation: fleet.Incarnation(now.UnixNano()),
 		ledger: usage.NewLedger(usage.Policy{
-			Width:       p.settings.Bounds.UsageWindow,
-			SettleDelay: usageSettle,
-			Patience:    time.Duration(float64(p.settings.Bounds.UsageLate) * usagePatience),
-			Late:        p.settings.Bounds.UsageLate,
+			Width:         p.settings.Bounds.UsageWindow,
+			SettleDelay:   usageSettle,
+			MemberTimeout: time.Duration(float64(p.settings.Bounds.UsageLate) * usagePatience),
+			Late:          p.settings.Bounds.UsageLate,
 		}, time.Now()),
 	}
 
--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -13,9 +13,9 @@
 	Width time.Duration
 	// SettleDelay is the time after the end of a window in which counts still come.
 	SettleDelay time.Duration
-	// Patience is how long a report waits for a member that has told nothing since
+	// MemberTimeout is how long a report waits for a member that has told nothing since
 	// the end of the window.
-	Patience time.Duration
+	MemberTimeout time.Duration
 	// Late is the time after the end of a window until which its report is of use.
 	Late time.Duration
 }
@@ -139,7 +139,7 @@
 			continue
 		}
 
-		if now.Before(end.Add(l.policy.Patience)) && !l.heardAll(end, members) {
+		if now.Before(end.Add(l.policy.MemberTimeout)) && !l.heardAll(end, members) {
 			continue
 		}
 
