--- a/entry/duties.go
+++ b/entry/duties.go
@@ -103,7 +103,7 @@
 			Width:         p.settings.Bounds.UsageWindow,
 			SettleDelay:   usageSettle,
 			MemberTimeout: time.Duration(float64(p.settings.Bounds.UsageLate) * usagePatience),
-			Late:          p.settings.Bounds.UsageLate,
+			ReportTTL:     p.settings.Bounds.UsageLate,
 		}, time.Now()),
 	}
 
--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -16,8 +16,8 @@
 	// MemberTimeout is how long a report waits for a member that has told nothing since
 	// the end of the window.
 	MemberTimeout time.Duration
-	// Late is the time after the end of a window until which its report is of use.
-	Late time.Duration
+	// ReportTTL is the time after the end of a window until which its report is of use.
+	ReportTTL time.Duration
 }
 
 // Report is what is sent for a window.
@@ -92,7 +92,7 @@
 	var reports []Report
 
 	for w, r := range l.fixed {
-		if now.Before(w.End(l.policy.Width).Add(l.policy.Late)) {
+		if now.Before(w.End(l.policy.Width).Add(l.policy.ReportTTL)) {
 			reports = append(reports, r)
 		}
 	}
@@ -112,7 +112,7 @@
 	var reports []Report
 
 	for w, r := range l.fixed {
-		if !l.sent[w] && now.Before(w.End(l.policy.Width).Add(l.policy.Late)) {
+		if !l.sent[w] && now.Before(w.End(l.policy.Width).Add(l.policy.ReportTTL)) {
 			reports = append(reports, r)
 		}
 	}
@@ -129,13 +129,13 @@
 
 	var due []Report
 
-	for w := max(l.begun, WindowOf(now.Add(-l.policy.Late), l.policy.Width)); ; w++ {
+	for w := max(l.begun, WindowOf(now.Add(-l.policy.ReportTTL), l.policy.Width)); ; w++ {
 		end := w.End(l.policy.Width)
 		if now.Before(end.Add(l.policy.SettleDelay)) {
 			return due
 		}
 
-		if _, ok := l.fixed[w]; ok || !now.Before(end.Add(l.policy.Late)) {
+		if _, ok := l.fixed[w]; ok || !now.Before(end.Add(l.policy.ReportTTL)) {
 			continue
 		}
 
@@ -171,7 +171,7 @@
 
 // forget drops windows that can be reported no more.
 func (l *Ledger) forget(now time.Time) {
-	oldest := WindowOf(now.Add(-2*l.policy.Late), l.policy.Width)
+	oldest := WindowOf(now.Add(-2*l.policy.ReportTTL), l.policy.Width)
 
 	for w := range l.counts {
 		if w < oldest {
--- a/usage/ledger_test.go
+++ b/usage/ledger_test.go
@@ -8,7 +8,7 @@
 )
 
 var policy = Policy{
-	Width: 5 * time.Second, SettleDelay: 2 * time.Second, MemberTimeout: 6 * time.Second, Late: 10 * time.Second,
+	Width: 5 * time.Second, SettleDelay: 2 * time.Second, MemberTimeout: 6 * time.Second, ReportTTL: 10 * time.Second,
 }
 
 // at returns a time within window 200.
