--- a/entry/duties.go
+++ b/entry/duties.go
@@ -180,7 +180,7 @@
 		klog.InfoS("duties are held", "holder", after.Holder.Instance, "fence", after.Fence)
 	}
 
-	d.ledger.Count(time.Now(), r.Instance, r.Incarnation, r.Usage)
+	d.ledger.AddCounts(time.Now(), r.Instance, r.Incarnation, r.Usage)
 
 	if len(r.Work) > 0 {
 		d.recorded = r.Work
@@ -229,7 +229,7 @@
 func (d *duties) count(t *usageCounts) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ledger.Count(time.Now(), t.Instance, t.Incarnation, t.Usage)
+	d.ledger.AddCounts(time.Now(), t.Instance, t.Incarnation, t.Usage)
 }
 
 func (d *duties) reached(now time.Time) {
--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Count takes the counts of one instance in. They only grow: what is lower was overtaken on
+// AddCounts takes the counts of one instance in. They only grow: what is lower was overtaken on
 // its way by what the instance told later.
-func (l *Ledger) Count(
+func (l *Ledger) AddCounts(
 	now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, counts []Count,
 ) {
 	l.told[id] = now
--- a/usage/ledger_test.go
+++ b/usage/ledger_test.go
@@ -22,8 +22,8 @@
 
 func TestReportWaitsForTheCountsOfAllMembers(t *testing.T) {
 	l := NewLedger(policy, at(0))
-	l.Count(at(5.5), "entry-1", 1, count(3))
-	l.Count(at(4.5), "entry-2", 1, count(4))
+	l.AddCounts(at(5.5), "entry-1", 1, count(3))
+	l.AddCounts(at(4.5), "entry-2", 1, count(4))
 
 	members := []fleet.InstanceID{"entry-1", "entry-2"}
 	due := func(now time.Time) []Report {
@@ -46,7 +46,7 @@
 		t.Errorf("without entry-2's last word: got %v, want none", got)
 	}
 
-	l.Count(at(8.1), "entry-2", 1, count(5))
+	l.AddCounts(at(8.1), "entry-2", 1, count(5))
 
 	got := due(at(8.2))
 	if len(got) != 1 || got[0].Counts["a"] != 8 {
@@ -56,7 +56,7 @@
 
 func TestReportDoesNotWaitForever(t *testing.T) {
 	l := NewLedger(policy, at(0))
-	l.Count(at(5.5), "entry-1", 1, count(3))
+	l.AddCounts(at(5.5), "entry-1", 1, count(3))
 
 	found := 0
 
@@ -80,8 +80,8 @@
 // Counts of a window only grow. What comes late says less than what came before it.
 func TestALateWordTakesNothingBack(t *testing.T) {
 	l := NewLedger(policy, at(0))
-	l.Count(at(6), "entry-1", 1, count(9))
-	l.Count(at(6.1), "entry-1", 1, count(4))
+	l.AddCounts(at(6), "entry-1", 1, count(9))
+	l.AddCounts(at(6.1), "entry-1", 1, count(4))
 
 	for _, r := range l.Due(at(8), []fleet.InstanceID{"entry-1"}) {
 		if r.Window == 200 && r.Counts["a"] != 9 {
@@ -109,9 +109,9 @@
 
 func TestARestartedInstanceAddsToItsEarlierCounts(t *testing.T) {
 	l := NewLedger(policy, at(0))
-	l.Count(at(1), "entry-1", 1, count(3))
-	l.Count(at(1), "entry-1", 1, count(3))
-	l.Count(at(2), "entry-1", 2, count(4))
+	l.AddCounts(at(1), "entry-1", 1, count(3))
+	l.AddCounts(at(1), "entry-1", 1, count(3))
+	l.AddCounts(at(2), "entry-1", 2, count(4))
 
 	if got := l.sum(200)["a"]; got != 7 {
 		t.Errorf("sum: got %d, want 7", got)
