--- a/entry/duties.go
+++ b/entry/duties.go
@@ -140,7 +140,7 @@
 
 	if d.again && d.leads() {
 		d.again = false
-		r.Reports = d.ledger.Fixed(time.Now())
+		r.Reports = d.ledger.Finalized(time.Now())
 	}
 
 	if !r.Leaving && state.Holder.Instance != d.settings.Instance {
--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// Fixed returns the reports of which an exact repeat may still be sent, for those that start
+// Finalized returns the reports of which an exact repeat may still be sent, for those that start
 // after the platform lost where they stood.
-func (l *Ledger) Fixed(now time.Time) []Report {
+func (l *Ledger) Finalized(now time.Time) []Report {
 	var reports []Report
 
 	for w, r := range l.fixed {
