--- a/entry/duties.go
+++ b/entry/duties.go
@@ -191,7 +191,7 @@
 	}
 
 	for _, report := range r.Reports {
-		d.ledger.Fix(report)
+		d.ledger.Finalize(report)
 	}
 }
 
--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Fix takes in that a report was fixed. The first one for a window counts.
-func (l *Ledger) Fix(r Report) {
+// Finalize takes in that a report was fixed. The first one for a window counts.
+func (l *Ledger) Finalize(r Report) {
 	if _, ok := l.fixed[r.Window]; !ok {
 		l.fixed[r.Window] = r
 	}
--- a/usage/ledger_test.go
+++ b/usage/ledger_test.go
@@ -120,8 +120,8 @@
 
 func TestTheFirstFixedReportIsTheOnlyOne(t *testing.T) {
 	l := NewLedger(policy, at(0))
-	l.Fix(Report{Window: 200, Counts: map[fleet.Account]int{"a": 3}})
-	l.Fix(Report{Window: 200, Counts: map[fleet.Account]int{"a": 4}})
+	l.Finalize(Report{Window: 200, Counts: map[fleet.Account]int{"a": 3}})
+	l.Finalize(Report{Window: 200, Counts: map[fleet.Account]int{"a": 4}})
 
 	got := l.ToSend(at(8))
 	if len(got) != 1 || got[0].Counts["a"] != 3 {
