--- a/entry/duties.go
+++ b/entry/duties.go
@@ -301,7 +301,7 @@
 
 	switch {
 	case err == nil:
-		d.ledger.Sent(report.Window)
+		d.ledger.MarkSent(report.Window)
 	case errors.Is(err, platform.ErrFenced):
 		d.core.Release(d.clock.Now())
 		klog.InfoS("duties are lost", "fence", fence)
--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -102,8 +102,8 @@
 	return reports
 }
 
-// Sent takes in that the report of a window was accepted.
-func (l *Ledger) Sent(w Window) {
+// MarkSent takes in that the report of a window was accepted.
+func (l *Ledger) MarkSent(w Window) {
 	l.sent[w] = true
 }
 
--- a/usage/ledger_test.go
+++ b/usage/ledger_test.go
@@ -128,7 +128,7 @@
 		t.Errorf("to send: got %v, want 3 of a", got)
 	}
 
-	l.Sent(200)
+	l.MarkSent(200)
 
 	if got := l.ToSend(at(8)); len(got) != 0 {
 		t.Errorf("after it was accepted: got %v, want none", got)
