--- a/entry/duties.go
+++ b/entry/duties.go
@@ -280,7 +280,7 @@
 		return nil
 	}
 
-	return d.ledger.ToSend(time.Now())
+	return d.ledger.Unsent(time.Now())
 }
 
 // send sends one report. It may be accepted although no answer comes; it is then
--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -107,8 +107,8 @@
 	l.sent[w] = true
 }
 
-// ToSend returns the fixed reports that are not known as accepted, the oldest first.
-func (l *Ledger) ToSend(now time.Time) []Report {
+// Unsent returns the fixed reports that are not known as accepted, the oldest first.
+func (l *Ledger) Unsent(now time.Time) []Report {
 	var reports []Report
 
 	for w, r := range l.fixed {
--- a/usage/ledger_test.go
+++ b/usage/ledger_test.go
@@ -123,14 +123,14 @@
 	l.Finalize(Report{Window: 200, Counts: map[fleet.Account]int{"a": 3}})
 	l.Finalize(Report{Window: 200, Counts: map[fleet.Account]int{"a": 4}})
 
-	got := l.ToSend(at(8))
+	got := l.Unsent(at(8))
 	if len(got) != 1 || got[0].Counts["a"] != 3 {
 		t.Errorf("to send: got %v, want 3 of a", got)
 	}
 
 	l.MarkSent(200)
 
-	if got := l.ToSend(at(8)); len(got) != 0 {
+	if got := l.Unsent(at(8)); len(got) != 0 {
 		t.Errorf("after it was accepted: got %v, want none", got)
 	}
 }
