--- a/entry/losses_test.go
+++ b/entry/losses_test.go
@@ -43,7 +43,7 @@
 			t.Errorf("%s: got %d losses to pass on, want %d", name, got, tt.want)
 		}
 
-		if _, held := p.quarantine.Held(clk.Now(), 1); !held {
+		if _, held := p.quarantine.Quarantined(clk.Now(), 1); !held {
 			t.Errorf("%s: got the request served, want it held off", name)
 		}
 	}
@@ -57,7 +57,7 @@
 	writer.receiveLosses(clk.Now(), seen(clk.Now()))
 	reader.receiveRecord(clk.Now(), writer.writeRecord(clk.Now()))
 
-	if _, held := reader.quarantine.Held(clk.Now(), 1); !held {
+	if _, held := reader.quarantine.Quarantined(clk.Now(), 1); !held {
 		t.Error("one that reads the records: got the request served, want it held off")
 	}
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -224,7 +224,7 @@
 // quarantined refuses a request that is held off. It is not sent, and says when it may be
 // tried again.
 func (f *Forwarder) quarantined(j *job) *Refusal {
-	if left, held := f.Quarantine.Held(f.Clock.Now(), j.content); held {
+	if left, held := f.Quarantine.Quarantined(f.Clock.Now(), j.content); held {
 		return notRun(Quarantined, left)
 	}
 
--- a/forward/job.go
+++ b/forward/job.go
@@ -175,7 +175,7 @@
 	case errors.Is(err, errRevoked):
 		return &Refusal{Reason: StaleRules, NotRun: true, RetryAfter: retryLater, Cause: err.Error()}
 	case errors.Is(err, errQuarantined):
-		left, _ := j.forwarder.Quarantine.Held(j.forwarder.Clock.Now(), j.content)
+		left, _ := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.content)
 
 		return notRun(Quarantined, left)
 	case errors.As(err, &overload):
@@ -204,7 +204,7 @@
 		return errBlocked
 	}
 
-	if _, held := j.forwarder.Quarantine.Held(j.forwarder.Clock.Now(), j.content); held {
+	if _, held := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.content); held {
 		return errQuarantined
 	}
 
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -93,7 +93,7 @@
 }
 
 func (s *site) held(route string) bool {
-	_, held := s.Quarantine.Held(s.clock.Now(), content(route))
+	_, held := s.Quarantine.Quarantined(s.clock.Now(), content(route))
 
 	return held
 }
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -63,7 +63,7 @@
 
 // send sends a stream to a server drawn at random, unless it is held off.
 func (p *play) send(s *stream) bool {
-	if _, held := p.ledger.Held(p.now, s.content); held {
+	if _, held := p.ledger.Quarantined(p.now, s.content); held {
 		if !s.harmful {
 			p.refused++
 		}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -81,8 +81,8 @@
 	wake feed.Signal
 }
 
-// Held tells whether a request is held off, and for how much longer.
-func (l *Ledger) Held(now time.Time, f Fingerprint) (time.Duration, bool) {
+// Quarantined tells whether a request is held off, and for how much longer.
+func (l *Ledger) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
 	value, suspected := l.counted.Load(f)
 	if !suspected {
 		return 0, false
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -25,7 +25,7 @@
 }
 
 func held(l *Ledger, now time.Time, f Fingerprint) bool {
-	_, held := l.Held(now, f)
+	_, held := l.Quarantined(now, f)
 
 	return held
 }
@@ -42,7 +42,7 @@
 		l.Lost(begin, 1, start(n), Strong)
 	}
 
-	if left, held := l.Held(begin, 1); !held || left != hold {
+	if left, held := l.Quarantined(begin, 1); !held || left != hold {
 		t.Errorf("after %d ends: got %v left and held off %t, want %v and true", enough, left, held, hold)
 	}
 
@@ -189,7 +189,7 @@
 	later := begin.Add(hold / 2)
 	next.Hear(later, two.Record(later), false)
 
-	if left, held := next.Held(later, 1); !held || left != hold/2 {
+	if left, held := next.Quarantined(later, 1); !held || left != hold/2 {
 		t.Errorf("after a start: got %v left and held off %t, want %v and true", left, held, hold/2)
 	}
 
@@ -247,7 +247,7 @@
 
 	b.Run("held", func(b *testing.B) {
 		for b.Loop() {
-			l.Held(begin, math.MaxUint64)
+			l.Quarantined(begin, math.MaxUint64)
 		}
 	})
 	b.Run("fingerprint", func(b *testing.B) {
@@ -269,7 +269,7 @@
 		l.Lost(begin, 1, start(n), Strong)
 	}
 
-	_, held := l.Held(begin, 1)
+	_, held := l.Quarantined(begin, 1)
 	fmt.Println(held)
 	// Output: true
 }
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -63,7 +63,7 @@
 
 // arrive lets the harmful request come to an instance.
 func (m *lossModel) arrive(i int) {
-	if _, held := m.ledgers[i].Held(m.now, harmful); held || m.nodes[i].dead {
+	if _, held := m.ledgers[i].Quarantined(m.now, harmful); held || m.nodes[i].dead {
 		return
 	}
 
@@ -122,7 +122,7 @@
 	n := 0
 
 	for _, l := range m.ledgers {
-		if _, held := l.Held(m.now, f); held {
+		if _, held := l.Quarantined(m.now, f); held {
 			n++
 		}
 	}
