--- a/entry/parts.go
+++ b/entry/parts.go
@@ -270,7 +270,7 @@
 	set.NewGauge("monsoonlever_entry_leads", func() float64 { return gauge(p.leads()) })
 	set.NewGauge("monsoonlever_entry_subscribers", func() float64 { return float64(len(p.plan.Load().Subscribers)) })
 	set.NewGauge("monsoonlever_entry_quarantined_requests", func() float64 {
-		return float64(p.quarantine.Count(p.clock.Now()))
+		return float64(p.quarantine.QuarantinedCount(p.clock.Now()))
 	})
 	set.NewGauge("monsoonlever_entry_limited_servers", func() float64 { return float64(p.scheduler.Limited()) })
 	set.NewGauge("monsoonlever_entry_leaving_servers", func() float64 { return float64(p.scheduler.LeavingServers()) })
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -93,8 +93,8 @@
 	return until.Sub(now), until.After(now)
 }
 
-// Count returns how many requests are held off.
-func (l *Ledger) Count(now time.Time) int {
+// QuarantinedCount returns how many requests are held off.
+func (l *Ledger) QuarantinedCount(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
