--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -210,7 +210,7 @@
 
 		// All requests of some accounts were lost with servers.
 		for i := range accounts {
-			p.quarantine.Lost(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Start{ID: "i-1"}, quarantine.Strong)
+			p.quarantine.RecordLoss(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Start{ID: "i-1"}, quarantine.Strong)
 		}
 
 		losses := 0
--- a/entry/losses_test.go
+++ b/entry/losses_test.go
@@ -18,7 +18,7 @@
 	var l quarantine.Ledger
 
 	for i := range 3 {
-		l.Lost(now, 1, register.Start{ID: "i-1", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
+		l.RecordLoss(now, 1, register.Start{ID: "i-1", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
 	}
 
 	return l.News(now)
--- a/forward/ended.go
+++ b/forward/ended.go
@@ -42,7 +42,7 @@
 		}
 
 		now := f.Clock.Now()
-		f.Quarantine.Lost(now, content, a.Server(), evidence)
+		f.Quarantine.RecordLoss(now, content, a.Server(), evidence)
 		_, held := f.Quarantine.Quarantined(now, content)
 		klog.InfoS("backend server ended under a request", "server", a.ID(), "id", id, "content", content,
 			"atBegin", evidence == quarantine.Strong, "held", held)
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -160,7 +160,7 @@
 
 func (s *site) loseWithThree(route string) {
 	for i := range ends {
-		s.Quarantine.Lost(s.clock.Now(), content(route), register.Start{ID: "i", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
+		s.Quarantine.RecordLoss(s.clock.Now(), content(route), register.Start{ID: "i", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
 	}
 }
 
@@ -196,7 +196,7 @@
 		t.Fatalf("got %+v, want it answered", outcome)
 	}
 
-	f.Quarantine.Lost(f.clock.Now(), content("tell"), register.Start{ID: "another"}, quarantine.Strong)
+	f.Quarantine.RecordLoss(f.clock.Now(), content("tell"), register.Start{ID: "another"}, quarantine.Strong)
 
 	if f.held("tell") {
 		t.Error("a request that was answered since: got it held off, want it served")
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -104,7 +104,7 @@
 				evidence = Strong
 			}
 
-			p.ledger.Lost(p.now, s.content, p.start(server), evidence)
+			p.ledger.RecordLoss(p.now, s.content, p.start(server), evidence)
 		}
 
 		lost = append(lost, s)
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -109,9 +109,9 @@
 	return n
 }
 
-// Lost takes in that a server ended under a request. The caller has made sure that the
+// RecordLoss takes in that a server ended under a request. The caller has made sure that the
 // server has ended and had not said that it would.
-func (l *Ledger) Lost(now time.Time, f Fingerprint, s register.Start, e Evidence) {
+func (l *Ledger) RecordLoss(now time.Time, f Fingerprint, s register.Start, e Evidence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -38,8 +38,8 @@
 			t.Fatalf("after %d ends: got it held off, want it served", n)
 		}
 
-		l.Lost(begin, 1, start(n), Strong)
-		l.Lost(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
 	}
 
 	if left, held := l.Quarantined(begin, 1); !held || left != hold {
@@ -56,7 +56,7 @@
 		t.Error("after its time: got it held off, want it tried")
 	}
 
-	l.Lost(later, 1, start(9), Strong)
+	l.RecordLoss(later, 1, start(9), Strong)
 
 	if !held(&l, later, 1) {
 		t.Error("after one more end: got it served, want it held off")
@@ -67,7 +67,7 @@
 	var l, other Ledger
 
 	for n := range enough {
-		l.Lost(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
 	}
 
 	old := l.Record(begin)
@@ -82,7 +82,7 @@
 			t.Errorf("%s: got it held off, want it served", name)
 		}
 
-		one.Lost(begin, 1, start(7), Strong)
+		one.RecordLoss(begin, 1, start(7), Strong)
 
 		if held(one, begin, 1) {
 			t.Errorf("%s, after one more end: got it held off, want it served", name)
@@ -127,15 +127,15 @@
 	var l Ledger
 
 	for n := range enough {
-		l.Lost(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
 	}
 
 	now := begin
 
 	for n := range 5 * maxSuspects {
 		now = now.Add(time.Millisecond)
-		l.Lost(now, Fingerprint(n+2), start(n), Strong)
-		l.Lost(now, 1, start(enough+n), Strong)
+		l.RecordLoss(now, Fingerprint(n+2), start(n), Strong)
+		l.RecordLoss(now, 1, start(enough+n), Strong)
 
 		if n%100 == 0 {
 			l.News(now)
@@ -158,7 +158,7 @@
 		t.Errorf("losses in a record: got %d, want at most %d", got, maxRecorded)
 	}
 
-	l.Lost(now.Add(kept+sweepEvery), 2, start(0), Strong)
+	l.RecordLoss(now.Add(kept+sweepEvery), 2, start(0), Strong)
 
 	shown := 0
 	l.counted.Range(func(any, any) bool {
@@ -177,10 +177,10 @@
 func TestARecordBringsBackWhatIsHeldOff(t *testing.T) {
 	var one, two, next Ledger
 
-	one.Lost(begin, 1, start(0), Strong)
-	one.Lost(begin, 1, start(1), Strong)
+	one.RecordLoss(begin, 1, start(0), Strong)
+	one.RecordLoss(begin, 1, start(1), Strong)
 	two.Hear(begin, one.Record(begin), false)
-	two.Lost(begin, 1, start(2), Strong)
+	two.RecordLoss(begin, 1, start(2), Strong)
 
 	if !held(&two, begin, 1) {
 		t.Error("one that reads records: got it served, want it held off")
@@ -201,7 +201,7 @@
 func TestNewsIsToldAFewTimesAndPassedOnOnce(t *testing.T) {
 	var seer, relay, last Ledger
 
-	seer.Lost(begin, 1, start(0), Strong)
+	seer.RecordLoss(begin, 1, start(0), Strong)
 
 	for range toldTimes {
 		news := seer.News(begin)
@@ -240,7 +240,7 @@
 	var l Ledger
 
 	for n := range maxSuspects {
-		l.Lost(begin, Fingerprint(n), start(n), Strong)
+		l.RecordLoss(begin, Fingerprint(n), start(n), Strong)
 	}
 
 	body := make([]byte, 1024)
@@ -257,7 +257,7 @@
 	})
 	b.Run("lost", func(b *testing.B) {
 		for n := 0; b.Loop(); n++ {
-			l.Lost(begin, Fingerprint(n), start(n), Strong)
+			l.RecordLoss(begin, Fingerprint(n), start(n), Strong)
 		}
 	})
 }
@@ -266,7 +266,7 @@
 	var l Ledger
 
 	for n := range 3 {
-		l.Lost(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
 	}
 
 	_, held := l.Quarantined(begin, 1)
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -69,7 +69,7 @@
 
 	server := register.Start{ID: fleet.InstanceID(fmt.Sprint("i-", len(m.ended)))}
 	m.ended = append(m.ended, m.now)
-	m.ledgers[i].Lost(m.now, harmful, server, quarantine.Strong)
+	m.ledgers[i].RecordLoss(m.now, harmful, server, quarantine.Strong)
 }
 
 // sentAfter returns how often the request was sent on later than contact after the third
