--- a/forward/job.go
+++ b/forward/job.go
@@ -85,7 +85,7 @@
 	for {
 		err := f.attempt(limited, j, sink)
 		if err == nil {
-			f.Quarantine.Answered(f.Clock.Now(), j.content)
+			f.Quarantine.RecordAnswer(f.Clock.Now(), j.content)
 
 			return nil
 		}
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -144,7 +144,7 @@
 		case s.harmful && age >= p.harmfulAt:
 			harmful = append(harmful, s)
 		case age >= reading+streaming:
-			p.ledger.Answered(p.now, s.content)
+			p.ledger.RecordAnswer(p.now, s.content)
 
 			continue
 		}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -118,8 +118,8 @@
 	l.take(now, Loss{Request: f, Server: keyOf(s), Evidence: e}, here)
 }
 
-// Answered takes in that a request was answered as a whole, so that it ends no servers.
-func (l *Ledger) Answered(now time.Time, f Fingerprint) {
+// RecordAnswer takes in that a request was answered as a whole, so that it ends no servers.
+func (l *Ledger) RecordAnswer(now time.Time, f Fingerprint) {
 	if _, suspected := l.counted.Load(f); !suspected {
 		return
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -71,7 +71,7 @@
 	}
 
 	old := l.Record(begin)
-	l.Answered(begin, 1)
+	l.RecordAnswer(begin, 1)
 	other.Hear(begin, l.News(begin), false)
 	// What was told before the answer may come after it.
 	other.Hear(begin.Add(time.Second), old, false)
