--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -52,7 +52,7 @@
 
 	p.receiveSpent(now, r)
 	// All instances read the board, so that none has to pass its records on.
-	p.quarantine.Hear(now, r.Losses, false)
+	p.quarantine.Merge(now, r.Losses, false)
 	p.duties.receive(now, r)
 
 	for _, s := range r.Rollouts {
--- a/entry/losses.go
+++ b/entry/losses.go
@@ -39,7 +39,7 @@
 // receiveLosses takes in what another instance tells.
 func (p *parts) receiveLosses(now time.Time, losses []quarantine.Loss) {
 	plan := p.plan.Load()
-	p.quarantine.Hear(now, losses, plan.Relay && !plan.Few)
+	p.quarantine.Merge(now, losses, plan.Relay && !plan.Few)
 }
 
 // recordHeld asks for a record soon where a request is held off from now on, so that it
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// Hear takes in what another instance tells, or has recorded. What is new is told on if
+// Merge takes in what another instance tells, or has recorded. What is new is told on if
 // this instance passes news on.
-func (l *Ledger) Hear(now time.Time, losses []Loss, passOn bool) {
+func (l *Ledger) Merge(now time.Time, losses []Loss, passOn bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -72,10 +72,10 @@
 
 	old := l.Record(begin)
 	l.RecordAnswer(begin, 1)
-	other.Hear(begin, l.News(begin), false)
+	other.Merge(begin, l.News(begin), false)
 	// What was told before the answer may come after it.
-	other.Hear(begin.Add(time.Second), old, false)
-	l.Hear(begin.Add(time.Second), old, false)
+	other.Merge(begin.Add(time.Second), old, false)
+	l.Merge(begin.Add(time.Second), old, false)
 
 	for name, one := range map[string]*Ledger{"here": &l, "at another": &other} {
 		if held(one, begin, 1) {
@@ -107,10 +107,10 @@
 
 		var a, b Ledger
 
-		a.Hear(begin, losses, false)
+		a.Merge(begin, losses, false)
 
 		for _, loss := range shuffled {
-			b.Hear(begin, []Loss{loss}, rapid.Bool().Draw(t, "passed on"))
+			b.Merge(begin, []Loss{loss}, rapid.Bool().Draw(t, "passed on"))
 		}
 
 		for f := range Fingerprint(4) {
@@ -179,7 +179,7 @@
 
 	one.RecordLoss(begin, 1, start(0), Strong)
 	one.RecordLoss(begin, 1, start(1), Strong)
-	two.Hear(begin, one.Record(begin), false)
+	two.Merge(begin, one.Record(begin), false)
 	two.RecordLoss(begin, 1, start(2), Strong)
 
 	if !held(&two, begin, 1) {
@@ -187,7 +187,7 @@
 	}
 
 	later := begin.Add(hold / 2)
-	next.Hear(later, two.Record(later), false)
+	next.Merge(later, two.Record(later), false)
 
 	if left, held := next.Quarantined(later, 1); !held || left != hold/2 {
 		t.Errorf("after a start: got %v left and held off %t, want %v and true", left, held, hold/2)
@@ -209,8 +209,8 @@
 			t.Fatalf("news: got %d losses, want 1", len(news))
 		}
 
-		relay.Hear(begin, news, true)
-		last.Hear(begin, news, false)
+		relay.Merge(begin, news, true)
+		last.Merge(begin, news, false)
 	}
 
 	if got := len(seer.News(begin)); got != 0 {
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -53,7 +53,7 @@
 		peers := node.plan.Peers()
 		for _, peer := range peers {
 			m.send(node, peer.ID, func(to *modelNode) {
-				m.ledgers[m.index[to.member.ID]].Hear(m.now, news, to.plan.Relay && !to.plan.Few)
+				m.ledgers[m.index[to.member.ID]].Merge(m.now, news, to.plan.Relay && !to.plan.Few)
 			})
 		}
 
