--- a/entry/parts.go
+++ b/entry/parts.go
@@ -196,7 +196,7 @@
 	p.scheduler.OnLeaving = p.serverAnnouncedLeaving
 	p.store = platform.NewStore(s.Store, p.eraRose)
 	p.unusable = set.NewCounter("monsoonlever_entry_unusable_server_entries_total")
-	p.quarantine.OnHeld = p.recordHeld
+	p.quarantine.OnQuarantined = p.recordHeld
 	p.bounds.Store(&s.Bounds)
 	self := board.MemberOf(s.Instance, s.FailureDomain, s.Listen.Peers, s.Limits.ProcessorCores)
 	p.links = &topology.Links{Self: self}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -64,9 +64,9 @@
 // Ledger remembers what ended under which request. The zero value is empty; it is safe for
 // concurrent use.
 type Ledger struct {
-	// OnHeld is told when one more request is held off, and must not wait; it may be nil.
+	// OnQuarantined is told when one more request is held off, and must not wait; it may be nil.
 	// It is set before the first use.
-	OnHeld func()
+	OnQuarantined func()
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
@@ -191,8 +191,8 @@
 
 	l.show(loss.Request, one)
 
-	if before.IsZero() && !one.heldUntil().IsZero() && l.OnHeld != nil {
-		l.OnHeld()
+	if before.IsZero() && !one.heldUntil().IsZero() && l.OnQuarantined != nil {
+		l.OnQuarantined()
 	}
 
 	l.sweep(now)
