--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -215,7 +215,7 @@
 
 		losses := 0
 
-		for _, part := range packLosses(p.quarantine.News(clk.Now())) {
+		for _, part := range packLosses(p.quarantine.PendingLosses(clk.Now())) {
 			losses += len(part)
 			encodeMessage(t, datagram{Losses: part})
 		}
--- a/entry/losses.go
+++ b/entry/losses.go
@@ -13,7 +13,7 @@
 // the pace of other news; relays pass on what is news to them.
 func (p *parts) tellLosses(ctx context.Context) {
 	for ctx.Err() == nil {
-		losses := p.quarantine.News(p.clock.Now())
+		losses := p.quarantine.PendingLosses(p.clock.Now())
 		if len(losses) == 0 {
 			select {
 			case <-p.quarantine.Ready():
--- a/entry/losses_test.go
+++ b/entry/losses_test.go
@@ -21,7 +21,7 @@
 		l.RecordLoss(now, 1, register.Start{ID: "i-1", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
 	}
 
-	return l.News(now)
+	return l.PendingLosses(now)
 }
 
 // Relays tell others what they hear; where all tell all, nobody does.
@@ -39,7 +39,7 @@
 		p.plan.Store(&tt.plan)
 		p.receiveLosses(clk.Now(), seen(clk.Now()))
 
-		if got := len(p.quarantine.News(clk.Now())); got != tt.want {
+		if got := len(p.quarantine.PendingLosses(clk.Now())); got != tt.want {
 			t.Errorf("%s: got %d losses to pass on, want %d", name, got, tt.want)
 		}
 
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -41,9 +41,9 @@
 // Ready returns a channel that is told when there is news.
 func (l *Ledger) Ready() <-chan struct{} { return l.wake.C() }
 
-// News returns what the others are to be told now. It is called again, at the pace of
+// PendingLosses returns what the others are to be told now. It is called again, at the pace of
 // messages, until nothing is left.
-func (l *Ledger) News(now time.Time) []Loss {
+func (l *Ledger) PendingLosses(now time.Time) []Loss {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -72,7 +72,7 @@
 
 	old := l.Record(begin)
 	l.RecordAnswer(begin, 1)
-	other.Merge(begin, l.News(begin), false)
+	other.Merge(begin, l.PendingLosses(begin), false)
 	// What was told before the answer may come after it.
 	other.Merge(begin.Add(time.Second), old, false)
 	l.Merge(begin.Add(time.Second), old, false)
@@ -138,7 +138,7 @@
 		l.RecordLoss(now, 1, start(enough+n), Strong)
 
 		if n%100 == 0 {
-			l.News(now)
+			l.PendingLosses(now)
 		}
 	}
 
@@ -204,7 +204,7 @@
 	seer.RecordLoss(begin, 1, start(0), Strong)
 
 	for range toldTimes {
-		news := seer.News(begin)
+		news := seer.PendingLosses(begin)
 		if len(news) != 1 {
 			t.Fatalf("news: got %d losses, want 1", len(news))
 		}
@@ -213,15 +213,15 @@
 		last.Merge(begin, news, false)
 	}
 
-	if got := len(seer.News(begin)); got != 0 {
+	if got := len(seer.PendingLosses(begin)); got != 0 {
 		t.Errorf("news told %d times: got %d losses more, want none", toldTimes, got)
 	}
 
-	if got := len(relay.News(begin)); got != 1 {
+	if got := len(relay.PendingLosses(begin)); got != 1 {
 		t.Errorf("a relay: got %d losses to pass on, want 1", got)
 	}
 
-	if got := len(last.News(begin)); got != 0 {
+	if got := len(last.PendingLosses(begin)); got != 0 {
 		t.Errorf("one that passes nothing on: got %d losses to tell, want none", got)
 	}
 }
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -45,7 +45,7 @@
 			continue
 		}
 
-		news := m.ledgers[i].News(m.now)
+		news := m.ledgers[i].PendingLosses(m.now)
 		if len(news) == 0 {
 			continue
 		}
