--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -27,7 +27,7 @@
 		Spent:       spent,
 		Known:       known,
 		Usage:       p.counter.Recent(),
-		Losses:      p.quarantine.Record(now),
+		Losses:      p.quarantine.StoredLosses(now),
 	}
 
 	if p.leads() {
@@ -96,7 +96,7 @@
 	spent, known := p.limits.Record(now)
 	r := board.Record{
 		Instance: p.self(), Incarnation: p.duties.incarnation, Clock: now.UnixNano(), Leaving: true, Era: p.store.Era(),
-		Spent: spent, Known: known, Usage: p.counter.Recent(), Losses: p.quarantine.Record(now),
+		Spent: spent, Known: known, Usage: p.counter.Recent(), Losses: p.quarantine.StoredLosses(now),
 	}
 	p.duties.release(now, &r)
 
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -85,9 +85,9 @@
 func (s *site) settleTo(ends int) {
 	s.t.Helper()
 
-	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.Record(s.clock.Now())) < ends; s.settle() {
+	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.StoredLosses(s.clock.Now())) < ends; s.settle() {
 		if time.Now().After(limit) {
-			s.t.Fatalf("ends that count: got %d, want %d", len(s.Quarantine.Record(s.clock.Now())), ends)
+			s.t.Fatalf("ends that count: got %d, want %d", len(s.Quarantine.StoredLosses(s.clock.Now())), ends)
 		}
 	}
 }
@@ -369,7 +369,7 @@
 		f.settleTo(len(tt.want))
 
 		var got []quarantine.Evidence
-		for _, loss := range f.Quarantine.Record(f.clock.Now()) {
+		for _, loss := range f.Quarantine.StoredLosses(f.clock.Now()) {
 			got = append(got, loss.Evidence)
 		}
 
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -66,9 +66,9 @@
 	return news
 }
 
-// Record returns what outlives a loss of all instances, and reaches those that hear no
+// StoredLosses returns what outlives a loss of all instances, and reaches those that hear no
 // others: the losses of requests that are held off, and what this instance saw lately.
-func (l *Ledger) Record(now time.Time) []Loss {
+func (l *Ledger) StoredLosses(now time.Time) []Loss {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -70,7 +70,7 @@
 		l.RecordLoss(begin, 1, start(n), Strong)
 	}
 
-	old := l.Record(begin)
+	old := l.StoredLosses(begin)
 	l.RecordAnswer(begin, 1)
 	other.Merge(begin, l.PendingLosses(begin), false)
 	// What was told before the answer may come after it.
@@ -154,7 +154,7 @@
 		t.Error("the request under which most ended: got it forgotten, want it held off")
 	}
 
-	if got := len(l.Record(now)); got > maxRecorded {
+	if got := len(l.StoredLosses(now)); got > maxRecorded {
 		t.Errorf("losses in a record: got %d, want at most %d", got, maxRecorded)
 	}
 
@@ -179,7 +179,7 @@
 
 	one.RecordLoss(begin, 1, start(0), Strong)
 	one.RecordLoss(begin, 1, start(1), Strong)
-	two.Merge(begin, one.Record(begin), false)
+	two.Merge(begin, one.StoredLosses(begin), false)
 	two.RecordLoss(begin, 1, start(2), Strong)
 
 	if !held(&two, begin, 1) {
@@ -187,13 +187,13 @@
 	}
 
 	later := begin.Add(hold / 2)
-	next.Merge(later, two.Record(later), false)
+	next.Merge(later, two.StoredLosses(later), false)
 
 	if left, held := next.Quarantined(later, 1); !held || left != hold/2 {
 		t.Errorf("after a start: got %v left and held off %t, want %v and true", left, held, hold/2)
 	}
 
-	if got := len(one.Record(later)); got != 0 {
+	if got := len(one.StoredLosses(later)); got != 0 {
 		t.Errorf("losses of a request that is not held off: got %d recorded for good, want 0", got)
 	}
 }
