--- a/entry/losses.go
+++ b/entry/losses.go
@@ -33,7 +33,7 @@
 }
 
 func packLosses(losses []quarantine.Loss) [][]quarantine.Loss {
-	return pack(losses, func(quarantine.Loss) int { return quarantine.LossBytes })
+	return pack(losses, func(quarantine.Loss) int { return quarantine.MaxLossBytes })
 }
 
 // receiveLosses takes in what another instance tells.
--- a/quarantine/loss.go
+++ b/quarantine/loss.go
@@ -32,8 +32,8 @@
 	AgeMs uint32
 }
 
-// LossBytes is what a loss takes in a message at most.
-const LossBytes = 27
+// MaxLossBytes is what a loss takes in a message at most.
+const MaxLossBytes = 27
 
 // ServerKey names one start of a backend server.
 type ServerKey uint64
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -228,8 +228,8 @@
 
 func TestALossHasABoundedSize(t *testing.T) {
 	data, err := msgpack.Marshal(Loss{Request: math.MaxUint64, Server: math.MaxUint64, Evidence: Strong, Cleared: true, AgeMs: math.MaxUint32})
-	if err != nil || len(data) > LossBytes {
-		t.Errorf("got %d bytes (%v), want at most %d", len(data), err, LossBytes)
+	if err != nil || len(data) > MaxLossBytes {
+		t.Errorf("got %d bytes (%v), want at most %d", len(data), err, MaxLossBytes)
 	}
 }
 
