--- a/arrivals/arrivals.go
+++ b/arrivals/arrivals.go
@@ -27,9 +27,9 @@
 type Report struct {
 	Instance    fleet.InstanceID
 	Incarnation fleet.Incarnation
-	// At is the sender's clock in nanoseconds, which tells the order of its reports.
-	At   int64
-	Work []scheduling.Work
+	// SentAt is the sender's clock in nanoseconds, which tells the order of its reports.
+	SentAt int64
+	Work   []scheduling.Work
 }
 
 // Table holds the newest reports of each other instance. The zero value is empty; it is safe
@@ -73,8 +73,8 @@
 	}
 
 	for _, work := range r.Work {
-		if r.At >= from.services[work.Service].sent {
-			from.services[work.Service] = entry{work: work, sent: r.At, at: now}
+		if r.SentAt >= from.services[work.Service].sent {
+			from.services[work.Service] = entry{work: work, sent: r.SentAt, at: now}
 		}
 	}
 }
--- a/arrivals/arrivals_test.go
+++ b/arrivals/arrivals_test.go
@@ -29,7 +29,7 @@
 
 func report(id fleet.InstanceID, incarnation fleet.Incarnation, at int64, rate float64) Report {
 	return Report{
-		Instance: id, Incarnation: incarnation, At: at,
+		Instance: id, Incarnation: incarnation, SentAt: at,
 		Work: []scheduling.Work{{Service: service, Arriving: rate, Speed: 100}},
 	}
 }
--- a/entry/usage_counts.go
+++ b/entry/usage_counts.go
@@ -200,7 +200,7 @@
 	}
 
 	p.duties.count(t)
-	p.arrivals.Record(now, arrivals.Report{Instance: t.Instance, Incarnation: t.Incarnation, At: t.At, Work: t.Work})
+	p.arrivals.Record(now, arrivals.Report{Instance: t.Instance, Incarnation: t.Incarnation, SentAt: t.At, Work: t.Work})
 }
 
 // arrivingAtAll returns what arrives at all instances, as far as it is known here: at those
