--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -36,8 +36,8 @@
 	Servers     int
 }
 
-// Place is one failure domain in which a service may have servers.
-type Place struct {
+// DomainState is one failure domain in which a service may have servers.
+type DomainState struct {
 	Domain fleet.FailureDomain
 	Price  float64
 	// Lasting and Reclaimable are the servers that take requests.
@@ -52,7 +52,7 @@
 	Least, Most int
 	// Boot is the time from an order to the first request.
 	Boot   time.Duration
-	Places []Place
+	Places []DomainState
 	// Arriving is the work that arrives in a second, and Speed what an idle server
 	// does in a second. Zero is not known.
 	Arriving float64
@@ -126,7 +126,7 @@
 	}
 
 	places := slices.Clone(s.Places)
-	slices.SortFunc(places, func(a, b Place) int {
+	slices.SortFunc(places, func(a, b DomainState) int {
 		if a.Price != b.Price {
 			return int(math.Copysign(1, a.Price-b.Price))
 		}
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -77,10 +77,10 @@
 	s := capacity.State{
 		Service: service.Name, Least: service.Scaling.Min, Most: service.Scaling.Max, Boot: service.Scaling.Boot,
 	}
-	places := make(map[fleet.FailureDomain]*capacity.Place)
+	places := make(map[fleet.FailureDomain]*capacity.DomainState)
 
 	for domain, price := range service.Scaling.Prices {
-		places[domain] = &capacity.Place{Domain: domain, Price: price}
+		places[domain] = &capacity.DomainState{Domain: domain, Price: price}
 	}
 
 	tried, _, trial := d.inTrial(service.Name)
