--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -51,8 +51,8 @@
 	// Least and Most bound the servers of a failure domain, both kinds together.
 	Least, Most int
 	// Boot is the time from an order to the first request.
-	Boot   time.Duration
-	Places []DomainState
+	Boot    time.Duration
+	Domains []DomainState
 	// Arriving is the work that arrives in a second, and Speed what an idle server
 	// does in a second. Zero is not known.
 	Arriving float64
@@ -125,7 +125,7 @@
 		p.ordered = make(map[key]given)
 	}
 
-	places := slices.Clone(s.Places)
+	places := slices.Clone(s.Domains)
 	slices.SortFunc(places, func(a, b DomainState) int {
 		if a.Price != b.Price {
 			return int(math.Copysign(1, a.Price-b.Price))
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -57,7 +57,7 @@
 	s := State{Service: service, Least: 1, Most: 6, Boot: m.boot, Arriving: arriving, Speed: 50_000}
 
 	for i, d := range domains {
-		s.Places = append(s.Places, DomainState{
+		s.Domains = append(s.Domains, DomainState{
 			Domain: d, Price: 1 + float64(i)/10,
 			Lasting: m.ready(now, key{service, d, false}), Reclaimable: m.ready(now, key{service, d, true}),
 		})
@@ -292,7 +292,7 @@
 	for _, n := range []int{1, 2, 4, 5, 6, 12} {
 		s := State{Service: service, Least: 1, Most: 26, Arriving: arriving, Speed: 50_000}
 		for i := range n {
-			s.Places = append(s.Places, DomainState{Domain: fleet.FailureDomain(fmt.Sprint("domain-", i)), Price: 1})
+			s.Domains = append(s.Domains, DomainState{Domain: fleet.FailureDomain(fmt.Sprint("domain-", i)), Price: 1})
 		}
 
 		wanted := (&Planner{}).wanted(begin, s)
--- a/capacity/contradiction.go
+++ b/capacity/contradiction.go
@@ -20,7 +20,7 @@
 // servers returns how many servers take requests.
 func (s State) servers() int {
 	n := 0
-	for _, place := range s.Places {
+	for _, place := range s.Domains {
 		n += place.Lasting + place.Reclaimable
 	}
 
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -12,7 +12,7 @@
 // wanted returns the number of servers for the highest load of late.
 func (p *Planner) wanted(now time.Time, s State) int {
 	lasting, reclaimable := 0, 0
-	for _, place := range s.Places {
+	for _, place := range s.Domains {
 		lasting += place.Lasting
 		reclaimable += place.Reclaimable
 	}
@@ -22,11 +22,11 @@
 		return 0
 	}
 
-	n := len(s.Places) * max(s.Least, 1)
+	n := len(s.Domains) * max(s.Least, 1)
 
 	switch {
 	case s.Speed > 0 && s.Arriving > 0:
-		n = max(n, int(math.Ceil(s.Arriving/(s.Speed*target(len(s.Places))))))
+		n = max(n, int(math.Ceil(s.Arriving/(s.Speed*target(len(s.Domains))))))
 	default:
 		// Nothing is known of the load yet: what is there was meant for it. One kind
 		// takes the place of the other, so that their sum is no measure.
@@ -44,9 +44,9 @@
 		n = max(n, lasting, reclaimable)
 	}
 
-	peaks.add(now, min(n, len(s.Places)*s.Most))
+	peaks.add(now, min(n, len(s.Domains)*s.Most))
 
-	return min(peaks.highest(now, memory), len(s.Places)*s.Most)
+	return min(peaks.highest(now, memory), len(s.Domains)*s.Most)
 }
 
 // target returns the part of a server's speed that is used at the usual load. The more
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -99,7 +99,7 @@
 	}
 
 	for _, domain := range slices.Sorted(maps.Keys(places)) {
-		s.Places = append(s.Places, *places[domain])
+		s.Domains = append(s.Domains, *places[domain])
 	}
 
 	s.Taken, s.TakenKnown = d.taken(d.clock.Now(), service.Name)
