--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -45,8 +45,8 @@
 	Reclaimable int
 }
 
-// State is what is known of one service.
-type State struct {
+// ServiceState is what is known of one service.
+type ServiceState struct {
 	Service fleet.Service
 	// Least and Most bound the servers of a failure domain, both kinds together.
 	Least, Most int
@@ -120,7 +120,7 @@
 }
 
 // Plan returns the orders to give now for one service.
-func (p *Planner) Plan(now time.Time, s State) []Order {
+func (p *Planner) Plan(now time.Time, s ServiceState) []Order {
 	if p.ordered == nil {
 		p.ordered = make(map[key]given)
 	}
@@ -154,7 +154,7 @@
 
 // order adds an order where what is wanted is not what was ordered or has not come.
 func (p *Planner) order(
-	now time.Time, s State, orders []Order, domain fleet.FailureDomain, reclaimable bool, wanted, present int,
+	now time.Time, s ServiceState, orders []Order, domain fleet.FailureDomain, reclaimable bool, wanted, present int,
 ) []Order {
 	k := key{s.Service, domain, reclaimable}
 	last, known := p.ordered[k]
--- a/capacity/contradiction.go
+++ b/capacity/contradiction.go
@@ -11,14 +11,14 @@
 // Contradicted tells whether the servers' own answers contradict the load: it would fill
 // their places in no time, and most of these are free. What was told of the load, or
 // measured of the servers' speed, is wrong then.
-func (s State) Contradicted() bool {
+func (s ServiceState) Contradicted() bool {
 	load := s.Speed * float64(s.servers())
 
 	return s.TakenKnown && load > 0 && s.Arriving > impossibleLoad*load && s.Taken < idleShare
 }
 
 // servers returns how many servers take requests.
-func (s State) servers() int {
+func (s ServiceState) servers() int {
 	n := 0
 	for _, place := range s.Domains {
 		n += place.Lasting + place.Reclaimable
--- a/capacity/shares.go
+++ b/capacity/shares.go
@@ -10,7 +10,7 @@
 // spread divides the wanted servers over the places that have reclaimable ones,
 // evenly, since all of a place are lost at once. While there are too few, none is
 // given back: it might not be had again.
-func (p *Planner) spread(now time.Time, s State, places []DomainState, wanted int) []int {
+func (p *Planner) spread(now time.Time, s ServiceState, places []DomainState, wanted int) []int {
 	counts := make([]int, len(places))
 	left := wanted
 
@@ -62,7 +62,7 @@
 // lasting returns how many servers that are not reclaimable each place keeps: no
 // more than what reclaimable ones leave open, and new ones where these are not to be
 // had.
-func (p *Planner) lasting(now time.Time, s State, places []DomainState, wanted int) []int {
+func (p *Planner) lasting(now time.Time, s ServiceState, places []DomainState, wanted int) []int {
 	counts := make([]int, len(places))
 	// While the load is lower than it was, lasting servers are not what is kept for it.
 	open := min(wanted, p.peaksOf(s.Service).highest(now, lately)) - present(places)
@@ -104,7 +104,7 @@
 
 // missing returns how many lasting servers are needed while reclaimable ones are
 // short, those that were ordered and are on their way counted as there.
-func (p *Planner) missing(now time.Time, s State, places []DomainState) int {
+func (p *Planner) missing(now time.Time, s ServiceState, places []DomainState) int {
 	short := false
 	expected := 0
 
@@ -123,7 +123,7 @@
 }
 
 // coming returns the servers of a place that were ordered and may still start.
-func (p *Planner) coming(now time.Time, s State, place DomainState, reclaimable bool) int {
+func (p *Planner) coming(now time.Time, s ServiceState, place DomainState, reclaimable bool) int {
 	last := p.ordered[key{s.Service, place.Domain, reclaimable}]
 	if now.Sub(last.at) < s.Boot+settle {
 		return max(last.servers, 0)
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -10,7 +10,7 @@
 )
 
 // wanted returns the number of servers for the highest load of late.
-func (p *Planner) wanted(now time.Time, s State) int {
+func (p *Planner) wanted(now time.Time, s ServiceState) int {
 	lasting, reclaimable := 0, 0
 	for _, place := range s.Domains {
 		lasting += place.Lasting
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -59,7 +59,7 @@
 }
 
 // logPlan logs how many servers are wanted and for what load, where that changed.
-func (d *duties) logPlan(now time.Time, s capacity.State) {
+func (d *duties) logPlan(now time.Time, s capacity.ServiceState) {
 	wanted, ofLate := d.planner.Wanted(now, s.Service)
 	said := plan{wanted: wanted, ofLate: ofLate, contradicted: s.Contradicted()}
 
@@ -73,8 +73,8 @@
 }
 
 // stateOf gathers what is known of a service.
-func (d *duties) stateOf(service *ruleset.Service) capacity.State {
-	s := capacity.State{
+func (d *duties) stateOf(service *ruleset.Service) capacity.ServiceState {
+	s := capacity.ServiceState{
 		Service: service.Name, Least: service.Scaling.Min, Most: service.Scaling.Max, Boot: service.Scaling.Boot,
 	}
 	places := make(map[fleet.FailureDomain]*capacity.DomainState)
