--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -40,8 +40,8 @@
 type DomainState struct {
 	Domain fleet.FailureDomain
 	Price  float64
-	// Lasting and Reclaimable are the servers that take requests.
-	Lasting     int
+	// OnDemand and Reclaimable are the servers that take requests.
+	OnDemand    int
 	Reclaimable int
 }
 
@@ -146,7 +146,7 @@
 
 	for i, place := range places {
 		orders = p.order(now, s, orders, place.Domain, true, reclaimable[i], place.Reclaimable)
-		orders = p.order(now, s, orders, place.Domain, false, lasting[i], place.Lasting)
+		orders = p.order(now, s, orders, place.Domain, false, lasting[i], place.OnDemand)
 	}
 
 	return orders
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -59,7 +59,7 @@
 	for i, d := range domains {
 		s.Domains = append(s.Domains, DomainState{
 			Domain: d, Price: 1 + float64(i)/10,
-			Lasting: m.ready(now, key{service, d, false}), Reclaimable: m.ready(now, key{service, d, true}),
+			OnDemand: m.ready(now, key{service, d, false}), Reclaimable: m.ready(now, key{service, d, true}),
 		})
 	}
 
--- a/capacity/contradiction.go
+++ b/capacity/contradiction.go
@@ -21,7 +21,7 @@
 func (s ServiceState) servers() int {
 	n := 0
 	for _, place := range s.Domains {
-		n += place.Lasting + place.Reclaimable
+		n += place.OnDemand + place.Reclaimable
 	}
 
 	return n
--- a/capacity/shares.go
+++ b/capacity/shares.go
@@ -69,7 +69,7 @@
 
 	// The dearest places come last, and give theirs back first.
 	for i, place := range places {
-		counts[i] = min(max(place.Lasting, p.coming(now, s, place, false)), max(open, 0))
+		counts[i] = min(max(place.OnDemand, p.coming(now, s, place, false)), max(open, 0))
 		open -= counts[i]
 	}
 
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -13,7 +13,7 @@
 func (p *Planner) wanted(now time.Time, s ServiceState) int {
 	lasting, reclaimable := 0, 0
 	for _, place := range s.Domains {
-		lasting += place.Lasting
+		lasting += place.OnDemand
 		reclaimable += place.Reclaimable
 	}
 
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -94,7 +94,7 @@
 		if server.Reclaimable {
 			place.Reclaimable++
 		} else {
-			place.Lasting++
+			place.OnDemand++
 		}
 	}
 
