--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -22,7 +22,7 @@
 		return 0
 	}
 
-	n := len(s.Domains) * max(s.Least, 1)
+	n := len(s.Domains) * max(s.MinPerDomain, 1)
 
 	switch {
 	case s.Speed > 0 && s.Arriving > 0:
