--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -48,8 +48,8 @@
 // ServiceState is what is known of one service.
 type ServiceState struct {
 	Service fleet.Service
-	// MinPerDomain and Most bound the servers of a failure domain, both kinds together.
-	MinPerDomain, Most int
+	// MinPerDomain and MaxPerDomain bound the servers of a failure domain, both kinds together.
+	MinPerDomain, MaxPerDomain int
 	// Boot is the time from an order to the first request.
 	Boot    time.Duration
 	Domains []DomainState
--- a/capacity/shares.go
+++ b/capacity/shares.go
@@ -16,7 +16,7 @@
 
 	if present(places) < wanted {
 		for i, place := range places {
-			counts[i] = min(place.Reclaimable, s.Most)
+			counts[i] = min(place.Reclaimable, s.MaxPerDomain)
 			left -= counts[i]
 		}
 	}
@@ -25,7 +25,7 @@
 		least := -1
 
 		for i, place := range places {
-			if counts[i] >= s.Most || p.refused(now, s.Service, place) && counts[i] >= place.Reclaimable {
+			if counts[i] >= s.MaxPerDomain || p.refused(now, s.Service, place) && counts[i] >= place.Reclaimable {
 				continue
 			}
 
@@ -79,7 +79,7 @@
 		before := missing
 
 		for i, place := range places {
-			if missing > 0 && counts[i]+place.Reclaimable < s.Most {
+			if missing > 0 && counts[i]+place.Reclaimable < s.MaxPerDomain {
 				counts[i]++
 				missing--
 			}
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -44,9 +44,9 @@
 		n = max(n, lasting, reclaimable)
 	}
 
-	peaks.add(now, min(n, len(s.Domains)*s.Most))
+	peaks.add(now, min(n, len(s.Domains)*s.MaxPerDomain))
 
-	return min(peaks.highest(now, memory), len(s.Domains)*s.Most)
+	return min(peaks.highest(now, memory), len(s.Domains)*s.MaxPerDomain)
 }
 
 // target returns the part of a server's speed that is used at the usual load. The more
