--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -53,10 +53,10 @@
 	// Boot is the time from an order to the first request.
 	Boot    time.Duration
 	Domains []DomainState
-	// Arriving is the work that arrives in a second, and Speed what an idle server
+	// ArrivalRate is the work that arrives in a second, and Speed what an idle server
 	// does in a second. Zero is not known.
-	Arriving float64
-	Speed    float64
+	ArrivalRate float64
+	Speed       float64
 	// Taken is the part of the servers' places that is in use or waited for, as most of
 	// them said of late, if TakenKnown.
 	Taken      float64
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -25,8 +25,8 @@
 	n := len(s.Domains) * max(s.MinPerDomain, 1)
 
 	switch {
-	case s.Speed > 0 && s.Arriving > 0:
-		n = max(n, int(math.Ceil(s.Arriving/(s.Speed*target(len(s.Domains))))))
+	case s.Speed > 0 && s.ArrivalRate > 0:
+		n = max(n, int(math.Ceil(s.ArrivalRate/(s.Speed*target(len(s.Domains))))))
 	default:
 		// Nothing is known of the load yet: what is there was meant for it. One kind
 		// takes the place of the other, so that their sum is no measure.
