--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -59,8 +59,8 @@
 	Speed       float64
 	// Taken is the part of the servers' places that is in use or waited for, as most of
 	// them said of late, if TakenKnown.
-	Taken      float64
-	TakenKnown bool
+	Taken          float64
+	OccupancyKnown bool
 }
 
 // Plan is the wanted number of servers of a service, in all failure domains.
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -102,7 +102,7 @@
 		s.Domains = append(s.Domains, *places[domain])
 	}
 
-	s.Taken, s.TakenKnown = d.taken(d.clock.Now(), service.Name)
+	s.Taken, s.OccupancyKnown = d.taken(d.clock.Now(), service.Name)
 	work := workOf(d.live(d.clock.Now()), service.Name)
 	before := workOf(d.recorded, service.Name)
 	s.ArrivalRate, s.Speed = work.Arriving, work.Speed
