--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -57,9 +57,9 @@
 	// does in a second. Zero is not known.
 	ArrivalRate float64
 	Speed       float64
-	// Taken is the part of the servers' places that is in use or waited for, as most of
+	// Occupancy is the part of the servers' places that is in use or waited for, as most of
 	// them said of late, if TakenKnown.
-	Taken          float64
+	Occupancy      float64
 	OccupancyKnown bool
 }
 
--- a/capacity/contradiction.go
+++ b/capacity/contradiction.go
@@ -14,7 +14,7 @@
 func (s ServiceState) Contradicted() bool {
 	load := s.Speed * float64(s.servers())
 
-	return s.OccupancyKnown && load > 0 && s.ArrivalRate > impossibleLoad*load && s.Taken < idleShare
+	return s.OccupancyKnown && load > 0 && s.ArrivalRate > impossibleLoad*load && s.Occupancy < idleShare
 }
 
 // servers returns how many servers take requests.
--- a/capacity/contradiction_test.go
+++ b/capacity/contradiction_test.go
@@ -29,7 +29,7 @@
 		for at := time.Duration(0); at < 20*time.Second; at += tick {
 			now := begin.Add(at)
 			s := m.state(now, load)
-			s.Taken, s.OccupancyKnown = tt.taken, tt.known
+			s.Occupancy, s.OccupancyKnown = tt.taken, tt.known
 
 			for _, o := range p.Plan(now, s) {
 				none := m.obey(now, o)
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -69,7 +69,7 @@
 
 	d.said[s.Service] = said
 	klog.InfoS("servers wanted", "service", s.Service, "servers", wanted, "ofLate", ofLate,
-		"arriving", int(s.ArrivalRate), "speed", int(s.Speed), "taken", s.Taken, "contradicted", said.contradicted)
+		"arriving", int(s.ArrivalRate), "speed", int(s.Speed), "taken", s.Occupancy, "contradicted", said.contradicted)
 }
 
 // stateOf gathers what is known of a service.
@@ -102,7 +102,7 @@
 		s.Domains = append(s.Domains, *places[domain])
 	}
 
-	s.Taken, s.OccupancyKnown = d.taken(d.clock.Now(), service.Name)
+	s.Occupancy, s.OccupancyKnown = d.taken(d.clock.Now(), service.Name)
 	work := workOf(d.live(d.clock.Now()), service.Name)
 	before := workOf(d.recorded, service.Name)
 	s.ArrivalRate, s.Speed = work.Arriving, work.Speed
