--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -176,9 +176,9 @@
 	return append(orders, Order{Service: s.Service, Domain: domain, Reclaimable: reclaimable, Servers: wanted})
 }
 
-// Answered takes in how an order was answered. none is set where no such servers
+// RecordResult takes in how an order was answered. none is set where no such servers
 // were to be had; ok is not set where it is not known whether the order took effect.
-func (p *Planner) Answered(now time.Time, o Order, ok, none bool) {
+func (p *Planner) RecordResult(now time.Time, o Order, ok, none bool) {
 	k := key{o.Service, o.Domain, o.Reclaimable}
 	one := p.ordered[k]
 
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -100,7 +100,7 @@
 func play(m *market, p *Planner, from time.Time, span time.Duration, arriving float64, each func(time.Time)) time.Time {
 	for now := from; now.Before(from.Add(span)); now = now.Add(tick) {
 		for _, o := range p.Plan(now, m.state(now, arriving)) {
-			p.Answered(now, o, true, m.obey(now, o))
+			p.RecordResult(now, o, true, m.obey(now, o))
 		}
 
 		lasting, reclaimable := m.all(now)
@@ -189,7 +189,7 @@
 				m.obey(now, o)
 			}
 
-			p.Answered(now, o, true, false)
+			p.RecordResult(now, o, true, false)
 		}
 	}
 
--- a/capacity/contradiction_test.go
+++ b/capacity/contradiction_test.go
@@ -33,7 +33,7 @@
 
 			for _, o := range p.Plan(now, s) {
 				none := m.obey(now, o)
-				p.Answered(now, o, !none, none)
+				p.RecordResult(now, o, !none, none)
 			}
 
 			wanted, _ := p.Wanted(now, service)
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -161,7 +161,7 @@
 
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.planner.Answered(d.clock.Now(), o, err == nil, none)
+	d.planner.RecordResult(d.clock.Now(), o, err == nil, none)
 
 	if errors.Is(err, platform.ErrFenced) {
 		d.core.Release(d.clock.Now())
