--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -249,7 +249,7 @@
 	m.dry = true
 
 	next := &Planner{}
-	next.Follow(now, last.Plans(now))
+	next.Restore(now, last.Plans(now))
 
 	for _, o := range next.Plan(now, m.state(now, 0)) {
 		if present := m.ready(now, key{service, o.Domain, o.Reclaimable}); o.Reclaimable && o.Servers < present {
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -93,9 +93,9 @@
 	return plans
 }
 
-// Follow takes in what another planner wanted. One that takes over after all
+// Restore takes in what another planner wanted. One that takes over after all
 // instances have started anew would else know only the load since then.
-func (p *Planner) Follow(now time.Time, plans []Plan) {
+func (p *Planner) Restore(now time.Time, plans []Plan) {
 	for _, plan := range plans {
 		p.peaksOf(plan.Service).add(now, plan.Wanted)
 	}
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -187,7 +187,7 @@
 	}
 
 	if r.Instance != d.settings.Instance || r.Incarnation != d.incarnation {
-		d.planner.Follow(now, r.Plans)
+		d.planner.Restore(now, r.Plans)
 	}
 
 	for _, report := range r.Reports {
