--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -15,8 +15,8 @@
 type Choice struct {
 	// Only is the new version, if the request is one of its share; Part is the part of its
 	// servers that take that share, so that each carries what it would carry in the end.
-	Only fleet.Version
-	Part float64
+	Only        fleet.Version
+	ServerShare float64
 	// Avoid are versions that it may not be sent to.
 	Avoid []fleet.Version
 }
@@ -143,7 +143,7 @@
 	}
 
 	if !k.undecided() && k.state.Phase == Trial && now.Sub(k.at) < g.Life && g.draw() < k.state.Share {
-		return Choice{Only: k.state.Target, Part: k.state.Share}
+		return Choice{Only: k.state.Target, ServerShare: k.state.Share}
 	}
 
 	return k.rest()
