--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -24,9 +24,9 @@
 // Gate says at one instance which versions requests are sent to. The zero value knows no
 // order; it is safe for concurrent use, and Choose takes no lock.
 type Gate struct {
-	// Life is how long a decision to send to a new version counts; it is set before the first
+	// GrantTTL is how long a decision to send to a new version counts; it is set before the first
 	// use.
-	Life time.Duration
+	GrantTTL time.Duration
 	// Random draws from [0, 1) which requests are tried at the new version; nil draws from the
 	// default source.
 	Random func() float64
@@ -142,7 +142,7 @@
 		return Choice{}
 	}
 
-	if !k.undecided() && k.state.Phase == Trial && now.Sub(k.at) < g.Life && g.draw() < k.state.Share {
+	if !k.undecided() && k.state.Phase == Trial && now.Sub(k.at) < g.GrantTTL && g.draw() < k.state.Share {
 		return Choice{Only: k.state.Target, ServerShare: k.state.Share}
 	}
 
--- a/rollout/gate_test.go
+++ b/rollout/gate_test.go
@@ -52,7 +52,7 @@
 			g.Apply(begin, late, begin)
 		}},
 	} {
-		g := &Gate{Life: life}
+		g := &Gate{GrantTTL: life}
 		g.AddOrder(begin, order)
 		tt.hear(g)
 
@@ -66,7 +66,7 @@
 
 // Once it is completed, all may go to the new version and none to those that it replaced.
 func TestACompletedVersionReplacesTheOthers(t *testing.T) {
-	g := &Gate{Life: time.Second}
+	g := &Gate{GrantTTL: time.Second}
 	g.AddOrder(begin, Order{Service: service, Target: target, Span: time.Minute, Place: 7})
 	g.Apply(begin, State{
 		Service: service, Target: target, Place: 7, Phase: Completed, Avoid: []fleet.Version{before},
@@ -81,7 +81,7 @@
 // Operators write again what the platform lost: the order is the one before, whatever its
 // place.
 func TestAnOrderThatIsWrittenAgainIsTheSame(t *testing.T) {
-	g := &Gate{Life: time.Second}
+	g := &Gate{GrantTTL: time.Second}
 	order := Order{Service: service, Target: target, Span: time.Minute, Place: 7}
 
 	g.AddOrder(begin, order)
