--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -272,7 +272,7 @@
 		write:    p.store.WriteRollout,
 		planners: make(map[fleet.Service]*rollout.Planner),
 	}
-	r.gate.GrantTTL = r.policy.GrantLife()
+	r.gate.GrantTTL = r.policy.GrantTTL()
 
 	return r
 }
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -92,7 +92,7 @@
 	}
 
 	for range n {
-		g := &Gate{GrantTTL: policy.GrantLife(), Random: w.random.Float64}
+		g := &Gate{GrantTTL: policy.GrantTTL(), Random: w.random.Float64}
 		g.AddOrder(begin, w.order)
 		w.gates = append(w.gates, g)
 		w.counters = append(w.counters, &Counter{})
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -56,5 +56,5 @@
 // counts. Noticing and telling take the rest.
 const grantShare = 0.5
 
-// GrantLife is how long a decision to send to the new version counts after it was made.
-func (p Policy) GrantLife() time.Duration { return time.Duration(grantShare * float64(p.Stop)) }
+// GrantTTL is how long a decision to send to the new version counts after it was made.
+func (p Policy) GrantTTL() time.Duration { return time.Duration(grantShare * float64(p.Stop)) }
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -202,7 +202,7 @@
 
 	// Of what is sent now, the counts come after Told, and a decision to stop counts at
 	// instances that hear nobody after the life of the last one.
-	ahead := surge * p.rate * (pic.Told + p.Policy.GrantLife()).Seconds()
+	ahead := surge * p.rate * (pic.Told + p.Policy.GrantTTL()).Seconds()
 	left := p.budget()*trialPart - float64(p.state.Exposed)
 
 	if left <= 0 {
