--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -240,8 +240,8 @@
 }
 
 // picture gathers what is known of an order.
-func (r *rollouts) picture(o rollout.Order) rollout.Picture {
-	pic := rollout.Picture{Routes: r.table.Routes(o), Told: r.told()}
+func (r *rollouts) picture(o rollout.Order) rollout.Observation {
+	pic := rollout.Observation{Routes: r.table.Routes(o), Told: r.told()}
 	versions := make(map[fleet.Version]bool)
 
 	for _, s := range r.register.Servers() {
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -223,14 +223,14 @@
 		return
 	}
 
-	s, complete := w.planner.Step(w.now, w.fence, Picture{
+	s, complete := w.planner.Step(w.now, w.fence, Observation{
 		Routes: w.table.Routes(w.order), Old: 30, New: 30, Told: w.told + modelStep,
 	})
 
 	if complete {
 		w.planner.Completed([]fleet.Version{before})
 		w.completed = true
-		s, _ = w.planner.Step(w.now, w.fence, Picture{Routes: w.table.Routes(w.order), Old: 30, New: 30, Told: w.told})
+		s, _ = w.planner.Step(w.now, w.fence, Observation{Routes: w.table.Routes(w.order), Old: 30, New: 30, Told: w.told})
 	}
 
 	for i := range w.gates {
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -31,8 +31,8 @@
 	patience = 2
 )
 
-// Picture is what the holder of the duty knows at a step.
-type Picture struct {
+// Observation is what the holder of the duty knows at a step.
+type Observation struct {
 	Routes map[string]Count
 	// Old and New are the servers of either version that take requests, and OldVersions
 	// their versions.
@@ -74,7 +74,7 @@
 
 // Step returns the state from now on, and whether the end is to be written as completed:
 // the state says so once Completed was called. fence is the holder's.
-func (p *Planner) Step(now time.Time, fence uint64, pic Picture) (s State, complete bool) {
+func (p *Planner) Step(now time.Time, fence uint64, pic Observation) (s State, complete bool) {
 	p.begin(now, fence, pic)
 
 	if p.state.Phase != Trial {
@@ -106,7 +106,7 @@
 }
 
 // begin begins with an order that no holder has seen, and goes on with another's.
-func (p *Planner) begin(now time.Time, fence uint64, pic Picture) {
+func (p *Planner) begin(now time.Time, fence uint64, pic Observation) {
 	if p.state.Place < p.Order.Place {
 		avoid := p.state.Avoid
 		if p.state.Place > 0 && p.state.Phase != Completed {
@@ -134,7 +134,7 @@
 }
 
 // count takes in what the service and the new version have got.
-func (p *Planner) count(now time.Time, pic Picture) {
+func (p *Planner) count(now time.Time, pic Observation) {
 	reached, exposed := p.state.ReachedBefore, p.state.ExposedBefore
 
 	for _, c := range pic.Routes {
@@ -159,7 +159,7 @@
 }
 
 // decide ends the trial once it is time to.
-func (p *Planner) decide(now time.Time, pic Picture) {
+func (p *Planner) decide(now time.Time, pic Observation) {
 	due := p.Begun.Add(p.Order.Span)
 	if now.Before(due.Add(-p.lead())) {
 		return
@@ -195,7 +195,7 @@
 // share returns the part of the requests that the new version gets. It is such that what
 // would still be sent until all instances have stopped, if the version turned bad now,
 // stays within the budget.
-func (p *Planner) share(pic Picture) float64 {
+func (p *Planner) share(pic Observation) float64 {
 	if pic.New == 0 {
 		return 0
 	}
