--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -241,7 +241,7 @@
 
 // picture gathers what is known of an order.
 func (r *rollouts) picture(o rollout.Order) rollout.Observation {
-	pic := rollout.Observation{Routes: r.table.Routes(o), Told: r.told()}
+	pic := rollout.Observation{Routes: r.table.Routes(o), CountDelay: r.told()}
 	versions := make(map[fleet.Version]bool)
 
 	for _, s := range r.register.Servers() {
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -38,8 +38,8 @@
 	// their versions.
 	Old, New    int
 	OldVersions []fleet.Version
-	// Told is the time in which the counts of all instances come here.
-	Told time.Duration
+	// CountDelay is the time in which the counts of all instances come here.
+	CountDelay time.Duration
 }
 
 // Planner decides on one order. Its exported fields are set before its first use; it is not
@@ -202,7 +202,7 @@
 
 	// Of what is sent now, the counts come after Told, and a decision to stop counts at
 	// instances that hear nobody after the life of the last one.
-	ahead := surge * p.rate * (pic.Told + p.Policy.GrantTTL()).Seconds()
+	ahead := surge * p.rate * (pic.CountDelay + p.Policy.GrantTTL()).Seconds()
 	left := p.budget()*trialPart - float64(p.state.Exposed)
 
 	if left <= 0 {
