--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -194,7 +194,7 @@
 	if state.Phase != before.Phase || state.Place != before.Place || state.Share != before.Share {
 		klog.InfoS("roll-out", "service", state.Service, "version", state.Target, "phase", state.Phase.String(),
 			"share", state.Share, "requests", state.Reached, "tried", state.Exposed, "oldServers", picture.Old,
-			"newServers", picture.New, "elapsed", state.Elapsed, "why", p.Why(), "fence", r.fence)
+			"newServers", picture.NewServers, "elapsed", state.Elapsed, "why", p.Why(), "fence", r.fence)
 	}
 
 	r.report(ctx, state, state.Phase)
@@ -248,7 +248,7 @@
 		switch {
 		case s.Service != o.Service || s.Leaving:
 		case s.Version == o.Target:
-			pic.New++
+			pic.NewServers++
 		default:
 			pic.Old++
 
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -34,10 +34,10 @@
 // Observation is what the holder of the duty knows at a step.
 type Observation struct {
 	Routes map[string]Count
-	// Old and New are the servers of either version that take requests, and OldVersions
+	// Old and NewServers are the servers of either version that take requests, and OldVersions
 	// their versions.
-	Old, New    int
-	OldVersions []fleet.Version
+	Old, NewServers int
+	OldVersions     []fleet.Version
 	// CountDelay is the time in which the counts of all instances come here.
 	CountDelay time.Duration
 }
@@ -120,7 +120,7 @@
 		}
 	}
 
-	if p.state.Step == 0 && pic.Old == 0 && pic.New > 0 && p.state.Phase == Trial && p.state.Fence == 0 {
+	if p.state.Step == 0 && pic.Old == 0 && pic.NewServers > 0 && p.state.Phase == Trial && p.state.Fence == 0 {
 		// Nothing but the new version runs: the roll-out ended before anyone here began.
 		p.state.Phase, p.why = Completed, "no other version runs"
 	}
@@ -171,7 +171,7 @@
 	}
 
 	switch {
-	case pic.New == 0:
+	case pic.NewServers == 0:
 		if now.After(due) {
 			p.revert("no server of the version came")
 		}
@@ -196,7 +196,7 @@
 // would still be sent until all instances have stopped, if the version turned bad now,
 // stays within the budget.
 func (p *Planner) share(pic Observation) float64 {
-	if pic.New == 0 {
+	if pic.NewServers == 0 {
 		return 0
 	}
 
