--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -193,7 +193,7 @@
 
 	if state.Phase != before.Phase || state.Place != before.Place || state.Share != before.Share {
 		klog.InfoS("roll-out", "service", state.Service, "version", state.Target, "phase", state.Phase.String(),
-			"share", state.Share, "requests", state.Reached, "tried", state.Exposed, "oldServers", picture.Old,
+			"share", state.Share, "requests", state.Reached, "tried", state.Exposed, "oldServers", picture.OldServers,
 			"newServers", picture.NewServers, "elapsed", state.Elapsed, "why", p.Why(), "fence", r.fence)
 	}
 
@@ -250,7 +250,7 @@
 		case s.Version == o.Target:
 			pic.NewServers++
 		default:
-			pic.Old++
+			pic.OldServers++
 
 			if !versions[s.Version] {
 				versions[s.Version] = true
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -224,13 +224,13 @@
 	}
 
 	s, complete := w.planner.Step(w.now, w.fence, Observation{
-		Routes: w.table.Routes(w.order), Old: 30, NewServers: 30, CountDelay: w.told + modelStep,
+		Routes: w.table.Routes(w.order), OldServers: 30, NewServers: 30, CountDelay: w.told + modelStep,
 	})
 
 	if complete {
 		w.planner.Completed([]fleet.Version{before})
 		w.completed = true
-		s, _ = w.planner.Step(w.now, w.fence, Observation{Routes: w.table.Routes(w.order), Old: 30, NewServers: 30, CountDelay: w.told})
+		s, _ = w.planner.Step(w.now, w.fence, Observation{Routes: w.table.Routes(w.order), OldServers: 30, NewServers: 30, CountDelay: w.told})
 	}
 
 	for i := range w.gates {
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -34,10 +34,10 @@
 // Observation is what the holder of the duty knows at a step.
 type Observation struct {
 	Routes map[string]Count
-	// Old and NewServers are the servers of either version that take requests, and OldVersions
+	// OldServers and NewServers are the servers of either version that take requests, and OldVersions
 	// their versions.
-	Old, NewServers int
-	OldVersions     []fleet.Version
+	OldServers, NewServers int
+	OldVersions            []fleet.Version
 	// CountDelay is the time in which the counts of all instances come here.
 	CountDelay time.Duration
 }
@@ -120,7 +120,7 @@
 		}
 	}
 
-	if p.state.Step == 0 && pic.Old == 0 && pic.NewServers > 0 && p.state.Phase == Trial && p.state.Fence == 0 {
+	if p.state.Step == 0 && pic.OldServers == 0 && pic.NewServers > 0 && p.state.Phase == Trial && p.state.Fence == 0 {
 		// Nothing but the new version runs: the roll-out ended before anyone here began.
 		p.state.Phase, p.why = Completed, "no other version runs"
 	}
@@ -175,7 +175,7 @@
 		if now.After(due) {
 			p.revert("no server of the version came")
 		}
-	case pic.Old == 0 || p.state.Reached < fewRequests || float64(answered) >= p.enough():
+	case pic.OldServers == 0 || p.state.Reached < fewRequests || float64(answered) >= p.enough():
 		p.completing, p.why = true, "as good as the old version"
 	case now.After(p.Begun.Add(patience * p.Order.Span)):
 		p.revert("too few answers to judge it by")
