--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -98,7 +98,7 @@
 		w.counters = append(w.counters, &Counter{})
 	}
 
-	w.planner = &Planner{Policy: policy, Order: w.order, Begun: begin}
+	w.planner = &Planner{Policy: policy, Order: w.order, FirstSeen: begin}
 
 	return w
 }
@@ -263,7 +263,7 @@
 	w.fence++
 	w.orphaned = w.now.Add(after)
 	recorded := w.planner.state
-	w.planner = &Planner{Policy: policy, Order: w.order, Begun: begin}
+	w.planner = &Planner{Policy: policy, Order: w.order, FirstSeen: begin}
 	w.planner.Resume(recorded)
 }
 
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -47,8 +47,8 @@
 type Planner struct {
 	Policy Policy
 	Order  Order
-	// Begun is when the order was first seen, by the clock of this instance.
-	Begun time.Time
+	// FirstSeen is when the order was first seen, by the clock of this instance.
+	FirstSeen time.Time
 
 	state State
 	judge judge
@@ -130,7 +130,7 @@
 	}
 
 	p.state.Step++
-	p.state.Elapsed = now.Sub(p.Begun)
+	p.state.Elapsed = now.Sub(p.FirstSeen)
 }
 
 // count takes in what the service and the new version have got.
@@ -144,7 +144,7 @@
 
 	if !p.at.IsZero() && now.After(p.at) && reached >= p.reached {
 		seen := float64(reached-p.reached) / now.Sub(p.at).Seconds()
-		mean := float64(reached) / max(now.Sub(p.Begun), time.Second).Seconds()
+		mean := float64(reached) / max(now.Sub(p.FirstSeen), time.Second).Seconds()
 		p.rate = max(seen, p.rate/2, mean)
 	}
 
@@ -160,7 +160,7 @@
 
 // decide ends the trial once it is time to.
 func (p *Planner) decide(now time.Time, pic Observation) {
-	due := p.Begun.Add(p.Order.Span)
+	due := p.FirstSeen.Add(p.Order.Span)
 	if now.Before(due.Add(-p.lead())) {
 		return
 	}
@@ -177,7 +177,7 @@
 		}
 	case pic.OldServers == 0 || p.state.Reached < fewRequests || float64(answered) >= p.enough():
 		p.completing, p.why = true, "as good as the old version"
-	case now.After(p.Begun.Add(patience * p.Order.Span)):
+	case now.After(p.FirstSeen.Add(patience * p.Order.Span)):
 		p.revert("too few answers to judge it by")
 	}
 }
