--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -203,7 +203,7 @@
 func (r *rollouts) planner(task rollout.Task) *rollout.Planner {
 	p := r.planners[task.Order.Service]
 	if p == nil || p.Order != task.Order {
-		p = &rollout.Planner{Policy: r.policy, Order: task.Order, FirstSeen: task.Begun}
+		p = &rollout.Planner{Policy: r.policy, Order: task.Order, FirstSeen: task.FirstSeen}
 		p.Resume(task.State)
 		r.planners[task.Order.Service] = p
 	}
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -246,9 +246,9 @@
 // Task is the newest order of a service, when it was first seen, and the newest state of the
 // service, which may be one of an earlier order.
 type Task struct {
-	Order Order
-	Begun time.Time
-	State State
+	Order     Order
+	FirstSeen time.Time
+	State     State
 }
 
 // Tasks returns the newest orders of all services.
@@ -262,7 +262,7 @@
 
 	for _, service := range slices.Sorted(maps.Keys(*all)) {
 		if k := (*all)[service]; k.order.Place > 0 {
-			tasks = append(tasks, Task{Order: k.order, Begun: k.begun, State: k.state})
+			tasks = append(tasks, Task{Order: k.order, FirstSeen: k.begun, State: k.state})
 		}
 	}
 
