--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -194,7 +194,7 @@
 	if state.Phase != before.Phase || state.Place != before.Place || state.Share != before.Share {
 		klog.InfoS("roll-out", "service", state.Service, "version", state.Target, "phase", state.Phase.String(),
 			"share", state.Share, "requests", state.Reached, "tried", state.Exposed, "oldServers", picture.OldServers,
-			"newServers", picture.NewServers, "elapsed", state.Elapsed, "why", p.Why(), "fence", r.fence)
+			"newServers", picture.NewServers, "elapsed", state.Elapsed, "why", p.Reason(), "fence", r.fence)
 	}
 
 	r.report(ctx, state, state.Phase)
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -358,7 +358,7 @@
 				}
 
 				if got := w.planner.state.Phase; got != tt.want {
-					t.Errorf("%s, %d instances, seed %d: got %v (%s), want %v", name, n, seed, got, w.planner.Why(), tt.want)
+					t.Errorf("%s, %d instances, seed %d: got %v (%s), want %v", name, n, seed, got, w.planner.Reason(), tt.want)
 				}
 			}
 		}
@@ -376,7 +376,7 @@
 		}
 
 		if got := w.planner.state.Phase; got != Reverted {
-			t.Errorf("seed %d: got %v (%s), want %v", seed, got, w.planner.Why(), Reverted)
+			t.Errorf("seed %d: got %v (%s), want %v", seed, got, w.planner.Reason(), Reverted)
 		}
 	}
 }
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Why says what decided the end, or the share last.
-func (p *Planner) Why() string { return p.why }
+// Reason says what decided the end, or the share last.
+func (p *Planner) Reason() string { return p.why }
 
 // Step returns the state from now on, and whether the end is to be written as completed:
 // the state says so once Completed was called. fence is the holder's.
