--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -185,7 +185,7 @@
 	state, complete := p.Step(now, uint64(r.fence), picture)
 
 	if complete && r.report(ctx, state, rollout.Completed) {
-		p.Completed(picture.OldVersions)
+		p.MarkCompleted(picture.OldVersions)
 		state, _ = p.Step(now, uint64(r.fence), picture)
 	}
 
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -228,7 +228,7 @@
 	})
 
 	if complete {
-		w.planner.Completed([]fleet.Version{before})
+		w.planner.MarkCompleted([]fleet.Version{before})
 		w.completed = true
 		s, _ = w.planner.Step(w.now, w.fence, Observation{Routes: w.table.Routes(w.order), OldServers: 30, NewServers: 30, CountDelay: w.told})
 	}
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -98,8 +98,8 @@
 	return p.state, p.completing
 }
 
-// Completed takes in that the end was written.
-func (p *Planner) Completed(old []fleet.Version) {
+// MarkCompleted takes in that the end was written.
+func (p *Planner) MarkCompleted(old []fleet.Version) {
 	p.state.Phase, p.state.Share, p.completing = Completed, 1, false
 	p.state.Avoid = without(avoided(p.state.Avoid, old...), p.Order.Target)
 	p.state.Step++
