--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -93,7 +93,7 @@
 		}
 
 		if r.gate.AddOrder(r.clock.Now(), order) {
-			klog.InfoS("new version ordered", "service", order.Service, "version", order.Target, "span", order.Span, "offset", e.At)
+			klog.InfoS("new version ordered", "service", order.Service, "version", order.Target, "span", order.Duration, "offset", e.At)
 		}
 	}
 }
--- a/rollout/gate_test.go
+++ b/rollout/gate_test.go
@@ -26,7 +26,7 @@
 func TestANewVersionGetsNothingWithoutTheHoldersWord(t *testing.T) {
 	const life = 2 * time.Second
 
-	order := Order{Service: service, Target: target, Span: time.Minute, Place: 7}
+	order := Order{Service: service, Target: target, Duration: time.Minute, Place: 7}
 	trial := State{Service: service, Target: target, Place: 7, Fence: 1, Step: 1, Share: 0.2}
 
 	for name, tt := range map[string]struct {
@@ -67,7 +67,7 @@
 // Once it is completed, all may go to the new version and none to those that it replaced.
 func TestACompletedVersionReplacesTheOthers(t *testing.T) {
 	g := &Gate{GrantTTL: time.Second}
-	g.AddOrder(begin, Order{Service: service, Target: target, Span: time.Minute, Place: 7})
+	g.AddOrder(begin, Order{Service: service, Target: target, Duration: time.Minute, Place: 7})
 	g.Apply(begin, State{
 		Service: service, Target: target, Place: 7, Phase: Completed, Avoid: []fleet.Version{before},
 	}, time.Time{})
@@ -82,7 +82,7 @@
 // place.
 func TestAnOrderThatIsWrittenAgainIsTheSame(t *testing.T) {
 	g := &Gate{GrantTTL: time.Second}
-	order := Order{Service: service, Target: target, Span: time.Minute, Place: 7}
+	order := Order{Service: service, Target: target, Duration: time.Minute, Place: 7}
 
 	g.AddOrder(begin, order)
 	g.Apply(begin, State{Service: service, Target: target, Place: 7, Phase: Completed}, begin)
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -87,7 +87,7 @@
 func newWorld(seed uint64, n int, rate float64, span time.Duration, f flaw) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, 1)), now: begin, flaw: f, rate: rate, cutOff: make(map[int]bool),
-		order: Order{Service: service, Target: target, Span: span, Place: 7}, fence: 1,
+		order: Order{Service: service, Target: target, Duration: span, Place: 7}, fence: 1,
 		told: max(time.Duration(n)*6*time.Millisecond, 150*time.Millisecond),
 	}
 
@@ -103,7 +103,7 @@
 	return w
 }
 
-func (w *world) due() time.Time { return begin.Add(w.order.Span) }
+func (w *world) due() time.Time { return begin.Add(w.order.Duration) }
 
 // step plays one step of the day.
 func (w *world) step(t fataler) {
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -28,9 +28,9 @@
 // Order is what operators ask for: that the traffic of a service be moved to a version
 // within a time.
 type Order struct {
-	Service fleet.Service
-	Target  fleet.Version
-	Span    time.Duration
+	Service  fleet.Service
+	Target   fleet.Version
+	Duration time.Duration
 	// Place is that of the order among all; a later one of a service replaces the earlier.
 	Place uint64
 }
@@ -38,7 +38,7 @@
 // again tells whether an order is an earlier one that operators wrote again because the
 // platform lost it.
 func (o Order) again(earlier Order) bool {
-	return o.Service == earlier.Service && o.Target == earlier.Target && o.Span == earlier.Span &&
+	return o.Service == earlier.Service && o.Target == earlier.Target && o.Duration == earlier.Duration &&
 		feed.Position(o.Place-1).Era() > feed.Position(earlier.Place-1).Era()
 }
 
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -160,7 +160,7 @@
 
 // decide ends the trial once it is time to.
 func (p *Planner) decide(now time.Time, pic Observation) {
-	due := p.FirstSeen.Add(p.Order.Span)
+	due := p.FirstSeen.Add(p.Order.Duration)
 	if now.Before(due.Add(-p.lead())) {
 		return
 	}
@@ -177,7 +177,7 @@
 		}
 	case pic.OldServers == 0 || p.state.Reached < fewRequests || float64(answered) >= p.enough():
 		p.completing, p.why = true, "as good as the old version"
-	case now.After(p.FirstSeen.Add(patience * p.Order.Span)):
+	case now.After(p.FirstSeen.Add(patience * p.Order.Duration)):
 		p.revert("too few answers to judge it by")
 	}
 }
