--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -266,7 +266,7 @@
 func newRollouts(p *parts) *rollouts {
 	b := p.settings.Bounds
 	r := &rollouts{
-		policy: rollout.Policy{Share: b.TrialShare, Slack: b.TrialSlack, Stop: b.TrialStop},
+		policy: rollout.Policy{Share: b.TrialShare, Slack: b.TrialSlack, StopTimeout: b.TrialStop},
 		clock:  p.clock, self: p.self(), register: p.register,
 		told:     func() time.Duration { return p.countsPace() + dutyEvery },
 		write:    p.store.WriteRollout,
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -25,7 +25,7 @@
 
 var (
 	begin  = time.Unix(1000, 0)
-	policy = Policy{Share: 0.1, Slack: 50, Stop: 5 * time.Second}
+	policy = Policy{Share: 0.1, Slack: 50, StopTimeout: 5 * time.Second}
 )
 
 // flaw is what is wrong with a version: the part of its answers that fail or are slow, from
@@ -154,7 +154,7 @@
 		w.exposed += tried
 	}
 
-	if n := 50; tried > 0 && len(w.bad) >= n && w.now.Sub(w.bad[n-1]) > policy.Stop {
+	if n := 50; tried > 0 && len(w.bad) >= n && w.now.Sub(w.bad[n-1]) > policy.StopTimeout {
 		w.late += tried
 	}
 }
@@ -318,7 +318,7 @@
 
 			if w.late > 0 {
 				t.Fatalf("%v after the order: got %d requests later than %v after the fiftieth bad answer, want none",
-					w.now.Sub(begin), w.late, policy.Stop)
+					w.now.Sub(begin), w.late, policy.StopTimeout)
 			}
 		}
 	})
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -48,8 +48,8 @@
 	// deadline, and how many more, that a bad version may get over all instances.
 	Share float64
 	Slack float64
-	// Stop is the time after which nobody may send to a version that has shown itself bad.
-	Stop time.Duration
+	// StopTimeout is the time after which nobody may send to a version that has shown itself bad.
+	StopTimeout time.Duration
 }
 
 // grantShare is the part of the time to stop for which a decision to send to the new version
@@ -57,4 +57,4 @@
 const grantShare = 0.5
 
 // GrantTTL is how long a decision to send to the new version counts after it was made.
-func (p Policy) GrantTTL() time.Duration { return time.Duration(grantShare * float64(p.Stop)) }
+func (p Policy) GrantTTL() time.Duration { return time.Duration(grantShare * float64(p.StopTimeout)) }
