--- a/forward/trial.go
+++ b/forward/trial.go
@@ -33,7 +33,7 @@
 	}
 
 	if j.tried {
-		return j.forwarder.Versions.Further(j.service)
+		return j.forwarder.Versions.ChooseRetry(j.service)
 	}
 
 	return j.forwarder.Versions.Choose(j.forwarder.Clock.Now(), j.service)
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -157,9 +157,9 @@
 	return rand.Float64()
 }
 
-// Further returns which versions a further send of a request may go to: a request that was
+// ChooseRetry returns which versions a further send of a request may go to: a request that was
 // tried once is not tried at the new version again.
-func (g *Gate) Further(service fleet.Service) Choice {
+func (g *Gate) ChooseRetry(service fleet.Service) Choice {
 	k, ok := g.of(service)
 	if !ok {
 		return Choice{}
