--- a/forward/trial.go
+++ b/forward/trial.go
@@ -61,7 +61,7 @@
 	}
 
 	if j.trial.isNew {
-		f.Trials.Sent(j.service, place, j.route.Name, true)
+		f.Trials.CountSent(j.service, place, j.route.Name, true)
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 
 	if !t.isNew && !errors.Is(err, backend.ErrNotSent) {
-		t.counter.Sent(t.service, t.place, t.route, false)
+		t.counter.CountSent(t.service, t.place, t.route, false)
 	}
 
 	if result == scheduling.Served || result == scheduling.Failed {
--- a/rollout/count.go
+++ b/rollout/count.go
@@ -120,8 +120,8 @@
 	old, new Answers
 }
 
-// Sent counts a request that is sent.
-func (c *Counter) Sent(service fleet.Service, place uint64, route string, tried bool) {
+// CountSent counts a request that is sent.
+func (c *Counter) CountSent(service fleet.Service, place uint64, route string, tried bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at(service, place, route).answers(tried).Sent++
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -141,7 +141,7 @@
 			tried++
 		}
 
-		w.counters[i].Sent(service, w.order.Place, route, isNew)
+		w.counters[i].CountSent(service, w.order.Place, route, isNew)
 		w.serve(i, route, isNew)
 	}
 
