--- a/forward/trial.go
+++ b/forward/trial.go
@@ -86,7 +86,7 @@
 	}
 
 	if result == scheduling.Served || result == scheduling.Failed {
-		t.counter.Ended(t.service, t.place, t.route, t.isNew, result == scheduling.Failed, t.took(now))
+		t.counter.CountAnswer(t.service, t.place, t.route, t.isNew, result == scheduling.Failed, t.took(now))
 	}
 }
 
--- a/rollout/count.go
+++ b/rollout/count.go
@@ -127,10 +127,10 @@
 	c.at(service, place, route).answers(tried).Sent++
 }
 
-// Ended counts an answer. took is what is held against others of the route: the time of a
+// CountAnswer counts an answer. took is what is held against others of the route: the time of a
 // whole answer, or the mean time between events, which does not depend on what a server's
 // cache holds; zero is not known.
-func (c *Counter) Ended(service fleet.Service, place uint64, route string, tried, failed bool, took time.Duration) {
+func (c *Counter) CountAnswer(service fleet.Service, place uint64, route string, tried, failed bool, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -197,7 +197,7 @@
 			continue
 		}
 
-		w.counters[one.instance].Ended(service, w.order.Place, one.route, one.tried, one.failed, one.took)
+		w.counters[one.instance].CountAnswer(service, w.order.Place, one.route, one.tried, one.failed, one.took)
 
 		if one.bad {
 			w.bad = append(w.bad, one.at)
