--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -50,9 +50,9 @@
 	Service fleet.Service
 	// MinPerDomain and MaxPerDomain bound the servers of a failure domain, both kinds together.
 	MinPerDomain, MaxPerDomain int
-	// Boot is the time from an order to the first request.
-	Boot    time.Duration
-	Domains []DomainState
+	// BootTime is the time from an order to the first request.
+	BootTime time.Duration
+	Domains  []DomainState
 	// ArrivalRate is the work that arrives in a second, and Speed what an idle server
 	// does in a second. Zero is not known.
 	ArrivalRate float64
@@ -167,7 +167,7 @@
 		return orders
 	}
 
-	if known && last.servers == wanted && (wanted == present || now.Sub(last.at) < s.Boot+settle) {
+	if known && last.servers == wanted && (wanted == present || now.Sub(last.at) < s.BootTime+settle) {
 		return orders
 	}
 
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -54,7 +54,7 @@
 }
 
 func (m *market) state(now time.Time, arriving float64) ServiceState {
-	s := ServiceState{Service: service, MinPerDomain: 1, MaxPerDomain: 6, Boot: m.boot, ArrivalRate: arriving, Speed: 50_000}
+	s := ServiceState{Service: service, MinPerDomain: 1, MaxPerDomain: 6, BootTime: m.boot, ArrivalRate: arriving, Speed: 50_000}
 
 	for i, d := range domains {
 		s.Domains = append(s.Domains, DomainState{
--- a/capacity/shares.go
+++ b/capacity/shares.go
@@ -125,7 +125,7 @@
 // coming returns the servers of a place that were ordered and may still start.
 func (p *Planner) coming(now time.Time, s ServiceState, place DomainState, reclaimable bool) int {
 	last := p.ordered[key{s.Service, place.Domain, reclaimable}]
-	if now.Sub(last.at) < s.Boot+settle {
+	if now.Sub(last.at) < s.BootTime+settle {
 		return max(last.servers, 0)
 	}
 
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -75,7 +75,7 @@
 // stateOf gathers what is known of a service.
 func (d *duties) stateOf(service *ruleset.Service) capacity.ServiceState {
 	s := capacity.ServiceState{
-		Service: service.Name, MinPerDomain: service.Scaling.Min, MaxPerDomain: service.Scaling.Max, Boot: service.Scaling.Boot,
+		Service: service.Name, MinPerDomain: service.Scaling.Min, MaxPerDomain: service.Scaling.Max, BootTime: service.Scaling.Boot,
 	}
 	places := make(map[fleet.FailureDomain]*capacity.DomainState)
 
