--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -56,7 +56,7 @@
 	// ArrivalRate is the work that arrives in a second, and Speed what an idle server
 	// does in a second. Zero is not known.
 	ArrivalRate float64
-	Speed       float64
+	ServerRate  float64
 	// Occupancy is the part of the servers' places that is in use or waited for, as most of
 	// them said of late, if TakenKnown.
 	Occupancy      float64
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -54,7 +54,7 @@
 }
 
 func (m *market) state(now time.Time, arriving float64) ServiceState {
-	s := ServiceState{Service: service, MinPerDomain: 1, MaxPerDomain: 6, BootTime: m.boot, ArrivalRate: arriving, Speed: 50_000}
+	s := ServiceState{Service: service, MinPerDomain: 1, MaxPerDomain: 6, BootTime: m.boot, ArrivalRate: arriving, ServerRate: 50_000}
 
 	for i, d := range domains {
 		s.Domains = append(s.Domains, DomainState{
@@ -201,7 +201,7 @@
 func TestNothingIsOrderedBeforeServersAreKnown(t *testing.T) {
 	m := &market{servers: make(map[key][]time.Time)}
 	s := m.state(begin, 0)
-	s.Speed = 0
+	s.ServerRate = 0
 
 	if got := (&Planner{}).Plan(begin, s); len(got) != 0 {
 		t.Errorf("without servers: got %v, want no orders", got)
@@ -290,7 +290,7 @@
 	before := 0
 
 	for _, n := range []int{1, 2, 4, 5, 6, 12} {
-		s := ServiceState{Service: service, MinPerDomain: 1, MaxPerDomain: 26, ArrivalRate: arriving, Speed: 50_000}
+		s := ServiceState{Service: service, MinPerDomain: 1, MaxPerDomain: 26, ArrivalRate: arriving, ServerRate: 50_000}
 		for i := range n {
 			s.Domains = append(s.Domains, DomainState{Domain: fleet.FailureDomain(fmt.Sprint("domain-", i)), Price: 1})
 		}
--- a/capacity/contradiction.go
+++ b/capacity/contradiction.go
@@ -12,7 +12,7 @@
 // their places in no time, and most of these are free. What was told of the load, or
 // measured of the servers' speed, is wrong then.
 func (s ServiceState) Contradicted() bool {
-	load := s.Speed * float64(s.servers())
+	load := s.ServerRate * float64(s.servers())
 
 	return s.OccupancyKnown && load > 0 && s.ArrivalRate > impossibleLoad*load && s.Occupancy < idleShare
 }
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -17,7 +17,7 @@
 		reclaimable += place.Reclaimable
 	}
 
-	if lasting+reclaimable == 0 && s.Speed == 0 {
+	if lasting+reclaimable == 0 && s.ServerRate == 0 {
 		// The servers that are there at the start have not registered yet.
 		return 0
 	}
@@ -25,8 +25,8 @@
 	n := len(s.Domains) * max(s.MinPerDomain, 1)
 
 	switch {
-	case s.Speed > 0 && s.ArrivalRate > 0:
-		n = max(n, int(math.Ceil(s.ArrivalRate/(s.Speed*target(len(s.Domains))))))
+	case s.ServerRate > 0 && s.ArrivalRate > 0:
+		n = max(n, int(math.Ceil(s.ArrivalRate/(s.ServerRate*target(len(s.Domains))))))
 	default:
 		// Nothing is known of the load yet: what is there was meant for it. One kind
 		// takes the place of the other, so that their sum is no measure.
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -69,7 +69,7 @@
 
 	d.said[s.Service] = said
 	klog.InfoS("servers wanted", "service", s.Service, "servers", wanted, "ofLate", ofLate,
-		"arriving", int(s.ArrivalRate), "speed", int(s.Speed), "taken", s.Occupancy, "contradicted", said.contradicted)
+		"arriving", int(s.ArrivalRate), "speed", int(s.ServerRate), "taken", s.Occupancy, "contradicted", said.contradicted)
 }
 
 // stateOf gathers what is known of a service.
@@ -105,11 +105,11 @@
 	s.Occupancy, s.OccupancyKnown = d.taken(d.clock.Now(), service.Name)
 	work := workOf(d.live(d.clock.Now()), service.Name)
 	before := workOf(d.recorded, service.Name)
-	s.ArrivalRate, s.Speed = work.Arriving, work.Speed
+	s.ArrivalRate, s.ServerRate = work.Arriving, work.Speed
 
-	if s.Speed == 0 {
+	if s.ServerRate == 0 {
 		// After a start of all, nobody has measured yet.
-		s.ArrivalRate, s.Speed = max(work.Arriving, before.Arriving), before.Speed
+		s.ArrivalRate, s.ServerRate = max(work.Arriving, before.Arriving), before.Speed
 	}
 
 	return s
