--- a/directory/keeper_test.go
+++ b/directory/planner_test.go
@@ -77,7 +77,7 @@
 func settle(t *testing.T, current *Directory, members []topology.Member) (*Directory, int) {
 	t.Helper()
 
-	var keeper Keeper
+	var keeper Planner
 
 	changes := 0
 
@@ -86,7 +86,7 @@
 
 		for _, r := range reportsOf(current.Relays, members) {
 			r.Candidates = topology.Rank(r.Candidates)
-			keeper.Report(now, r)
+			keeper.AddReport(now, r)
 		}
 
 		if next, changed := keeper.Next(now, current); changed {
@@ -108,9 +108,9 @@
 			sizes[m.Domain]++
 		}
 
-		var keeper Keeper
+		var keeper Planner
 
-		keeper.Report(begin, Report{Relay: first, Sizes: sizes, Candidates: members[1:]})
+		keeper.AddReport(begin, Report{Relay: first, Sizes: sizes, Candidates: members[1:]})
 
 		got, changed := keeper.Next(begin, &Directory{Relays: []topology.Member{first}, Count: 1, Forming: true})
 		if !changed || got.Forming || got.Count != n {
@@ -126,7 +126,7 @@
 				}
 			}
 
-			if want := topology.RelaysWanted(size, len(sizes)); relays != min(want, size) {
+			if want := topology.TargetRelays(size, len(sizes)); relays != min(want, size) {
 				t.Errorf("%d instances, %s: got %d relays, want %d", n, domain, relays, want)
 			}
 		}
@@ -138,12 +138,12 @@
 }
 
 func TestFewInstancesNeedNoRelays(t *testing.T) {
-	var keeper Keeper
+	var keeper Planner
 
-	keeper.Report(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
+	keeper.AddReport(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
 
 	got, changed := keeper.Next(begin, &Directory{Count: 1, Forming: true})
-	if !changed || !got.Few() || len(got.Relays) != 0 {
+	if !changed || !got.FullMesh() || len(got.Relays) != 0 {
 		t.Errorf("got %+v, changed %t, want few without relays", got, changed)
 	}
 }
@@ -155,7 +155,7 @@
 	small, _ := settle(t, &Directory{Relays: topology.RelaysOf(topology.Rank(few)), Count: len(few)}, few)
 
 	large, changes := settle(t, small, members)
-	if got, want := len(large.Relays), 6*topology.RelaysWanted(986/6, 6); got < want || large.Count != len(members) {
+	if got, want := len(large.Relays), 6*topology.TargetRelays(986/6, 6); got < want || large.Count != len(members) {
 		t.Errorf("after growth: got %d relays of %d instances, want %d of %d", got, large.Count, want, len(members))
 	}
 
@@ -171,14 +171,14 @@
 	lost := current.Relays[0]
 	left := slices.DeleteFunc(slices.Clone(members), func(m topology.Member) bool { return m == lost })
 
-	var keeper Keeper
+	var keeper Planner
 
 	for round := range 20 {
 		now := begin.Add(time.Duration(round) * time.Second)
 
 		others := slices.DeleteFunc(slices.Clone(current.Relays), func(m topology.Member) bool { return m == lost })
 		for _, r := range reportsOf(others, left) {
-			keeper.Report(now, r)
+			keeper.AddReport(now, r)
 		}
 
 		next, changed := keeper.Next(now, current)
@@ -186,12 +186,12 @@
 			current = next
 		}
 
-		if now.Sub(begin) < silentAfter && !current.Has(lost.ID) {
+		if now.Sub(begin) < silentAfter && !current.HasRelay(lost.ID) {
 			t.Fatalf("after %v: got the relay replaced, want it kept for %v", now.Sub(begin), silentAfter)
 		}
 	}
 
-	if current.Has(lost.ID) {
+	if current.HasRelay(lost.ID) {
 		t.Error("a silent relay: got it kept, want it replaced")
 	}
 }
@@ -201,7 +201,7 @@
 	members := fleetOf(986, 6)
 	current, _ := settle(t, &Directory{Relays: topology.RelaysOf(topology.Rank(members)), Count: len(members)}, members)
 
-	var keeper Keeper
+	var keeper Planner
 
 	for _, after := range []time.Duration{0, time.Second, silentAfter - time.Millisecond} {
 		if next, changed := keeper.Next(begin.Add(after), current); changed {
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -25,7 +25,7 @@
 
 // relayReport is what this relay says of the instances that turned to it.
 func (p *parts) relayReport(now time.Time) directory.Report {
-	sizes, subscribers := p.links.Size(now)
+	sizes, subscribers := p.links.GroupSizes(now)
 	ranked := topology.Rank(subscribers)
 
 	return directory.Report{Relay: p.links.Self, Sizes: sizes, Candidates: ranked[:min(maxCandidates, len(ranked))]}
@@ -44,7 +44,7 @@
 		clock.Sleep(ctx, p.clock, reportEvery)
 
 		plan := p.plan.Load()
-		if plan.Few || !plan.Relay || p.stopping.Load() {
+		if plan.FullMesh || !plan.Relay || p.stopping.Load() {
 			continue
 		}
 
@@ -58,7 +58,7 @@
 
 // receiveReport takes a relay's report in.
 func (p *parts) receiveReport(now time.Time, m *reportMessage) {
-	p.keeper.Report(now, directory.Report{
+	p.keeper.AddReport(now, directory.Report{
 		Relay: m.Relay.Member(), Sizes: m.Sizes, Candidates: directory.TopologyMembers(m.Candidates),
 	})
 }
@@ -85,7 +85,7 @@
 	}
 
 	m := redirect{Count: view.Count}
-	preferred := topology.PreferredBy(topology.Member{ID: w.Instance, Domain: w.Domain}, view.Relays)
+	preferred := topology.PreferredRelays(topology.Member{ID: w.Instance, Domain: w.Domain}, view.Relays)
 
 	if parts := packInto(directory.MembersOf(preferred), redirectBytes, memberSize); len(parts) > 0 {
 		m.Relays = parts[0]
@@ -107,14 +107,14 @@
 	}
 
 	next := &directory.Directory{Count: m.Count, Relays: directory.TopologyMembers(m.Relays)}
-	if next.Has(p.self()) {
+	if next.HasRelay(p.self()) {
 		p.relaying.Store(true)
 		p.directoryFeed.Wake()
 
 		return
 	}
 
-	if next.Few() || len(next.Relays) > 0 {
+	if next.FullMesh() || len(next.Relays) > 0 {
 		p.useDirectory(newDirectoryView(next, now, view.end))
 	}
 }
--- a/gossip/questions_test.go
+++ b/gossip/requests_test.go
@@ -11,13 +11,13 @@
 
 func TestAQuestionGetsItsReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q Questions[string]
+		var q Requests[string]
 
-		got, ok := q.Ask(t.Context(), clock.System{}, "entry-2", func(number uint64) {
+		got, ok := q.Do(t.Context(), clock.System{}, "entry-2", func(number uint64) {
 			go func() {
-				q.Replied(number+1, "another")
-				q.Replied(number, "yes")
-				q.Replied(number, "again")
+				q.Reply(number+1, "another")
+				q.Reply(number, "yes")
+				q.Reply(number, "again")
 			}()
 		})
 		if !ok || got != "yes" {
@@ -29,21 +29,21 @@
 // One that does not reply is waited for once, and then not asked for a while.
 func TestOneThatDoesNotReplyIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q Questions[string]
+		var q Requests[string]
 
 		asked := 0
 		ask := func() time.Duration {
 			began := time.Now()
 
-			if got, ok := q.Ask(t.Context(), clock.System{}, "entry-2", func(uint64) { asked++ }); ok {
+			if got, ok := q.Do(t.Context(), clock.System{}, "entry-2", func(uint64) { asked++ }); ok {
 				t.Errorf("got %q, want no reply", got)
 			}
 
 			return time.Since(began)
 		}
 
-		if got := ask(); got != ReplyPatience {
-			t.Errorf("first wait: got %v, want %v", got, ReplyPatience)
+		if got := ask(); got != ReplyTimeout {
+			t.Errorf("first wait: got %v, want %v", got, ReplyTimeout)
 		}
 
 		if got := ask(); got != 0 || asked != 1 {
@@ -62,14 +62,14 @@
 // A caller that leaves says nothing of the instance that was asked.
 func TestACallerThatLeavesSilencesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q Questions[string]
+		var q Requests[string]
 
 		gone, leave := context.WithCancel(t.Context())
 		leave()
-		q.Ask(gone, clock.System{}, "entry-2", func(uint64) {})
+		q.Do(gone, clock.System{}, "entry-2", func(uint64) {})
 
 		asked := false
-		q.Ask(t.Context(), clock.System{}, "entry-2", func(uint64) { asked = true })
+		q.Do(t.Context(), clock.System{}, "entry-2", func(uint64) { asked = true })
 
 		if !asked {
 			t.Error("after a caller that left: got no question, want one")
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -111,7 +111,7 @@
 
 // RecordLoss takes in that a server ended under a request. The caller has made sure that the
 // server has ended and had not said that it would.
-func (l *Ledger) RecordLoss(now time.Time, f Fingerprint, s register.Start, e Evidence) {
+func (l *Ledger) RecordLoss(now time.Time, f Fingerprint, s register.Process, e Evidence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -50,7 +50,7 @@
 	// nothing, since others take its place. Nil is always.
 	Current func() bool
 
-	questions gossip.Questions[bool]
+	questions gossip.Requests[bool]
 
 	mu      sync.Mutex
 	refused map[loanKey]refusedAsk
@@ -110,7 +110,7 @@
 }
 
 // Answered takes an answer in. One that comes too late is dropped.
-func (l *Loans) Answered(r Reply) { l.questions.Replied(r.Number, r.Granted) }
+func (l *Loans) Answered(r Reply) { l.questions.Reply(r.Number, r.Granted) }
 
 func (l *Loans) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
 	if holder == l.Self {
@@ -122,7 +122,7 @@
 		return false
 	}
 
-	granted, answered := l.questions.Ask(ctx, l.Clock, holder, func(number uint64) {
+	granted, answered := l.questions.Do(ctx, l.Clock, holder, func(number uint64) {
 		l.Send(holder, Ask{From: l.Self, Number: number, Account: name, Cost: cost})
 	})
 	if answered {
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -96,8 +96,8 @@
 	OnLimit func(LimitChange)
 	// OnLeaving is called once where a server first answers that it leaves, and OnBackoff
 	// where one asks for no requests for some time; both may be nil.
-	OnLeaving func(register.Start)
-	OnBackoff func(server register.Start, backoff time.Duration)
+	OnLeaving func(register.Process)
+	OnBackoff func(server register.Process, backoff time.Duration)
 	// Return says how requests return to a server that asked for backoff.
 	Return ReturnPolicy
 	// Counters may be nil.
@@ -132,10 +132,10 @@
 		one := s.servers[entry.ID]
 		if known := one != nil; !known || !one.stays(entry) {
 			if known {
-				s.departed.add(one.entry().Start(), one.announcements)
+				s.departed.add(one.entry().Process(), one.announcements)
 			}
 
-			one = newServer(entry, s.departed.take(entry.Start()))
+			one = newServer(entry, s.departed.take(entry.Process()))
 			one.again = known
 		}
 
@@ -160,7 +160,7 @@
 		one.gone.Store(true)
 
 		if known[id] == nil {
-			s.departed.add(one.entry().Start(), one.announcements)
+			s.departed.add(one.entry().Process(), one.announcements)
 		}
 	}
 
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -53,7 +53,7 @@
 		peers := node.plan.Peers()
 		for _, peer := range peers {
 			m.send(node, peer.ID, func(to *modelNode) {
-				m.ledgers[m.index[to.member.ID]].Merge(m.now, news, to.plan.Relay && !to.plan.Few)
+				m.ledgers[m.index[to.member.ID]].Merge(m.now, news, to.plan.Relay && !to.plan.FullMesh)
 			})
 		}
 
@@ -67,7 +67,7 @@
 		return
 	}
 
-	server := register.Start{ID: fleet.InstanceID(fmt.Sprint("i-", len(m.ended)))}
+	server := register.Process{ID: fleet.InstanceID(fmt.Sprint("i-", len(m.ended)))}
 	m.ended = append(m.ended, m.now)
 	m.ledgers[i].RecordLoss(m.now, harmful, server, quarantine.Strong)
 }
