--- a/scheduling/play_test.go
+++ b/scheduling/play_test.go
@@ -234,7 +234,7 @@
 	own := int(2000 * math.Exp(1.1*random.NormFloat64()))
 	shared := 4000 + 300*conversation
 
-	return Prompt{Tokens: shared + own, Parts: []Part{
+	return Prompt{Tokens: shared + own, Parts: []Segment{
 		{ID: fmt.Sprint("shared-", conversation), Tokens: shared}, {ID: fmt.Sprint("own-", number), Tokens: own},
 	}}
 }
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -39,8 +39,8 @@
 // ErrNoServer means that no server can take the request now.
 var ErrNoServer = merry.Sentinel("no backend server for the request")
 
-// Part is a piece of a prompt that other requests may share.
-type Part struct {
+// Segment is a piece of a prompt that other requests may share.
+type Segment struct {
 	ID     string
 	Tokens int
 }
@@ -50,7 +50,7 @@
 	// Tokens is the length of the prompt, Output the most that is generated.
 	Tokens int
 	Output int
-	Parts  []Part
+	Parts  []Segment
 }
 
 // Request says what a server is wanted for.
