--- a/scheduling/ended_test.go
+++ b/scheduling/ended_test.go
@@ -30,7 +30,7 @@
 	now := time.Unix(1000, 0)
 
 	for try := range 50 {
-		r := Request{Service: "llm", Prompt: Prompt{Tokens: 10, Parts: []Segment{{ID: fmt.Sprint("p", try), Tokens: 10}}}}
+		r := Request{Service: "llm", Prompt: Prompt{Tokens: 10, Segments: []Segment{{ID: fmt.Sprint("p", try), Tokens: 10}}}}
 
 		for i := range servers {
 			if i != try {
--- a/scheduling/home.go
+++ b/scheduling/home.go
@@ -7,7 +7,7 @@
 func (p Prompt) shared() int {
 	sum := 0
 
-	for _, part := range p.Parts[:max(len(p.Parts)-1, 0)] {
+	for _, part := range p.Segments[:max(len(p.Segments)-1, 0)] {
 		sum += part.Tokens
 	}
 
@@ -16,17 +16,17 @@
 
 // own returns the tokens of the last part, which belongs to the request itself.
 func (p Prompt) own() int {
-	if len(p.Parts) == 0 {
+	if len(p.Segments) == 0 {
 		return p.Tokens
 	}
 
-	return p.Parts[len(p.Parts)-1].Tokens
+	return p.Segments[len(p.Segments)-1].Tokens
 }
 
 // keys returns the keys of all parts.
 func (p Prompt) keys() []Key {
-	keys := make([]Key, len(p.Parts))
-	for i, part := range p.Parts {
+	keys := make([]Key, len(p.Segments))
+	for i, part := range p.Segments {
 		keys[i] = keyOf(part.ID)
 	}
 
@@ -49,13 +49,13 @@
 
 // affinity names what requests with the same home have in common.
 func (p Prompt) affinity() string {
-	switch n := len(p.Parts); n {
+	switch n := len(p.Segments); n {
 	case 0:
 		return ""
 	case 1:
-		return p.Parts[0].ID
+		return p.Segments[0].ID
 	default:
-		return p.Parts[n-2].ID
+		return p.Segments[n-2].ID
 	}
 }
 
--- a/scheduling/play_test.go
+++ b/scheduling/play_test.go
@@ -73,11 +73,11 @@
 func (e *engine) read(now time.Time, p Prompt) (time.Time, int) {
 	shared, unread := 0, 0
 
-	for i, part := range p.Parts {
-		if i == len(p.Parts)-1 || !e.held[part.ID] {
+	for i, part := range p.Segments {
+		if i == len(p.Segments)-1 || !e.held[part.ID] {
 			unread += part.Tokens
 
-			if i < len(p.Parts)-1 {
+			if i < len(p.Segments)-1 {
 				shared += part.Tokens
 			}
 		}
@@ -234,7 +234,7 @@
 	own := int(2000 * math.Exp(1.1*random.NormFloat64()))
 	shared := 4000 + 300*conversation
 
-	return Prompt{Tokens: shared + own, Parts: []Segment{
+	return Prompt{Tokens: shared + own, Segments: []Segment{
 		{ID: fmt.Sprint("shared-", conversation), Tokens: shared}, {ID: fmt.Sprint("own-", number), Tokens: own},
 	}}
 }
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -50,7 +50,7 @@
 	// Tokens is the length of the prompt, Output the most that is generated.
 	Tokens int
 	Output int
-	Parts  []Segment
+	Segments  []Segment
 }
 
 // Request says what a server is wanted for.
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -29,7 +29,7 @@
 }
 
 func prompt(session string) Request {
-	return Request{Service: "llm", Prompt: Prompt{Tokens: 12_000, Parts: []Segment{
+	return Request{Service: "llm", Prompt: Prompt{Tokens: 12_000, Segments: []Segment{
 		{ID: "system", Tokens: 512}, {ID: session, Tokens: 4870}, {ID: session + "-own", Tokens: 6618},
 	}}}
 }
@@ -177,7 +177,7 @@
 	// Each prompt has 9,000 shared tokens that the server holds for another instance,
 	// and 3,000 of its own, read in 100 ms.
 	for i := range 2 * speedSamples {
-		prompt := Prompt{Tokens: 12_000, Parts: []Segment{
+		prompt := Prompt{Tokens: 12_000, Segments: []Segment{
 			{ID: fmt.Sprintf("shared-%d", i), Tokens: 9_000}, {ID: fmt.Sprintf("own-%d", i), Tokens: 3_000},
 		}}
 
--- a/scheduling/server.go
+++ b/scheduling/server.go
@@ -194,7 +194,7 @@
 			break
 		}
 
-		held += p.Parts[i].Tokens
+		held += p.Segments[i].Tokens
 	}
 
 	return held
--- a/scheduling/starts_test.go
+++ b/scheduling/starts_test.go
@@ -18,7 +18,7 @@
 	s := &Scheduler{Domain: "a"}
 	s.Update([]register.Server{startOf(500)})
 
-	r := Request{Service: "llm", Prompt: Prompt{Tokens: 900, Parts: []Segment{{ID: "p", Tokens: 600}, {ID: "q", Tokens: 300}}}}
+	r := Request{Service: "llm", Prompt: Prompt{Tokens: 900, Segments: []Segment{{ID: "p", Tokens: 600}, {ID: "q", Tokens: 300}}}}
 	first := pick(t, s, r)
 	first.Start(now)
 	first.Answering(now)
@@ -57,7 +57,7 @@
 	s := &Scheduler{Domain: "a"}
 	s.Update([]register.Server{startOf(500)})
 
-	a := pick(t, s, Request{Service: "llm", Prompt: Prompt{Tokens: 100, Parts: []Segment{{ID: "p", Tokens: 60}, {ID: "q", Tokens: 40}}}})
+	a := pick(t, s, Request{Service: "llm", Prompt: Prompt{Tokens: 100, Segments: []Segment{{ID: "p", Tokens: 60}, {ID: "q", Tokens: 40}}}})
 	a.Start(now)
 	a.Answering(now)
 
