--- a/forward/job.go
+++ b/forward/job.go
@@ -110,7 +110,7 @@
 		return 1
 	}
 
-	if tokens := j.request.Prompt.Tokens + j.request.Prompt.Output; tokens > 0 {
+	if tokens := j.request.Prompt.Tokens + j.request.Prompt.MaxOutputTokens; tokens > 0 {
 		return float64(tokens)
 	}
 
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -49,7 +49,7 @@
 type Prompt struct {
 	// Tokens is the length of the prompt, Output the most that is generated.
 	Tokens int
-	Output int
+	MaxOutputTokens int
 	Segments  []Segment
 }
 
