--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -58,10 +58,10 @@
 	Service  fleet.Service
 	Prompt   Prompt
 	Excluded []fleet.InstanceID
-	// Only is the version of servers that may take it, if it is one of the share that tries
+	// OnlyVersion is the version of servers that may take it, if it is one of the share that tries
 	// a new one, and Part the part of these servers that take that share. Avoid are
 	// versions that may not.
-	Only  fleet.Version
+	OnlyVersion  fleet.Version
 	Part  float64
 	Avoid []fleet.Version
 	// Due is when the first event should come; zero is not known, and nothing is held.
--- a/scheduling/versions.go
+++ b/scheduling/versions.go
@@ -10,7 +10,7 @@
 // that is tried with a part of the requests, such a part of the servers takes them: each
 // then carries what it would if all were sent there.
 func (r *Request) versions(pool []*server) []*server {
-	if r.Only == "" && len(r.Avoid) == 0 {
+	if r.OnlyVersion == "" && len(r.Avoid) == 0 {
 		return pool
 	}
 
@@ -18,14 +18,14 @@
 
 	for _, one := range pool {
 		version := one.entry().Version
-		if r.Only != "" && version != r.Only || slices.Contains(r.Avoid, version) {
+		if r.OnlyVersion != "" && version != r.OnlyVersion || slices.Contains(r.Avoid, version) {
 			continue
 		}
 
 		fit = append(fit, one)
 	}
 
-	if r.Only == "" || r.Part >= 1 || len(fit) == 0 {
+	if r.OnlyVersion == "" || r.Part >= 1 || len(fit) == 0 {
 		return fit
 	}
 
