--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -62,7 +62,7 @@
 	// a new one, and Part the part of these servers that take that share. Avoid are
 	// versions that may not.
 	OnlyVersion  fleet.Version
-	Part  float64
+	VersionFraction  float64
 	Avoid []fleet.Version
 	// Due is when the first event should come; zero is not known, and nothing is held.
 	Due time.Time
--- a/scheduling/versions.go
+++ b/scheduling/versions.go
@@ -25,11 +25,11 @@
 		fit = append(fit, one)
 	}
 
-	if r.OnlyVersion == "" || r.Part >= 1 || len(fit) == 0 {
+	if r.OnlyVersion == "" || r.VersionFraction >= 1 || len(fit) == 0 {
 		return fit
 	}
 
 	slices.SortFunc(fit, func(a, b *server) int { return cmp.Compare(a.hash, b.hash) })
 
-	return fit[:min(max(int(math.Ceil(r.Part*float64(len(fit)))), 1), len(fit))]
+	return fit[:min(max(int(math.Ceil(r.VersionFraction*float64(len(fit)))), 1), len(fit))]
 }
--- a/scheduling/versions_test.go
+++ b/scheduling/versions_test.go
@@ -34,9 +34,9 @@
 		most    int
 	}{
 		"all but the new one":          {request: Request{Avoid: []fleet.Version{"v2"}}, want: "v1", most: each},
-		"a tenth at the new one":       {request: Request{OnlyVersion: "v2", Part: 0.1}, want: "v2", most: each / 10},
-		"hardly any at the new one":    {request: Request{OnlyVersion: "v2", Part: 0.001}, want: "v2", most: 1},
-		"all at the new one, in trial": {request: Request{OnlyVersion: "v2", Part: 1}, want: "v2", most: each},
+		"a tenth at the new one":       {request: Request{OnlyVersion: "v2", VersionFraction: 0.1}, want: "v2", most: each / 10},
+		"hardly any at the new one":    {request: Request{OnlyVersion: "v2", VersionFraction: 0.001}, want: "v2", most: 1},
+		"all at the new one, in trial": {request: Request{OnlyVersion: "v2", VersionFraction: 1}, want: "v2", most: each},
 	} {
 		tt.request.Service = "llm"
 		used := make(map[fleet.InstanceID]bool)
