--- a/forward/job.go
+++ b/forward/job.go
@@ -267,7 +267,7 @@
 	choice := j.choose()
 	r := scheduling.Request{
 		Service: j.service, Prompt: j.request.Prompt, Excluded: j.excluded,
-		OnlyVersion: choice.Only, VersionFraction: choice.Part, Avoid: choice.Avoid, Final: j.sent+1 >= j.route.Attempts(),
+		OnlyVersion: choice.Only, VersionFraction: choice.Part, AvoidVersions: choice.Avoid, Final: j.sent+1 >= j.route.Attempts(),
 	}
 
 	if j.route.Objective > 0 && !j.stream.begun {
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -63,7 +63,7 @@
 	// versions that may not.
 	OnlyVersion  fleet.Version
 	VersionFraction  float64
-	Avoid []fleet.Version
+	AvoidVersions []fleet.Version
 	// Due is when the first event should come; zero is not known, and nothing is held.
 	Due time.Time
 	// HoldUntil is until when a prompt that can't begin by Due may be held back, and
--- a/scheduling/versions.go
+++ b/scheduling/versions.go
@@ -10,7 +10,7 @@
 // that is tried with a part of the requests, such a part of the servers takes them: each
 // then carries what it would if all were sent there.
 func (r *Request) versions(pool []*server) []*server {
-	if r.OnlyVersion == "" && len(r.Avoid) == 0 {
+	if r.OnlyVersion == "" && len(r.AvoidVersions) == 0 {
 		return pool
 	}
 
@@ -18,7 +18,7 @@
 
 	for _, one := range pool {
 		version := one.entry().Version
-		if r.OnlyVersion != "" && version != r.OnlyVersion || slices.Contains(r.Avoid, version) {
+		if r.OnlyVersion != "" && version != r.OnlyVersion || slices.Contains(r.AvoidVersions, version) {
 			continue
 		}
 
--- a/scheduling/versions_test.go
+++ b/scheduling/versions_test.go
@@ -33,7 +33,7 @@
 		want    fleet.Version
 		most    int
 	}{
-		"all but the new one":          {request: Request{Avoid: []fleet.Version{"v2"}}, want: "v1", most: each},
+		"all but the new one":          {request: Request{AvoidVersions: []fleet.Version{"v2"}}, want: "v1", most: each},
 		"a tenth at the new one":       {request: Request{OnlyVersion: "v2", VersionFraction: 0.1}, want: "v2", most: each / 10},
 		"hardly any at the new one":    {request: Request{OnlyVersion: "v2", VersionFraction: 0.001}, want: "v2", most: 1},
 		"all at the new one, in trial": {request: Request{OnlyVersion: "v2", VersionFraction: 1}, want: "v2", most: each},
