--- a/forward/job.go
+++ b/forward/job.go
@@ -273,7 +273,7 @@
 	if j.route.Objective > 0 && !j.stream.begun {
 		arrived := j.request.Arrived
 		hold := time.Duration(holdShare * float64(j.timeout()))
-		r.Due, r.HoldUntil, r.GiveUp = arrived.Add(j.route.Objective), arrived.Add(hold), j.waitsUntil()
+		r.Due, r.HoldUntil, r.CallerDeadline = arrived.Add(j.route.Objective), arrived.Add(hold), j.waitsUntil()
 	}
 
 	r.WaitUntil = r.Due
--- a/scheduling/place.go
+++ b/scheduling/place.go
@@ -131,7 +131,7 @@
 	switch {
 	case !begin.After(r.Due):
 		return send
-	case now.After(r.HoldUntil) || begin.Add(giveUpMargin).After(r.GiveUp):
+	case now.After(r.HoldUntil) || begin.Add(giveUpMargin).After(r.CallerDeadline):
 		return refuse
 	default:
 		return hold
--- a/scheduling/place_test.go
+++ b/scheduling/place_test.go
@@ -80,7 +80,7 @@
 
 	for _, test := range tests {
 		r := prompt("session")
-		r.Due, r.HoldUntil, r.GiveUp = now.Add(test.due), now.Add(test.until), now.Add(2400*time.Millisecond)
+		r.Due, r.HoldUntil, r.CallerDeadline = now.Add(test.due), now.Add(test.until), now.Add(2400*time.Millisecond)
 
 		if got := pick(t, busy(test.backlog), r).judge(now, r); got != test.want {
 			t.Errorf("verdict, where a prompt %s: got %v, want %v", test.name, got, test.want)
@@ -111,7 +111,7 @@
 	s.HearNews(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: s.servers["i-0"].key, Tokens: 1 << 20}}})
 
 	r := prompt("session")
-	r.Due, r.HoldUntil, r.GiveUp = now.Add(time.Second), now.Add(4*time.Second), now.Add(4*time.Second)
+	r.Due, r.HoldUntil, r.CallerDeadline = now.Add(time.Second), now.Add(4*time.Second), now.Add(4*time.Second)
 
 	if got := pick(t, s, r).judge(now, r); got != send {
 		t.Errorf("verdict without a rate: got %v, want %v", got, send)
@@ -123,7 +123,7 @@
 	s := busy(10 * time.Second)
 	clk := clock.NewManual(now)
 	r := prompt("session")
-	r.Due, r.HoldUntil, r.GiveUp = now.Add(time.Second), now.Add(time.Minute), now.Add(time.Minute)
+	r.Due, r.HoldUntil, r.CallerDeadline = now.Add(time.Second), now.Add(time.Minute), now.Add(time.Minute)
 
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
--- a/scheduling/play_test.go
+++ b/scheduling/play_test.go
@@ -204,7 +204,7 @@
 			from := random.IntN(p.instances)
 			r := Request{
 				Service: "llm", Prompt: drawPrompt(random, number), Due: now.Add(objective), HoldUntil: now.Add(patience),
-				GiveUp: now.Add(patience),
+				CallerDeadline: now.Add(patience),
 			}
 			place(now, from, now, r)
 		}})
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -67,8 +67,8 @@
 	// Due is when the first event should come; zero is not known, and nothing is held.
 	Due time.Time
 	// HoldUntil is until when a prompt that can't begin by Due may be held back, and
-	// GiveUp when its caller leaves if nothing has come.
-	HoldUntil, GiveUp time.Time
+	// CallerDeadline when its caller leaves if nothing has come.
+	HoldUntil, CallerDeadline time.Time
 	// WaitUntil is until when it may wait for a server that limits its requests, where no
 	// other server takes it.
 	WaitUntil time.Time
