--- a/entry/parts.go
+++ b/entry/parts.go
@@ -185,7 +185,7 @@
 		},
 		retries: newRetries(s.Bounds),
 		scheduler: &scheduling.Scheduler{
-			Domain: s.FailureDomain, OnLimit: logLimit, OnBackoff: logBackoff,
+			Domain: s.FailureDomain, OnLimitChange: logLimit, OnBackoff: logBackoff,
 			Return: scheduling.DefaultReturn, Counters: scheduling.NewCounters(set),
 		},
 		members:    &board.Members{},
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -227,8 +227,8 @@
 	}
 
 	changed := before.Rate != next.Rate
-	if changed && s.OnLimit != nil {
-		s.OnLimit(LimitChange{Server: one.entry().Start(), Before: before.Rate, After: next.Rate})
+	if changed && s.OnLimitChange != nil {
+		s.OnLimitChange(LimitChange{Server: one.entry().Start(), Before: before.Rate, After: next.Rate})
 	}
 
 	s.outboxes[Downstream].limited(one, changed)
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -226,8 +226,8 @@
 	at := now
 
 	changes := 0
-	a.OnLimit = func(LimitChange) { changes++ }
-	b.OnLimit = a.OnLimit
+	a.OnLimitChange = func(LimitChange) { changes++ }
+	b.OnLimitChange = a.OnLimitChange
 
 	// The rate is none that a number of fewer bits holds.
 	a.announce(a.servers["i-0"], ratelimit.Announcement{Rate: 1.4, At: at}, true)
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -92,8 +92,8 @@
 	// Permits grants requests to servers that announce a limit. Without it limits are not
 	// kept.
 	Permits Permits
-	// OnLimit is called where a server announces another limit than before; it may be nil.
-	OnLimit func(LimitChange)
+	// OnLimitChange is called where a server announces another limit than before; it may be nil.
+	OnLimitChange func(LimitChange)
 	// OnLeaving is called once where a server first answers that it leaves, and OnBackoff
 	// where one asks for no requests for some time; both may be nil.
 	OnLeaving func(register.Start)
