--- a/scheduling/announcements.go
+++ b/scheduling/announcements.go
@@ -21,7 +21,7 @@
 
 // askBackoff takes in that the server wants no requests for some time. The latest end counts:
 // each answer binds by itself. It reports whether no earlier one was still in force.
-func (a *announcements) askBackoff(now time.Time, length time.Duration, policy ReturnPolicy) bool {
+func (a *announcements) askBackoff(now time.Time, length time.Duration, policy ResumePolicy) bool {
 	next := newBackoff(now.Add(length), length, policy)
 
 	for {
--- a/scheduling/backoff.go
+++ b/scheduling/backoff.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// ReturnPolicy says how an instance returns to a server whose backoff is over. All instances
+// ResumePolicy says how an instance returns to a server whose backoff is over. All instances
 // that it turned away at one moment would return at one moment, and find it overloaded again.
-type ReturnPolicy struct {
+type ResumePolicy struct {
 	// Spread is the part of a backoff over which instances return, drawn by each for itself.
 	Spread float64
 	// HalfOpen sends one request at a time until the server has taken one.
@@ -20,19 +20,19 @@
 
 // DefaultReturn is the policy of entry instances: it spreads them over a part of the backoff
 // that callers hardly notice, and leaves a second for a request that can go elsewhere.
-var DefaultReturn = ReturnPolicy{Spread: 0.2, HalfOpen: true, Spare: time.Second}
+var DefaultReturn = ResumePolicy{Spread: 0.2, HalfOpen: true, Spare: time.Second}
 
 // backoff is the newest time for which a server asked for no requests. It is half-open from
 // returns on, until the server has taken a request.
 type backoff struct {
 	until   time.Time
 	returns time.Time
-	policy  ReturnPolicy
+	policy  ResumePolicy
 	// trial is set while a request is under way that shows whether the server takes some.
 	trial atomic.Bool
 }
 
-func newBackoff(until time.Time, length time.Duration, policy ReturnPolicy) *backoff {
+func newBackoff(until time.Time, length time.Duration, policy ResumePolicy) *backoff {
 	b := &backoff{until: until, returns: until, policy: policy}
 	if spread := time.Duration(policy.Spread * float64(length)); spread > 0 {
 		b.returns = until.Add(rand.N(spread))
--- a/scheduling/return_model_test.go
+++ b/scheduling/return_model_test.go
@@ -28,7 +28,7 @@
 	sheds int
 	// final is the part of the requests that are sent to one server only.
 	final  float64
-	policy ReturnPolicy
+	policy ResumePolicy
 	seed   uint64
 }
 
@@ -200,7 +200,7 @@
 }
 
 // returning plays a load for some seeds and adds up what comes of it.
-func (p shedding) returning(policy ReturnPolicy, seeds uint64) shedOutcome {
+func (p shedding) returning(policy ResumePolicy, seeds uint64) shedOutcome {
 	var sum shedOutcome
 
 	for seed := range seeds {
@@ -227,15 +227,15 @@
 		{instances: 9, servers: 10, sheds: 3, load: 0.65},
 		{instances: 9, servers: 10, load: 0.9},
 	}
-	ways := map[string]ReturnPolicy{"all at its end": {}, "default": DefaultReturn}
+	ways := map[string]ResumePolicy{"all at its end": {}, "default": DefaultReturn}
 
 	if os.Getenv("WAYS") == "all" {
 		loads = append(loads, shedding{instances: 80, servers: 60, sheds: 10, load: 0.5}, shedding{instances: 195, servers: 78, sheds: 15, load: 0.5},
 			shedding{instances: 195, servers: 78, load: 0.9}, shedding{instances: 410, servers: 300, sheds: 50, load: 0.5})
-		ways["spread"] = ReturnPolicy{Spread: 0.2}
-		ways["half-open"] = ReturnPolicy{HalfOpen: true}
-		ways["spread, half-open"] = ReturnPolicy{Spread: 0.2, HalfOpen: true}
-		ways["spread, spared"] = ReturnPolicy{Spread: 0.2, Spare: time.Second}
+		ways["spread"] = ResumePolicy{Spread: 0.2}
+		ways["half-open"] = ResumePolicy{HalfOpen: true}
+		ways["spread, half-open"] = ResumePolicy{Spread: 0.2, HalfOpen: true}
+		ways["spread, spared"] = ResumePolicy{Spread: 0.2, Spare: time.Second}
 	}
 
 	const seeds = 2
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -99,7 +99,7 @@
 	OnLeaving func(register.Start)
 	OnBackoff func(server register.Start, backoff time.Duration)
 	// Return says how requests return to a server that asked for backoff.
-	Return ReturnPolicy
+	Return ResumePolicy
 	// Counters may be nil.
 	Counters *Counters
 
