--- a/scheduling/announcements.go
+++ b/scheduling/announcements.go
@@ -61,7 +61,7 @@
 // the server wants no further requests from this instance.
 func (a *Assignment) AskedToBackOff(now time.Time, backoff time.Duration) {
 	s := a.scheduler
-	if a.server.announcements.askBackoff(now, backoff, s.Return) && s.OnBackoff != nil {
+	if a.server.announcements.askBackoff(now, backoff, s.Resume) && s.OnBackoff != nil {
 		s.OnBackoff(a.Server(), backoff)
 	}
 }
--- a/scheduling/backoff_test.go
+++ b/scheduling/backoff_test.go
@@ -176,7 +176,7 @@
 // Guards against a server that is flooded when its backoff ends.
 func TestOneRequestAtATimeIsSentUntilAServerTakesOne(t *testing.T) {
 	s := engines(1, 64)
-	s.Return = ResumePolicy{HalfOpen: true}
+	s.Resume = ResumePolicy{HalfOpen: true}
 	askBackoffAt(t, s, now, time.Second, "i-0")
 
 	at := now.Add(time.Second)
@@ -211,7 +211,7 @@
 func TestAFinalRequestIsNoTrialWhereOthersHaveRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(2, 64)
-		s.Return = ResumePolicy{HalfOpen: true, Spare: time.Second}
+		s.Resume = ResumePolicy{HalfOpen: true, Spare: time.Second}
 		askBackoff(t, s, time.Second, "i-0")
 		time.Sleep(time.Second)
 
@@ -244,7 +244,7 @@
 func TestARequestWaitsForATrialWithinItsObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(1, 64)
-		s.Return = ResumePolicy{HalfOpen: true}
+		s.Resume = ResumePolicy{HalfOpen: true}
 		askBackoff(t, s, time.Second, "i-0")
 		time.Sleep(time.Second)
 
--- a/scheduling/return_model_test.go
+++ b/scheduling/return_model_test.go
@@ -84,7 +84,7 @@
 
 	schedulers := make([]*Scheduler, p.instances)
 	for i := range schedulers {
-		schedulers[i] = &Scheduler{Domain: "a", Return: p.policy}
+		schedulers[i] = &Scheduler{Domain: "a", Resume: p.policy}
 		schedulers[i].Update(entries)
 	}
 
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -98,8 +98,8 @@
 	// where one asks for no requests for some time; both may be nil.
 	OnLeaving func(register.Start)
 	OnBackoff func(server register.Start, backoff time.Duration)
-	// Return says how requests return to a server that asked for backoff.
-	Return ResumePolicy
+	// Resume says how requests return to a server that asked for backoff.
+	Resume ResumePolicy
 	// Counters may be nil.
 	Counters *Counters
 
