--- a/entry/parts.go
+++ b/entry/parts.go
@@ -186,7 +186,7 @@
 		retries: newRetries(s.Bounds),
 		scheduler: &scheduling.Scheduler{
 			Domain: s.FailureDomain, OnLimitChange: logLimit, OnBackoff: logBackoff,
-			Resume: scheduling.DefaultReturn, Counters: scheduling.NewCounters(set),
+			Resume: scheduling.DefaultResumePolicy, Counters: scheduling.NewCounters(set),
 		},
 		members:    &board.Members{},
 		quarantine: &quarantine.Ledger{},
--- a/scheduling/backoff.go
+++ b/scheduling/backoff.go
@@ -18,9 +18,9 @@
 	Spare time.Duration
 }
 
-// DefaultReturn is the policy of entry instances: it spreads them over a part of the backoff
+// DefaultResumePolicy is the policy of entry instances: it spreads them over a part of the backoff
 // that callers hardly notice, and leaves a second for a request that can go elsewhere.
-var DefaultReturn = ResumePolicy{Spread: 0.2, HalfOpen: true, Spare: time.Second}
+var DefaultResumePolicy = ResumePolicy{Spread: 0.2, HalfOpen: true, Spare: time.Second}
 
 // backoff is the newest time for which a server asked for no requests. It is half-open from
 // returns on, until the server has taken a request.
--- a/scheduling/return_model_test.go
+++ b/scheduling/return_model_test.go
@@ -227,7 +227,7 @@
 		{instances: 9, servers: 10, sheds: 3, load: 0.65},
 		{instances: 9, servers: 10, load: 0.9},
 	}
-	ways := map[string]ResumePolicy{"all at its end": {}, "default": DefaultReturn}
+	ways := map[string]ResumePolicy{"all at its end": {}, "default": DefaultResumePolicy}
 
 	if os.Getenv("WAYS") == "all" {
 		loads = append(loads, shedding{instances: 80, servers: 60, sheds: 10, load: 0.5}, shedding{instances: 195, servers: 78, sheds: 15, load: 0.5},
