--- a/scheduling/backoff.go
+++ b/scheduling/backoff.go
@@ -9,8 +9,8 @@
 // ResumePolicy says how an instance returns to a server whose backoff is over. All instances
 // that it turned away at one moment would return at one moment, and find it overloaded again.
 type ResumePolicy struct {
-	// Spread is the part of a backoff over which instances return, drawn by each for itself.
-	Spread float64
+	// Jitter is the part of a backoff over which instances return, drawn by each for itself.
+	Jitter float64
 	// HalfOpen sends one request at a time until the server has taken one.
 	HalfOpen bool
 	// Spare keeps requests that can't be sent to another server from being that one for some
@@ -20,7 +20,7 @@
 
 // DefaultResumePolicy is the policy of entry instances: it spreads them over a part of the backoff
 // that callers hardly notice, and leaves a second for a request that can go elsewhere.
-var DefaultResumePolicy = ResumePolicy{Spread: 0.2, HalfOpen: true, Spare: time.Second}
+var DefaultResumePolicy = ResumePolicy{Jitter: 0.2, HalfOpen: true, Spare: time.Second}
 
 // backoff is the newest time for which a server asked for no requests. It is half-open from
 // returns on, until the server has taken a request.
@@ -34,7 +34,7 @@
 
 func newBackoff(until time.Time, length time.Duration, policy ResumePolicy) *backoff {
 	b := &backoff{until: until, returns: until, policy: policy}
-	if spread := time.Duration(policy.Spread * float64(length)); spread > 0 {
+	if spread := time.Duration(policy.Jitter * float64(length)); spread > 0 {
 		b.returns = until.Add(rand.N(spread))
 	}
 
--- a/scheduling/return_model_test.go
+++ b/scheduling/return_model_test.go
@@ -232,10 +232,10 @@
 	if os.Getenv("WAYS") == "all" {
 		loads = append(loads, shedding{instances: 80, servers: 60, sheds: 10, load: 0.5}, shedding{instances: 195, servers: 78, sheds: 15, load: 0.5},
 			shedding{instances: 195, servers: 78, load: 0.9}, shedding{instances: 410, servers: 300, sheds: 50, load: 0.5})
-		ways["spread"] = ResumePolicy{Spread: 0.2}
+		ways["spread"] = ResumePolicy{Jitter: 0.2}
 		ways["half-open"] = ResumePolicy{HalfOpen: true}
-		ways["spread, half-open"] = ResumePolicy{Spread: 0.2, HalfOpen: true}
-		ways["spread, spared"] = ResumePolicy{Spread: 0.2, Spare: time.Second}
+		ways["spread, half-open"] = ResumePolicy{Jitter: 0.2, HalfOpen: true}
+		ways["spread, spared"] = ResumePolicy{Jitter: 0.2, Spare: time.Second}
 	}
 
 	const seeds = 2
