--- a/scheduling/backoff.go
+++ b/scheduling/backoff.go
@@ -13,14 +13,14 @@
 	Jitter float64
 	// HalfOpen sends one request at a time until the server has taken one.
 	HalfOpen bool
-	// Spare keeps requests that can't be sent to another server from being that one for some
+	// FinalDelay keeps requests that can't be sent to another server from being that one for some
 	// time, as long as others can take them.
-	Spare time.Duration
+	FinalDelay time.Duration
 }
 
 // DefaultResumePolicy is the policy of entry instances: it spreads them over a part of the backoff
 // that callers hardly notice, and leaves a second for a request that can go elsewhere.
-var DefaultResumePolicy = ResumePolicy{Jitter: 0.2, HalfOpen: true, Spare: time.Second}
+var DefaultResumePolicy = ResumePolicy{Jitter: 0.2, HalfOpen: true, FinalDelay: time.Second}
 
 // backoff is the newest time for which a server asked for no requests. It is half-open from
 // returns on, until the server has taken a request.
@@ -55,7 +55,7 @@
 		return true
 	}
 
-	return r.Final && !r.mayTest && now.Before(b.returns.Add(b.policy.Spare))
+	return r.Final && !r.mayTest && now.Before(b.returns.Add(b.policy.FinalDelay))
 }
 
 // begin counts a request that is sent, and reports whether it may be.
--- a/scheduling/backoff_test.go
+++ b/scheduling/backoff_test.go
@@ -211,7 +211,7 @@
 func TestAFinalRequestIsNoTrialWhereOthersHaveRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(2, 64)
-		s.Resume = ResumePolicy{HalfOpen: true, Spare: time.Second}
+		s.Resume = ResumePolicy{HalfOpen: true, FinalDelay: time.Second}
 		askBackoff(t, s, time.Second, "i-0")
 		time.Sleep(time.Second)
 
--- a/scheduling/return_model_test.go
+++ b/scheduling/return_model_test.go
@@ -235,7 +235,7 @@
 		ways["spread"] = ResumePolicy{Jitter: 0.2}
 		ways["half-open"] = ResumePolicy{HalfOpen: true}
 		ways["spread, half-open"] = ResumePolicy{Jitter: 0.2, HalfOpen: true}
-		ways["spread, spared"] = ResumePolicy{Jitter: 0.2, Spare: time.Second}
+		ways["spread, spared"] = ResumePolicy{Jitter: 0.2, FinalDelay: time.Second}
 	}
 
 	const seeds = 2
