--- a/entry/parts.go
+++ b/entry/parts.go
@@ -362,7 +362,7 @@
 
 // serving reports whether requests can be routed, authorized and placed.
 func (p *parts) serving() bool {
-	return p.rules.Load() != nil && p.currency.Current() && p.scheduler.Known()
+	return p.rules.Load() != nil && p.currency.Current() && p.scheduler.Initialized()
 }
 
 // servers returns the servers of the addresses, in their order.
--- a/entry/rules.go
+++ b/entry/rules.go
@@ -161,7 +161,7 @@
 
 // serversChanged has the scheduler and the pool go by changes of servers. serversMu is held.
 func (p *parts) serversChanged(deltas []register.Delta) {
-	if len(deltas) == 0 && p.scheduler.Known() {
+	if len(deltas) == 0 && p.scheduler.Initialized() {
 		return
 	}
 
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -174,8 +174,8 @@
 	s.current.Store(&pools)
 }
 
-// Known tells whether Update was called: requests can be placed.
-func (s *Scheduler) Known() bool {
+// Initialized tells whether Update was called: requests can be placed.
+func (s *Scheduler) Initialized() bool {
 	return s.current.Load() != nil
 }
 
