--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -125,7 +125,7 @@
 	reading := f.Protocol.Inspect(answer.Status(), answer.Header())
 
 	if reading.Load != nil {
-		f.Scheduler.Report(f.Clock.Now(), assignment.ID(), *reading.Load)
+		f.Scheduler.RecordLoad(f.Clock.Now(), assignment.ID(), *reading.Load)
 	}
 
 	if reading.Limit != nil {
--- a/scheduling/relayed_test.go
+++ b/scheduling/relayed_test.go
@@ -135,7 +135,7 @@
 // The load that a server told one instance reaches all.
 func TestLoadsReachAllThroughRelays(t *testing.T) {
 	r := newRelayed()
-	r.members["b-1"].Report(now, "i-0", Load{Running: 5, Waiting: 2})
+	r.members["b-1"].RecordLoad(now, "i-0", Load{Running: 5, Waiting: 2})
 	r.exchange(now)
 
 	var got []float64
--- a/scheduling/return_model_test.go
+++ b/scheduling/return_model_test.go
@@ -116,7 +116,7 @@
 				a.Accepted()
 				heap.Push(&steps, playStep{at: at.Add(p.work), do: func(at time.Time) {
 					s.running--
-					schedulers[from].Report(at, a.ID(), Load{Running: s.running, Slots: p.places})
+					schedulers[from].RecordLoad(at, a.ID(), Load{Running: s.running, Slots: p.places})
 					a.End(at, Served)
 				}})
 
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -179,8 +179,8 @@
 	return s.current.Load() != nil
 }
 
-// Report takes in what a server said of its load.
-func (s *Scheduler) Report(now time.Time, id fleet.InstanceID, load Load) {
+// RecordLoad takes in what a server said of its load.
+func (s *Scheduler) RecordLoad(now time.Time, id fleet.InstanceID, load Load) {
 	s.mu.Lock()
 	one := s.servers[id]
 	s.mu.Unlock()
--- a/scheduling/starts_test.go
+++ b/scheduling/starts_test.go
@@ -22,7 +22,7 @@
 	first := pick(t, s, r)
 	first.Start(now)
 	first.Answering(now)
-	s.Report(now, "i-1", Load{Running: 7})
+	s.RecordLoad(now, "i-1", Load{Running: 7})
 	s.servers["i-1"].outcome(now, true)
 	s.HearNews(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: s.servers["i-1"].key, Tokens: 9000}}})
 
--- a/scheduling/taken_test.go
+++ b/scheduling/taken_test.go
@@ -9,13 +9,13 @@
 	now := time.Unix(1000, 0)
 	s := poolOf(4)
 
-	s.Report(now, "s-0", Load{Running: 4, Waiting: 2, Slots: 8})
+	s.RecordLoad(now, "s-0", Load{Running: 4, Waiting: 2, Slots: 8})
 
 	if got, known := s.Taken(now, "llm"); known {
 		t.Errorf("one of four told: got %v, want it not known", got)
 	}
 
-	s.Report(now, "s-1", Load{Running: 2, Slots: 8})
+	s.RecordLoad(now, "s-1", Load{Running: 2, Slots: 8})
 
 	if got, known := s.Taken(now, "llm"); !known || got != 0.5 {
 		t.Errorf("two of four told: got %v and %t, want 0.5", got, known)
