--- a/forward/job.go
+++ b/forward/job.go
@@ -191,7 +191,7 @@
 
 // comeBack returns when a caller that servers turned away should come back.
 func (j *job) comeBack() time.Duration {
-	if wait, full := j.forwarder.Scheduler.ComeBack(j.forwarder.Clock.Now(), j.service); full {
+	if wait, full := j.forwarder.Scheduler.RetryAfter(j.forwarder.Clock.Now(), j.service); full {
 		return wait
 	}
 
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -139,9 +139,9 @@
 	return &NoRoomError{RetryAfter: comeBackAt(now, backoff)}
 }
 
-// ComeBack returns when a caller of a service should come back if none of its servers takes a
+// RetryAfter returns when a caller of a service should come back if none of its servers takes a
 // request now by what they announced, and whether that is so.
-func (s *Scheduler) ComeBack(now time.Time, service fleet.Service) (time.Duration, bool) {
+func (s *Scheduler) RetryAfter(now time.Time, service fleet.Service) (time.Duration, bool) {
 	servers := s.serversFor(&Request{Service: service}, func(one *server) bool { return !one.leaves() })
 	if len(servers) == 0 || slices.ContainsFunc(servers, func(one *server) bool { return !one.full(now) }) {
 		return 0, false
