--- a/entry/parts.go
+++ b/entry/parts.go
@@ -272,7 +272,7 @@
 	set.NewGauge("monsoonlever_entry_quarantined_requests", func() float64 {
 		return float64(p.quarantine.Count(p.clock.Now()))
 	})
-	set.NewGauge("monsoonlever_entry_limited_servers", func() float64 { return float64(p.scheduler.Limited()) })
+	set.NewGauge("monsoonlever_entry_limited_servers", func() float64 { return float64(p.scheduler.LimitedServers()) })
 	set.NewGauge("monsoonlever_entry_leaving_servers", func() float64 { return float64(p.scheduler.LeavingServers()) })
 	set.NewGauge("monsoonlever_entry_backoff_servers", func() float64 {
 		return float64(p.scheduler.BackoffServers(p.clock.Now()))
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -103,7 +103,7 @@
 
 	s.call("safe", "r-1")
 
-	if got := s.Scheduler.Limited(); got != 1 {
+	if got := s.Scheduler.LimitedServers(); got != 1 {
 		t.Errorf("limited servers: got %d, want 1", got)
 	}
 
@@ -116,7 +116,7 @@
 		s.call("safe", "r-2")
 	}
 
-	if got := s.Scheduler.Limited(); got != 0 {
+	if got := s.Scheduler.LimitedServers(); got != 0 {
 		t.Errorf("limited servers after it is lifted: got %d, want none", got)
 	}
 }
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -303,8 +303,8 @@
 	return full
 }
 
-// Limited returns how many servers announce a limit.
-func (s *Scheduler) Limited() int {
+// LimitedServers returns how many servers announce a limit.
+func (s *Scheduler) LimitedServers() int {
 	return s.countServers(func(one *server) bool {
 		return !one.leaves() && one.announced().Rate != ratelimit.Unlimited
 	})
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -258,13 +258,13 @@
 	s := engines(1, 64)
 	s.announce(s.servers["i-0"], ratelimit.Announcement{Rate: 1.5, At: now}, true)
 
-	if got := s.Limited(); got != 1 {
+	if got := s.LimitedServers(); got != 1 {
 		t.Errorf("limited servers: got %d, want 1", got)
 	}
 
 	s.Update([]register.Server{{ID: "i-0", Incarnation: 99, Service: "llm", Slots: 64}})
 
-	if got := s.Limited(); got != 0 {
+	if got := s.LimitedServers(); got != 0 {
 		t.Errorf("limited servers after a new start: got %d, want none", got)
 	}
 }
