--- a/entry/duties.go
+++ b/entry/duties.go
@@ -95,7 +95,7 @@
 		rollout:     p.rollouts.step,
 		inTrial:     p.rollouts.gate.InTrial,
 		live:        p.arrivingAtAll,
-		taken:       p.scheduler.Taken,
+		taken:       p.scheduler.Utilization,
 		said:        make(map[fleet.Service]plan),
 		cloud:       platform.NewCloud(p.settings.Cloud, p.settings.Instance),
 		incarnation: fleet.Incarnation(now.UnixNano()),
--- a/scheduling/taken.go
+++ b/scheduling/taken.go
@@ -10,9 +10,9 @@
 // for all to be judged by it.
 const knownShare = 0.5
 
-// Taken returns the part of the places of a service's servers that is in use or waited for,
+// Utilization returns the part of the places of a service's servers that is in use or waited for,
 // and whether most of them have told their load of late.
-func (s *Scheduler) Taken(now time.Time, service fleet.Service) (float64, bool) {
+func (s *Scheduler) Utilization(now time.Time, service fleet.Service) (float64, bool) {
 	pools := s.current.Load()
 	if pools == nil {
 		return 0, false
