--- a/entry/prompts.go
+++ b/entry/prompts.go
@@ -41,7 +41,7 @@
 			return
 		}
 
-		news := p.scheduler.News(p.clock.Now(), to)
+		news := p.scheduler.TakeUpdate(p.clock.Now(), to)
 		audience := p.audience(to)
 
 		if news.Empty() || len(audience) == 0 {
--- a/entry/prompts_test.go
+++ b/entry/prompts_test.go
@@ -66,24 +66,24 @@
 		t.Fatalf("place: got %v, want a server", err)
 	}
 
-	news := there.News(now, scheduling.Upstream)
+	news := there.TakeUpdate(now, scheduling.Upstream)
 	p.receivePrompts(now, &promptNews{Instance: "relay", Subscribes: true, News: news})
 
-	if got := p.scheduler.News(now, scheduling.Upstream); len(got.Backlogs) != 0 {
+	if got := p.scheduler.TakeUpdate(now, scheduling.Upstream); len(got.Backlogs) != 0 {
 		t.Errorf("told upstream of what the relay told: got %v, want nothing", got.Backlogs)
 	}
 
 	// Nor is what any other tells that turned to this instance while it is no relay.
 	p.receivePrompts(now, &promptNews{Instance: "entry-2", Subscribes: true, News: news})
 
-	if got := p.scheduler.News(now, scheduling.Upstream); len(got.Backlogs) != 1 || got.Backlogs[0].Tokens != 0 {
+	if got := p.scheduler.TakeUpdate(now, scheduling.Upstream); len(got.Backlogs) != 1 || got.Backlogs[0].Tokens != 0 {
 		t.Errorf("told upstream, being no relay: got %v, want its own 0 tokens", got.Backlogs)
 	}
 
 	p.scheduler.SetRelay(true)
 	p.receivePrompts(now, &promptNews{Instance: "entry-2", Subscribes: true, News: news})
 
-	if got := p.scheduler.News(now, scheduling.Upstream); len(got.Backlogs) != 1 || got.Backlogs[0].Tokens != 900 {
+	if got := p.scheduler.TakeUpdate(now, scheduling.Upstream); len(got.Backlogs) != 1 || got.Backlogs[0].Tokens != 900 {
 		t.Errorf("told upstream of what a subscriber told, being a relay: got %v, want its 900 tokens", got.Backlogs)
 	}
 }
--- a/scheduling/ended_test.go
+++ b/scheduling/ended_test.go
@@ -67,8 +67,8 @@
 		a.End(now, Gone)
 	}
 
-	relay.HearNews(now, "seer", Subscriber, seer.News(now, Upstream))
-	told.HearNews(now, "relay", Relay, relay.News(now, Downstream))
+	relay.HearNews(now, "seer", Subscriber, seer.TakeUpdate(now, Upstream))
+	told.HearNews(now, "relay", Relay, relay.TakeUpdate(now, Downstream))
 
 	left := map[fleet.InstanceID]bool{}
 
@@ -108,22 +108,22 @@
 	a.Start(now)
 	a.End(now, Gone)
 
-	news := seer.News(now, Upstream)
+	news := seer.TakeUpdate(now, Upstream)
 	relay.HearNews(now, "seer", Peer, news)
 	relay.HearNews(now, "seer", Peer, news)
 
-	if got := relay.News(now, Upstream).Ended; len(got) != 0 {
+	if got := relay.TakeUpdate(now, Upstream).Ended; len(got) != 0 {
 		t.Errorf("a peer's news passed on to relays: got %v, want none", got)
 	}
 
-	if got := relay.News(now, Downstream).Ended; len(got) != 1 {
+	if got := relay.TakeUpdate(now, Downstream).Ended; len(got) != 1 {
 		t.Errorf("passed on: got %v, want one end", got)
 	}
 
 	a.Ended(now.Add(time.Millisecond))
 	relay.HearNews(now.Add(time.Millisecond), "seer", Peer, news)
 
-	if got := relay.News(now, Downstream).Ended; len(got) != 0 {
+	if got := relay.TakeUpdate(now, Downstream).Ended; len(got) != 0 {
 		t.Errorf("passed on again: got %v, want none", got)
 	}
 }
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -233,7 +233,7 @@
 	a.announce(a.servers["i-0"], ratelimit.Announcement{Rate: 1.4, At: at}, true)
 
 	for range 200 {
-		news := a.News(at, Upstream)
+		news := a.TakeUpdate(at, Upstream)
 		at = at.Add(way)
 		b.HearNews(at, "a", Peer, news)
 
--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -217,8 +217,8 @@
 	return all
 }
 
-// News returns what has changed for an audience since the last call.
-func (s *Scheduler) News(now time.Time, to Audience) News {
+// TakeUpdate returns what has changed for an audience since the last call.
+func (s *Scheduler) TakeUpdate(now time.Time, to Audience) News {
 	all := s.outboxes[to].take()
 	news := News{Holdings: all.holdings}
 
--- a/scheduling/news_test.go
+++ b/scheduling/news_test.go
@@ -41,7 +41,7 @@
 
 	a := pick(t, there, r)
 	a.Start(now)
-	here.HearNews(now, "entry-2", Peer, there.News(now, Upstream))
+	here.HearNews(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
 	other := fleet.InstanceID("i-0")
 	if a.ID() == other {
@@ -63,13 +63,13 @@
 	}
 
 	a.Answering(now)
-	here.HearNews(now, "entry-2", Peer, there.News(now, Upstream))
+	here.HearNews(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
 	if got := server.waiting(now); got != 0 {
 		t.Errorf("waiting after it was read: got %d, want 0", got)
 	}
 
-	if !there.News(now, Upstream).Empty() {
+	if !there.TakeUpdate(now, Upstream).Empty() {
 		t.Error("news after it was told: got some, want none")
 	}
 }
@@ -94,9 +94,9 @@
 
 	a := pick(t, there, prompt("session"))
 	a.Start(now)
-	here.HearNews(now, "entry-2", Peer, there.News(now, Upstream))
+	here.HearNews(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 	a.End(now, Failed)
-	here.HearNews(now, "entry-2", Peer, there.News(now, Upstream))
+	here.HearNews(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
 	if got := here.servers["i-0"].waiting(now); got != 0 {
 		t.Errorf("waiting after the attempt failed: got %d, want 0", got)
@@ -114,7 +114,7 @@
 		a.End(now, Served)
 	}
 
-	if got := len(s.News(now, Upstream).Holdings); got > maxHoldings {
+	if got := len(s.TakeUpdate(now, Upstream).Holdings); got > maxHoldings {
 		t.Errorf("holdings: got %d, want at most %d", got, maxHoldings)
 	}
 }
--- a/scheduling/play_test.go
+++ b/scheduling/play_test.go
@@ -144,7 +144,7 @@
 	begin := now
 
 	tell := func(now time.Time, from int) {
-		news := schedulers[from].News(now, Upstream)
+		news := schedulers[from].TakeUpdate(now, Upstream)
 		if !p.told {
 			return
 		}
--- a/scheduling/relayed_test.go
+++ b/scheduling/relayed_test.go
@@ -33,11 +33,11 @@
 // exchange passes all news on.
 func (r *relayed) exchange(now time.Time) {
 	for id, member := range r.members {
-		r.relays[r.relayOf[id]].HearNews(now, id, Subscriber, member.News(now, Upstream))
+		r.relays[r.relayOf[id]].HearNews(now, id, Subscriber, member.TakeUpdate(now, Upstream))
 	}
 
 	for id, relay := range r.relays {
-		news := relay.News(now, Upstream)
+		news := relay.TakeUpdate(now, Upstream)
 
 		for other, peer := range r.relays {
 			if other != id {
@@ -47,7 +47,7 @@
 	}
 
 	for id, relay := range r.relays {
-		news := relay.News(now, Downstream)
+		news := relay.TakeUpdate(now, Downstream)
 
 		for member, s := range r.members {
 			if r.relayOf[member] == id {
@@ -127,7 +127,7 @@
 	again.Start(now)
 	again.Answering(now)
 
-	if got := r.members["b-1"].News(now, Upstream).Holdings; len(got) != 0 {
+	if got := r.members["b-1"].TakeUpdate(now, Upstream).Holdings; len(got) != 0 {
 		t.Errorf("holdings told again: got %v, want none", got)
 	}
 }
--- a/scheduling/roles_test.go
+++ b/scheduling/roles_test.go
@@ -26,7 +26,7 @@
 // tell lets an instance tell those that it takes for relays what waits at the server.
 func (r *ring) tell(i int) {
 	r.schedulers[i].SetRelay(r.roles[i].relay)
-	news := r.schedulers[i].News(r.now, Upstream)
+	news := r.schedulers[i].TakeUpdate(r.now, Upstream)
 
 	for j, other := range r.schedulers {
 		switch {
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -212,14 +212,14 @@
 
 	there.RecordLoad(now, "i-0", Load{Running: 4, Waiting: 3, Slots: 4})
 
-	news := there.News(now.Add(50*time.Millisecond), Upstream)
+	news := there.TakeUpdate(now.Add(50*time.Millisecond), Upstream)
 	if len(news.Loads) != 1 || news.Loads[0].Requests != 7 || news.Loads[0].AgeMs != 50 {
 		t.Fatalf("loads: got %+v, want 7 requests at i-0, 50 ms old", news.Loads)
 	}
 
 	there.RecordLoad(now, "i-1", Load{Running: 1})
 
-	if stale := there.News(now.Add(2*time.Second), Upstream); len(stale.Loads) != 0 {
+	if stale := there.TakeUpdate(now.Add(2*time.Second), Upstream); len(stale.Loads) != 0 {
 		t.Errorf("loads after 2 s: got %+v, want none", stale.Loads)
 	}
 
--- a/scheduling/starts_test.go
+++ b/scheduling/starts_test.go
@@ -26,7 +26,7 @@
 	s.servers["i-1"].outcome(now, true)
 	s.HearNews(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: s.servers["i-1"].key, Tokens: 9000}}})
 
-	news := s.News(now, Upstream)
+	news := s.TakeUpdate(now, Upstream)
 
 	first.AnnouncedLeaving()
 	s.Update([]register.Server{startOf(900)})
