--- a/entry/prompts.go
+++ b/entry/prompts.go
@@ -98,7 +98,7 @@
 		as = scheduling.Subscriber
 	}
 
-	p.scheduler.HearNews(now, n.Instance, as, n.News)
+	p.scheduler.ApplyUpdate(now, n.Instance, as, n.News)
 }
 
 // The bytes that each kind of news takes, a holding beside its parts.
--- a/scheduling/ended_test.go
+++ b/scheduling/ended_test.go
@@ -67,8 +67,8 @@
 		a.End(now, Gone)
 	}
 
-	relay.HearNews(now, "seer", Subscriber, seer.TakeUpdate(now, Upstream))
-	told.HearNews(now, "relay", Relay, relay.TakeUpdate(now, Downstream))
+	relay.ApplyUpdate(now, "seer", Subscriber, seer.TakeUpdate(now, Upstream))
+	told.ApplyUpdate(now, "relay", Relay, relay.TakeUpdate(now, Downstream))
 
 	left := map[fleet.InstanceID]bool{}
 
@@ -109,8 +109,8 @@
 	a.End(now, Gone)
 
 	news := seer.TakeUpdate(now, Upstream)
-	relay.HearNews(now, "seer", Peer, news)
-	relay.HearNews(now, "seer", Peer, news)
+	relay.ApplyUpdate(now, "seer", Peer, news)
+	relay.ApplyUpdate(now, "seer", Peer, news)
 
 	if got := relay.TakeUpdate(now, Upstream).Ended; len(got) != 0 {
 		t.Errorf("a peer's news passed on to relays: got %v, want none", got)
@@ -121,7 +121,7 @@
 	}
 
 	a.Ended(now.Add(time.Millisecond))
-	relay.HearNews(now.Add(time.Millisecond), "seer", Peer, news)
+	relay.ApplyUpdate(now.Add(time.Millisecond), "seer", Peer, news)
 
 	if got := relay.TakeUpdate(now, Downstream).Ended; len(got) != 0 {
 		t.Errorf("passed on again: got %v, want none", got)
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -235,7 +235,7 @@
 	for range 200 {
 		news := a.TakeUpdate(at, Upstream)
 		at = at.Add(way)
-		b.HearNews(at, "a", Peer, news)
+		b.ApplyUpdate(at, "a", Peer, news)
 
 		start := register.Start{ID: "i-0"}
 		known := b.Merge(start, ratelimit.Announcement{})
--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -254,9 +254,9 @@
 
 func tokens(n int64) uint32 { return uint32(min(max(n, 0), math.MaxUint32)) }
 
-// HearNews takes another instance's news in, and notes what of it is to be passed on.
+// ApplyUpdate takes another instance's news in, and notes what of it is to be passed on.
 // Servers that are not known here are passed over.
-func (s *Scheduler) HearNews(now time.Time, from fleet.InstanceID, as Sender, n News) {
+func (s *Scheduler) ApplyUpdate(now time.Time, from fleet.InstanceID, as Sender, n News) {
 	byKey := s.byKey.Load()
 	if byKey == nil {
 		return
--- a/scheduling/news_test.go
+++ b/scheduling/news_test.go
@@ -41,7 +41,7 @@
 
 	a := pick(t, there, r)
 	a.Start(now)
-	here.HearNews(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
+	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
 	other := fleet.InstanceID("i-0")
 	if a.ID() == other {
@@ -63,7 +63,7 @@
 	}
 
 	a.Answering(now)
-	here.HearNews(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
+	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
 	if got := server.waiting(now); got != 0 {
 		t.Errorf("waiting after it was read: got %d, want 0", got)
@@ -78,7 +78,7 @@
 func TestABacklogThatIsNotToldAnewIsForgotten(t *testing.T) {
 	s := engines(1, 64)
 	server := s.servers["i-0"]
-	s.HearNews(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: server.key, Tokens: 9000}}})
+	s.ApplyUpdate(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: server.key, Tokens: 9000}}})
 
 	if got := server.waiting(now.Add(backlogLife)); got != 9000 {
 		t.Errorf("waiting at the end of its life: got %d, want 9000", got)
@@ -94,9 +94,9 @@
 
 	a := pick(t, there, prompt("session"))
 	a.Start(now)
-	here.HearNews(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
+	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 	a.End(now, Failed)
-	here.HearNews(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
+	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
 	if got := here.servers["i-0"].waiting(now); got != 0 {
 		t.Errorf("waiting after the attempt failed: got %d, want 0", got)
--- a/scheduling/play_test.go
+++ b/scheduling/play_test.go
@@ -152,7 +152,7 @@
 		heap.Push(&steps, playStep{at: now.Add(p.delay), do: func(now time.Time) {
 			for i, other := range schedulers {
 				if i != from {
-					other.HearNews(now, fleet.InstanceID(fmt.Sprint("entry-", from)), Peer, news)
+					other.ApplyUpdate(now, fleet.InstanceID(fmt.Sprint("entry-", from)), Peer, news)
 				}
 			}
 		}})
--- a/scheduling/relayed_test.go
+++ b/scheduling/relayed_test.go
@@ -33,7 +33,7 @@
 // exchange passes all news on.
 func (r *relayed) exchange(now time.Time) {
 	for id, member := range r.members {
-		r.relays[r.relayOf[id]].HearNews(now, id, Subscriber, member.TakeUpdate(now, Upstream))
+		r.relays[r.relayOf[id]].ApplyUpdate(now, id, Subscriber, member.TakeUpdate(now, Upstream))
 	}
 
 	for id, relay := range r.relays {
@@ -41,7 +41,7 @@
 
 		for other, peer := range r.relays {
 			if other != id {
-				peer.HearNews(now, id, Peer, news)
+				peer.ApplyUpdate(now, id, Peer, news)
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 
 		for member, s := range r.members {
 			if r.relayOf[member] == id {
-				s.HearNews(now, id, Relay, news)
+				s.ApplyUpdate(now, id, Relay, news)
 			}
 		}
 	}
--- a/scheduling/roles_test.go
+++ b/scheduling/roles_test.go
@@ -32,9 +32,9 @@
 		switch {
 		case j == i:
 		case r.roles[i].relay && r.roles[j].relay:
-			other.HearNews(r.now, instanceID(i), Peer, news)
+			other.ApplyUpdate(r.now, instanceID(i), Peer, news)
 		case !r.roles[i].relay && r.roles[i].to == j:
-			other.HearNews(r.now, instanceID(i), Subscriber, news)
+			other.ApplyUpdate(r.now, instanceID(i), Subscriber, news)
 		}
 	}
 }
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -223,7 +223,7 @@
 		t.Errorf("loads after 2 s: got %+v, want none", stale.Loads)
 	}
 
-	here.HearNews(now, "entry-2", Peer, news)
+	here.ApplyUpdate(now, "entry-2", Peer, news)
 
 	for range 3 {
 		a := pick(t, here, r)
@@ -236,7 +236,7 @@
 
 	// An older report than the newest changes nothing.
 	older := News{Loads: []ServerLoad{{Server: here.servers["i-0"].key, AgeMs: 1000}}}
-	here.HearNews(now, "entry-2", Peer, older)
+	here.ApplyUpdate(now, "entry-2", Peer, older)
 
 	if a := pick(t, here, r); a.ID() != "i-1" {
 		t.Errorf("after an older report: got %s, want i-1", a.ID())
@@ -258,7 +258,7 @@
 
 	for range instances {
 		s := engines(servers, 16)
-		s.HearNews(now, "entry-2", Peer, News{Loads: loads})
+		s.ApplyUpdate(now, "entry-2", Peer, News{Loads: loads})
 		used[pick(t, s, Request{Service: "llm", Prompt: Prompt{Tokens: 500}}).ID()]++
 	}
 
