--- a/entry/prompts.go
+++ b/entry/prompts.go
@@ -35,7 +35,7 @@
 func (p *parts) tellPrompts(ctx context.Context, to scheduling.Audience) {
 	for ctx.Err() == nil {
 		select {
-		case <-p.scheduler.Ready(to):
+		case <-p.scheduler.UpdateReady(to):
 		case <-p.clock.After(gossip.Every(0)):
 		case <-ctx.Done():
 			return
--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -249,8 +249,8 @@
 // alone.
 func (s *Scheduler) SetRelay(relay bool) { s.relay.Store(relay) }
 
-// Ready returns a channel that is told when there is news for an audience.
-func (s *Scheduler) Ready(to Audience) <-chan struct{} { return s.outboxes[to].wake.C() }
+// UpdateReady returns a channel that is told when there is news for an audience.
+func (s *Scheduler) UpdateReady(to Audience) <-chan struct{} { return s.outboxes[to].wake.C() }
 
 func tokens(n int64) uint32 { return uint32(min(max(n, 0), math.MaxUint32)) }
 
