--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -284,7 +284,7 @@
 	for _, d := range []datagram{
 		{Permit: &ratelimit.Ask{From: "entry-2", Server: register.Start{ID: "i-0000000000"}, Rate: ratelimit.Rate(math.NaN()), Age: -1}},
 		{Permitted: &ratelimit.Reply{Granted: true, Wait: -1, Rate: -1}},
-		{Prompts: &promptNews{News: scheduling.News{Limits: []scheduling.ServerLimit{{Rate: ratelimit.Rate(math.Inf(1))}}}}},
+		{Prompts: &promptNews{News: scheduling.ServerUpdate{Limits: []scheduling.ServerLimit{{Rate: ratelimit.Rate(math.Inf(1))}}}}},
 	} {
 		data, err := msgpack.Marshal(&d)
 		if err != nil {
--- a/entry/prompts.go
+++ b/entry/prompts.go
@@ -18,7 +18,7 @@
 	// of those tells its relay.
 	Down       bool            `msgpack:"d,omitempty"`
 	Subscribes bool            `msgpack:"u,omitempty"`
-	News       scheduling.News `msgpack:"n"`
+	News       scheduling.ServerUpdate `msgpack:"n"`
 }
 
 const (
@@ -113,7 +113,7 @@
 )
 
 // splitNews divides news into what one datagram holds.
-func splitNews(news scheduling.News) []scheduling.News {
+func splitNews(news scheduling.ServerUpdate) []scheduling.ServerUpdate {
 	var s newsSplitter
 
 	for _, b := range news.Backlogs {
@@ -147,8 +147,8 @@
 
 // newsSplitter fills one part after the other. The zero value is empty.
 type newsSplitter struct {
-	parts []scheduling.News
-	part  scheduling.News
+	parts []scheduling.ServerUpdate
+	part  scheduling.ServerUpdate
 	bytes int
 }
 
@@ -162,12 +162,12 @@
 }
 
 // end ends the part that is being filled, and returns all.
-func (s *newsSplitter) end() []scheduling.News {
+func (s *newsSplitter) end() []scheduling.ServerUpdate {
 	if !s.part.Empty() {
 		s.parts = append(s.parts, s.part)
 	}
 
-	s.part, s.bytes = scheduling.News{}, 0
+	s.part, s.bytes = scheduling.ServerUpdate{}, 0
 
 	return s.parts
 }
--- a/entry/prompts_test.go
+++ b/entry/prompts_test.go
@@ -16,7 +16,7 @@
 // A round of news that is larger than a datagram is told in several, and nothing of it
 // is left out.
 func TestNewsOfPromptsFitsIntoDatagrams(t *testing.T) {
-	var news scheduling.News
+	var news scheduling.ServerUpdate
 
 	for i := range uint32(300) {
 		key := scheduling.Key(math.MaxUint32 - i)
@@ -90,7 +90,7 @@
 
 // News of little takes one datagram, of whatever kinds it is.
 func TestLittleNewsTakesOneDatagram(t *testing.T) {
-	news := scheduling.News{
+	news := scheduling.ServerUpdate{
 		Backlogs: make([]scheduling.Backlog, 30), Loads: make([]scheduling.ServerLoad, 30),
 		Holdings: []scheduling.Holding{{Parts: make([]scheduling.Key, 5)}, {Parts: make([]scheduling.Key, 500)}},
 	}
@@ -104,7 +104,7 @@
 		t.Errorf("parts of the long holding: got %d, want the first %d", got, maxParts)
 	}
 
-	if got := splitNews(scheduling.News{}); len(got) != 0 {
+	if got := splitNews(scheduling.ServerUpdate{}); len(got) != 0 {
 		t.Errorf("no news: got %d parts, want none", len(got))
 	}
 }
--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -15,11 +15,11 @@
 	"monsoonlever/register"
 )
 
-// News is what an instance tells others of the servers that prompts are sent to. Each of
+// ServerUpdate is what an instance tells others of the servers that prompts are sent to. Each of
 // many instances sends a small part of what a server has to read; without the others'
 // parts it sees neither the prompts that wait there nor the parts that the server's cache
 // holds (TestNewsOfOthersKeepsPromptsFromWaiting).
-type News struct {
+type ServerUpdate struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Backlogs []Backlog
 	Holdings []Holding
@@ -32,7 +32,7 @@
 }
 
 // Empty tells whether there is nothing to tell.
-func (n News) Empty() bool {
+func (n ServerUpdate) Empty() bool {
 	return len(n.Backlogs) == 0 && len(n.Holdings) == 0 && len(n.Loads) == 0 && len(n.Ended) == 0 &&
 		len(n.Limits) == 0
 }
@@ -218,9 +218,9 @@
 }
 
 // TakeUpdate returns what has changed for an audience since the last call.
-func (s *Scheduler) TakeUpdate(now time.Time, to Audience) News {
+func (s *Scheduler) TakeUpdate(now time.Time, to Audience) ServerUpdate {
 	all := s.outboxes[to].take()
-	news := News{Holdings: all.holdings}
+	news := ServerUpdate{Holdings: all.holdings}
 
 	for _, one := range all.ended {
 		news.Ended = append(news.Ended, one.key)
@@ -256,7 +256,7 @@
 
 // ApplyUpdate takes another instance's news in, and notes what of it is to be passed on.
 // Servers that are not known here are passed over.
-func (s *Scheduler) ApplyUpdate(now time.Time, from fleet.InstanceID, as Sender, n News) {
+func (s *Scheduler) ApplyUpdate(now time.Time, from fleet.InstanceID, as Sender, n ServerUpdate) {
 	byKey := s.byKey.Load()
 	if byKey == nil {
 		return
--- a/scheduling/news_test.go
+++ b/scheduling/news_test.go
@@ -78,7 +78,7 @@
 func TestABacklogThatIsNotToldAnewIsForgotten(t *testing.T) {
 	s := engines(1, 64)
 	server := s.servers["i-0"]
-	s.ApplyUpdate(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: server.key, Tokens: 9000}}})
+	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: server.key, Tokens: 9000}}})
 
 	if got := server.waiting(now.Add(backlogLife)); got != 9000 {
 		t.Errorf("waiting at the end of its life: got %d, want 9000", got)
--- a/scheduling/place_test.go
+++ b/scheduling/place_test.go
@@ -57,7 +57,7 @@
 	}
 
 	tokens := uint32(backlog.Seconds() * 40_000)
-	s.ApplyUpdate(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: s.servers["i-0"].key, Tokens: tokens}}})
+	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: s.servers["i-0"].key, Tokens: tokens}}})
 
 	return s
 }
@@ -108,7 +108,7 @@
 
 func TestNothingIsHeldBeforeARateIsKnown(t *testing.T) {
 	s := engines(1, 64)
-	s.ApplyUpdate(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: s.servers["i-0"].key, Tokens: 1 << 20}}})
+	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: s.servers["i-0"].key, Tokens: 1 << 20}}})
 
 	r := prompt("session")
 	r.Due, r.HoldUntil, r.CallerDeadline = now.Add(time.Second), now.Add(4*time.Second), now.Add(4*time.Second)
@@ -139,7 +139,7 @@
 		placed <- err
 	}()
 
-	s.ApplyUpdate(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: s.servers["i-0"].key}}})
+	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: s.servers["i-0"].key}}})
 
 	for {
 		select {
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -235,7 +235,7 @@
 	}
 
 	// An older report than the newest changes nothing.
-	older := News{Loads: []ServerLoad{{Server: here.servers["i-0"].key, AgeMs: 1000}}}
+	older := ServerUpdate{Loads: []ServerLoad{{Server: here.servers["i-0"].key, AgeMs: 1000}}}
 	here.ApplyUpdate(now, "entry-2", Peer, older)
 
 	if a := pick(t, here, r); a.ID() != "i-1" {
@@ -258,7 +258,7 @@
 
 	for range instances {
 		s := engines(servers, 16)
-		s.ApplyUpdate(now, "entry-2", Peer, News{Loads: loads})
+		s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Loads: loads})
 		used[pick(t, s, Request{Service: "llm", Prompt: Prompt{Tokens: 500}}).ID()]++
 	}
 
--- a/scheduling/starts_test.go
+++ b/scheduling/starts_test.go
@@ -24,7 +24,7 @@
 	first.Answering(now)
 	s.RecordLoad(now, "i-1", Load{Running: 7})
 	s.servers["i-1"].outcome(now, true)
-	s.ApplyUpdate(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: s.servers["i-1"].key, Tokens: 9000}}})
+	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: s.servers["i-1"].key, Tokens: 9000}}})
 
 	news := s.TakeUpdate(now, Upstream)
 
