--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -51,12 +51,12 @@
 	audiences
 )
 
-// Sender is whom news comes from.
-type Sender int
+// SenderRole is whom news comes from.
+type SenderRole int
 
 const (
 	// Peer tells what it, and those that turned to it, have sent.
-	Peer Sender = iota
+	Peer SenderRole = iota
 	// Subscriber is a peer whose news this instance passes on.
 	Subscriber
 	// Relay tells what all have sent, this instance included.
@@ -256,7 +256,7 @@
 
 // ApplyUpdate takes another instance's news in, and notes what of it is to be passed on.
 // Servers that are not known here are passed over.
-func (s *Scheduler) ApplyUpdate(now time.Time, from fleet.InstanceID, as Sender, n ServerUpdate) {
+func (s *Scheduler) ApplyUpdate(now time.Time, from fleet.InstanceID, as SenderRole, n ServerUpdate) {
 	byKey := s.byKey.Load()
 	if byKey == nil {
 		return
@@ -343,10 +343,10 @@
 type heardBacklog struct {
 	tokens int64
 	at     time.Time
-	as     Sender
+	as     SenderRole
 }
 
-func (b *backlogs) hear(now time.Time, from fleet.InstanceID, as Sender, tokens int64) {
+func (b *backlogs) hear(now time.Time, from fleet.InstanceID, as SenderRole, tokens int64) {
 	if b.of == nil {
 		b.of = make(map[fleet.InstanceID]heardBacklog)
 	}
@@ -362,7 +362,7 @@
 
 // sum returns the tokens that senders of some kinds have waiting, as far as it was told
 // lately.
-func (b *backlogs) sum(now time.Time, fits func(Sender) bool) int64 {
+func (b *backlogs) sum(now time.Time, fits func(SenderRole) bool) int64 {
 	sum := int64(0)
 
 	for from, one := range b.of {
@@ -381,6 +381,6 @@
 }
 
 // ofSubscribers and ofOthers are the senders whose backlogs an audience is told.
-func ofSubscribers(s Sender) bool { return s == Subscriber }
-func ofOthers(s Sender) bool      { return s != Relay }
-func ofRelay(s Sender) bool       { return s == Relay }
+func ofSubscribers(s SenderRole) bool { return s == Subscriber }
+func ofOthers(s SenderRole) bool      { return s != Relay }
+func ofRelay(s SenderRole) bool       { return s == Relay }
--- a/scheduling/server.go
+++ b/scheduling/server.go
@@ -234,7 +234,7 @@
 	return s.upstream
 }
 
-func (s *server) hearBacklog(now time.Time, from fleet.InstanceID, as Sender, tokens int64) {
+func (s *server) hearBacklog(now time.Time, from fleet.InstanceID, as SenderRole, tokens int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.elsewhere.hear(now, from, as, tokens)
