--- a/entry/prompts_test.go
+++ b/entry/prompts_test.go
@@ -23,7 +23,7 @@
 		news.Backlogs = append(news.Backlogs, scheduling.Backlog{Server: key, Tokens: math.MaxUint32 - i})
 		news.Loads = append(news.Loads, scheduling.ServerLoad{Server: key, Requests: math.MaxUint16, AgeMs: math.MaxUint16})
 		news.Limits = append(news.Limits, scheduling.ServerLimit{Server: key, Rate: math.MaxFloat64, AgeMs: math.MaxUint32})
-		news.Holdings = append(news.Holdings, scheduling.Holding{Server: key, Parts: []scheduling.Key{key, key, key, key, key}})
+		news.Holdings = append(news.Holdings, scheduling.CachedSegments{Server: key, Parts: []scheduling.Key{key, key, key, key, key}})
 	}
 
 	backlogs, holdings, loads, limits := 0, 0, 0, 0
@@ -92,7 +92,7 @@
 func TestLittleNewsTakesOneDatagram(t *testing.T) {
 	news := scheduling.ServerUpdate{
 		Backlogs: make([]scheduling.Backlog, 30), Loads: make([]scheduling.ServerLoad, 30),
-		Holdings: []scheduling.Holding{{Parts: make([]scheduling.Key, 5)}, {Parts: make([]scheduling.Key, 500)}},
+		Holdings: []scheduling.CachedSegments{{Parts: make([]scheduling.Key, 5)}, {Parts: make([]scheduling.Key, 500)}},
 	}
 
 	parts := splitNews(news)
--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -22,7 +22,7 @@
 type ServerUpdate struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Backlogs []Backlog
-	Holdings []Holding
+	Holdings []CachedSegments
 	Loads    []ServerLoad
 	// Ended are servers that refused a connection: their program has ended, and their
 	// entry in the register outlives it for some seconds.
@@ -71,8 +71,8 @@
 	Tokens   uint32
 }
 
-// Holding are parts of prompts that a server has read, or is about to.
-type Holding struct {
+// CachedSegments are parts of prompts that a server has read, or is about to.
+type CachedSegments struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Server   Key
 	Parts    []Key
@@ -124,7 +124,7 @@
 	loads    map[*server]bool
 	gone     map[*server]bool
 	limits   map[*server]bool
-	holdings []Holding
+	holdings []CachedSegments
 	// wake tells that there is something.
 	wake feed.Signal
 }
@@ -140,7 +140,7 @@
 	o.backlogs[s] = true
 
 	if len(parts) > 0 && len(o.holdings) < maxHoldings {
-		o.holdings = append(o.holdings, Holding{Server: s.key, Parts: parts})
+		o.holdings = append(o.holdings, CachedSegments{Server: s.key, Parts: parts})
 	}
 
 	o.mu.Unlock()
@@ -194,7 +194,7 @@
 // noted is what an outbox held.
 type noted struct {
 	backlogs, loads, ended, limits []*server
-	holdings                       []Holding
+	holdings                       []CachedSegments
 }
 
 // take empties the outbox.
