--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -108,7 +108,7 @@
 		errors.Is(err, errBlocked), errors.Is(err, scheduling.ErrNoServer):
 		return scheduling.Cancelled
 	case errors.Is(err, unix.ECONNREFUSED):
-		return scheduling.Gone
+		return scheduling.Terminated
 	case errors.Is(err, backend.ErrNotSent) && ctx.Err() == nil:
 		return scheduling.Unreachable
 	case ctx.Err() != nil:
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -19,8 +19,8 @@
 	Failed
 	// Unreachable servers took no connection.
 	Unreachable
-	// Gone servers refused a connection: their machine answers and their program has ended.
-	Gone
+	// Terminated servers refused a connection: their machine answers and their program has ended.
+	Terminated
 	// Turned away attempts were not run, because the server had no room.
 	TurnedAway
 	// Cancelled attempts say nothing of the server.
@@ -159,7 +159,7 @@
 	case Unreachable:
 		a.server.outcome(now, true)
 		a.server.avoid(now.Add(avoidUnreachable))
-	case Gone:
+	case Terminated:
 		a.server.outcome(now, true)
 		a.scheduler.ended(now, a.server, true)
 	case TurnedAway:
--- a/scheduling/ended_test.go
+++ b/scheduling/ended_test.go
@@ -64,7 +64,7 @@
 		}
 
 		a.Start(now)
-		a.End(now, Gone)
+		a.End(now, Terminated)
 	}
 
 	relay.ApplyUpdate(now, "seer", Subscriber, seer.TakeUpdate(now, Upstream))
@@ -106,7 +106,7 @@
 	}
 
 	a.Start(now)
-	a.End(now, Gone)
+	a.End(now, Terminated)
 
 	news := seer.TakeUpdate(now, Upstream)
 	relay.ApplyUpdate(now, "seer", Peer, news)
