--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -103,7 +103,7 @@
 	case err == nil:
 		return scheduling.Served
 	case errors.Is(err, backend.ErrRefused):
-		return scheduling.TurnedAway
+		return scheduling.Rejected
 	case errors.Is(err, errCallerWrite), errors.Is(err, errRevoked), errors.Is(err, errQuarantined),
 		errors.Is(err, errBlocked), errors.Is(err, scheduling.ErrNoServer):
 		return scheduling.Cancelled
--- a/scheduling/announcements_test.go
+++ b/scheduling/announcements_test.go
@@ -53,7 +53,7 @@
 	a.Start(now)
 	a.Announced(now, 1.5)
 	a.AskedToBackOff(now, 3*time.Second)
-	a.End(now, TurnedAway)
+	a.End(now, Rejected)
 
 	s.Update(nil)
 	s.Update([]register.Server{startOf(500)})
@@ -79,7 +79,7 @@
 	a := pick(t, s, Request{Service: "llm"})
 	a.Start(now)
 	a.AskedToBackOff(now, 3*time.Second)
-	a.End(now, TurnedAway)
+	a.End(now, Rejected)
 
 	moved := startOf(500)
 	moved.Address = "10.0.0.9:1"
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -22,7 +22,7 @@
 	// Terminated servers refused a connection: their machine answers and their program has ended.
 	Terminated
 	// Turned away attempts were not run, because the server had no room.
-	TurnedAway
+	Rejected
 	// Cancelled attempts say nothing of the server.
 	Cancelled
 )
@@ -162,7 +162,7 @@
 	case Terminated:
 		a.server.outcome(now, true)
 		a.scheduler.ended(now, a.server, true)
-	case TurnedAway:
+	case Rejected:
 		a.server.avoid(now.Add(avoidFull))
 	case Cancelled:
 	}
--- a/scheduling/backoff_test.go
+++ b/scheduling/backoff_test.go
@@ -62,7 +62,7 @@
 				underWay = underWay[1:]
 				backoff := time.Duration(rapid.IntRange(1, 5000).Draw(t, "backoff")) * time.Millisecond
 				a.AskedToBackOff(at, backoff)
-				a.End(at, TurnedAway)
+				a.End(at, Rejected)
 
 				if end := at.Add(backoff); end.After(ends[a.Server()]) {
 					ends[a.Server()] = end
--- a/scheduling/return_model_test.go
+++ b/scheduling/return_model_test.go
@@ -131,7 +131,7 @@
 			}
 
 			a.AskedToBackOff(at, shedBackoff)
-			a.End(at, TurnedAway)
+			a.End(at, Rejected)
 
 			if r.Final {
 				out.refused++
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -152,7 +152,7 @@
 func TestEndsLeaveNothingBehind(t *testing.T) {
 	s := engines(1, 64)
 
-	for i, result := range []Result{Served, Failed, Unreachable, TurnedAway, Cancelled} {
+	for i, result := range []Result{Served, Failed, Unreachable, Rejected, Cancelled} {
 		a := pick(t, s, prompt("x"))
 		a.Start(now)
 
