--- a/forward/ended.go
+++ b/forward/ended.go
@@ -65,7 +65,7 @@
 			return false, nil
 		}
 
-		a.Ended(f.Clock.Now())
+		a.ReportTerminated(f.Clock.Now())
 
 		return true, nil
 	})
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -75,8 +75,8 @@
 // Leaving tells whether the server is known to leave by now.
 func (a *Assignment) Leaving() bool { return a.server.leaves() }
 
-// Ended takes in that the server's program was found to have ended, and has others told.
-func (a *Assignment) Ended(now time.Time) { a.scheduler.ended(now, a.server, true) }
+// ReportTerminated takes in that the server's program was found to have ended, and has others told.
+func (a *Assignment) ReportTerminated(now time.Time) { a.scheduler.ended(now, a.server, true) }
 
 // KnownEnded reports whether the server's program was found to have ended a moment ago.
 func (a *Assignment) KnownEnded(now time.Time) bool { return a.server.hasEnded(now) }
--- a/scheduling/ended_test.go
+++ b/scheduling/ended_test.go
@@ -120,7 +120,7 @@
 		t.Errorf("passed on: got %v, want one end", got)
 	}
 
-	a.Ended(now.Add(time.Millisecond))
+	a.ReportTerminated(now.Add(time.Millisecond))
 	relay.ApplyUpdate(now.Add(time.Millisecond), "seer", Peer, news)
 
 	if got := relay.TakeUpdate(now, Downstream).Ended; len(got) != 0 {
