--- a/forward/ended.go
+++ b/forward/ended.go
@@ -55,7 +55,7 @@
 	server := upstream.Server{ID: a.ID(), Address: a.Address()}
 
 	ended, _, _ := f.endings.Do(string(server.ID), func() (any, error) {
-		if a.KnownEnded(f.Clock.Now()) {
+		if a.KnownTerminated(f.Clock.Now()) {
 			return !a.Leaving(), nil
 		}
 
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -78,8 +78,8 @@
 // ReportTerminated takes in that the server's program was found to have ended, and has others told.
 func (a *Assignment) ReportTerminated(now time.Time) { a.scheduler.ended(now, a.server, true) }
 
-// KnownEnded reports whether the server's program was found to have ended a moment ago.
-func (a *Assignment) KnownEnded(now time.Time) bool { return a.server.hasEnded(now) }
+// KnownTerminated reports whether the server's program was found to have ended a moment ago.
+func (a *Assignment) KnownTerminated(now time.Time) bool { return a.server.hasEnded(now) }
 
 // Server returns the start of the server that the attempt is at.
 func (a *Assignment) Server() register.Start { return a.server.entry().Start() }
