--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -129,7 +129,7 @@
 	}
 
 	if reading.Limit != nil {
-		assignment.Announced(f.Clock.Now(), *reading.Limit)
+		assignment.AnnouncedLimit(f.Clock.Now(), *reading.Limit)
 	}
 
 	if reading.Leaving {
--- a/scheduling/announcements_test.go
+++ b/scheduling/announcements_test.go
@@ -51,7 +51,7 @@
 
 	a := pick(t, s, Request{Service: "llm"})
 	a.Start(now)
-	a.Announced(now, 1.5)
+	a.AnnouncedLimit(now, 1.5)
 	a.AskedToBackOff(now, 3*time.Second)
 	a.End(now, Rejected)
 
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -175,8 +175,8 @@
 	Before, After ratelimit.Rate
 }
 
-// Announced takes in which limit, or none, an answer to this attempt announced.
-func (a *Assignment) Announced(now time.Time, rate ratelimit.Rate) {
+// AnnouncedLimit takes in which limit, or none, an answer to this attempt announced.
+func (a *Assignment) AnnouncedLimit(now time.Time, rate ratelimit.Rate) {
 	if rate == ratelimit.Unlimited && a.server.announcements.limited.Load() == nil {
 		return
 	}
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -204,12 +204,12 @@
 		}
 	}
 
-	a.Announced(now, 1.5)
+	a.AnnouncedLimit(now, 1.5)
 	check(now, 1.5)
 
 	later := pick(t, all[0], Request{Service: "llm"})
 	later.Start(now.Add(time.Second))
-	later.Announced(now.Add(2*time.Second), ratelimit.Unlimited)
+	later.AnnouncedLimit(now.Add(2*time.Second), ratelimit.Unlimited)
 	check(now.Add(2*time.Second), ratelimit.Unlimited)
 
 	// The answer to an earlier request that comes now says nothing of what holds now.
