--- a/forward/announcements_test.go
+++ b/forward/announcements_test.go
@@ -34,7 +34,7 @@
 func TestARequestIsNotSentAfterItsServerAnnouncedThatItTakesNone(t *testing.T) {
 	for name, announce := range map[string]func(s *site, a *scheduling.Assignment){
 		"leaving": func(_ *site, a *scheduling.Assignment) { a.AnnouncedLeaving() },
-		"backoff": func(s *site, a *scheduling.Assignment) { a.AskedToBackOff(s.clock.Now(), time.Second) },
+		"backoff": func(s *site, a *scheduling.Assignment) { a.AnnouncedBackoff(s.clock.Now(), time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 10)
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -137,7 +137,7 @@
 	}
 
 	if reading.Backoff > 0 {
-		assignment.AskedToBackOff(f.Clock.Now(), reading.Backoff)
+		assignment.AnnouncedBackoff(f.Clock.Now(), reading.Backoff)
 	}
 
 	if !reading.NotRun && reading.Backoff == 0 {
--- a/scheduling/announcements.go
+++ b/scheduling/announcements.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// AskedToBackOff takes in that an answer to this attempt turned it away, and for how long
+// AnnouncedBackoff takes in that an answer to this attempt turned it away, and for how long
 // the server wants no further requests from this instance.
-func (a *Assignment) AskedToBackOff(now time.Time, backoff time.Duration) {
+func (a *Assignment) AnnouncedBackoff(now time.Time, backoff time.Duration) {
 	s := a.scheduler
 	if a.server.announcements.askBackoff(now, backoff, s.Resume) && s.OnBackoff != nil {
 		s.OnBackoff(a.Server(), backoff)
--- a/scheduling/announcements_test.go
+++ b/scheduling/announcements_test.go
@@ -52,7 +52,7 @@
 	a := pick(t, s, Request{Service: "llm"})
 	a.Start(now)
 	a.AnnouncedLimit(now, 1.5)
-	a.AskedToBackOff(now, 3*time.Second)
+	a.AnnouncedBackoff(now, 3*time.Second)
 	a.End(now, Rejected)
 
 	s.Update(nil)
@@ -78,7 +78,7 @@
 
 	a := pick(t, s, Request{Service: "llm"})
 	a.Start(now)
-	a.AskedToBackOff(now, 3*time.Second)
+	a.AnnouncedBackoff(now, 3*time.Second)
 	a.End(now, Rejected)
 
 	moved := startOf(500)
--- a/scheduling/backoff_test.go
+++ b/scheduling/backoff_test.go
@@ -61,7 +61,7 @@
 				a := underWay[0]
 				underWay = underWay[1:]
 				backoff := time.Duration(rapid.IntRange(1, 5000).Draw(t, "backoff")) * time.Millisecond
-				a.AskedToBackOff(at, backoff)
+				a.AnnouncedBackoff(at, backoff)
 				a.End(at, Rejected)
 
 				if end := at.Add(backoff); end.After(ends[a.Server()]) {
@@ -286,7 +286,7 @@
 
 	for _, id := range ids {
 		a := &Assignment{scheduler: s, server: s.servers[id]}
-		a.AskedToBackOff(at, backoff)
+		a.AnnouncedBackoff(at, backoff)
 	}
 }
 
--- a/scheduling/return_model_test.go
+++ b/scheduling/return_model_test.go
@@ -130,7 +130,7 @@
 				out.again++
 			}
 
-			a.AskedToBackOff(at, shedBackoff)
+			a.AnnouncedBackoff(at, shedBackoff)
 			a.End(at, Rejected)
 
 			if r.Final {
