--- a/forward/guards_test.go
+++ b/forward/guards_test.go
@@ -251,7 +251,7 @@
 		}
 
 		s.clock.Advance(time.Second)
-		a.Answering(s.clock.Now())
+		a.FirstEventReceived(s.clock.Now())
 		a.End(s.clock.Now(), scheduling.Served)
 	}
 
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -356,7 +356,7 @@
 		a.Start(f.clock.Now())
 
 		if tt.events {
-			a.Answering(f.clock.Now())
+			a.FirstEventReceived(f.clock.Now())
 		}
 
 		f.clock.Advance(tt.ran)
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -62,7 +62,7 @@
 		}
 
 		now := f.Clock.Now()
-		assignment.Answering(now)
+		assignment.FirstEventReceived(now)
 		j.trial.event(now)
 
 		if err := j.stream.accept(id); err != nil {
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -114,8 +114,8 @@
 	return true
 }
 
-// Answering takes in that the server has read the prompt.
-func (a *Assignment) Answering(now time.Time) {
+// FirstEventReceived takes in that the server has read the prompt.
+func (a *Assignment) FirstEventReceived(now time.Time) {
 	if !a.started || a.answering {
 		return
 	}
--- a/scheduling/news_test.go
+++ b/scheduling/news_test.go
@@ -62,7 +62,7 @@
 		t.Errorf("at the other server: got %d tokens waiting and held, want 0", got)
 	}
 
-	a.Answering(now)
+	a.FirstEventReceived(now)
 	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
 	if got := server.waiting(now); got != 0 {
@@ -110,7 +110,7 @@
 	for i := range 4 * maxHoldings {
 		a := pick(t, s, prompt(fmt.Sprint("session-", i)))
 		a.Start(now)
-		a.Answering(now)
+		a.FirstEventReceived(now)
 		a.End(now, Served)
 	}
 
--- a/scheduling/play_test.go
+++ b/scheduling/play_test.go
@@ -192,7 +192,7 @@
 		tell(now, from)
 
 		heap.Push(&steps, playStep{at: read, do: func(now time.Time) {
-			a.Answering(now)
+			a.FirstEventReceived(now)
 			a.End(now, Served)
 			tell(now, from)
 		}})
--- a/scheduling/relayed_test.go
+++ b/scheduling/relayed_test.go
@@ -81,7 +81,7 @@
 	}
 
 	for i, a := range assignments {
-		a.Answering(now)
+		a.FirstEventReceived(now)
 
 		if i%2 == 0 {
 			r.exchange(now)
@@ -105,7 +105,7 @@
 	for range 3 {
 		a := pick(t, r.members["a-1"], p)
 		a.Start(now)
-		a.Answering(now)
+		a.FirstEventReceived(now)
 		a.End(now, Served)
 	}
 
@@ -125,7 +125,7 @@
 
 	again := pick(t, r.members["b-1"], p)
 	again.Start(now)
-	again.Answering(now)
+	again.FirstEventReceived(now)
 
 	if got := r.members["b-1"].TakeUpdate(now, Upstream).Holdings; len(got) != 0 {
 		t.Errorf("holdings told again: got %v, want none", got)
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -95,7 +95,7 @@
 	for i := range 8 {
 		a := pick(t, s, prompt(fmt.Sprint("session-", i)))
 		a.Start(now)
-		a.Answering(now)
+		a.FirstEventReceived(now)
 		used[a.ID()]++
 	}
 
@@ -157,7 +157,7 @@
 		a.Start(now)
 
 		if i%2 == 0 {
-			a.Answering(now)
+			a.FirstEventReceived(now)
 		}
 
 		a.End(now, result)
@@ -187,7 +187,7 @@
 		}
 
 		now = now.Add(100 * time.Millisecond)
-		a.Answering(now)
+		a.FirstEventReceived(now)
 		a.End(now, Served)
 	}
 
--- a/scheduling/starts_test.go
+++ b/scheduling/starts_test.go
@@ -21,7 +21,7 @@
 	r := Request{Service: "llm", Prompt: Prompt{Tokens: 900, Segments: []Segment{{ID: "p", Tokens: 600}, {ID: "q", Tokens: 300}}}}
 	first := pick(t, s, r)
 	first.Start(now)
-	first.Answering(now)
+	first.FirstEventReceived(now)
 	s.RecordLoad(now, "i-1", Load{Running: 7})
 	s.servers["i-1"].outcome(now, true)
 	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: s.servers["i-1"].key, Tokens: 9000}}})
@@ -59,7 +59,7 @@
 
 	a := pick(t, s, Request{Service: "llm", Prompt: Prompt{Tokens: 100, Segments: []Segment{{ID: "p", Tokens: 60}, {ID: "q", Tokens: 40}}}})
 	a.Start(now)
-	a.Answering(now)
+	a.FirstEventReceived(now)
 
 	changed := startOf(500)
 	changed.Slots, changed.Domain = 2, "b"
