--- a/forward/ended.go
+++ b/forward/ended.go
@@ -29,7 +29,7 @@
 	}
 
 	evidence := quarantine.Weak
-	if j.route.Kind != ruleset.Streaming || begun && !a.Began() {
+	if j.route.Kind != ruleset.Streaming || begun && !a.AnswerBegun() {
 		evidence = quarantine.Strong
 	}
 
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -84,8 +84,8 @@
 // Server returns the start of the server that the attempt is at.
 func (a *Assignment) Server() register.Start { return a.server.entry().Start() }
 
-// Began tells whether the first event has come.
-func (a *Assignment) Began() bool { return a.answering }
+// AnswerBegun tells whether the first event has come.
+func (a *Assignment) AnswerBegun() bool { return a.answering }
 
 // Start counts the attempt, unless the server takes no requests by now.
 func (a *Assignment) Start(now time.Time) bool {
