--- a/entry/prompts.go
+++ b/entry/prompts.go
@@ -16,8 +16,8 @@
 	Instance fleet.InstanceID `msgpack:"i"`
 	// Down is set where a relay tells those that turned to it, and Subscribes where one
 	// of those tells its relay.
-	Down       bool            `msgpack:"d,omitempty"`
-	Subscribes bool            `msgpack:"u,omitempty"`
+	Down       bool                    `msgpack:"d,omitempty"`
+	Subscribes bool                    `msgpack:"u,omitempty"`
 	News       scheduling.ServerUpdate `msgpack:"n"`
 }
 
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -48,9 +48,9 @@
 // Prompt is what a model engine has to read before it answers.
 type Prompt struct {
 	// Tokens is the length of the prompt, Output the most that is generated.
-	Tokens int
+	Tokens          int
 	MaxOutputTokens int
-	Segments  []Segment
+	Segments        []Segment
 }
 
 // Request says what a server is wanted for.
@@ -61,9 +61,9 @@
 	// OnlyVersion is the version of servers that may take it, if it is one of the share that tries
 	// a new one, and Part the part of these servers that take that share. Avoid are
 	// versions that may not.
-	OnlyVersion  fleet.Version
-	VersionFraction  float64
-	AvoidVersions []fleet.Version
+	OnlyVersion     fleet.Version
+	VersionFraction float64
+	AvoidVersions   []fleet.Version
 	// Due is when the first event should come; zero is not known, and nothing is held.
 	Due time.Time
 	// HoldUntil is until when a prompt that can't begin by Due may be held back, and
