--- a/board/members.go
+++ b/board/members.go
@@ -26,15 +26,15 @@
 	at time.Time
 }
 
-// Heard takes a record of an instance in.
-func (m *Members) Heard(now time.Time, r Record) {
+// ReceiveRecord takes a record of an instance in.
+func (m *Members) ReceiveRecord(now time.Time, r Record) {
 	if !r.Leaving {
-		m.Met(now, MemberOf(r.Instance, r.Domain, r.Address, r.Cores))
+		m.Add(now, MemberOf(r.Instance, r.Domain, r.Address, r.Cores))
 
 		return
 	}
 
-	m.Left(r.Instance)
+	m.Remove(r.Instance)
 }
 
 // MemberOf returns an instance as it tells of itself.
@@ -45,8 +45,8 @@
 	return topology.Member{ID: id, Domain: domain, Address: at, Cores: cores}
 }
 
-// Met takes in that an instance was heard directly.
-func (m *Members) Met(now time.Time, member topology.Member) {
+// Add takes in that an instance was heard directly.
+func (m *Members) Add(now time.Time, member topology.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
@@ -57,15 +57,15 @@
 	m.heard[member.ID] = heardMember{Member: member, at: now}
 }
 
-// Left takes in that an instance stops.
-func (m *Members) Left(id fleet.InstanceID) {
+// Remove takes in that an instance stops.
+func (m *Members) Remove(id fleet.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.heard, id)
 }
 
-// Seen takes in that an instance that is known has said something.
-func (m *Members) Seen(now time.Time, id fleet.InstanceID) {
+// Refresh takes in that an instance that is known has said something.
+func (m *Members) Refresh(now time.Time, id fleet.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -46,7 +46,7 @@
 	}
 	p.permits = newPermits(p)
 	p.rulesFeed, p.registerFeed = &feed.Follower{}, &feed.Follower{}
-	p.plan.Store(&topology.Plan{Relay: true, Few: true, Leaders: []fleet.InstanceID{
+	p.plan.Store(&topology.Plan{Relay: true, FullMesh: true, Leaders: []fleet.InstanceID{
 		"edge-ballerup-a-1", "edge-ballerup-b-1", "edge-taastrup-1-1", "edge-taastrup-2-1", "edge-hvidovre-1-1",
 	}})
 
@@ -118,7 +118,7 @@
 		p := largeParts(clk, accounts, leaving)
 
 		spent := make(map[fleet.Account]bool)
-		left := make(map[register.Start]bool)
+		left := make(map[register.Process]bool)
 		services := make(map[fleet.Service]bool)
 
 		for range 1 + leaving {
@@ -210,7 +210,7 @@
 
 		// All requests of some accounts were lost with servers.
 		for i := range accounts {
-			p.quarantine.Lost(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Start{ID: "i-1"}, quarantine.Strong)
+			p.quarantine.Lost(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Process{ID: "i-1"}, quarantine.Strong)
 		}
 
 		losses := 0
@@ -228,16 +228,16 @@
 
 func encodeMessage(t *rapid.T, d datagram) []byte {
 	data, err := msgpack.Marshal(&d)
-	if err != nil || len(data) > gossip.MaxWord {
-		t.Fatalf("message: got %d bytes and %v, want at most %d", len(data), err, gossip.MaxWord)
+	if err != nil || len(data) > gossip.MaxMessageBytes {
+		t.Fatalf("message: got %d bytes and %v, want at most %d", len(data), err, gossip.MaxMessageBytes)
 	}
 
 	return data
 }
 
 func decodeMessage(t *rapid.T, data []byte) datagram {
-	if len(data) > gossip.MaxWord {
-		t.Fatalf("message: got %d bytes, want at most %d", len(data), gossip.MaxWord)
+	if len(data) > gossip.MaxMessageBytes {
+		t.Fatalf("message: got %d bytes, want at most %d", len(data), gossip.MaxMessageBytes)
 	}
 
 	var d datagram
@@ -282,7 +282,7 @@
 	f.Add(data)
 
 	for _, d := range []datagram{
-		{Permit: &ratelimit.Ask{From: "entry-2", Server: register.Start{ID: "i-0000000000"}, Rate: ratelimit.Rate(math.NaN()), Age: -1}},
+		{Permit: &ratelimit.Ask{From: "entry-2", Server: register.Process{ID: "i-0000000000"}, Rate: ratelimit.Rate(math.NaN()), Age: -1}},
 		{Permitted: &ratelimit.Reply{Granted: true, Wait: -1, Rate: -1}},
 		{Prompts: &promptNews{News: scheduling.ServerUpdate{Limits: []scheduling.ServerLimit{{Rate: ratelimit.Rate(math.Inf(1))}}}}},
 	} {
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -16,18 +16,18 @@
 func (p *parts) writeRecord(now time.Time) board.Record {
 	spent, known := p.limits.Record(now)
 	r := board.Record{
-		Instance:    p.self(),
-		Incarnation: p.duties.incarnation,
-		Era:         p.store.Era(),
-		Clock:       now.UnixNano(),
-		Address:     p.settings.Listen.Peers,
-		Domain:      p.settings.FailureDomain,
-		Cores:       p.settings.Limits.ProcessorCores,
-		Leaving:     p.stopping.Load(),
-		Spent:       spent,
-		Known:       known,
-		Usage:       p.counter.Recent(),
-		Losses:      p.quarantine.Record(now),
+		Instance:      p.self(),
+		Incarnation:   p.duties.incarnation,
+		Era:           p.store.Era(),
+		Clock:         now.UnixNano(),
+		Address:       p.settings.Listen.Peers,
+		Domain:        p.settings.FailureDomain,
+		Cores:         p.settings.Limits.ProcessorCores,
+		Leaving:       p.stopping.Load(),
+		Consumed:      spent,
+		TotalConsumed: known,
+		Usage:         p.counter.Recent(),
+		Losses:        p.quarantine.Record(now),
 	}
 
 	if p.leads() {
@@ -42,12 +42,12 @@
 
 // receiveRecord takes the record of any instance in, in the order of the log.
 func (p *parts) receiveRecord(now time.Time, r board.Record) {
-	p.members.Heard(now, r)
+	p.members.ReceiveRecord(now, r)
 
 	if r.Leaving {
-		p.links.Gone(r.Instance)
+		p.links.PeerStopped(r.Instance)
 	} else {
-		p.links.Known(r.Instance)
+		p.links.RecordRead(r.Instance)
 	}
 
 	p.receiveSpent(now, r)
@@ -64,9 +64,9 @@
 func (p *parts) receiveSpent(now time.Time, r board.Record) {
 	switch {
 	case p.early != nil:
-		p.early.Add(r.Instance, r.Incarnation, time.Unix(0, r.Clock), r.Spent, r.Known)
+		p.early.Add(r.Instance, r.Incarnation, time.Unix(0, r.Clock), r.Consumed, r.TotalConsumed)
 	case r.Instance != p.self():
-		p.limits.Hear(now, r.Instance, r.Incarnation, r.Spent)
+		p.limits.Hear(now, r.Instance, r.Incarnation, r.Consumed)
 	}
 }
 
@@ -96,11 +96,11 @@
 	spent, known := p.limits.Record(now)
 	r := board.Record{
 		Instance: p.self(), Incarnation: p.duties.incarnation, Clock: now.UnixNano(), Leaving: true, Era: p.store.Era(),
-		Spent: spent, Known: known, Usage: p.counter.Recent(), Losses: p.quarantine.Record(now),
+		Consumed: spent, TotalConsumed: known, Usage: p.counter.Recent(), Losses: p.quarantine.Record(now),
 	}
 	p.duties.release(now, &r)
 
-	if err := p.board.Last(ctx, r); err != nil {
+	if err := p.board.AppendFinal(ctx, r); err != nil {
 		klog.InfoS("the others were not told of the stop", "err", err.Error())
 	}
 }
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -132,7 +132,7 @@
 	relaying atomic.Bool
 	// formingTurn counts rounds of heartbeats while there are no relays yet.
 	formingTurn atomic.Uint64
-	keeper      directory.Keeper
+	keeper      directory.Planner
 	// outdated is since when the directory should say something else. formed is how many
 	// instances the first one has seen, and formedAt since when. They are used by the keeper's
 	// goroutine alone.
@@ -200,7 +200,7 @@
 	p.bounds.Store(&s.Bounds)
 	self := board.MemberOf(s.Instance, s.FailureDomain, s.Listen.Peers, s.Limits.ProcessorCores)
 	p.links = &topology.Links{Self: self}
-	p.plan.Store(&topology.Plan{Count: 1})
+	p.plan.Store(&topology.Plan{InstanceCount: 1})
 	p.limits = quota.New(quota.Policy{
 		Self: s.Instance, Window: s.Bounds.LimitWindow, Spread: newsSpread, Quick: p.quickSpread,
 		Tell: func() { p.board.Wake() },
@@ -220,9 +220,9 @@
 	}
 	p.handler = &platform.Handler{Clock: e.Clock, Serve: p.serve, BodyBytes: p.bodyBytes}
 	p.board = &board.Board{
-		Log: p.store.Board(), Clock: e.Clock, Every: p.boardPace, Soon: p.boardSoon, ReadEvery: p.boardReads,
-		Begin: p.awaitRules, Active: p.usesBoard,
-		Write: p.writeRecord, Receive: p.receiveRecord, Reached: p.boardReached,
+		Log: p.store.Board(), Clock: e.Clock, Interval: p.boardPace, MinInterval: p.boardSoon, ReadInterval: p.boardReads,
+		BeforeFirstRound: p.awaitRules, Active: p.usesBoard,
+		Write: p.writeRecord, Receive: p.receiveRecord, CaughtUp: p.boardReached,
 	}
 	p.startup = newStartup(e.Clock)
 	p.duties = newDuties(p)
@@ -409,5 +409,5 @@
 func (p *parts) quickSpread(n int) time.Duration {
 	peers := len(p.plan.Load().Peers())
 
-	return lostHeartbeats * max(gossip.Every(n-1), gossip.Every(peers))
+	return lostHeartbeats * max(gossip.Interval(n-1), gossip.Interval(peers))
 }
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -55,7 +55,7 @@
 func (p *parts) relays() bool {
 	plan := p.plan.Load()
 
-	return !plan.Few && plan.Relay
+	return !plan.FullMesh && plan.Relay
 }
 
 // keepForOthers has a relay read the whole of what it has not kept for others yet.
@@ -106,7 +106,7 @@
 	switch {
 	case view == nil:
 		return replica.Upstream{}
-	case view.Few(), p.alone(), plan.Leads(p.self()) && !p.behind(plan):
+	case view.FullMesh(), p.alone(), plan.IsLeader(p.self()) && !p.behind(plan):
 		return replica.Upstream{Origin: true}
 	case view.Forming:
 		// The first instance would have to serve all others at once.
@@ -158,7 +158,7 @@
 	view := p.directory.Load()
 	forming := view != nil && view.Forming && now.Sub(view.at) < directoryAbandoned
 
-	if forming || p.links.Linked(now) {
+	if forming || p.links.Connected(now) {
 		p.unlinkedSince.Store(0)
 
 		return false
--- a/entry/usage_counts.go
+++ b/entry/usage_counts.go
@@ -53,7 +53,7 @@
 		leaders := p.leaders(plan)
 
 		for _, t := range p.makeCounts(p.clock.Now()) {
-			if !plan.Few && !plan.Relay {
+			if !plan.FullMesh && !plan.Relay {
 				p.sendAll(addressesOf(plan.Relays[:min(1, len(plan.Relays))]), datagram{Counts: &t})
 
 				continue
@@ -74,7 +74,7 @@
 // countsPace is the time between two messages of an instance with its counts.
 func (p *parts) countsPace() time.Duration {
 	if p.few() {
-		return gossip.Every(p.count() - 1)
+		return gossip.Interval(p.count() - 1)
 	}
 
 	return countsEvery
@@ -194,9 +194,9 @@
 	}
 
 	if p.few() {
-		p.members.Seen(now, t.Instance)
+		p.members.Refresh(now, t.Instance)
 	} else {
-		p.members.Met(now, topology.Member{ID: t.Instance})
+		p.members.Add(now, topology.Member{ID: t.Instance})
 	}
 
 	p.duties.count(t)
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -82,7 +82,7 @@
 func (a *Assignment) KnownTerminated(now time.Time) bool { return a.server.hasEnded(now) }
 
 // Server returns the start of the server that the attempt is at.
-func (a *Assignment) Server() register.Start { return a.server.entry().Start() }
+func (a *Assignment) Server() register.Process { return a.server.entry().Process() }
 
 // AnswerBegun tells whether the first event has come.
 func (a *Assignment) AnswerBegun() bool { return a.answering }
--- a/topology/links.go
+++ b/topology/links.go
@@ -52,8 +52,8 @@
 
 // Plan says whom an instance tells, as far as it knows now.
 type Plan struct {
-	// Relay tells that this instance is a relay, and Few that all are.
-	Relay, Few bool
+	// Relay tells that this instance is a relay, and FullMesh that all are.
+	Relay, FullMesh bool
 	// Relays are the other relays where this one is one. Else they are the relays that it
 	// turned to, the first of which counts what it tells.
 	Relays []Member
@@ -61,8 +61,8 @@
 	Subscribers []Member
 	// Leaders lead, in the order in which they are asked.
 	Leaders []fleet.InstanceID
-	// Count is how many instances there are.
-	Count int
+	// InstanceCount is how many instances there are.
+	InstanceCount int
 }
 
 // Relation returns what a message of this instance to another is.
@@ -82,14 +82,16 @@
 	return slices.Concat(p.Relays, p.Subscribers)
 }
 
-// Leads tells whether an instance leads.
-func (p *Plan) Leads(id fleet.InstanceID) bool { return slices.Contains(p.Leaders, id) }
+// IsLeader tells whether an instance leads.
+func (p *Plan) IsLeader(id fleet.InstanceID) bool { return slices.Contains(p.Leaders, id) }
 
-// Rank returns the place of an instance among those that lead, or -1.
-func (p *Plan) Rank(id fleet.InstanceID) int { return slices.Index(p.Leaders, id) }
+// LeaderRank returns the place of an instance among those that lead, or -1.
+func (p *Plan) LeaderRank(id fleet.InstanceID) int { return slices.Index(p.Leaders, id) }
 
-// First tells whether an instance is the first of those that lead.
-func (p *Plan) First(id fleet.InstanceID) bool { return len(p.Leaders) > 0 && p.Leaders[0] == id }
+// IsFirstLeader tells whether an instance is the first of those that lead.
+func (p *Plan) IsFirstLeader(id fleet.InstanceID) bool {
+	return len(p.Leaders) > 0 && p.Leaders[0] == id
+}
 
 // Links remembers who was heard directly. Its exported fields are set before its first
 // use; it is safe for concurrent use.
@@ -140,8 +142,8 @@
 	at      time.Time
 }
 
-// Heard takes in that a member was heard directly, and what it takes this instance for.
-func (l *Links) Heard(now time.Time, m Member, as Relation) {
+// MessageReceived takes in that a member was heard directly, and what it takes this instance for.
+func (l *Links) MessageReceived(now time.Time, m Member, as Relation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
@@ -163,16 +165,16 @@
 	}
 }
 
-// Known takes in that a member has written a record lately: it may answer again.
-func (l *Links) Known(id fleet.InstanceID) {
+// RecordRead takes in that a member has written a record lately: it may answer again.
+func (l *Links) RecordRead(id fleet.InstanceID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.silent, id)
 	delete(l.gone, id)
 }
 
-// Gone takes in that a member stops.
-func (l *Links) Gone(id fleet.InstanceID) {
+// PeerStopped takes in that a member stops.
+func (l *Links) PeerStopped(id fleet.InstanceID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
@@ -185,33 +187,33 @@
 	delete(l.sizes, id)
 }
 
-// Stop makes this instance neither relay nor lead, so that others take its place while it
+// StepDown makes this instance neither relay nor lead, so that others take its place while it
 // can still answer.
-func (l *Links) Stop() {
+func (l *Links) StepDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopping = true
 }
 
-// Assign sets the relays that a directory names. Without any, they follow from the members.
-func (l *Links) Assign(relays []Member) {
+// AssignRelays sets the relays that a directory names. Without any, they follow from the members.
+func (l *Links) AssignRelays(relays []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.assigned = relays
 }
 
-// Sized takes in how many instances another relay stands for, itself included.
-func (l *Links) Sized(from fleet.InstanceID, size int) {
+// GroupSizeReported takes in how many instances another relay stands for, itself included.
+func (l *Links) GroupSizeReported(from fleet.InstanceID, size int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
 	l.sizes[from] = size
 }
 
-// Told takes in which instances lead as another one knows it, of count that it knows: one
+// LeadersReported takes in which instances lead as another one knows it, of count that it knows: one
 // that leads itself, or the relay that this one turned to. One that has just started knows
 // few and names itself; it is passed over.
-func (l *Links) Told(now time.Time, from fleet.InstanceID, leaders []fleet.InstanceID, count int) {
+func (l *Links) LeadersReported(now time.Time, from fleet.InstanceID, leaders []fleet.InstanceID, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -241,8 +243,8 @@
 	return ok && now.Sub(at) <= relayPatience
 }
 
-// Linked tells whether this instance hears what others tell.
-func (l *Links) Linked(now time.Time) bool {
+// Connected tells whether this instance hears what others tell.
+func (l *Links) Connected(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -265,7 +267,7 @@
 	l.forget(members)
 
 	count := l.countOf(members)
-	few := l.assigned == nil && count <= Few
+	few := l.assigned == nil && count <= FullMeshMax
 	takesPart := !l.stopping && (l.assigned == nil || slices.ContainsFunc(l.assigned, l.isSelf))
 	answers := func(id fleet.InstanceID) bool { return l.silent[id].IsZero() && !l.gone[id] }
 	answering := l.relaysAmong(l.ranked(members, takesPart, answers))
@@ -280,7 +282,7 @@
 		relays = l.ranked(members, true, func(fleet.InstanceID) bool { return true })
 	}
 
-	plan := &Plan{Few: few, Count: count}
+	plan := &Plan{FullMesh: few, InstanceCount: count}
 	// Others may have found sooner that this instance takes the place of a silent relay.
 	plan.Relay = few || slices.ContainsFunc(relays, l.isSelf) || !l.stopping && now.Sub(l.invited) <= subscribed
 	plan.Leaders = l.leaders(now, members, answering, func() []Member {
@@ -298,11 +300,11 @@
 // chooseRelays returns the relays that this instance sends to: the others where it is one.
 func (l *Links) chooseRelays(now time.Time, plan *Plan, relays []Member) []Member {
 	if !plan.Relay {
-		return l.chooseUplink(now, PreferredBy(l.Self, relays))
+		return l.chooseUplink(now, PreferredRelays(l.Self, relays))
 	}
 
 	others := slices.DeleteFunc(slices.Clone(relays), l.isSelf)
-	if plan.Few {
+	if plan.FullMesh {
 		return others
 	}
 
@@ -347,9 +349,9 @@
 	return RelaysOf(ranked)
 }
 
-// Size returns how many instances this one stands for as a relay, by failure domain, and
+// GroupSizes returns how many instances this one stands for as a relay, by failure domain, and
 // those among them that turned to it.
-func (l *Links) Size(now time.Time) (map[fleet.FailureDomain]int, []Member) {
+func (l *Links) GroupSizes(now time.Time) (map[fleet.FailureDomain]int, []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
