--- a/entry/parts.go
+++ b/entry/parts.go
@@ -185,8 +185,8 @@
 		},
 		retries: newRetries(s.Bounds),
 		scheduler: &scheduling.Scheduler{
-			Domain: s.FailureDomain, OnLimit: logLimit, OnBackoff: logBackoff,
-			Return: scheduling.DefaultReturn, Counters: scheduling.NewCounters(set),
+			Domain: s.FailureDomain, OnLimitChange: logLimit, OnBackoff: logBackoff,
+			Resume: scheduling.DefaultResumePolicy, Counters: scheduling.NewCounters(set),
 		},
 		members:    &board.Members{},
 		quarantine: &quarantine.Ledger{},
@@ -272,7 +272,7 @@
 	set.NewGauge("monsoonlever_entry_quarantined_requests", func() float64 {
 		return float64(p.quarantine.QuarantinedCount(p.clock.Now()))
 	})
-	set.NewGauge("monsoonlever_entry_limited_servers", func() float64 { return float64(p.scheduler.Limited()) })
+	set.NewGauge("monsoonlever_entry_limited_servers", func() float64 { return float64(p.scheduler.LimitedServers()) })
 	set.NewGauge("monsoonlever_entry_leaving_servers", func() float64 { return float64(p.scheduler.LeavingServers()) })
 	set.NewGauge("monsoonlever_entry_backoff_servers", func() float64 {
 		return float64(p.scheduler.BackoffServers(p.clock.Now()))
@@ -362,7 +362,7 @@
 
 // serving reports whether requests can be routed, authorized and placed.
 func (p *parts) serving() bool {
-	return p.rules.Load() != nil && p.currency.Current() && p.scheduler.Known()
+	return p.rules.Load() != nil && p.currency.Current() && p.scheduler.Initialized()
 }
 
 // servers returns the servers of the addresses, in their order.
--- a/forward/ended.go
+++ b/forward/ended.go
@@ -29,7 +29,7 @@
 	}
 
 	evidence := quarantine.Weak
-	if j.route.Kind != ruleset.Streaming || begun && !a.Began() {
+	if j.route.Kind != ruleset.Streaming || begun && !a.AnswerBegun() {
 		evidence = quarantine.Strong
 	}
 
@@ -55,7 +55,7 @@
 	server := upstream.Server{ID: a.ID(), Address: a.Address()}
 
 	ended, _, _ := f.endings.Do(string(server.ID), func() (any, error) {
-		if a.KnownEnded(f.Clock.Now()) {
+		if a.KnownTerminated(f.Clock.Now()) {
 			return !a.Leaving(), nil
 		}
 
@@ -65,7 +65,7 @@
 			return false, nil
 		}
 
-		a.Ended(f.Clock.Now())
+		a.ReportTerminated(f.Clock.Now())
 
 		return true, nil
 	})
--- a/scheduling/announcements.go
+++ b/scheduling/announcements.go
@@ -21,7 +21,7 @@
 
 // askBackoff takes in that the server wants no requests for some time. The latest end counts:
 // each answer binds by itself. It reports whether no earlier one was still in force.
-func (a *announcements) askBackoff(now time.Time, length time.Duration, policy ReturnPolicy) bool {
+func (a *announcements) askBackoff(now time.Time, length time.Duration, policy ResumePolicy) bool {
 	next := newBackoff(now.Add(length), length, policy)
 
 	for {
@@ -57,11 +57,11 @@
 	}
 }
 
-// AskedToBackOff takes in that an answer to this attempt turned it away, and for how long
+// AnnouncedBackoff takes in that an answer to this attempt turned it away, and for how long
 // the server wants no further requests from this instance.
-func (a *Assignment) AskedToBackOff(now time.Time, backoff time.Duration) {
+func (a *Assignment) AnnouncedBackoff(now time.Time, backoff time.Duration) {
 	s := a.scheduler
-	if a.server.announcements.askBackoff(now, backoff, s.Return) && s.OnBackoff != nil {
+	if a.server.announcements.askBackoff(now, backoff, s.Resume) && s.OnBackoff != nil {
 		s.OnBackoff(a.Server(), backoff)
 	}
 }
--- a/scheduling/announcements_test.go
+++ b/scheduling/announcements_test.go
@@ -51,9 +51,9 @@
 
 	a := pick(t, s, Request{Service: "llm"})
 	a.Start(now)
-	a.Announced(now, 1.5)
-	a.AskedToBackOff(now, 3*time.Second)
-	a.End(now, TurnedAway)
+	a.AnnouncedLimit(now, 1.5)
+	a.AnnouncedBackoff(now, 3*time.Second)
+	a.End(now, Rejected)
 
 	s.Update(nil)
 	s.Update([]register.Server{startOf(500)})
@@ -78,8 +78,8 @@
 
 	a := pick(t, s, Request{Service: "llm"})
 	a.Start(now)
-	a.AskedToBackOff(now, 3*time.Second)
-	a.End(now, TurnedAway)
+	a.AnnouncedBackoff(now, 3*time.Second)
+	a.End(now, Rejected)
 
 	moved := startOf(500)
 	moved.Address = "10.0.0.9:1"
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -19,10 +19,10 @@
 	Failed
 	// Unreachable servers took no connection.
 	Unreachable
-	// Gone servers refused a connection: their machine answers and their program has ended.
-	Gone
+	// Terminated servers refused a connection: their machine answers and their program has ended.
+	Terminated
 	// Turned away attempts were not run, because the server had no room.
-	TurnedAway
+	Rejected
 	// Cancelled attempts say nothing of the server.
 	Cancelled
 )
@@ -75,17 +75,17 @@
 // Leaving tells whether the server is known to leave by now.
 func (a *Assignment) Leaving() bool { return a.server.leaves() }
 
-// Ended takes in that the server's program was found to have ended, and has others told.
-func (a *Assignment) Ended(now time.Time) { a.scheduler.ended(now, a.server, true) }
+// ReportTerminated takes in that the server's program was found to have ended, and has others told.
+func (a *Assignment) ReportTerminated(now time.Time) { a.scheduler.ended(now, a.server, true) }
 
-// KnownEnded reports whether the server's program was found to have ended a moment ago.
-func (a *Assignment) KnownEnded(now time.Time) bool { return a.server.hasEnded(now) }
+// KnownTerminated reports whether the server's program was found to have ended a moment ago.
+func (a *Assignment) KnownTerminated(now time.Time) bool { return a.server.hasEnded(now) }
 
 // Server returns the start of the server that the attempt is at.
 func (a *Assignment) Server() register.Process { return a.server.entry().Process() }
 
-// Began tells whether the first event has come.
-func (a *Assignment) Began() bool { return a.answering }
+// AnswerBegun tells whether the first event has come.
+func (a *Assignment) AnswerBegun() bool { return a.answering }
 
 // Start counts the attempt, unless the server takes no requests by now.
 func (a *Assignment) Start(now time.Time) bool {
@@ -114,8 +114,8 @@
 	return true
 }
 
-// Answering takes in that the server has read the prompt.
-func (a *Assignment) Answering(now time.Time) {
+// FirstEventReceived takes in that the server has read the prompt.
+func (a *Assignment) FirstEventReceived(now time.Time) {
 	if !a.started || a.answering {
 		return
 	}
@@ -159,10 +159,10 @@
 	case Unreachable:
 		a.server.outcome(now, true)
 		a.server.avoid(now.Add(avoidUnreachable))
-	case Gone:
+	case Terminated:
 		a.server.outcome(now, true)
 		a.scheduler.ended(now, a.server, true)
-	case TurnedAway:
+	case Rejected:
 		a.server.avoid(now.Add(avoidFull))
 	case Cancelled:
 	}
