--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -210,12 +210,12 @@
 
 		// All requests of some accounts were lost with servers.
 		for i := range accounts {
-			p.quarantine.Lost(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Process{ID: "i-1"}, quarantine.Strong)
+			p.quarantine.RecordLoss(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Process{ID: "i-1"}, quarantine.Strong)
 		}
 
 		losses := 0
 
-		for _, part := range packLosses(p.quarantine.News(clk.Now())) {
+		for _, part := range packLosses(p.quarantine.PendingLosses(clk.Now())) {
 			losses += len(part)
 			encodeMessage(t, datagram{Losses: part})
 		}
@@ -284,7 +284,7 @@
 	for _, d := range []datagram{
 		{Permit: &ratelimit.PermitRequest{From: "entry-2", Server: register.Process{ID: "i-0000000000"}, Rate: ratelimit.Rate(math.NaN()), Age: -1}},
 		{Permitted: &ratelimit.PermitResponse{Granted: true, Wait: -1, Rate: -1}},
-		{Prompts: &promptNews{News: scheduling.News{Limits: []scheduling.ServerLimit{{Rate: ratelimit.Rate(math.Inf(1))}}}}},
+		{Prompts: &promptNews{News: scheduling.ServerUpdate{Limits: []scheduling.ServerLimit{{Rate: ratelimit.Rate(math.Inf(1))}}}}},
 	} {
 		data, err := msgpack.Marshal(&d)
 		if err != nil {
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -95,7 +95,7 @@
 		rollout:     p.rollouts.step,
 		inTrial:     p.rollouts.gate.InTrial,
 		live:        p.arrivingAtAll,
-		taken:       p.scheduler.Taken,
+		taken:       p.scheduler.Utilization,
 		said:        make(map[fleet.Service]plan),
 		cloud:       platform.NewCloud(p.settings.Cloud, p.settings.Instance),
 		incarnation: fleet.Incarnation(now.UnixNano()),
@@ -187,7 +187,7 @@
 	}
 
 	if r.Instance != d.settings.Instance || r.Incarnation != d.incarnation {
-		d.planner.Follow(now, r.Plans)
+		d.planner.Restore(now, r.Plans)
 	}
 
 	for _, report := range r.Reports {
--- a/forward/trial.go
+++ b/forward/trial.go
@@ -33,7 +33,7 @@
 	}
 
 	if j.tried {
-		return j.forwarder.Versions.Further(j.service)
+		return j.forwarder.Versions.ChooseRetry(j.service)
 	}
 
 	return j.forwarder.Versions.Choose(j.forwarder.Clock.Now(), j.service)
@@ -61,7 +61,7 @@
 	}
 
 	if j.trial.isNew {
-		f.Trials.Sent(j.service, place, j.route.Name, true)
+		f.Trials.CountSent(j.service, place, j.route.Name, true)
 	}
 }
 
@@ -82,11 +82,11 @@
 	}
 
 	if !t.isNew && !errors.Is(err, backend.ErrNotSent) {
-		t.counter.Sent(t.service, t.place, t.route, false)
+		t.counter.CountSent(t.service, t.place, t.route, false)
 	}
 
 	if result == scheduling.Served || result == scheduling.Failed {
-		t.counter.Ended(t.service, t.place, t.route, t.isNew, result == scheduling.Failed, t.took(now))
+		t.counter.CountAnswer(t.service, t.place, t.route, t.isNew, result == scheduling.Failed, t.took(now))
 	}
 }
 
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -25,7 +25,7 @@
 }
 
 func held(l *Ledger, now time.Time, f Fingerprint) bool {
-	_, held := l.Held(now, f)
+	_, held := l.Quarantined(now, f)
 
 	return held
 }
@@ -38,11 +38,11 @@
 			t.Fatalf("after %d ends: got it held off, want it served", n)
 		}
 
-		l.Lost(begin, 1, start(n), Strong)
-		l.Lost(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
 	}
 
-	if left, held := l.Held(begin, 1); !held || left != hold {
+	if left, held := l.Quarantined(begin, 1); !held || left != hold {
 		t.Errorf("after %d ends: got %v left and held off %t, want %v and true", enough, left, held, hold)
 	}
 
@@ -56,7 +56,7 @@
 		t.Error("after its time: got it held off, want it tried")
 	}
 
-	l.Lost(later, 1, start(9), Strong)
+	l.RecordLoss(later, 1, start(9), Strong)
 
 	if !held(&l, later, 1) {
 		t.Error("after one more end: got it served, want it held off")
@@ -67,22 +67,22 @@
 	var l, other Ledger
 
 	for n := range enough {
-		l.Lost(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
 	}
 
-	old := l.Record(begin)
-	l.Answered(begin, 1)
-	other.Hear(begin, l.News(begin), false)
+	old := l.StoredLosses(begin)
+	l.RecordAnswer(begin, 1)
+	other.Merge(begin, l.PendingLosses(begin), false)
 	// What was told before the answer may come after it.
-	other.Hear(begin.Add(time.Second), old, false)
-	l.Hear(begin.Add(time.Second), old, false)
+	other.Merge(begin.Add(time.Second), old, false)
+	l.Merge(begin.Add(time.Second), old, false)
 
 	for name, one := range map[string]*Ledger{"here": &l, "at another": &other} {
 		if held(one, begin, 1) {
 			t.Errorf("%s: got it held off, want it served", name)
 		}
 
-		one.Lost(begin, 1, start(7), Strong)
+		one.RecordLoss(begin, 1, start(7), Strong)
 
 		if held(one, begin, 1) {
 			t.Errorf("%s, after one more end: got it held off, want it served", name)
@@ -107,10 +107,10 @@
 
 		var a, b Ledger
 
-		a.Hear(begin, losses, false)
+		a.Merge(begin, losses, false)
 
 		for _, loss := range shuffled {
-			b.Hear(begin, []Loss{loss}, rapid.Bool().Draw(t, "passed on"))
+			b.Merge(begin, []Loss{loss}, rapid.Bool().Draw(t, "passed on"))
 		}
 
 		for f := range Fingerprint(4) {
@@ -127,18 +127,18 @@
 	var l Ledger
 
 	for n := range enough {
-		l.Lost(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
 	}
 
 	now := begin
 
 	for n := range 5 * maxSuspects {
 		now = now.Add(time.Millisecond)
-		l.Lost(now, Fingerprint(n+2), start(n), Strong)
-		l.Lost(now, 1, start(enough+n), Strong)
+		l.RecordLoss(now, Fingerprint(n+2), start(n), Strong)
+		l.RecordLoss(now, 1, start(enough+n), Strong)
 
 		if n%100 == 0 {
-			l.News(now)
+			l.PendingLosses(now)
 		}
 	}
 
@@ -154,11 +154,11 @@
 		t.Error("the request under which most ended: got it forgotten, want it held off")
 	}
 
-	if got := len(l.Record(now)); got > maxRecorded {
+	if got := len(l.StoredLosses(now)); got > maxRecorded {
 		t.Errorf("losses in a record: got %d, want at most %d", got, maxRecorded)
 	}
 
-	l.Lost(now.Add(kept+sweepEvery), 2, start(0), Strong)
+	l.RecordLoss(now.Add(kept+sweepEvery), 2, start(0), Strong)
 
 	shown := 0
 	l.counted.Range(func(any, any) bool {
@@ -177,23 +177,23 @@
 func TestARecordBringsBackWhatIsHeldOff(t *testing.T) {
 	var one, two, next Ledger
 
-	one.Lost(begin, 1, start(0), Strong)
-	one.Lost(begin, 1, start(1), Strong)
-	two.Hear(begin, one.Record(begin), false)
-	two.Lost(begin, 1, start(2), Strong)
+	one.RecordLoss(begin, 1, start(0), Strong)
+	one.RecordLoss(begin, 1, start(1), Strong)
+	two.Merge(begin, one.StoredLosses(begin), false)
+	two.RecordLoss(begin, 1, start(2), Strong)
 
 	if !held(&two, begin, 1) {
 		t.Error("one that reads records: got it served, want it held off")
 	}
 
 	later := begin.Add(hold / 2)
-	next.Hear(later, two.Record(later), false)
+	next.Merge(later, two.StoredLosses(later), false)
 
-	if left, held := next.Held(later, 1); !held || left != hold/2 {
+	if left, held := next.Quarantined(later, 1); !held || left != hold/2 {
 		t.Errorf("after a start: got %v left and held off %t, want %v and true", left, held, hold/2)
 	}
 
-	if got := len(one.Record(later)); got != 0 {
+	if got := len(one.StoredLosses(later)); got != 0 {
 		t.Errorf("losses of a request that is not held off: got %d recorded for good, want 0", got)
 	}
 }
@@ -201,35 +201,35 @@
 func TestNewsIsToldAFewTimesAndPassedOnOnce(t *testing.T) {
 	var seer, relay, last Ledger
 
-	seer.Lost(begin, 1, start(0), Strong)
+	seer.RecordLoss(begin, 1, start(0), Strong)
 
 	for range toldTimes {
-		news := seer.News(begin)
+		news := seer.PendingLosses(begin)
 		if len(news) != 1 {
 			t.Fatalf("news: got %d losses, want 1", len(news))
 		}
 
-		relay.Hear(begin, news, true)
-		last.Hear(begin, news, false)
+		relay.Merge(begin, news, true)
+		last.Merge(begin, news, false)
 	}
 
-	if got := len(seer.News(begin)); got != 0 {
+	if got := len(seer.PendingLosses(begin)); got != 0 {
 		t.Errorf("news told %d times: got %d losses more, want none", toldTimes, got)
 	}
 
-	if got := len(relay.News(begin)); got != 1 {
+	if got := len(relay.PendingLosses(begin)); got != 1 {
 		t.Errorf("a relay: got %d losses to pass on, want 1", got)
 	}
 
-	if got := len(last.News(begin)); got != 0 {
+	if got := len(last.PendingLosses(begin)); got != 0 {
 		t.Errorf("one that passes nothing on: got %d losses to tell, want none", got)
 	}
 }
 
 func TestALossHasABoundedSize(t *testing.T) {
 	data, err := msgpack.Marshal(Loss{Request: math.MaxUint64, Server: math.MaxUint64, Evidence: Strong, Cleared: true, AgeMs: math.MaxUint32})
-	if err != nil || len(data) > LossBytes {
-		t.Errorf("got %d bytes (%v), want at most %d", len(data), err, LossBytes)
+	if err != nil || len(data) > MaxLossBytes {
+		t.Errorf("got %d bytes (%v), want at most %d", len(data), err, MaxLossBytes)
 	}
 }
 
@@ -240,14 +240,14 @@
 	var l Ledger
 
 	for n := range maxSuspects {
-		l.Lost(begin, Fingerprint(n), start(n), Strong)
+		l.RecordLoss(begin, Fingerprint(n), start(n), Strong)
 	}
 
 	body := make([]byte, 1024)
 
 	b.Run("held", func(b *testing.B) {
 		for b.Loop() {
-			l.Held(begin, math.MaxUint64)
+			l.Quarantined(begin, math.MaxUint64)
 		}
 	})
 	b.Run("fingerprint", func(b *testing.B) {
@@ -257,7 +257,7 @@
 	})
 	b.Run("lost", func(b *testing.B) {
 		for n := 0; b.Loop(); n++ {
-			l.Lost(begin, Fingerprint(n), start(n), Strong)
+			l.RecordLoss(begin, Fingerprint(n), start(n), Strong)
 		}
 	})
 }
@@ -266,10 +266,10 @@
 	var l Ledger
 
 	for n := range 3 {
-		l.Lost(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, start(n), Strong)
 	}
 
-	_, held := l.Held(begin, 1)
+	_, held := l.Quarantined(begin, 1)
 	fmt.Println(held)
 	// Output: true
 }
--- a/scheduling/backoff.go
+++ b/scheduling/backoff.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// ReturnPolicy says how an instance returns to a server whose backoff is over. All instances
+// ResumePolicy says how an instance returns to a server whose backoff is over. All instances
 // that it turned away at one moment would return at one moment, and find it overloaded again.
-type ReturnPolicy struct {
-	// Spread is the part of a backoff over which instances return, drawn by each for itself.
-	Spread float64
+type ResumePolicy struct {
+	// Jitter is the part of a backoff over which instances return, drawn by each for itself.
+	Jitter float64
 	// HalfOpen sends one request at a time until the server has taken one.
 	HalfOpen bool
-	// Spare keeps requests that can't be sent to another server from being that one for some
+	// FinalDelay keeps requests that can't be sent to another server from being that one for some
 	// time, as long as others can take them.
-	Spare time.Duration
+	FinalDelay time.Duration
 }
 
-// DefaultReturn is the policy of entry instances: it spreads them over a part of the backoff
+// DefaultResumePolicy is the policy of entry instances: it spreads them over a part of the backoff
 // that callers hardly notice, and leaves a second for a request that can go elsewhere.
-var DefaultReturn = ReturnPolicy{Spread: 0.2, HalfOpen: true, Spare: time.Second}
+var DefaultResumePolicy = ResumePolicy{Jitter: 0.2, HalfOpen: true, FinalDelay: time.Second}
 
 // backoff is the newest time for which a server asked for no requests. It is half-open from
 // returns on, until the server has taken a request.
 type backoff struct {
 	until   time.Time
 	returns time.Time
-	policy  ReturnPolicy
+	policy  ResumePolicy
 	// trial is set while a request is under way that shows whether the server takes some.
 	trial atomic.Bool
 }
 
-func newBackoff(until time.Time, length time.Duration, policy ReturnPolicy) *backoff {
+func newBackoff(until time.Time, length time.Duration, policy ResumePolicy) *backoff {
 	b := &backoff{until: until, returns: until, policy: policy}
-	if spread := time.Duration(policy.Spread * float64(length)); spread > 0 {
+	if spread := time.Duration(policy.Jitter * float64(length)); spread > 0 {
 		b.returns = until.Add(rand.N(spread))
 	}
 
@@ -55,7 +55,7 @@
 		return true
 	}
 
-	return r.Final && !r.mayTest && now.Before(b.returns.Add(b.policy.Spare))
+	return r.Final && !r.mayTest && now.Before(b.returns.Add(b.policy.FinalDelay))
 }
 
 // begin counts a request that is sent, and reports whether it may be.
--- a/scheduling/ended_test.go
+++ b/scheduling/ended_test.go
@@ -30,7 +30,7 @@
 	now := time.Unix(1000, 0)
 
 	for try := range 50 {
-		r := Request{Service: "llm", Prompt: Prompt{Tokens: 10, Parts: []Part{{ID: fmt.Sprint("p", try), Tokens: 10}}}}
+		r := Request{Service: "llm", Prompt: Prompt{Tokens: 10, Segments: []Segment{{ID: fmt.Sprint("p", try), Tokens: 10}}}}
 
 		for i := range servers {
 			if i != try {
@@ -64,11 +64,11 @@
 		}
 
 		a.Start(now)
-		a.End(now, Gone)
+		a.End(now, Terminated)
 	}
 
-	relay.HearNews(now, "seer", Subscriber, seer.News(now, Upstream))
-	told.HearNews(now, "relay", Relay, relay.News(now, Downstream))
+	relay.ApplyUpdate(now, "seer", Subscriber, seer.TakeUpdate(now, Upstream))
+	told.ApplyUpdate(now, "relay", Relay, relay.TakeUpdate(now, Downstream))
 
 	left := map[fleet.InstanceID]bool{}
 
@@ -106,24 +106,24 @@
 	}
 
 	a.Start(now)
-	a.End(now, Gone)
+	a.End(now, Terminated)
 
-	news := seer.News(now, Upstream)
-	relay.HearNews(now, "seer", Peer, news)
-	relay.HearNews(now, "seer", Peer, news)
+	news := seer.TakeUpdate(now, Upstream)
+	relay.ApplyUpdate(now, "seer", Peer, news)
+	relay.ApplyUpdate(now, "seer", Peer, news)
 
-	if got := relay.News(now, Upstream).Ended; len(got) != 0 {
+	if got := relay.TakeUpdate(now, Upstream).Ended; len(got) != 0 {
 		t.Errorf("a peer's news passed on to relays: got %v, want none", got)
 	}
 
-	if got := relay.News(now, Downstream).Ended; len(got) != 1 {
+	if got := relay.TakeUpdate(now, Downstream).Ended; len(got) != 1 {
 		t.Errorf("passed on: got %v, want one end", got)
 	}
 
-	a.Ended(now.Add(time.Millisecond))
-	relay.HearNews(now.Add(time.Millisecond), "seer", Peer, news)
+	a.ReportTerminated(now.Add(time.Millisecond))
+	relay.ApplyUpdate(now.Add(time.Millisecond), "seer", Peer, news)
 
-	if got := relay.News(now, Downstream).Ended; len(got) != 0 {
+	if got := relay.TakeUpdate(now, Downstream).Ended; len(got) != 0 {
 		t.Errorf("passed on again: got %v, want none", got)
 	}
 }
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -139,9 +139,9 @@
 	return &NoRoomError{RetryAfter: comeBackAt(now, backoff)}
 }
 
-// ComeBack returns when a caller of a service should come back if none of its servers takes a
+// RetryAfter returns when a caller of a service should come back if none of its servers takes a
 // request now by what they announced, and whether that is so.
-func (s *Scheduler) ComeBack(now time.Time, service fleet.Service) (time.Duration, bool) {
+func (s *Scheduler) RetryAfter(now time.Time, service fleet.Service) (time.Duration, bool) {
 	servers := s.serversFor(&Request{Service: service}, func(one *server) bool { return !one.leaves() })
 	if len(servers) == 0 || slices.ContainsFunc(servers, func(one *server) bool { return !one.full(now) }) {
 		return 0, false
@@ -175,8 +175,8 @@
 	Before, After ratelimit.Rate
 }
 
-// Announced takes in which limit, or none, an answer to this attempt announced.
-func (a *Assignment) Announced(now time.Time, rate ratelimit.Rate) {
+// AnnouncedLimit takes in which limit, or none, an answer to this attempt announced.
+func (a *Assignment) AnnouncedLimit(now time.Time, rate ratelimit.Rate) {
 	if rate == ratelimit.Unlimited && a.server.announcements.limited.Load() == nil {
 		return
 	}
@@ -227,8 +227,8 @@
 	}
 
 	changed := before.Rate != next.Rate
-	if changed && s.OnLimit != nil {
-		s.OnLimit(LimitChange{Server: one.entry().Process(), Before: before.Rate, After: next.Rate})
+	if changed && s.OnLimitChange != nil {
+		s.OnLimitChange(LimitChange{Server: one.entry().Process(), Before: before.Rate, After: next.Rate})
 	}
 
 	s.outboxes[Downstream].limited(one, changed)
@@ -303,8 +303,8 @@
 	return full
 }
 
-// Limited returns how many servers announce a limit.
-func (s *Scheduler) Limited() int {
+// LimitedServers returns how many servers announce a limit.
+func (s *Scheduler) LimitedServers() int {
 	return s.countServers(func(one *server) bool {
 		return !one.leaves() && one.announced().Rate != ratelimit.Unlimited
 	})
--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -15,14 +15,14 @@
 	"monsoonlever/register"
 )
 
-// News is what an instance tells others of the servers that prompts are sent to. Each of
+// ServerUpdate is what an instance tells others of the servers that prompts are sent to. Each of
 // many instances sends a small part of what a server has to read; without the others'
 // parts it sees neither the prompts that wait there nor the parts that the server's cache
 // holds (TestNewsOfOthersKeepsPromptsFromWaiting).
-type News struct {
+type ServerUpdate struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Backlogs []Backlog
-	Holdings []Holding
+	Holdings []CachedSegments
 	Loads    []ServerLoad
 	// Ended are servers that refused a connection: their program has ended, and their
 	// entry in the register outlives it for some seconds.
@@ -32,7 +32,7 @@
 }
 
 // Empty tells whether there is nothing to tell.
-func (n News) Empty() bool {
+func (n ServerUpdate) Empty() bool {
 	return len(n.Backlogs) == 0 && len(n.Holdings) == 0 && len(n.Loads) == 0 && len(n.Ended) == 0 &&
 		len(n.Limits) == 0
 }
@@ -51,12 +51,12 @@
 	audiences
 )
 
-// Sender is whom news comes from.
-type Sender int
+// SenderRole is whom news comes from.
+type SenderRole int
 
 const (
 	// Peer tells what it, and those that turned to it, have sent.
-	Peer Sender = iota
+	Peer SenderRole = iota
 	// Subscriber is a peer whose news this instance passes on.
 	Subscriber
 	// Relay tells what all have sent, this instance included.
@@ -71,8 +71,8 @@
 	Tokens   uint32
 }
 
-// Holding are parts of prompts that a server has read, or is about to.
-type Holding struct {
+// CachedSegments are parts of prompts that a server has read, or is about to.
+type CachedSegments struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Server   Key
 	Parts    []Key
@@ -124,7 +124,7 @@
 	loads    map[*server]bool
 	gone     map[*server]bool
 	limits   map[*server]bool
-	holdings []Holding
+	holdings []CachedSegments
 	// wake tells that there is something.
 	wake feed.Signal
 }
@@ -140,7 +140,7 @@
 	o.backlogs[s] = true
 
 	if len(parts) > 0 && len(o.holdings) < maxHoldings {
-		o.holdings = append(o.holdings, Holding{Server: s.key, Parts: parts})
+		o.holdings = append(o.holdings, CachedSegments{Server: s.key, Parts: parts})
 	}
 
 	o.mu.Unlock()
@@ -194,7 +194,7 @@
 // noted is what an outbox held.
 type noted struct {
 	backlogs, loads, ended, limits []*server
-	holdings                       []Holding
+	holdings                       []CachedSegments
 }
 
 // take empties the outbox.
@@ -217,10 +217,10 @@
 	return all
 }
 
-// News returns what has changed for an audience since the last call.
-func (s *Scheduler) News(now time.Time, to Audience) News {
+// TakeUpdate returns what has changed for an audience since the last call.
+func (s *Scheduler) TakeUpdate(now time.Time, to Audience) ServerUpdate {
 	all := s.outboxes[to].take()
-	news := News{Holdings: all.holdings}
+	news := ServerUpdate{Holdings: all.holdings}
 
 	for _, one := range all.ended {
 		news.Ended = append(news.Ended, one.key)
@@ -249,14 +249,14 @@
 // alone.
 func (s *Scheduler) SetRelay(relay bool) { s.relay.Store(relay) }
 
-// Ready returns a channel that is told when there is news for an audience.
-func (s *Scheduler) Ready(to Audience) <-chan struct{} { return s.outboxes[to].wake.C() }
+// UpdateReady returns a channel that is told when there is news for an audience.
+func (s *Scheduler) UpdateReady(to Audience) <-chan struct{} { return s.outboxes[to].wake.C() }
 
 func tokens(n int64) uint32 { return uint32(min(max(n, 0), math.MaxUint32)) }
 
-// HearNews takes another instance's news in, and notes what of it is to be passed on.
+// ApplyUpdate takes another instance's news in, and notes what of it is to be passed on.
 // Servers that are not known here are passed over.
-func (s *Scheduler) HearNews(now time.Time, from fleet.InstanceID, as Sender, n News) {
+func (s *Scheduler) ApplyUpdate(now time.Time, from fleet.InstanceID, as SenderRole, n ServerUpdate) {
 	byKey := s.byKey.Load()
 	if byKey == nil {
 		return
@@ -343,10 +343,10 @@
 type heardBacklog struct {
 	tokens int64
 	at     time.Time
-	as     Sender
+	as     SenderRole
 }
 
-func (b *backlogs) hear(now time.Time, from fleet.InstanceID, as Sender, tokens int64) {
+func (b *backlogs) hear(now time.Time, from fleet.InstanceID, as SenderRole, tokens int64) {
 	if b.of == nil {
 		b.of = make(map[fleet.InstanceID]heardBacklog)
 	}
@@ -362,7 +362,7 @@
 
 // sum returns the tokens that senders of some kinds have waiting, as far as it was told
 // lately.
-func (b *backlogs) sum(now time.Time, fits func(Sender) bool) int64 {
+func (b *backlogs) sum(now time.Time, fits func(SenderRole) bool) int64 {
 	sum := int64(0)
 
 	for from, one := range b.of {
@@ -381,6 +381,6 @@
 }
 
 // ofSubscribers and ofOthers are the senders whose backlogs an audience is told.
-func ofSubscribers(s Sender) bool { return s == Subscriber }
-func ofOthers(s Sender) bool      { return s != Relay }
-func ofRelay(s Sender) bool       { return s == Relay }
+func ofSubscribers(s SenderRole) bool { return s == Subscriber }
+func ofOthers(s SenderRole) bool      { return s != Relay }
+func ofRelay(s SenderRole) bool       { return s == Relay }
--- a/scheduling/play_test.go
+++ b/scheduling/play_test.go
@@ -73,11 +73,11 @@
 func (e *engine) read(now time.Time, p Prompt) (time.Time, int) {
 	shared, unread := 0, 0
 
-	for i, part := range p.Parts {
-		if i == len(p.Parts)-1 || !e.held[part.ID] {
+	for i, part := range p.Segments {
+		if i == len(p.Segments)-1 || !e.held[part.ID] {
 			unread += part.Tokens
 
-			if i < len(p.Parts)-1 {
+			if i < len(p.Segments)-1 {
 				shared += part.Tokens
 			}
 		}
@@ -144,7 +144,7 @@
 	begin := now
 
 	tell := func(now time.Time, from int) {
-		news := schedulers[from].News(now, Upstream)
+		news := schedulers[from].TakeUpdate(now, Upstream)
 		if !p.told {
 			return
 		}
@@ -152,7 +152,7 @@
 		heap.Push(&steps, playStep{at: now.Add(p.delay), do: func(now time.Time) {
 			for i, other := range schedulers {
 				if i != from {
-					other.HearNews(now, fleet.InstanceID(fmt.Sprint("entry-", from)), Peer, news)
+					other.ApplyUpdate(now, fleet.InstanceID(fmt.Sprint("entry-", from)), Peer, news)
 				}
 			}
 		}})
@@ -192,7 +192,7 @@
 		tell(now, from)
 
 		heap.Push(&steps, playStep{at: read, do: func(now time.Time) {
-			a.Answering(now)
+			a.FirstEventReceived(now)
 			a.End(now, Served)
 			tell(now, from)
 		}})
@@ -204,7 +204,7 @@
 			from := random.IntN(p.instances)
 			r := Request{
 				Service: "llm", Prompt: drawPrompt(random, number), Due: now.Add(objective), HoldUntil: now.Add(patience),
-				GiveUp: now.Add(patience),
+				CallerDeadline: now.Add(patience),
 			}
 			place(now, from, now, r)
 		}})
@@ -234,7 +234,7 @@
 	own := int(2000 * math.Exp(1.1*random.NormFloat64()))
 	shared := 4000 + 300*conversation
 
-	return Prompt{Tokens: shared + own, Parts: []Part{
+	return Prompt{Tokens: shared + own, Segments: []Segment{
 		{ID: fmt.Sprint("shared-", conversation), Tokens: shared}, {ID: fmt.Sprint("own-", number), Tokens: own},
 	}}
 }
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -29,7 +29,7 @@
 }
 
 func prompt(session string) Request {
-	return Request{Service: "llm", Prompt: Prompt{Tokens: 12_000, Parts: []Part{
+	return Request{Service: "llm", Prompt: Prompt{Tokens: 12_000, Segments: []Segment{
 		{ID: "system", Tokens: 512}, {ID: session, Tokens: 4870}, {ID: session + "-own", Tokens: 6618},
 	}}}
 }
@@ -95,7 +95,7 @@
 	for i := range 8 {
 		a := pick(t, s, prompt(fmt.Sprint("session-", i)))
 		a.Start(now)
-		a.Answering(now)
+		a.FirstEventReceived(now)
 		used[a.ID()]++
 	}
 
@@ -152,12 +152,12 @@
 func TestEndsLeaveNothingBehind(t *testing.T) {
 	s := engines(1, 64)
 
-	for i, result := range []Result{Served, Failed, Unreachable, TurnedAway, Cancelled} {
+	for i, result := range []Result{Served, Failed, Unreachable, Rejected, Cancelled} {
 		a := pick(t, s, prompt("x"))
 		a.Start(now)
 
 		if i%2 == 0 {
-			a.Answering(now)
+			a.FirstEventReceived(now)
 		}
 
 		a.End(now, result)
@@ -177,7 +177,7 @@
 	// Each prompt has 9,000 shared tokens that the server holds for another instance,
 	// and 3,000 of its own, read in 100 ms.
 	for i := range 2 * speedSamples {
-		prompt := Prompt{Tokens: 12_000, Parts: []Part{
+		prompt := Prompt{Tokens: 12_000, Segments: []Segment{
 			{ID: fmt.Sprintf("shared-%d", i), Tokens: 9_000}, {ID: fmt.Sprintf("own-%d", i), Tokens: 3_000},
 		}}
 
@@ -187,7 +187,7 @@
 		}
 
 		now = now.Add(100 * time.Millisecond)
-		a.Answering(now)
+		a.FirstEventReceived(now)
 		a.End(now, Served)
 	}
 
@@ -210,20 +210,20 @@
 	here, there := engines(2, 4), engines(2, 4)
 	r := Request{Service: "llm", Prompt: Prompt{Tokens: 500}}
 
-	there.Report(now, "i-0", Load{Running: 4, Waiting: 3, Slots: 4})
+	there.RecordLoad(now, "i-0", Load{Running: 4, Waiting: 3, Slots: 4})
 
-	news := there.News(now.Add(50*time.Millisecond), Upstream)
+	news := there.TakeUpdate(now.Add(50*time.Millisecond), Upstream)
 	if len(news.Loads) != 1 || news.Loads[0].Requests != 7 || news.Loads[0].AgeMs != 50 {
 		t.Fatalf("loads: got %+v, want 7 requests at i-0, 50 ms old", news.Loads)
 	}
 
-	there.Report(now, "i-1", Load{Running: 1})
+	there.RecordLoad(now, "i-1", Load{Running: 1})
 
-	if stale := there.News(now.Add(2*time.Second), Upstream); len(stale.Loads) != 0 {
+	if stale := there.TakeUpdate(now.Add(2*time.Second), Upstream); len(stale.Loads) != 0 {
 		t.Errorf("loads after 2 s: got %+v, want none", stale.Loads)
 	}
 
-	here.HearNews(now, "entry-2", Peer, news)
+	here.ApplyUpdate(now, "entry-2", Peer, news)
 
 	for range 3 {
 		a := pick(t, here, r)
@@ -235,8 +235,8 @@
 	}
 
 	// An older report than the newest changes nothing.
-	older := News{Loads: []ServerLoad{{Server: here.servers["i-0"].key, AgeMs: 1000}}}
-	here.HearNews(now, "entry-2", Peer, older)
+	older := ServerUpdate{Loads: []ServerLoad{{Server: here.servers["i-0"].key, AgeMs: 1000}}}
+	here.ApplyUpdate(now, "entry-2", Peer, older)
 
 	if a := pick(t, here, r); a.ID() != "i-1" {
 		t.Errorf("after an older report: got %s, want i-1", a.ID())
@@ -258,7 +258,7 @@
 
 	for range instances {
 		s := engines(servers, 16)
-		s.HearNews(now, "entry-2", Peer, News{Loads: loads})
+		s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Loads: loads})
 		used[pick(t, s, Request{Service: "llm", Prompt: Prompt{Tokens: 500}}).ID()]++
 	}
 
--- a/scheduling/versions.go
+++ b/scheduling/versions.go
@@ -10,7 +10,7 @@
 // that is tried with a part of the requests, such a part of the servers takes them: each
 // then carries what it would if all were sent there.
 func (r *Request) versions(pool []*server) []*server {
-	if r.Only == "" && len(r.Avoid) == 0 {
+	if r.OnlyVersion == "" && len(r.AvoidVersions) == 0 {
 		return pool
 	}
 
@@ -18,18 +18,18 @@
 
 	for _, one := range pool {
 		version := one.entry().Version
-		if r.Only != "" && version != r.Only || slices.Contains(r.Avoid, version) {
+		if r.OnlyVersion != "" && version != r.OnlyVersion || slices.Contains(r.AvoidVersions, version) {
 			continue
 		}
 
 		fit = append(fit, one)
 	}
 
-	if r.Only == "" || r.Part >= 1 || len(fit) == 0 {
+	if r.OnlyVersion == "" || r.VersionFraction >= 1 || len(fit) == 0 {
 		return fit
 	}
 
 	slices.SortFunc(fit, func(a, b *server) int { return cmp.Compare(a.hash, b.hash) })
 
-	return fit[:min(max(int(math.Ceil(r.Part*float64(len(fit)))), 1), len(fit))]
+	return fit[:min(max(int(math.Ceil(r.VersionFraction*float64(len(fit)))), 1), len(fit))]
 }
