--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -12,13 +12,13 @@
 	"monsoonlever/register"
 )
 
-// BenchmarkAnswer is the cost of one question at the instance that grants, with its
+// BenchmarkHandleRequest is the cost of one question at the instance that grants, with its
 // message and its reply.
-func BenchmarkAnswer(b *testing.B) {
+func BenchmarkHandleRequest(b *testing.B) {
 	leaders := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 	server := register.Process{ID: "i-0123456789", Incarnation: 1_790_000_000_123}
 	self := RankLeaders(server, leaders)[0]
-	asker := &Limiter{Self: self, Clock: clock.NewSteady(), Announcements: &notes{}, Granter: &Granter{Self: self}}
+	asker := &Limiter{Self: self, Clock: clock.NewSteady(), Announcements: &announcementStore{}, Granter: &Granter{Self: self}}
 	asker.Granter.SetLeaders(asker.Clock.Now(), leaders)
 
 	question, err := msgpack.Marshal(&PermitRequest{
--- a/ratelimit/counters.go
+++ b/ratelimit/counters.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func (c *Counters) asked(permit Permit, answered bool) {
+func (c *Counters) record(permit Permit, answered bool) {
 	switch {
 	case c == nil:
 	case !answered:
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// standInShare is the part of a rate at which the second in order grants. With the
+	// standbyShare is the part of a rate at which the second in order grants. With the
 	// whole rate of the first one it stays below the one and a half times that a server
 	// bears.
-	standInShare = 0.3
-	// settleSpan is how long one that comes to be the first in order grants no more than
+	standbyShare = 0.3
+	// handoverPeriod is how long one that comes to be the first in order grants no more than
 	// a stand-in: the one before may not know yet.
-	settleSpan = 1500 * time.Millisecond
-	// forgetSpan is how long after the last question a bucket is kept. One that is made
+	handoverPeriod = 1500 * time.Millisecond
+	// bucketRetention is how long after the last question a bucket is kept. One that is made
 	// anew is empty.
-	forgetSpan = time.Minute
+	bucketRetention = time.Minute
 )
 
 // Permit is the answer to the question whether a request may be sent to a server.
@@ -39,14 +39,14 @@
 	Self fleet.InstanceID
 
 	mu sync.Mutex
-	// began is when the first view came.
-	began time.Time
+	// startedAt is when the first view came.
+	startedAt time.Time
 	// views are the instances that lead now, last, and those that did within settleSpan.
 	// turn counts their changes.
-	views   []view
-	turn    uint64
-	grants  map[register.Process]*grants
-	trimmed time.Time
+	views       []view
+	viewVersion uint64
+	grants      map[register.Process]*serverGrants
+	trimmedAt   time.Time
 }
 
 // view is which instances led until a time; zero is until now.
@@ -55,12 +55,12 @@
 	until   time.Time
 }
 
-// grants are those of one server.
-type grants struct {
-	bucket bucket
-	asked  time.Time
-	// turn is that of the last question.
-	turn uint64
+// serverGrants are those of one server.
+type serverGrants struct {
+	bucket      bucket
+	lastRequest time.Time
+	// viewVersion is that of the last question.
+	viewVersion uint64
 }
 
 // SetLeaders sets which instances lead.
@@ -69,11 +69,11 @@
 	defer g.mu.Unlock()
 
 	g.views = slices.DeleteFunc(g.views, func(v view) bool {
-		return !v.until.IsZero() && now.Sub(v.until) > settleSpan
+		return !v.until.IsZero() && now.Sub(v.until) > handoverPeriod
 	})
 
 	if len(g.views) == 0 {
-		g.began = now
+		g.startedAt = now
 	}
 
 	if last := len(g.views) - 1; last >= 0 {
@@ -85,34 +85,34 @@
 	}
 
 	g.views = append(g.views, view{leaders: slices.Clone(leaders)})
-	g.turn++
+	g.viewVersion++
 }
 
 // Grant answers the question for one request, which can wait as long as patience. One that
 // is neither the first nor the second in order grants nothing.
-func (g *Granter) Grant(now time.Time, server register.Process, rate Rate, patience time.Duration) Permit {
+func (g *Granter) Grant(now time.Time, server register.Process, rate Rate, maxWait time.Duration) Permit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
 	share := g.share(now, server)
 	if share == 0 {
-		return Permit{Wait: retryLater}
+		return Permit{Wait: noGrantRetryDelay}
 	}
 
-	one := g.of(now, server)
+	state := g.grantsFor(now, server)
 
 	if share < 1 {
 		// Others may grant beside this instance, or have done so: what was saved up until
 		// they came does not count, and nothing is promised ahead.
-		if one.turn != g.turn {
-			one.bucket.empty(now)
+		if state.viewVersion != g.viewVersion {
+			state.bucket.discardSaved(now)
 		}
 
-		patience = 0
+		maxWait = 0
 	}
 
-	one.turn = g.turn
-	wait, granted := one.bucket.take(now, float64(rate)*share, patience)
+	state.viewVersion = g.viewVersion
+	wait, granted := state.bucket.take(now, float64(rate)*share, maxWait)
 
 	return Permit{Granted: granted, Wait: wait}
 }
@@ -125,62 +125,62 @@
 	}
 
 	last := g.views[len(g.views)-1]
-	place := slices.Index(RankLeaders(server, last.leaders), g.Self)
+	rank := slices.Index(RankLeaders(server, last.leaders), g.Self)
 
-	if place < 0 || place >= granters {
+	if rank < 0 || rank >= grantersPerServer {
 		return 0
 	}
 
-	if now.Sub(g.began) < settleSpan {
+	if now.Sub(g.startedAt) < handoverPeriod {
 		// Others may have granted until this instance came.
-		return standInShare
+		return standbyShare
 	}
 
 	for _, v := range g.views {
-		if (v.until.IsZero() || now.Sub(v.until) <= settleSpan) && !v.first(server, g.Self) {
-			return standInShare
+		if (v.until.IsZero() || now.Sub(v.until) <= handoverPeriod) && !v.ranksFirst(server, g.Self) {
+			return standbyShare
 		}
 	}
 
 	return 1
 }
 
-// first reports whether an instance is the first in order for a server.
-func (v view) first(server register.Process, id fleet.InstanceID) bool {
+// ranksFirst reports whether an instance is the ranksFirst in order for a server.
+func (v view) ranksFirst(server register.Process, id fleet.InstanceID) bool {
 	ranked := RankLeaders(server, v.leaders)
 
 	return len(ranked) > 0 && ranked[0] == id
 }
 
-// of returns the grants of a server; the granter is locked.
-func (g *Granter) of(now time.Time, server register.Process) *grants {
+// grantsFor returns the grants grantsFor a server; the granter is locked.
+func (g *Granter) grantsFor(now time.Time, server register.Process) *serverGrants {
 	if g.grants == nil {
-		g.grants = make(map[register.Process]*grants)
+		g.grants = make(map[register.Process]*serverGrants)
 	}
 
-	if now.Sub(g.trimmed) > forgetSpan {
-		g.trimmed = now
+	if now.Sub(g.trimmedAt) > bucketRetention {
+		g.trimmedAt = now
 
-		for server, one := range g.grants {
-			if now.Sub(one.asked) > forgetSpan {
+		for server, state := range g.grants {
+			if now.Sub(state.lastRequest) > bucketRetention {
 				delete(g.grants, server)
 			}
 		}
 	}
 
-	one := g.grants[server]
-	if one == nil {
-		one = &grants{bucket: bucket{at: now}}
-		g.grants[server] = one
+	state := g.grants[server]
+	if state == nil {
+		state = &serverGrants{bucket: bucket{updatedAt: now}}
+		g.grants[server] = state
 	}
 
-	one.asked = now
+	state.lastRequest = now
 
-	return one
+	return state
 }
 
-// granters is how many of the ranked leaders grant requests to one server.
-const granters = 2
+// grantersPerServer is how many of the ranked leaders grant requests to one server.
+const grantersPerServer = 2
 
 // RankLeaders orders instances for a server, alike at all that know the same ones. One that
 // comes or goes moves only the servers that it has.
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// retryLater is when a server is tried again for which nobody grants requests now.
-	retryLater = 300 * time.Millisecond
-	// maxPatience bounds how far ahead the requests of others may be promised.
-	maxPatience = 2 * time.Second
+	// noGrantRetryDelay is when a server is tried again for which nobody grants requests now.
+	noGrantRetryDelay = 300 * time.Millisecond
+	// maxReservation bounds how far ahead the requests of others may be promised.
+	maxReservation = 2 * time.Second
 )
 
 // PermitRequest is the question for a permit.
@@ -61,36 +61,36 @@
 	// Counters count the questions; nil counts none.
 	Counters *Counters
 
-	questions gossip.Requests[PermitResponse]
+	requests gossip.Requests[PermitResponse]
 }
 
 // Ask asks for one request to a server that announced a limit. patience is how long the
 // request can wait. Where no granter replies nothing is granted.
-func (a *Limiter) Acquire(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) Permit {
-	permit, answered := a.ask(ctx, server, limit, patience)
-	a.Counters.asked(permit, answered)
+func (l *Limiter) Acquire(ctx context.Context, server register.Process, limit Announcement, maxWait time.Duration) Permit {
+	permit, answered := l.acquire(ctx, server, limit, maxWait)
+	l.Counters.record(permit, answered)
 
 	return permit
 }
 
-// ask reports beside the permit whether a granter answered.
-func (a *Limiter) ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) (Permit, bool) {
-	ranked := RankLeaders(server, a.Leaders())
+// acquire reports beside the permit whether a granter answered.
+func (l *Limiter) acquire(ctx context.Context, server register.Process, limit Announcement, maxWait time.Duration) (Permit, bool) {
+	ranked := RankLeaders(server, l.Leaders())
 
-	for _, granter := range ranked[:min(granters, len(ranked))] {
-		if granter == a.Self {
-			return a.Granter.Grant(a.Clock.Now(), server, limit.Rate, patience), true
+	for _, granter := range ranked[:min(grantersPerServer, len(ranked))] {
+		if granter == l.Self {
+			return l.Granter.Grant(l.Clock.Now(), server, limit.Rate, maxWait), true
 		}
 
-		reply, ok := a.questions.Do(ctx, a.Clock, granter, func(number uint64) {
-			a.Send(granter, PermitRequest{
-				From: a.Self, Number: number, Server: server, Rate: limit.Rate, Age: a.Clock.Now().Sub(limit.At), Patience: patience,
+		reply, ok := l.requests.Do(ctx, l.Clock, granter, func(number uint64) {
+			l.Send(granter, PermitRequest{
+				From: l.Self, Number: number, Server: server, Rate: limit.Rate, Age: l.Clock.Now().Sub(limit.At), Patience: maxWait,
 			})
 		})
 		if ok {
-			a.merge(server, reply.Rate, reply.Age)
+			l.merge(server, reply.Rate, reply.Age)
 
-			return Permit{Granted: reply.Granted, Wait: min(max(reply.Wait, 0), maxPatience)}, true
+			return Permit{Granted: reply.Granted, Wait: min(max(reply.Wait, 0), maxReservation)}, true
 		}
 
 		if ctx.Err() != nil {
@@ -98,17 +98,17 @@
 		}
 	}
 
-	return Permit{Wait: retryLater}, false
+	return Permit{Wait: noGrantRetryDelay}, false
 }
 
 // HandleRequest answers another instance's question.
-func (a *Limiter) HandleRequest(ask PermitRequest) PermitResponse {
-	known := a.merge(ask.Server, ask.Rate, ask.Age)
-	now := a.Clock.Now()
-	reply := PermitResponse{Number: ask.Number, Granted: true, Rate: known.Rate, Age: now.Sub(known.At)}
+func (l *Limiter) HandleRequest(request PermitRequest) PermitResponse {
+	newest := l.merge(request.Server, request.Rate, request.Age)
+	now := l.Clock.Now()
+	reply := PermitResponse{Number: request.Number, Granted: true, Rate: newest.Rate, Age: now.Sub(newest.At)}
 
-	if known.Rate != Unlimited {
-		permit := a.Granter.Grant(now, ask.Server, known.Rate, min(ask.Patience, maxPatience))
+	if newest.Rate != Unlimited {
+		permit := l.Granter.Grant(now, request.Server, newest.Rate, min(request.Patience, maxReservation))
 		reply.Granted, reply.Wait = permit.Granted, permit.Wait
 	}
 
@@ -117,13 +117,15 @@
 
 // merge takes in what another instance knows, unless its message is damaged, and returns
 // the newest.
-func (a *Limiter) merge(server register.Process, rate Rate, age time.Duration) Announcement {
+func (l *Limiter) merge(server register.Process, rate Rate, age time.Duration) Announcement {
 	if !rate.Valid() || age < 0 {
-		return a.Announcements.Merge(server, Announcement{})
+		return l.Announcements.Merge(server, Announcement{})
 	}
 
-	return a.Announcements.Merge(server, Announcement{Rate: rate, At: a.Clock.Now().Add(-age)})
+	return l.Announcements.Merge(server, Announcement{Rate: rate, At: l.Clock.Now().Add(-age)})
 }
 
 // HandleResponse takes the reply to a question in. One that comes too late is dropped.
-func (a *Limiter) HandleResponse(r PermitResponse) { a.questions.Reply(r.Number, r) }
+func (l *Limiter) HandleResponse(response PermitResponse) {
+	l.requests.Reply(response.Number, response)
+}
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -16,10 +16,10 @@
 const (
 	modelStep   = 5 * time.Millisecond
 	modelWindow = 4 * time.Second
-	// modelBear is how many times its limit a server bears, and modelExtra how many
+	// modelTolerance is how many times its limit a server bears, and modelExtra how many
 	// requests more, in a window.
-	modelBear  = 1.5
-	modelExtra = 5
+	modelTolerance = 1.5
+	modelExtra     = 5
 )
 
 // fleetModel is a number of instances that send to one limited server, without a network.
@@ -31,16 +31,16 @@
 	ids      []fleet.InstanceID
 	// views are the instances that lead, as each knows them.
 	views map[fleet.InstanceID][]fleet.InstanceID
-	// learns are the views that instances have from a time on.
-	learns []learning
-	silent map[fleet.InstanceID]time.Time
-	// lost is the part of questions that don't reach the first in order.
-	lost float64
+	// pendingViews are the views that instances have from a time on.
+	pendingViews []pendingView
+	silent       map[fleet.InstanceID]time.Time
+	// lostFraction is the part of questions that don't reach the first in order.
+	lostFraction float64
 	// arrivals are when requests reach the server.
 	arrivals []time.Time
 }
 
-type learning struct {
+type pendingView struct {
 	at      time.Time
 	id      fleet.InstanceID
 	leaders []fleet.InstanceID
@@ -75,13 +75,13 @@
 			at = at.Add(time.Duration(m.random.Int64N(int64(within))))
 		}
 
-		m.learns = append(m.learns, learning{at: at, id: id, leaders: leaders})
+		m.pendingViews = append(m.pendingViews, pendingView{at: at, id: id, leaders: leaders})
 	}
 }
 
-// learn gives instances the views that they have by now.
-func (m *fleetModel) learn() {
-	m.learns = slices.DeleteFunc(m.learns, func(l learning) bool {
+// applyViews gives instances the views that they have by now.
+func (m *fleetModel) applyViews() {
+	m.pendingViews = slices.DeleteFunc(m.pendingViews, func(l pendingView) bool {
 		if l.at.After(m.now) {
 			return false
 		}
@@ -93,16 +93,16 @@
 	})
 }
 
-// ask does what an Asker does: the second in order is asked where the first is silent.
-func (m *fleetModel) ask(from fleet.InstanceID, rate Rate, patience time.Duration) {
+// request does what an Asker does: the second in order is asked where the first is silent.
+func (m *fleetModel) request(from fleet.InstanceID, rate Rate, maxWait time.Duration) {
 	ranked := RankLeaders(m.server, m.views[from])
 
-	for place, id := range ranked[:min(granters, len(ranked))] {
-		if m.now.Before(m.silent[id]) || place == 0 && m.random.Float64() < m.lost {
+	for place, id := range ranked[:min(grantersPerServer, len(ranked))] {
+		if m.now.Before(m.silent[id]) || place == 0 && m.random.Float64() < m.lostFraction {
 			continue
 		}
 
-		if permit := m.granters[id].Grant(m.now, m.server, rate, patience); permit.Granted {
+		if permit := m.granters[id].Grant(m.now, m.server, rate, maxWait); permit.Granted {
 			m.arrivals = append(m.arrivals, m.now.Add(permit.Wait))
 		}
 
@@ -110,8 +110,8 @@
 	}
 }
 
-// most returns the most arrivals in a window.
-func (m *fleetModel) most() int {
+// maxInWindow returns the maxInWindow arrivals in a window.
+func (m *fleetModel) maxInWindow() int {
 	slices.SortFunc(m.arrivals, time.Time.Compare)
 
 	most, first := 0, 0
@@ -127,68 +127,68 @@
 	return most
 }
 
-func allowed(rate Rate) int {
-	return int(modelBear*float64(rate)*modelWindow.Seconds() + modelExtra)
+func maxAllowed(rate Rate) int {
+	return int(modelTolerance*float64(rate)*modelWindow.Seconds() + modelExtra)
 }
 
-// changing is a limited server over whose requests other instances come to decide.
-type changing struct {
+// leaderChanges is a limited server over whose requests other instances come to decide.
+type leaderChanges struct {
 	instances int
 	seed      uint64
 	rate      Rate
-	// late is within which time an instance learns who leads, and between the time from
+	// propagation is within which time an instance learns who leads, and interval the time from
 	// one change to the next.
-	late, between time.Duration
-	patience      time.Duration
-	lost          float64
+	propagation, interval time.Duration
+	maxWait               time.Duration
+	lostFraction          float64
 }
 
-// play returns the most requests in a window.
-func (c changing) play() int {
+// run returns the most requests in a window.
+func (c leaderChanges) run() int {
 	const span = 12 * time.Second
 
 	m := newFleetModel(c.instances, c.seed)
-	m.lost = c.lost
+	m.lostFraction = c.lostFraction
 	m.elect(0)
 
-	next := m.now.Add(c.between)
+	next := m.now.Add(c.interval)
 
 	for ended := m.now.Add(span); m.now.Before(ended); m.now = m.now.Add(modelStep) {
 		if m.now.After(next) {
-			m.elect(c.late)
+			m.elect(c.propagation)
 
-			next = m.now.Add(c.between)
+			next = m.now.Add(c.interval)
 		}
 
 		if m.random.IntN(200) == 0 {
 			m.silent[m.ids[m.random.IntN(len(m.ids))]] = m.now.Add(time.Duration(m.random.Int64N(int64(2 * time.Second))))
 		}
 
-		m.learn()
+		m.applyViews()
 
 		for range 3 {
-			m.ask(m.ids[m.random.IntN(len(m.ids))], c.rate, c.patience)
+			m.request(m.ids[m.random.IntN(len(m.ids))], c.rate, c.maxWait)
 		}
 	}
 
-	return m.most()
+	return m.maxInWindow()
 }
 
 // However often other instances come to lead, whichever fall silent and whichever know of
 // it late, all instances together stay within what a server bears.
-func TestHoldsLimitOverChangesOfLeaders(t *testing.T) {
+func TestLimitHoldsAcrossLeaderChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := changing{
-			instances: rapid.SampledFrom([]int{1, 4, 9, 80}).Draw(t, "instances"),
-			seed:      rapid.Uint64().Draw(t, "seed"),
-			rate:      Rate(rapid.Float64Range(float64(MinRate), 40).Draw(t, "rate")),
-			late:      time.Duration(rapid.Int64Range(0, int64(settleSpan)).Draw(t, "learns within")),
-			between:   time.Duration(rapid.Int64Range(int64(settleSpan), int64(12*time.Second)).Draw(t, "between changes")),
-			patience:  time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "patience")),
-			lost:      rapid.Float64Range(0, 0.9).Draw(t, "lost questions"),
+		c := leaderChanges{
+			instances:    rapid.SampledFrom([]int{1, 4, 9, 80}).Draw(t, "instances"),
+			seed:         rapid.Uint64().Draw(t, "seed"),
+			rate:         Rate(rapid.Float64Range(float64(MinRate), 40).Draw(t, "rate")),
+			propagation:  time.Duration(rapid.Int64Range(0, int64(handoverPeriod)).Draw(t, "learns within")),
+			interval:     time.Duration(rapid.Int64Range(int64(handoverPeriod), int64(12*time.Second)).Draw(t, "between changes")),
+			maxWait:      time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "patience")),
+			lostFraction: rapid.Float64Range(0, 0.9).Draw(t, "lost questions"),
 		}
 
-		if got, most := c.play(), allowed(c.rate); got > most {
+		if got, most := c.run(), maxAllowed(c.rate); got > most {
 			t.Errorf("requests in %v at a limit of %v: got %d, want at most %d", modelWindow, c.rate, got, most)
 		}
 	})
@@ -196,16 +196,16 @@
 
 // Cases that once broke the limit: a stand-in that granted more, and instances that granted
 // all of the rate as soon as they began.
-func TestALimitHoldsInCasesThatBrokeIt(t *testing.T) {
-	for name, c := range map[string]changing{
-		"most questions lost": {instances: 9, rate: 8, between: settleSpan, patience: time.Second, lost: 0.9},
+func TestLimitHoldsInRegressionCases(t *testing.T) {
+	for name, c := range map[string]leaderChanges{
+		"most questions lost": {instances: 9, rate: 8, interval: handoverPeriod, maxWait: time.Second, lostFraction: 0.9},
 		"promises of those that led before": {
-			instances: 9, rate: 16.125, late: 678655874, between: settleSpan, patience: time.Second, lost: 0.5,
+			instances: 9, rate: 16.125, propagation: 678655874, interval: handoverPeriod, maxWait: time.Second, lostFraction: 0.5,
 		},
-		"all begin at one time": {instances: 80, seed: 0x4cf, rate: 40, late: 1, between: settleSpan, patience: 920 * time.Millisecond, lost: 0.25},
+		"all begin at one time": {instances: 80, seed: 0x4cf, rate: 40, propagation: 1, interval: handoverPeriod, maxWait: 920 * time.Millisecond, lostFraction: 0.25},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got, most := c.play(), allowed(c.rate); got > most {
+			if got, most := c.run(), maxAllowed(c.rate); got > most {
 				t.Errorf("requests in %v at a limit of %v: got %d, want at most %d", modelWindow, c.rate, got, most)
 			}
 		})
@@ -219,7 +219,7 @@
 	buckets := make([]bucket, n)
 
 	for i := range buckets {
-		buckets[i] = bucket{at: m.now}
+		buckets[i] = bucket{updatedAt: m.now}
 	}
 
 	for ended := m.now.Add(span); m.now.Before(ended); m.now = m.now.Add(pace) {
@@ -235,7 +235,7 @@
 // A server gets what it announced, whatever the number of instances. Even parts of the
 // rate, in the same load, give it too little or more than it bears: each of many instances
 // saves one request up, and all of these may come together.
-func TestAServerGetsWhatItAnnounced(t *testing.T) {
+func TestServerReceivesAnnouncedRate(t *testing.T) {
 	const (
 		rate = 1.5
 		span = 120 * time.Second
@@ -246,22 +246,22 @@
 		t.Run(fmt.Sprint(n, " instances"), func(t *testing.T) {
 			m := newFleetModel(n, 3)
 			m.elect(0)
-			m.learn()
-			m.now = m.now.Add(settleSpan)
+			m.applyViews()
+			m.now = m.now.Add(handoverPeriod)
 
 			for ended := m.now.Add(span); m.now.Before(ended); m.now = m.now.Add(pace) {
-				m.ask(m.ids[m.random.IntN(n)], rate, 0)
+				m.request(m.ids[m.random.IntN(n)], rate, 0)
 			}
 
 			even := sharedEvenly(n, rate, 3, span, pace)
 			t.Logf("requests a second, most in %v: granted %.2f, %d; even parts %.2f, %d", modelWindow,
-				float64(len(m.arrivals))/span.Seconds(), m.most(), float64(len(even.arrivals))/span.Seconds(), even.most())
+				float64(len(m.arrivals))/span.Seconds(), m.maxInWindow(), float64(len(even.arrivals))/span.Seconds(), even.maxInWindow())
 
 			if got, want := float64(len(m.arrivals))/span.Seconds(), 0.9*rate; got < want {
 				t.Errorf("requests a second: got %.2f, want at least %.2f of %.2f", got, want, rate)
 			}
 
-			if got, most := m.most(), allowed(rate); got > most {
+			if got, most := m.maxInWindow(), maxAllowed(rate); got > most {
 				t.Errorf("requests in %v: got %d, want at most %d", modelWindow, got, most)
 			}
 		})
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -48,7 +48,7 @@
 // sent after the limit was last announced.
 func (a Announcement) Observed(rate Rate, sent, now time.Time) Announcement {
 	next := Announcement{Rate: rate, At: sent}
-	if next.within(a) {
+	if next.atMost(a) {
 		next.At = now
 	}
 
@@ -64,21 +64,21 @@
 	return a
 }
 
-// transit is how much later an announcement may seem than it is, by the way of the
+// transitTolerance is how much later an announcement may seem than it is, by the way of the
 // messages that bring it. Instances that pass the same one on to each other would else take
 // it for a newer one each time, and hold a limit that was lifted.
-const transit = 50 * time.Millisecond
+const transitTolerance = 50 * time.Millisecond
 
 // Received returns what is known after another instance passed on what it knows.
 func (a Announcement) Received(other Announcement) Announcement {
-	if other.Rate == a.Rate && other.At.Sub(a.At) < transit {
+	if other.Rate == a.Rate && other.At.Sub(a.At) < transitTolerance {
 		return a
 	}
 
 	return a.Newest(other)
 }
 
-// within reports whether an announcement is a limit that allows no more than another one.
-func (a Announcement) within(other Announcement) bool {
+// atMost reports whether an announcement is a limit that allows no more than another one.
+func (a Announcement) atMost(other Announcement) bool {
 	return a.Rate != Unlimited && (other.Rate == Unlimited || a.Rate <= other.Rate)
 }
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestALimitIsLiftedOnlyByALaterRequest(t *testing.T) {
+func TestLimitIsLiftedOnlyByLaterRequest(t *testing.T) {
 	const answered = time.Second
 
 	now := time.Unix(1000, 0)
@@ -34,7 +34,7 @@
 
 // An answer without a limit that was under way when another one named it does not hide
 // the limit from an instance that receives it meanwhile.
-func TestAnAnswerUnderWayDoesNotHideALimit(t *testing.T) {
+func TestResponseInFlightDoesNotHideLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	named := Announcement{Rate: 2, At: now}
 
