--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -7,62 +7,63 @@
 	"monsoonlever/fleet"
 )
 
-// Policy sets when reports are made.
+// Policy sets when reports of a window become due and when they expire.
 type Policy struct {
-	// Width is the width of a window.
+	// Width is the duration of a window.
 	Width time.Duration
-	// SettleDelay is the time after the end of a window in which counts still come.
+	// SettleDelay is the time after the end of a window during which counts still arrive.
 	SettleDelay time.Duration
-	// MemberTimeout is how long a report waits for a member that has told nothing since
-	// the end of the window.
+	// MemberTimeout is how long after the end of a window its report waits for members that
+	// have not sent counts since that end.
 	MemberTimeout time.Duration
-	// ReportTTL is the time after the end of a window until which its report is of use.
+	// ReportTTL is the time after the end of a window at which its report expires.
 	ReportTTL time.Duration
 }
 
-// Report is what is sent for a window.
+// Report holds the number of requests of each client account in one window, as it is sent to
+// the platform.
 type Report struct {
 	Window Window                `msgpack:"window"`
 	Counts map[fleet.Account]int `msgpack:"counts"`
 }
 
-// source is one run of one instance: a restarted one counts from zero again.
+// source identifies one process of an instance. A restarted instance counts from zero again.
 type source struct {
 	instance    fleet.InstanceID
 	incarnation fleet.Incarnation
 }
 
-// Ledger is what one instance knows of all counts and reports. It is not safe for
+// Ledger holds the counts and reports that one instance has received. It is not safe for
 // concurrent use.
 type Ledger struct {
 	policy Policy
 	counts map[Window]map[source]map[fleet.Account]int
-	// told is when an instance last told its counts.
-	told  map[fleet.InstanceID]time.Time
-	fixed map[Window]Report
-	sent  map[Window]bool
-	// begun is the first window of which this ledger can know all counts.
-	begun Window
+	// lastUpdate is when counts were last received from each instance.
+	lastUpdate map[fleet.InstanceID]time.Time
+	finalized  map[Window]Report
+	sent       map[Window]bool
+	// firstWindow is the first window whose counts this ledger can receive in full.
+	firstWindow Window
 }
 
-// NewLedger returns a ledger that knows nothing of the time before now.
+// NewLedger returns an empty ledger that reports no window before the one that contains now.
 func NewLedger(p Policy, now time.Time) *Ledger {
 	return &Ledger{
-		policy: p,
-		counts: make(map[Window]map[source]map[fleet.Account]int),
-		told:   make(map[fleet.InstanceID]time.Time),
-		fixed:  make(map[Window]Report),
-		sent:   make(map[Window]bool),
-		begun:  WindowOf(now, p.Width),
+		policy:      p,
+		counts:      make(map[Window]map[source]map[fleet.Account]int),
+		lastUpdate:  make(map[fleet.InstanceID]time.Time),
+		finalized:   make(map[Window]Report),
+		sent:        make(map[Window]bool),
+		firstWindow: WindowOf(now, p.Width),
 	}
 }
 
-// AddCounts takes the counts of one instance in. They only grow: what is lower was overtaken on
-// its way by what the instance told later.
+// AddCounts merges the counts of one instance. Counts only grow, so a lower one comes from an
+// older message that arrived after a newer one, and is ignored.
 func (l *Ledger) AddCounts(
 	now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, counts []Count,
 ) {
-	l.told[id] = now
+	l.lastUpdate[id] = now
 	from := source{instance: id, incarnation: incarnation}
 
 	for _, c := range counts {
@@ -79,19 +80,21 @@
 	}
 }
 
-// Finalize takes in that a report was fixed. The first one for a window counts.
+// Finalize records the final report of a window. Later reports for the same window are
+// ignored.
 func (l *Ledger) Finalize(r Report) {
-	if _, ok := l.fixed[r.Window]; !ok {
-		l.fixed[r.Window] = r
+	if _, ok := l.finalized[r.Window]; !ok {
+		l.finalized[r.Window] = r
 	}
 }
 
-// Finalized returns the reports of which an exact repeat may still be sent, for those that start
-// after the platform lost where they stood.
+// Finalized returns the final reports that have not expired, the oldest first. They are
+// recorded again after the log was restored from an older copy, so that an instance that
+// starts later can still send exact repeats.
 func (l *Ledger) Finalized(now time.Time) []Report {
 	var reports []Report
 
-	for w, r := range l.fixed {
+	for w, r := range l.finalized {
 		if now.Before(w.End(l.policy.Width).Add(l.policy.ReportTTL)) {
 			reports = append(reports, r)
 		}
@@ -102,16 +105,17 @@
 	return reports
 }
 
-// MarkSent takes in that the report of a window was accepted.
+// MarkSent records that the platform accepted the report of a window.
 func (l *Ledger) MarkSent(w Window) {
 	l.sent[w] = true
 }
 
-// Unsent returns the fixed reports that are not known as accepted, the oldest first.
+// Unsent returns the final reports that have not expired and are not known to be accepted, the
+// oldest first.
 func (l *Ledger) Unsent(now time.Time) []Report {
 	var reports []Report
 
-	for w, r := range l.fixed {
+	for w, r := range l.finalized {
 		if !l.sent[w] && now.Before(w.End(l.policy.Width).Add(l.policy.ReportTTL)) {
 			reports = append(reports, r)
 		}
@@ -122,24 +126,24 @@
 	return reports
 }
 
-// Due returns the reports that should be fixed now. members are the instances
-// whose counts are waited for.
+// Due returns the reports to finalize now. A report waits until all members have sent their
+// counts, but no longer than MemberTimeout.
 func (l *Ledger) Due(now time.Time, members []fleet.InstanceID) []Report {
-	l.forget(now)
+	l.expire(now)
 
 	var due []Report
 
-	for w := max(l.begun, WindowOf(now.Add(-l.policy.ReportTTL), l.policy.Width)); ; w++ {
+	for w := max(l.firstWindow, WindowOf(now.Add(-l.policy.ReportTTL), l.policy.Width)); ; w++ {
 		end := w.End(l.policy.Width)
 		if now.Before(end.Add(l.policy.SettleDelay)) {
 			return due
 		}
 
-		if _, ok := l.fixed[w]; ok || !now.Before(end.Add(l.policy.ReportTTL)) {
+		if _, ok := l.finalized[w]; ok || !now.Before(end.Add(l.policy.ReportTTL)) {
 			continue
 		}
 
-		if now.Before(end.Add(l.policy.MemberTimeout)) && !l.heardAll(end, members) {
+		if now.Before(end.Add(l.policy.MemberTimeout)) && !l.updatedSince(end, members) {
 			continue
 		}
 
@@ -147,9 +151,10 @@
 	}
 }
 
-func (l *Ledger) heardAll(end time.Time, members []fleet.InstanceID) bool {
+// updatedSince reports whether all members have sent counts after a time.
+func (l *Ledger) updatedSince(end time.Time, members []fleet.InstanceID) bool {
 	for _, id := range members {
-		if !l.told[id].After(end) {
+		if !l.lastUpdate[id].After(end) {
 			return false
 		}
 	}
@@ -169,8 +174,8 @@
 	return sum
 }
 
-// forget drops windows that can be reported no more.
-func (l *Ledger) forget(now time.Time) {
+// expire removes windows that ended at least twice ReportTTL ago.
+func (l *Ledger) expire(now time.Time) {
 	oldest := WindowOf(now.Add(-2*l.policy.ReportTTL), l.policy.Width)
 
 	for w := range l.counts {
@@ -179,9 +184,9 @@
 		}
 	}
 
-	for w := range l.fixed {
+	for w := range l.finalized {
 		if w < oldest {
-			delete(l.fixed, w)
+			delete(l.finalized, w)
 			delete(l.sent, w)
 		}
 	}
--- a/usage/ledger_test.go
+++ b/usage/ledger_test.go
@@ -11,7 +11,7 @@
 	Width: 5 * time.Second, SettleDelay: 2 * time.Second, MemberTimeout: 6 * time.Second, ReportTTL: 10 * time.Second,
 }
 
-// at returns a time within window 200.
+// at returns the given number of seconds after the start of window 200.
 func at(seconds float64) time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
@@ -20,7 +20,7 @@
 	return []Count{{Window: 200, Account: "a", Requests: n}}
 }
 
-func TestReportWaitsForTheCountsOfAllMembers(t *testing.T) {
+func TestReportWaitsForAllMembers(t *testing.T) {
 	l := NewLedger(policy, at(0))
 	l.AddCounts(at(5.5), "entry-1", 1, count(3))
 	l.AddCounts(at(4.5), "entry-2", 1, count(4))
@@ -43,7 +43,7 @@
 	}
 
 	if got := due(at(8)); len(got) != 0 {
-		t.Errorf("without entry-2's last word: got %v, want none", got)
+		t.Errorf("without counts of entry-2 after the window: got %v, want none", got)
 	}
 
 	l.AddCounts(at(8.1), "entry-2", 1, count(5))
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestReportDoesNotWaitForever(t *testing.T) {
+func TestReportIsDueAfterMemberTimeout(t *testing.T) {
 	l := NewLedger(policy, at(0))
 	l.AddCounts(at(5.5), "entry-1", 1, count(3))
 
@@ -72,26 +72,26 @@
 
 	for _, r := range l.Due(at(15.1), []fleet.InstanceID{"entry-1"}) {
 		if r.Window == 200 {
-			t.Error("after its time: got the report, want none")
+			t.Error("after it expired: got the report, want none")
 		}
 	}
 }
 
-// Counts of a window only grow. What comes late says less than what came before it.
-func TestALateWordTakesNothingBack(t *testing.T) {
+// An older message that arrives after a newer one holds lower counts.
+func TestReorderedCountsNeverDecrease(t *testing.T) {
 	l := NewLedger(policy, at(0))
 	l.AddCounts(at(6), "entry-1", 1, count(9))
 	l.AddCounts(at(6.1), "entry-1", 1, count(4))
 
 	for _, r := range l.Due(at(8), []fleet.InstanceID{"entry-1"}) {
 		if r.Window == 200 && r.Counts["a"] != 9 {
-			t.Errorf("with an earlier word behind a later one: got %d, want 9", r.Counts["a"])
+			t.Errorf("after an older message arrived last: got %d, want 9", r.Counts["a"])
 		}
 	}
 }
 
-// Windows may be shorter than the pace at which counts are told.
-func TestCountsAreToldForTheirTime(t *testing.T) {
+// Windows may be shorter than the interval between messages with counts.
+func TestCountsAreReturnedForRetention(t *testing.T) {
 	now := at(0.5)
 	c := &Counter{Width: time.Second, Retention: 6 * time.Second, Now: func() time.Time { return now }}
 	c.RequestStarted("a")
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestARestartedInstanceAddsToItsEarlierCounts(t *testing.T) {
+func TestRestartedInstanceAddsToEarlierCounts(t *testing.T) {
 	l := NewLedger(policy, at(0))
 	l.AddCounts(at(1), "entry-1", 1, count(3))
 	l.AddCounts(at(1), "entry-1", 1, count(3))
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestTheFirstFixedReportIsTheOnlyOne(t *testing.T) {
+func TestFirstFinalizedReportWins(t *testing.T) {
 	l := NewLedger(policy, at(0))
 	l.Finalize(Report{Window: 200, Counts: map[fleet.Account]int{"a": 3}})
 	l.Finalize(Report{Window: 200, Counts: map[fleet.Account]int{"a": 4}})
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,19 +1,23 @@
-// Package usage counts the requests of client accounts by windows of time and
-// decides which report of a window is sent.
+// Package usage counts the requests of client accounts by time window and decides
+// which report of a window is sent.
 //
-// Counter counts on the path of requests. Ledger folds the counts that all
-// instances tell each other, and the reports that have been fixed; both come to
-// every instance in the same order, so that the first report fixed for a window
-// is the same for all. A report is fixed before it is sent and never changed, so
-// that a second send of it, by whoever, says the same.
+// Counter counts requests as they start to run. Ledger merges the counts of all
+// instances and the reports that were finalized. All instances receive finalized
+// reports in the same order from a shared log, so that they agree on the first one
+// for a window. A report is finalized before it is sent and never changes, so that every
+// resend, by any instance, has the same content.
 //
 // # Usage
 //
-//	counter := &usage.Counter{Width: 5 * time.Second, Keep: 6 * time.Second, Now: time.Now}
-//	counter.Began("wholesale-1")
-//	ledger := usage.NewLedger(policy)
-//	ledger.Count(now, "entry-1", counter.Recent())
-//	if report, ok := ledger.Due(now, members); ok { … fix it … }
+//	counter := &usage.Counter{Width: 5 * time.Second, Retention: 6 * time.Second, Now: time.Now}
+//	counter.RequestStarted("wholesale-1")
+//
+//	ledger := usage.NewLedger(policy, now)
+//	ledger.AddCounts(now, "entry-1", incarnation, counter.Recent())
+//
+//	for _, report := range ledger.Due(now, members) {
+//		// Append the report to the log, then send it.
+//	}
 package usage
 
 import (
@@ -23,10 +27,10 @@
 	"monsoonlever/fleet"
 )
 
-// Window is the number of a window of time, counted from 1970.
+// Window is the number of a time window, counted from the Unix epoch.
 type Window int64
 
-// WindowOf returns the window that a time lies in.
+// WindowOf returns the window that contains t.
 func WindowOf(t time.Time, width time.Duration) Window {
 	return Window(t.UnixNano() / int64(width))
 }
@@ -36,7 +40,7 @@
 	return time.Unix(0, (int64(w)+1)*int64(width))
 }
 
-// Count is what one instance counted for an account in a window.
+// Count is the number of requests of an account that one instance counted in a window.
 type Count struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Window   Window
@@ -44,21 +48,22 @@
 	Requests int
 }
 
-// Counter counts requests as they begin to run.
+// Counter counts the requests of this instance when they start to run. Its exported fields are
+// set before its first use. It is safe for concurrent use.
 type Counter struct {
-	// Width is the width of a window.
+	// Width is the duration of a window.
 	Width time.Duration
-	// Retention is how long after its end a window is told to others: a count must survive
-	// messages that are lost.
+	// Retention is how long after the end of a window its counts are still returned by Recent,
+	// so that later messages make up for lost ones.
 	Retention time.Duration
-	// Now is the time of day, which windows follow.
+	// Now returns the wall-clock time, by which windows are numbered.
 	Now func() time.Time
 
 	mu     sync.Mutex
 	counts map[Window]map[fleet.Account]int
 }
 
-// Began counts a request that began to run now.
+// RequestStarted counts a request of an account that starts to run now.
 func (c *Counter) RequestStarted(account fleet.Account) {
 	w := WindowOf(c.Now(), c.Width)
 
@@ -76,7 +81,7 @@
 	c.counts[w][account]++
 }
 
-// Recent returns the counts of the newest windows and forgets older ones.
+// Recent returns the counts of all windows within Retention and removes older ones.
 func (c *Counter) Recent() []Count {
 	oldest := WindowOf(c.Now().Add(-c.Retention), c.Width)
 
