--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -12,8 +12,8 @@
 	"monsoonlever/register"
 )
 
-// BenchmarkHandleRequest is the cost of one question at the instance that grants, with its
-// message and its reply.
+// BenchmarkHandleRequest measures one permit request at the granter, including the decoding of
+// the request and the encoding of the response.
 func BenchmarkHandleRequest(b *testing.B) {
 	leaders := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 	server := register.Process{ID: "i-0123456789", Incarnation: 1_790_000_000_123}
@@ -28,7 +28,7 @@
 		b.Fatal(err)
 	}
 
-	b.ReportMetric(float64(len(question)), "question-B")
+	b.ReportMetric(float64(len(question)), "request-B")
 
 	for b.Loop() {
 		var ask PermitRequest
--- a/ratelimit/bucket.go
+++ b/ratelimit/bucket.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// burstWindow is how much of its rate a server may get at once after it had less.
+	// burstWindow bounds the burst that a server may receive after it received less than its
+	// rate: the tokens of this window.
 	burstWindow = 250 * time.Millisecond
-	// minBurst is one request: a rate of less than one in burstSpan could grant none.
+	// minBurst is one request: at a rate of less than one request per burstWindow, a smaller
+	// burst would grant none.
 	minBurst = 1
 )
 
-// bucket is a token bucket whose rate may change. Tokens below zero are promised to
-// requests that wait for them.
+// bucket is a token bucket whose rate may change. A negative number of tokens means that
+// tokens are reserved for requests that wait for them.
 type bucket struct {
 	tokens    float64
 	updatedAt time.Time
 }
 
-// take takes a token and returns how long the request has to wait for it. If that is
-// longer than patience it takes none and returns false.
+// take takes a token and returns how long the request has to wait for it. If that exceeds
+// maxWait, take leaves the token and returns false.
 func (b *bucket) take(now time.Time, rate float64, maxWait time.Duration) (time.Duration, bool) {
 	b.refill(now, rate)
 
@@ -34,7 +36,7 @@
 	return wait, true
 }
 
-// discardSaved drops the tokens that were saved up.
+// discardSaved discards the tokens that accumulated, and keeps reservations.
 func (b *bucket) discardSaved(now time.Time) {
 	b.tokens = min(b.tokens, 0)
 	b.updatedAt = now
--- a/ratelimit/counters.go
+++ b/ratelimit/counters.go
@@ -2,12 +2,12 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Counters count questions for permits by their outcome. A nil pointer counts nothing.
+// Counters count permit requests by outcome. A nil pointer counts nothing.
 type Counters struct {
 	granted, refused, unanswered *metrics.Counter
 }
 
-// NewCounters registers counters in a set.
+// NewCounters registers counters in a set of metrics.
 func NewCounters(set *metrics.Set) *Counters {
 	return &Counters{
 		granted:    set.NewCounter(`monsoonlever_ratelimit_permits_total{outcome="granted"}`),
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -13,57 +13,57 @@
 )
 
 const (
-	// standbyShare is the part of a rate at which the second in order grants. With the
-	// whole rate of the first one it stays below the one and a half times that a server
-	// bears.
+	// standbyShare is the share of the rate at which the standby grants. Together with the
+	// full rate of the leader that ranks first, it stays below one and a half times the limit,
+	// which a server tolerates.
 	standbyShare = 0.3
-	// handoverPeriod is how long one that comes to be the first in order grants no more than
-	// a stand-in: the one before may not know yet.
+	// handoverPeriod is how long a leader that newly ranks first grants no more than a
+	// standby: its predecessor may not know the change yet.
 	handoverPeriod = 1500 * time.Millisecond
-	// bucketRetention is how long after the last question a bucket is kept. One that is made
-	// anew is empty.
+	// bucketRetention is how long after the last request for a server its bucket is kept. A
+	// new bucket is empty.
 	bucketRetention = time.Minute
 )
 
-// Permit is the answer to the question whether a request may be sent to a server.
+// Permit states whether a request may be sent to a server.
 type Permit struct {
 	Granted bool
-	// Wait is after which time the request may be sent, or, where it is not granted, when
-	// the server may have room.
+	// Wait is the delay before the request may be sent or, if it is not granted, before the
+	// server may have capacity.
 	Wait time.Duration
 }
 
-// Granter grants requests to limited servers for all instances. Its exported field is set
-// before its first use.
+// Granter grants requests to limited servers on behalf of all instances. Its exported field is
+// set before its first use. It is safe for concurrent use.
 type Granter struct {
 	Self fleet.InstanceID
 
 	mu sync.Mutex
-	// startedAt is when the first view came.
+	// startedAt is when the leaders were first set.
 	startedAt time.Time
-	// views are the instances that lead now, last, and those that did within settleSpan.
-	// turn counts their changes.
+	// views are the sets of leaders within handoverPeriod, the current one last. viewVersion
+	// counts their changes.
 	views       []view
 	viewVersion uint64
 	grants      map[register.Process]*serverGrants
 	trimmedAt   time.Time
 }
 
-// view is which instances led until a time; zero is until now.
+// view is a set of leaders and when it was replaced; zero for the current one.
 type view struct {
 	leaders []fleet.InstanceID
 	until   time.Time
 }
 
-// serverGrants are those of one server.
+// serverGrants is the state of one server.
 type serverGrants struct {
 	bucket      bucket
 	lastRequest time.Time
-	// viewVersion is that of the last question.
+	// viewVersion is the version of the views at the last request.
 	viewVersion uint64
 }
 
-// SetLeaders sets which instances lead.
+// SetLeaders sets the current leaders.
 func (g *Granter) SetLeaders(now time.Time, leaders []fleet.InstanceID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -88,8 +88,8 @@
 	g.viewVersion++
 }
 
-// Grant answers the question for one request, which can wait as long as patience. One that
-// is neither the first nor the second in order grants nothing.
+// Grant decides whether one request may be sent to a server, which can wait up to maxWait.
+// Only the two leaders that rank first and second for the server grant anything.
 func (g *Granter) Grant(now time.Time, server register.Process, rate Rate, maxWait time.Duration) Permit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -102,8 +102,8 @@
 	state := g.grantsFor(now, server)
 
 	if share < 1 {
-		// Others may grant beside this instance, or have done so: what was saved up until
-		// they came does not count, and nothing is promised ahead.
+		// Another leader may grant at the same time, or may have until now. Tokens saved
+		// before the change are discarded, and no tokens are reserved ahead.
 		if state.viewVersion != g.viewVersion {
 			state.bucket.discardSaved(now)
 		}
@@ -117,8 +117,9 @@
 	return Permit{Granted: granted, Wait: wait}
 }
 
-// share returns the part of a server's rate that this instance grants: all of it if it is
-// the first in order, and was in all views that others may still have.
+// share returns the share of a server's rate that this instance grants. It grants the full
+// rate only if it ranks first in the current view and in all views that other instances may
+// still use.
 func (g *Granter) share(now time.Time, server register.Process) float64 {
 	if len(g.views) == 0 {
 		return 0
@@ -132,7 +133,7 @@
 	}
 
 	if now.Sub(g.startedAt) < handoverPeriod {
-		// Others may have granted until this instance came.
+		// Other leaders may have granted until this instance started.
 		return standbyShare
 	}
 
@@ -145,14 +146,14 @@
 	return 1
 }
 
-// ranksFirst reports whether an instance is the ranksFirst in order for a server.
+// ranksFirst reports whether an instance ranks first for a server.
 func (v view) ranksFirst(server register.Process, id fleet.InstanceID) bool {
 	ranked := RankLeaders(server, v.leaders)
 
 	return len(ranked) > 0 && ranked[0] == id
 }
 
-// grantsFor returns the grants grantsFor a server; the granter is locked.
+// grantsFor returns the state of a server. The caller holds g.mu.
 func (g *Granter) grantsFor(now time.Time, server register.Process) *serverGrants {
 	if g.grants == nil {
 		g.grants = make(map[register.Process]*serverGrants)
@@ -182,8 +183,9 @@
 // grantersPerServer is how many of the ranked leaders grant requests to one server.
 const grantersPerServer = 2
 
-// RankLeaders orders instances for a server, alike at all that know the same ones. One that
-// comes or goes moves only the servers that it has.
+// RankLeaders orders instances by their rendezvous hash with a server. All instances that know
+// the same leaders get the same order, and a leader that joins or leaves changes the granter
+// only of the servers for which it ranks first or second.
 func RankLeaders(server register.Process, ids []fleet.InstanceID) []fleet.InstanceID {
 	type rank struct {
 		id     fleet.InstanceID
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -11,61 +11,63 @@
 )
 
 const (
-	// noGrantRetryDelay is when a server is tried again for which nobody grants requests now.
+	// noGrantRetryDelay is when a request to a server is retried if no instance grants permits
+	// for the server now.
 	noGrantRetryDelay = 300 * time.Millisecond
-	// maxReservation bounds how far ahead the requests of others may be promised.
+	// maxReservation bounds how far ahead tokens are reserved for the requests of other
+	// instances.
 	maxReservation = 2 * time.Second
 )
 
-// PermitRequest is the question for a permit.
+// PermitRequest asks the granter of a server for a permit for one request.
 type PermitRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	From     fleet.InstanceID
 	Number   uint64
 	Server   register.Process
-	// Rate and Age are what the asker knows of the server's announcement.
+	// Rate and Age are the server's announcement as the sender knows it.
 	Rate Rate
 	Age  time.Duration
 	// Patience is how long the request can wait.
 	Patience time.Duration
 }
 
-// PermitResponse is the answer to an Ask.
+// PermitResponse is the response to a PermitRequest.
 type PermitResponse struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Number   uint64
 	Granted  bool
 	Wait     time.Duration
-	// Rate and Age are what the granter knows of the server's announcement.
+	// Rate and Age are the server's announcement as the granter knows it.
 	Rate Rate
 	Age  time.Duration
 }
 
-// Announcements keeps the newest announcements of servers.
+// Announcements stores the newest announcement of each server.
 type Announcements interface {
-	// Merge takes in what another instance knows of a server and returns the newest.
+	// Merge merges an announcement received from another instance and returns the newest one.
 	Merge(server register.Process, a Announcement) Announcement
 }
 
-// Limiter asks for permits, and answers the questions of others. Its exported fields are set
-// before its first use.
+// Limiter acquires permits for this instance's requests, and handles the permit requests of
+// other instances. Its exported fields are set before its first use.
 type Limiter struct {
 	Self          fleet.InstanceID
 	Clock         clock.Clock
 	Granter       *Granter
 	Announcements Announcements
-	// Leaders returns the instances that lead.
+	// Leaders returns the current leaders.
 	Leaders func() []fleet.InstanceID
-	// Send sends a question to another instance.
+	// Send sends a permit request to another instance.
 	Send func(to fleet.InstanceID, ask PermitRequest)
-	// Counters count the questions; nil counts none.
+	// Counters count the permit requests by outcome; nil counts none.
 	Counters *Counters
 
 	requests gossip.Requests[PermitResponse]
 }
 
-// Ask asks for one request to a server that announced a limit. patience is how long the
-// request can wait. Where no granter replies nothing is granted.
+// Acquire requests a permit for one request to a server that announced a limit. The request
+// can wait up to maxWait. If no granter responds, nothing is granted.
 func (l *Limiter) Acquire(ctx context.Context, server register.Process, limit Announcement, maxWait time.Duration) Permit {
 	permit, answered := l.acquire(ctx, server, limit, maxWait)
 	l.Counters.record(permit, answered)
@@ -73,7 +75,7 @@
 	return permit
 }
 
-// acquire reports beside the permit whether a granter answered.
+// acquire also reports whether a granter responded.
 func (l *Limiter) acquire(ctx context.Context, server register.Process, limit Announcement, maxWait time.Duration) (Permit, bool) {
 	ranked := RankLeaders(server, l.Leaders())
 
@@ -101,7 +103,7 @@
 	return Permit{Wait: noGrantRetryDelay}, false
 }
 
-// HandleRequest answers another instance's question.
+// HandleRequest handles the permit request of another instance.
 func (l *Limiter) HandleRequest(request PermitRequest) PermitResponse {
 	newest := l.merge(request.Server, request.Rate, request.Age)
 	now := l.Clock.Now()
@@ -115,8 +117,8 @@
 	return reply
 }
 
-// merge takes in what another instance knows, unless its message is damaged, and returns
-// the newest.
+// merge merges the announcement that another instance sent, unless it is invalid, and returns
+// the newest one.
 func (l *Limiter) merge(server register.Process, rate Rate, age time.Duration) Announcement {
 	if !rate.Valid() || age < 0 {
 		return l.Announcements.Merge(server, Announcement{})
@@ -125,7 +127,8 @@
 	return l.Announcements.Merge(server, Announcement{Rate: rate, At: l.Clock.Now().Add(-age)})
 }
 
-// HandleResponse takes the reply to a question in. One that comes too late is dropped.
+// HandleResponse delivers the response to a pending permit request. A response after the
+// timeout is discarded.
 func (l *Limiter) HandleResponse(response PermitResponse) {
 	l.requests.Reply(response.Number, response)
 }
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -13,7 +13,7 @@
 
 var limited = register.Process{ID: "server", Incarnation: 7}
 
-// announcementStore are what an instance knows of one server.
+// announcementStore holds the newest announcement of one server.
 type announcementStore struct{ newest Announcement }
 
 func (n *announcementStore) Merge(_ register.Process, a Announcement) Announcement {
@@ -22,16 +22,17 @@
 	return n.newest
 }
 
-// limiterGroup are askers that reach each other.
+// limiterGroup is a group of limiters that exchange messages.
 type limiterGroup struct {
 	limiters      map[fleet.InstanceID]*Limiter
 	announcements map[fleet.InstanceID]*announcementStore
-	// unreachable don't get questions, and asked counts those that came to each.
+	// unreachable instances receive no requests. received counts the requests sent to each
+	// instance.
 	unreachable map[fleet.InstanceID]bool
 	received    map[fleet.InstanceID]int
 }
 
-// newLimiterGroup returns askers of which all lead, and their names in the order for the server.
+// newLimiterGroup returns limiters that are all leaders, and their IDs ranked for the server.
 func newLimiterGroup(ids ...fleet.InstanceID) (*limiterGroup, []fleet.InstanceID) {
 	d := &limiterGroup{
 		limiters: make(map[fleet.InstanceID]*Limiter), announcements: make(map[fleet.InstanceID]*announcementStore),
@@ -65,7 +66,8 @@
 	return d.limiters[from].Acquire(t.Context(), limited, Announcement{Rate: 10, At: time.Now()}, 0)
 }
 
-// One instance grants the requests of all: together they get what the server takes.
+// The leader that ranks first grants the requests of all instances, which together stay close
+// to the rate of the server.
 func TestFirstRankedInstanceGrantsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b", "c", "d")
@@ -89,13 +91,13 @@
 		}
 
 		if d.received[ranked[0]] == 0 || d.received[ranked[1]]+d.received[ranked[2]]+d.received[ranked[3]] > 0 {
-			t.Errorf("questions: got %v, want them at %s alone", d.received, ranked[0])
+			t.Errorf("requests: got %v, want them at %s alone", d.received, ranked[0])
 		}
 	})
 }
 
-// Where the first in order does not reply the second grants, at a lower rate, and nobody
-// else.
+// While the leader that ranks first does not respond, the second one grants at a reduced rate,
+// and no other.
 func TestStandbyGrantsAtReducedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b", "c", "d")
@@ -112,7 +114,7 @@
 		}
 
 		if least, most := 18, 25; granted < least || granted > most {
-			t.Errorf("granted in 8s at 10 a second: got %d, want %d to %d of a stand-in", granted, least, most)
+			t.Errorf("granted in 8s at 10 a second: got %d, want %d to %d from the standby", granted, least, most)
 		}
 
 		d.unreachable[ranked[1]] = true
@@ -120,22 +122,22 @@
 		time.Sleep(handoverPeriod)
 
 		if got := d.acquire(t, ranked[2]); got.Granted || got.Wait <= 0 || d.received[ranked[3]] > 0 {
-			t.Errorf("nobody replies: got %+v and %v, want none granted, and the third not asked", got, d.received)
+			t.Errorf("no granter responds: got %+v and %v, want none granted, and no request to the third", got, d.received)
 		}
 	})
 }
 
-// One that is neither the first nor the second in order grants nothing, whoever asks it.
+// A leader that ranks third grants nothing, whoever requests it.
 func TestLowerRankedInstancesGrantNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b", "c", "d")
 
 		time.Sleep(2 * handoverPeriod)
 
-		// A bucket would have tokens by the second question.
+		// A bucket would have tokens by the second request.
 		for range 10 {
 			if got := d.limiters[ranked[2]].Granter.Grant(time.Now(), limited, 10, time.Second); got.Granted || got.Wait <= 0 {
-				t.Errorf("the third: got %+v, want a refusal with when to ask again", got)
+				t.Errorf("third leader: got %+v, want a refusal with a retry delay", got)
 			}
 
 			time.Sleep(time.Second)
@@ -143,8 +145,7 @@
 	})
 }
 
-// Guards against a granter that begins with the whole rate while the one before it may still
-// grant.
+// Guards against a granter that starts at the full rate while its predecessor may still grant.
 func TestNewGranterStartsAtStandbyRate(t *testing.T) {
 	const (
 		rate = 10
@@ -164,12 +165,12 @@
 		}
 
 		if most := int(standbyShare*rate*handoverPeriod.Seconds()) + 1; granted == 0 || granted > most {
-			t.Errorf("granted while it settles: got %d, want 1 to %d", granted, most)
+			t.Errorf("granted within the handover period: got %d, want 1 to %d", granted, most)
 		}
 	})
 }
 
-// What was granted before a bucket was made is not known: it begins empty.
+// A new bucket is empty, since what was granted before is unknown.
 func TestNewBucketIsEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b")
@@ -177,12 +178,12 @@
 		time.Sleep(2 * handoverPeriod)
 
 		if got := d.acquire(t, ranked[0]); got.Granted || got.Wait != 100*time.Millisecond {
-			t.Errorf("first question: got %+v, want a refusal and room in 100ms", got)
+			t.Errorf("first request: got %+v, want a refusal and a token in 100ms", got)
 		}
 	})
 }
 
-// One that asks learns from the reply that the server takes all again.
+// A response may carry the announcement that the server lifted its limit.
 func TestResponseLiftsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b")
@@ -198,12 +199,12 @@
 		}
 
 		if got := d.announcements[asks].newest.Rate; got != Unlimited {
-			t.Errorf("known after the reply: got %v, want no limit", got)
+			t.Errorf("announcement after the response: got %v, want no limit", got)
 		}
 	})
 }
 
-// A damaged question changes nothing of what is known, and promises nothing far ahead.
+// A request with invalid values changes no announcement and reserves no tokens far ahead.
 func TestInvalidRequestChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b")
@@ -211,11 +212,11 @@
 		d.announcements[ranked[0]].newest = known
 
 		for name, ask := range map[string]PermitRequest{
-			"not a number":      {Rate: Rate(math.NaN())},
-			"a negative rate":   {Rate: -1},
-			"without end":       {Rate: Rate(math.Inf(1))},
-			"a time to come":    {Rate: 1, Age: -time.Hour},
-			"a patience of all": {Rate: 10, Age: time.Hour, Patience: math.MaxInt64},
+			"not a number":   {Rate: Rate(math.NaN())},
+			"negative rate":  {Rate: -1},
+			"infinite rate":  {Rate: Rate(math.Inf(1))},
+			"negative age":   {Rate: 1, Age: -time.Hour},
+			"unbounded wait": {Rate: 10, Age: time.Hour, Patience: math.MaxInt64},
 		} {
 			ask.Server = limited
 
@@ -232,8 +233,8 @@
 	})
 }
 
-// One that grants beside others promises nothing ahead, and does not count what it saved up
-// before they came: what others promise and save up is not known.
+// An instance that is not the only granter reserves no tokens ahead, and discards those it
+// saved before the others joined: it does not know what they reserve and save.
 func TestStandbyNeitherReservesNorSavesTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b", "c", "d")
@@ -244,7 +245,7 @@
 		grant(0)
 
 		if got := grant(time.Second); got.Granted {
-			t.Errorf("a token that comes: got %+v, want it not promised", got)
+			t.Errorf("next token: got %+v, want it not reserved", got)
 		}
 
 		time.Sleep(time.Second)
@@ -257,12 +258,12 @@
 		granter.SetLeaders(time.Now(), ranked[:3])
 
 		if got := grant(0); got.Granted {
-			t.Errorf("after others came to lead: got %+v, want nothing granted of what was saved up", got)
+			t.Errorf("after a change of leaders: got %+v, want no saved token granted", got)
 		}
 	})
 }
 
-// The first in order promises tokens ahead, in the order of the questions.
+// The leader that ranks first reserves tokens ahead, in the order of the requests.
 func TestFirstRankedReservesTokensInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b")
@@ -274,12 +275,12 @@
 			want := time.Duration(i+1) * 100 * time.Millisecond
 
 			if got := granter.Grant(time.Now(), limited, 10, 400*time.Millisecond); !got.Granted || got.Wait != want {
-				t.Errorf("question %d: got %+v, want it granted after %v", i, got, want)
+				t.Errorf("request %d: got %+v, want it granted after %v", i, got, want)
 			}
 		}
 
 		if got := granter.Grant(time.Now(), limited, 10, 400*time.Millisecond); got.Granted || got.Wait != 500*time.Millisecond {
-			t.Errorf("one more: got %+v, want a refusal and room after 500ms", got)
+			t.Errorf("one more: got %+v, want a refusal and a token after 500ms", got)
 		}
 	})
 }
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -16,27 +16,27 @@
 const (
 	modelStep   = 5 * time.Millisecond
 	modelWindow = 4 * time.Second
-	// modelTolerance is how many times its limit a server bears, and modelExtra how many
+	// modelTolerance is how many times its limit a server tolerates, and modelExtra how many
 	// requests more, in a window.
 	modelTolerance = 1.5
 	modelExtra     = 5
 )
 
-// fleetModel is a number of instances that send to one limited server, without a network.
+// fleetModel simulates instances that send to one limited server, without a network.
 type fleetModel struct {
 	random   *rand.Rand
 	server   register.Process
 	now      time.Time
 	granters map[fleet.InstanceID]*Granter
 	ids      []fleet.InstanceID
-	// views are the instances that lead, as each knows them.
+	// views are the leaders as each instance knows them.
 	views map[fleet.InstanceID][]fleet.InstanceID
-	// pendingViews are the views that instances have from a time on.
+	// pendingViews are views that instances receive at a later time.
 	pendingViews []pendingView
 	silent       map[fleet.InstanceID]time.Time
-	// lostFraction is the part of questions that don't reach the first in order.
+	// lostFraction is the fraction of requests that do not reach the leader that ranks first.
 	lostFraction float64
-	// arrivals are when requests reach the server.
+	// arrivals are the times at which requests reach the server.
 	arrivals []time.Time
 }
 
@@ -62,7 +62,8 @@
 	return m
 }
 
-// elect has all instances learn, within a span, which ones lead from now on.
+// elect chooses new leaders. Each instance learns them at a random time within the given
+// duration.
 func (m *fleetModel) elect(within time.Duration) {
 	leaders := make([]fleet.InstanceID, 0, 5)
 	for _, i := range m.random.Perm(len(m.ids))[:min(5, len(m.ids))] {
@@ -79,7 +80,7 @@
 	}
 }
 
-// applyViews gives instances the views that they have by now.
+// applyViews applies the pending views that are due.
 func (m *fleetModel) applyViews() {
 	m.pendingViews = slices.DeleteFunc(m.pendingViews, func(l pendingView) bool {
 		if l.at.After(m.now) {
@@ -93,7 +94,8 @@
 	})
 }
 
-// request does what an Asker does: the second in order is asked where the first is silent.
+// request does what Limiter.Acquire does: if the leader that ranks first is silent, the second
+// one decides.
 func (m *fleetModel) request(from fleet.InstanceID, rate Rate, maxWait time.Duration) {
 	ranked := RankLeaders(m.server, m.views[from])
 
@@ -110,7 +112,7 @@
 	}
 }
 
-// maxInWindow returns the maxInWindow arrivals in a window.
+// maxInWindow returns the highest number of arrivals in any window.
 func (m *fleetModel) maxInWindow() int {
 	slices.SortFunc(m.arrivals, time.Time.Compare)
 
@@ -131,19 +133,19 @@
 	return int(modelTolerance*float64(rate)*modelWindow.Seconds() + modelExtra)
 }
 
-// leaderChanges is a limited server over whose requests other instances come to decide.
+// leaderChanges is a scenario in which the leaders that grant for one limited server change.
 type leaderChanges struct {
 	instances int
 	seed      uint64
 	rate      Rate
-	// propagation is within which time an instance learns who leads, and interval the time from
-	// one change to the next.
+	// propagation is the time within which instances learn new leaders, and interval the time
+	// between two changes.
 	propagation, interval time.Duration
 	maxWait               time.Duration
 	lostFraction          float64
 }
 
-// run returns the most requests in a window.
+// run returns the highest number of requests in any window.
 func (c leaderChanges) run() int {
 	const span = 12 * time.Second
 
@@ -174,8 +176,8 @@
 	return m.maxInWindow()
 }
 
-// However often other instances come to lead, whichever fall silent and whichever know of
-// it late, all instances together stay within what a server bears.
+// However often the leaders change, whichever instances fall silent or learn changes late, all
+// instances together stay within what a server tolerates.
 func TestLimitHoldsAcrossLeaderChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := leaderChanges{
@@ -194,15 +196,15 @@
 	})
 }
 
-// Cases that once broke the limit: a stand-in that granted more, and instances that granted
-// all of the rate as soon as they began.
+// Regressions: a standby that granted more, and instances that granted the full rate as soon
+// as they started, exceeded the limit.
 func TestLimitHoldsInRegressionCases(t *testing.T) {
 	for name, c := range map[string]leaderChanges{
-		"most questions lost": {instances: 9, rate: 8, interval: handoverPeriod, maxWait: time.Second, lostFraction: 0.9},
-		"promises of those that led before": {
+		"most requests lost": {instances: 9, rate: 8, interval: handoverPeriod, maxWait: time.Second, lostFraction: 0.9},
+		"reservations of earlier leaders": {
 			instances: 9, rate: 16.125, propagation: 678655874, interval: handoverPeriod, maxWait: time.Second, lostFraction: 0.5,
 		},
-		"all begin at one time": {instances: 80, seed: 0x4cf, rate: 40, propagation: 1, interval: handoverPeriod, maxWait: 920 * time.Millisecond, lostFraction: 0.25},
+		"all start at the same time": {instances: 80, seed: 0x4cf, rate: 40, propagation: 1, interval: handoverPeriod, maxWait: 920 * time.Millisecond, lostFraction: 0.25},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, most := c.run(), maxAllowed(c.rate); got > most {
@@ -212,8 +214,8 @@
 	}
 }
 
-// sharedEvenly is the other way to keep a limit: each instance has an even part of the
-// rate and asks nobody.
+// sharedEvenly simulates the alternative strategy: each instance has an even share of the rate
+// and sends no permit requests.
 func sharedEvenly(n int, rate Rate, seed uint64, span, pace time.Duration) *fleetModel {
 	m := newFleetModel(n, seed)
 	buckets := make([]bucket, n)
@@ -232,9 +234,9 @@
 	return m
 }
 
-// A server gets what it announced, whatever the number of instances. Even parts of the
-// rate, in the same load, give it too little or more than it bears: each of many instances
-// saves one request up, and all of these may come together.
+// A server receives the rate that it announced, whatever the number of instances. Under the
+// same load, even shares give it too little or more than it tolerates: each of many instances
+// saves one token, and all of these may be used together.
 func TestServerReceivesAnnouncedRate(t *testing.T) {
 	const (
 		rate = 1.5
@@ -254,7 +256,7 @@
 			}
 
 			even := sharedEvenly(n, rate, 3, span, pace)
-			t.Logf("requests a second, most in %v: granted %.2f, %d; even parts %.2f, %d", modelWindow,
+			t.Logf("requests a second, most in %v: granted %.2f, %d; even shares %.2f, %d", modelWindow,
 				float64(len(m.arrivals))/span.Seconds(), m.maxInWindow(), float64(len(even.arrivals))/span.Seconds(), even.maxInWindow())
 
 			if got, want := float64(len(m.arrivals))/span.Seconds(), 0.9*rate; got < want {
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -1,17 +1,18 @@
-// Package ratelimit keeps what all entry instances together send to a backend server
-// within the rate that the server announced in its answers.
+// Package ratelimit keeps the requests that all entry instances together send to a
+// backend server within the rate that the server announced in its responses.
 //
-// One instance grants the requests to a limited server: the first of those that lead, in
-// an order by the hash of server and instance (RankOf). It holds one token bucket a server
-// (Granter). The others ask it for each request (Asker), a few milliseconds. While it does
-// not reply, the second in order grants at a lower rate, so that both together stay within
-// one and a half times the limit. One that comes to be the first grants at that rate too
-// until all can be expected to know so.
+// One instance grants the requests to a limited server: the leader that ranks first in
+// rendezvous hashing of server and instance (RankLeaders). It holds one token bucket per
+// server (Granter). The other instances request a permit from it for each request
+// (Limiter), which takes a few milliseconds. While it does not respond, the leader that
+// ranks second, the standby, grants at a lower rate, so that both together stay within one
+// and a half times the limit. A leader that newly ranks first also grants at that lower
+// rate until all instances can be expected to know the change.
 //
 // # Usage
 //
-//	asker := &ratelimit.Asker{Self: "entry-1", Clock: clk, Granter: granter, Leaders: leaders, Send: send}
-//	permit := asker.Ask(ctx, server, announcement, patience)
+//	limiter := &ratelimit.Limiter{Self: "entry-1", Clock: clk, Granter: granter, Announcements: store, Leaders: leaders, Send: send}
+//	permit := limiter.Acquire(ctx, server, announcement, maxWait)
 //	if permit.Granted {
 //		// Send the request after permit.Wait.
 //	}
@@ -22,30 +23,30 @@
 	"time"
 )
 
-// Rate is a number of requests a second, over all entry instances.
+// Rate is a number of requests per second, over all entry instances.
 type Rate float64
 
 const (
-	// Unlimited is the rate of a server that announces none.
+	// Unlimited is the rate of a server that announces no limit.
 	Unlimited Rate = 0
-	// MinRate is the rate at which a server that takes no requests at all is still asked
-	// whether that has changed: only an answer can tell.
+	// MinRate is used for a server that announces that it accepts no requests. Only a response
+	// to a request can lift that limit, so some requests must still be sent.
 	MinRate Rate = 0.25
 )
 
-// Valid reports whether a rate that came in a message is one.
+// Valid reports whether a rate received in a message is a finite number of at least zero.
 func (r Rate) Valid() bool { return r >= 0 && !math.IsInf(float64(r), 1) }
 
-// Announcement is what a server said that it takes. At is when it said so: for a limit no
-// earlier, and for what lifts or raises one no later than that.
+// Announcement is the rate limit that a server announced. At is when it did so: a time no
+// earlier than that if it sets a limit, and no later than that if it lifts or raises one.
 type Announcement struct {
 	Rate Rate
 	At   time.Time
 }
 
-// Observed returns what is known after an answer that came now to a request sent at a
-// time. Answers overtake each other: one lifts or raises a limit only if its request was
-// sent after the limit was last announced.
+// Observed returns the announcement in force after a response with a rate arrived now to a
+// request sent at the given time. Responses may overtake each other, so one lifts or raises a
+// limit only if its request was sent after the limit was last announced.
 func (a Announcement) Observed(rate Rate, sent, now time.Time) Announcement {
 	next := Announcement{Rate: rate, At: sent}
 	if next.atMost(a) {
@@ -64,12 +65,14 @@
 	return a
 }
 
-// transitTolerance is how much later an announcement may seem than it is, by the way of the
-// messages that bring it. Instances that pass the same one on to each other would else take
-// it for a newer one each time, and hold a limit that was lifted.
+// transitTolerance is how much newer an announcement may appear than it is, because of the
+// latency of the messages that carry it. Without it, instances that forward the same
+// announcement to each other would take it for a newer one each time, and keep a limit that
+// was lifted.
 const transitTolerance = 50 * time.Millisecond
 
-// Received returns what is known after another instance passed on what it knows.
+// Received returns the announcement in force after another instance forwarded the one that it
+// knows.
 func (a Announcement) Received(other Announcement) Announcement {
 	if other.Rate == a.Rate && other.At.Sub(a.At) < transitTolerance {
 		return a
@@ -78,7 +81,7 @@
 	return a.Newest(other)
 }
 
-// atMost reports whether an announcement is a limit that allows no more than another one.
+// atMost reports whether an announcement is a limit that is no higher than another one.
 func (a Announcement) atMost(other Announcement) bool {
 	return a.Rate != Unlimited && (other.Rate == Unlimited || a.Rate <= other.Rate)
 }
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -16,13 +16,13 @@
 		sent time.Duration
 		want Announcement
 	}{
-		"a stricter limit of an earlier request":  {rate: 1, sent: -answered, want: Announcement{1, now.Add(answered)}},
-		"the same limit of an earlier request":    {rate: 2, sent: -answered, want: Announcement{2, now.Add(answered)}},
-		"a wider limit of an earlier request":     {rate: 3, sent: -answered, want: limited},
-		"no limit in answer to an earlier one":    {rate: Unlimited, sent: -answered, want: limited},
-		"no limit in answer to one sent together": {rate: Unlimited, want: limited},
-		"a wider limit of a later request":        {rate: 3, sent: time.Millisecond, want: Announcement{3, now.Add(time.Millisecond)}},
-		"no limit in answer to a later request":   {rate: Unlimited, sent: time.Millisecond, want: Announcement{Unlimited, now.Add(time.Millisecond)}},
+		"a stricter limit of an earlier request":    {rate: 1, sent: -answered, want: Announcement{1, now.Add(answered)}},
+		"the same limit of an earlier request":      {rate: 2, sent: -answered, want: Announcement{2, now.Add(answered)}},
+		"a wider limit of an earlier request":       {rate: 3, sent: -answered, want: limited},
+		"no limit in response to an earlier one":    {rate: Unlimited, sent: -answered, want: limited},
+		"no limit in response to one sent together": {rate: Unlimited, want: limited},
+		"a wider limit of a later request":          {rate: 3, sent: time.Millisecond, want: Announcement{3, now.Add(time.Millisecond)}},
+		"no limit in response to a later request":   {rate: Unlimited, sent: time.Millisecond, want: Announcement{Unlimited, now.Add(time.Millisecond)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := limited.Observed(tt.rate, now.Add(tt.sent), now.Add(answered)); got != tt.want {
@@ -32,8 +32,8 @@
 	}
 }
 
-// An answer without a limit that was under way when another one named it does not hide
-// the limit from an instance that receives it meanwhile.
+// A response without a limit to a request sent before another response announced the limit
+// does not hide that limit from an instance that receives its announcement later.
 func TestResponseInFlightDoesNotHideLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	named := Announcement{Rate: 2, At: now}
