--- a/quota/budget.go
+++ b/quota/budget.go
@@ -2,69 +2,69 @@
 
 import "time"
 
-// large is the part of the rest that may go to one request of an instance that has
+// largeRequestShare is the part of the rest that may go to one request of an instance that has
 // spent nothing lately. The more instances there are, the more may do so at once.
-func (q *Quota) large(a *account) float64 {
+func (q *Quota) largeRequestShare(a *account) float64 {
 	if len(a.holders) > 0 {
 		// Large requests are for the reserve.
 		return 0
 	}
 
-	return min(largePart, largeTotal/float64(max(len(q.members), 1)))
+	return min(largeRequestFraction, largeRequestTotal/float64(max(len(q.members), 1)))
 }
 
-// room returns the rest of the allowance, this instance's part of it, and what it
+// budget returns the rest of the allowance, this instance's part of it, and what it
 // has spent of that part.
-func (q *Quota) room(now time.Time, a *account) (rest, part, recent float64) {
-	amount := a.allowance.Amount * safety
-	unseen := q.spread(now)
+func (q *Quota) budget(now time.Time, a *account) (rest, part, recent float64) {
+	amount := a.allowance.Amount * usableFraction
+	unseen := q.propagationDelay(now)
 	share := q.share(now, a, unseen)
 	window := now.Add(-q.policy.Window)
 
-	if now.Sub(q.reached) > q.policy.PropagationDelay && unseen == q.policy.PropagationDelay {
+	if now.Sub(q.syncedAt) > q.policy.PropagationDelay && unseen == q.policy.PropagationDelay {
 		// Nothing new is known of the others: the part of the whole is kept to.
-		rest = max(amount-a.elsewhere(window), 0)
+		rest = max(amount-a.consumedElsewhere(window), 0)
 
-		return rest, min(amount*share, rest), a.own.since(window)
+		return rest, min(amount*share, rest), a.consumed.since(window)
 	}
 
-	recent = a.own.since(now.Add(-unseen))
-	rest = max(amount-a.elsewhere(window)-(a.own.since(window)-recent), 0)
+	recent = a.consumed.since(now.Add(-unseen))
+	rest = max(amount-a.consumedElsewhere(window)-(a.consumed.since(window)-recent), 0)
 
 	return rest, rest * share, recent
 }
 
-// elsewhere returns what others, and all before this instance started, have spent since
+// consumedElsewhere returns what others, and all before this instance started, have spent since
 // a time, as far as it is known or has to be assumed.
-func (a *account) elsewhere(since time.Time) float64 {
-	sum := a.inherited.since(since) + a.unheard.since(since)
-	for _, o := range a.others {
-		sum += o.spent.since(since)
+func (a *account) consumedElsewhere(since time.Time) float64 {
+	sum := a.restored.since(since) + a.assumed.since(since)
+	for _, o := range a.remotes {
+		sum += o.consumed.since(since)
 	}
 
 	return sum
 }
 
-// spread returns the time in which what this instance spends is known to all.
-func (q *Quota) spread(now time.Time) time.Duration {
+// propagationDelay returns the time in which what this instance spends is known to all.
+func (q *Quota) propagationDelay(now time.Time) time.Duration {
 	if q.policy.DirectDelay == nil {
 		return q.policy.PropagationDelay
 	}
 
 	quick := min(q.policy.DirectDelay(len(q.members)), q.policy.PropagationDelay)
-	if !q.allHear(now, quick) {
+	if !q.acknowledgedWithin(now, quick) {
 		return q.policy.PropagationDelay
 	}
 
 	return quick
 }
 
-// allHear tells whether all others have heard this instance within a span.
-func (q *Quota) allHear(now time.Time, span time.Duration) bool {
+// acknowledgedWithin tells whether all others have heard this instance within a span.
+func (q *Quota) acknowledgedWithin(now time.Time, span time.Duration) bool {
 	silent := 0
 
 	for id := range q.members {
-		if at, ok := q.heard[id]; !ok || now.Sub(at) > span {
+		if at, ok := q.acknowledged[id]; !ok || now.Sub(at) > span {
 			silent++
 		}
 	}
@@ -73,8 +73,8 @@
 	return silent <= 1
 }
 
-func (q *Quota) quick(now time.Time) bool {
-	return q.policy.DirectDelay != nil && len(q.members) > 1 && q.allHear(now, q.policy.DirectDelay(len(q.members)))
+func (q *Quota) acknowledgedByAll(now time.Time) bool {
+	return q.policy.DirectDelay != nil && len(q.members) > 1 && q.acknowledgedWithin(now, q.policy.DirectDelay(len(q.members)))
 }
 
 // AcknowledgedByAll tells whether all others hear this instance directly.
@@ -82,46 +82,46 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	return q.quick(now)
+	return q.acknowledgedByAll(now)
 }
 
 // share is this instance's part: evenly among the members, and by demand.
 func (q *Quota) share(now time.Time, a *account, unseen time.Duration) float64 {
 	members := len(q.members)
 	if members == 0 {
-		members = unknownMembers
+		members = assumedMembers
 	}
 
 	even := 1 / float64(members)
-	since := now.Add(-demandSpan * q.policy.Window)
+	since := now.Add(-demandWindows * q.policy.Window)
 	// What the others can't know yet would make the parts add up to more than one.
-	own := a.ownAsked.since(since) - a.ownAsked.since(now.Add(-unseen))
+	own := a.demand.since(since) - a.demand.since(now.Add(-unseen))
 	all := own
 
-	for id, o := range a.others {
+	for id, o := range a.remotes {
 		if q.members[id] {
-			all += o.asked.since(since)
+			all += o.demand.since(since)
 		}
 	}
 
 	divided := 1.0
 	if len(a.holders) > 0 {
-		divided = 1 - reservePart
+		divided = 1 - reserveFraction
 	}
 
 	if all <= 0 {
 		return divided * even
 	}
 
-	return divided * (evenPart*even + (1-evenPart)*own/all)
+	return divided * (evenFraction*even + (1-evenFraction)*own/all)
 }
 
 func (q *Quota) retryAfter(a *account, missing float64) time.Duration {
 	if a.allowance.Rate <= 0 {
-		return lastRetry
+		return maxRetryAfter
 	}
 
 	wait := time.Duration(missing / a.allowance.Rate * float64(time.Second))
 
-	return min(max(wait, firstRetry), lastRetry)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
--- a/quota/coordinators.go
+++ b/quota/coordinators.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// keeperQuorum is how many of the keepers, this one included, must have heard each
+	// coordinatorQuorum is how many of the keepers, this one included, must have heard each
 	// other before one grants: the most of five. Of instances that are cut off from each
 	// other only one side grants.
-	keeperQuorum = 3
-	// quorumSpan is how long ago that may be: some words, and less than the time after
+	coordinatorQuorum = 3
+	// acknowledgmentTTL is how long ago that may be: some words, and less than the time after
 	// which one that is silent is replaced.
-	quorumSpan = 1500 * time.Millisecond
+	acknowledgmentTTL = 1500 * time.Millisecond
 )
 
 // SetCoordinators sets which instances keep the limits for all others: of many instances each
@@ -35,20 +35,20 @@
 	}
 
 	keeps := slices.Contains(ids, q.policy.Self)
-	if keeps && (q.client || q.quorum == 0) {
-		q.joined = now
+	if keeps && (q.delegated || q.quorum == 0) {
+		q.coordinatorSince = now
 	}
 
-	q.quorum, q.client = keeperQuorum, !keeps
-	q.setMembers(ids, sorted)
+	q.quorum, q.delegated = coordinatorQuorum, !keeps
+	q.applyMembers(ids, sorted)
 }
 
 // LendTo lends to an instance. What one asks that keeps no limits counts as demand here.
 func (q *Quota) LendTo(now time.Time, from fleet.InstanceID, name fleet.Account, cost float64) Decision {
 	q.mu.Lock()
 
-	if a := q.accounts[name]; a != nil && !q.members[from] && !q.client {
-		a.ownAsked.add(now, cost)
+	if a := q.accounts[name]; a != nil && !q.members[from] && !q.delegated {
+		a.demand.add(now, cost)
 	}
 
 	q.mu.Unlock()
@@ -61,12 +61,12 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	return !q.reached.IsZero() && q.grants(now)
+	return !q.syncedAt.IsZero() && q.canGrant(now)
 }
 
-// grants tells whether this instance may grant anything by itself.
-func (q *Quota) grants(now time.Time) bool {
-	if q.client {
+// canGrant tells whether this instance may grant anything by itself.
+func (q *Quota) canGrant(now time.Time) bool {
+	if q.delegated {
 		return false
 	}
 
@@ -77,10 +77,10 @@
 	heard := 1
 
 	for id := range q.members {
-		if at, ok := q.heard[id]; ok && now.Sub(at) <= quorumSpan {
+		if at, ok := q.acknowledged[id]; ok && now.Sub(at) <= acknowledgmentTTL {
 			heard++
 		}
 	}
 
-	return heard >= q.quorum && !q.reached.Before(q.joined)
+	return heard >= q.quorum && !q.syncedAt.Before(q.coordinatorSince)
 }
--- a/quota/coordinators_test.go
+++ b/quota/coordinators_test.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	// keepers is how many instances keep the limits.
-	keepers = 5
-	// silentFor is how long an instance counts that is not heard of, and trustedFor how
+	// coordinators is how many instances keep the limits.
+	coordinators = 5
+	// memberTimeout is how long an instance counts that is not heard of, and trustedFor how
 	// long one that is cut off takes requests.
-	silentFor  = 7 * time.Second
-	trustedFor = 4750 * time.Millisecond
+	memberTimeout = 7 * time.Second
+	rulesTimeout  = 4750 * time.Millisecond
 )
 
-// fleetOfKeepers is a number of instances of which the first five that are heard of keep
+// coordinatedFleet is a number of instances of which the first five that are heard of keep
 // the limits. They are killed, cut off from each other and from the store.
-type fleetOfKeepers struct {
-	nodes   []*keeperNode
-	records []keeperRecord
+type coordinatedFleet struct {
+	nodes   []*coordinatedNode
+	records []storedRecord
 	random  *rand.Rand
 }
 
-type keeperNode struct {
-	id    fleet.InstanceID
-	quota *Quota
-	dead  bool
-	// cutUntil is until when no other hears it or is heard by it, and storeUntil until
+type coordinatedNode struct {
+	id     fleet.InstanceID
+	quota  *Quota
+	killed bool
+	// partitionedUntil is until when no other hears it or is heard by it, and storeDownUntil until
 	// when it can't reach the store.
-	cutUntil, storeUntil time.Time
-	// heard is when each other was heard of, and echo the newest time of each other's word.
-	heard, echo []time.Time
+	partitionedUntil, storeDownUntil time.Time
+	// lastSeen is when each other was lastSeen of, and receivedAt the newest time of each other's word.
+	lastSeen, receivedAt []time.Time
 	// confirmed is when its rules were last confirmed.
-	confirmed time.Time
-	read      int
-	keepers   []fleet.InstanceID
+	confirmed    time.Time
+	recordsRead  int
+	coordinators []fleet.InstanceID
 }
 
-type keeperRecord struct {
-	from  int
-	spent []Consumption
+type storedRecord struct {
+	from        int
+	consumption []Consumption
 }
 
-func newFleetOfKeepers(n int, seed uint64) *fleetOfKeepers {
-	f := &fleetOfKeepers{random: rand.New(rand.NewPCG(seed, 11))}
+func newCoordinatedFleet(n int, seed uint64) *coordinatedFleet {
+	f := &coordinatedFleet{random: rand.New(rand.NewPCG(seed, 11))}
 
 	for i := range n {
 		id := fleet.InstanceID(fmt.Sprint("entry-", i))
@@ -60,41 +60,41 @@
 		})
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 
-		f.nodes = append(f.nodes, &keeperNode{
-			id: id, quota: q, heard: slices.Repeat([]time.Time{start}, n), echo: make([]time.Time, n), confirmed: start,
+		f.nodes = append(f.nodes, &coordinatedNode{
+			id: id, quota: q, lastSeen: slices.Repeat([]time.Time{start}, n), receivedAt: make([]time.Time, n), confirmed: start,
 		})
 	}
 
 	for _, node := range f.nodes {
-		f.readStore(start, node)
+		f.syncStore(start, node)
 	}
 
 	return f
 }
 
-func (f *fleetOfKeepers) reach(now time.Time, a, b *keeperNode) bool {
-	return !a.dead && !b.dead && now.After(a.cutUntil) && now.After(b.cutUntil)
+func (f *coordinatedFleet) connected(now time.Time, a, b *coordinatedNode) bool {
+	return !a.killed && !b.killed && now.After(a.partitionedUntil) && now.After(b.partitionedUntil)
 }
 
-func (n *keeperNode) keeps() bool { return slices.Contains(n.keepers, n.id) }
+func (n *coordinatedNode) coordinates() bool { return slices.Contains(n.coordinators, n.id) }
 
-// tell lets each keeper tell the others what it has spent, one word in twenty is lost.
-func (f *fleetOfKeepers) tell(now time.Time) {
+// exchange lets each keeper exchange the others what it has spent, one word in twenty is lost.
+func (f *coordinatedFleet) exchange(now time.Time) {
 	for i, from := range f.nodes {
 		for j, to := range f.nodes {
-			if i == j || !from.keeps() || !f.reach(now, from, to) || f.random.IntN(20) == 0 {
+			if i == j || !from.coordinates() || !f.connected(now, from, to) || f.random.IntN(20) == 0 {
 				continue
 			}
 
 			to.confirmed = latest(to.confirmed, from.confirmed)
 
-			if !slices.Contains(from.keepers, to.id) {
+			if !slices.Contains(from.coordinators, to.id) {
 				continue
 			}
 
-			to.heard[i], to.echo[i] = now, now
+			to.lastSeen[i], to.receivedAt[i] = now, now
 			to.quota.Receive(now, from.id, 1, from.quota.Consumption(now))
-			to.quota.Acknowledged(from.echo[j], from.id)
+			to.quota.Acknowledged(from.receivedAt[j], from.id)
 		}
 	}
 }
@@ -107,54 +107,54 @@
 	return b
 }
 
-// readStore lets an instance write its record and read those of the others.
-func (f *fleetOfKeepers) readStore(now time.Time, node *keeperNode) {
-	if node.dead || !now.After(node.storeUntil) {
+// syncStore lets an instance write its record and read those of the others.
+func (f *coordinatedFleet) syncStore(now time.Time, node *coordinatedNode) {
+	if node.killed || !now.After(node.storeDownUntil) {
 		return
 	}
 
 	node.confirmed = now
 	self := slices.Index(f.nodes, node)
 	spent, _ := node.quota.Record(now)
-	f.records = append(f.records, keeperRecord{from: self, spent: spent})
+	f.records = append(f.records, storedRecord{from: self, consumption: spent})
 
-	for _, r := range f.records[node.read:] {
-		node.heard[r.from] = now
+	for _, r := range f.records[node.recordsRead:] {
+		node.lastSeen[r.from] = now
 
 		if r.from != self {
-			node.quota.Receive(now, f.nodes[r.from].id, 1, r.spent)
+			node.quota.Receive(now, f.nodes[r.from].id, 1, r.consumption)
 		}
 	}
 
-	node.read = len(f.records)
-	node.keepers = nil
+	node.recordsRead = len(f.records)
+	node.coordinators = nil
 
 	for i, other := range f.nodes {
-		if (i == self || now.Sub(node.heard[i]) <= silentFor) && len(node.keepers) < keepers {
-			node.keepers = append(node.keepers, other.id)
+		if (i == self || now.Sub(node.lastSeen[i]) <= memberTimeout) && len(node.coordinators) < coordinators {
+			node.coordinators = append(node.coordinators, other.id)
 		}
 	}
 
-	node.quota.SetCoordinators(now, node.keepers)
+	node.quota.SetCoordinators(now, node.coordinators)
 	node.quota.MarkSynced(now)
 }
 
-func (f *fleetOfKeepers) step(now time.Time, tick int) {
+func (f *coordinatedFleet) step(now time.Time, tick int) {
 	if tick%2 == 0 {
-		f.tell(now)
+		f.exchange(now)
 	}
 
 	for i, node := range f.nodes {
-		if pace := 3; node.keeps() && tick%pace == i%pace || tick%50 == i%50 {
-			f.readStore(now, node)
+		if pace := 3; node.coordinates() && tick%pace == i%pace || tick%50 == i%50 {
+			f.syncStore(now, node)
 		}
 	}
 }
 
 // take asks an instance, and those that it would ask.
-func (f *fleetOfKeepers) take(now time.Time, i int, cost float64) bool {
+func (f *coordinatedFleet) take(now time.Time, i int, cost float64) bool {
 	node := f.nodes[i]
-	if node.dead || now.Sub(node.confirmed) > trustedFor {
+	if node.killed || now.Sub(node.confirmed) > rulesTimeout {
 		return false
 	}
 
@@ -163,10 +163,10 @@
 	}
 
 	for _, id := range node.quota.Lenders("a") {
-		j := slices.IndexFunc(f.nodes, func(n *keeperNode) bool { return n.id == id })
+		j := slices.IndexFunc(f.nodes, func(n *coordinatedNode) bool { return n.id == id })
 		lender := f.nodes[j]
 
-		if j != i && (!f.reach(now, node, lender) || now.Sub(lender.confirmed) > trustedFor) {
+		if j != i && (!f.connected(now, node, lender) || now.Sub(lender.confirmed) > rulesTimeout) {
 			continue
 		}
 
@@ -180,14 +180,14 @@
 
 // Whichever keepers are killed or cut off from each other and from the store, and whoever
 // takes their place, no window holds more than the allowance.
-func TestHoldsAllowanceOverChangesOfKeepers(t *testing.T) {
+func TestAllowanceHoldsWhenCoordinatorsChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 16).Draw(t, "instances")
 		heat := rapid.Float64Range(0.5, 8).Draw(t, "heat")
-		f := newFleetOfKeepers(n, rapid.Uint64().Draw(t, "seed"))
+		f := newCoordinatedFleet(n, rapid.Uint64().Draw(t, "seed"))
 		at := func(tick int) time.Time { return start.Add(time.Duration(tick) * 100 * time.Millisecond) }
 
-		var grants []step
+		var grants []increment
 
 		for tick := 1; tick < 400; tick++ {
 			now := at(tick)
@@ -198,13 +198,13 @@
 
 				switch f.random.IntN(5) {
 				case 0:
-					node.dead = true
+					node.killed = true
 				case 1:
-					node.cutUntil = until
+					node.partitionedUntil = until
 				case 2:
-					node.storeUntil = until
+					node.storeDownUntil = until
 				default:
-					node.cutUntil, node.storeUntil = until, until
+					node.partitionedUntil, node.storeDownUntil = until, until
 				}
 			}
 
@@ -213,12 +213,12 @@
 			for range f.random.IntN(int(2*heat) + 1) {
 				cost := 1000 + f.random.ExpFloat64()*10_000
 				if f.take(now, f.random.IntN(n), cost) {
-					grants = append(grants, step{at: now, amount: cost})
+					grants = append(grants, increment{at: now, amount: cost})
 				}
 			}
 		}
 
-		if got := worst(grants); got > amount {
+		if got := maxInWindow(grants); got > amount {
 			t.Fatalf("granted in a window: got %.0f, want at most %d", got, amount)
 		}
 	})
@@ -227,7 +227,7 @@
 // Of 195 instances, five keep the limit of an account that asks for nine tenths of it. Where
 // the rest is divided among all, each has a word for each other in 1.2 s and a record of
 // its own in 4.9 s: what may be lent between two records is soon used up.
-func TestFewKeepersServeManyInstances(t *testing.T) {
+func TestFewCoordinatorsServeManyInstances(t *testing.T) {
 	const instances, warmUp, ticks = 195, 20, 220
 
 	random := rand.New(rand.NewPCG(5, 5))
@@ -242,7 +242,7 @@
 	for tick := warmUp; tick < ticks; tick++ {
 		for spent := 0.0; ; {
 			cost := 500 + random.ExpFloat64()*5_000
-			if spent += cost; spent > 0.9*safety*amount/80 {
+			if spent += cost; spent > 0.9*usableFraction*amount/80 {
 				break
 			}
 
@@ -267,7 +267,7 @@
 		return count
 	}
 
-	kept := newFleetOfKeepers(instances, 5)
+	kept := newCoordinatedFleet(instances, 5)
 	got := refused(kept.step, kept.take)
 
 	shared := newLendingGroup(instances, Policy{
@@ -277,7 +277,7 @@
 	slow := func(now time.Time, tick int) {
 		for i, from := range shared.quotas {
 			if tick%12 == i%12 {
-				shared.say(now, i, from.Consumption(now))
+				shared.broadcast(now, i, from.Consumption(now))
 			}
 
 			if tick%49 == i%49 {
@@ -302,7 +302,7 @@
 
 // One that is cut off from the other keepers, or has not read what was recorded, grants
 // nothing.
-func TestAKeeperWithoutTheOthersGrantsNothing(t *testing.T) {
+func TestCoordinatorWithoutQuorumGrantsNothing(t *testing.T) {
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, PropagationDelay: 2 * time.Second})
 	q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
@@ -328,7 +328,7 @@
 		t.Error("with two others that hear it: got no grant, want one")
 	}
 
-	now = now.Add(quorumSpan + time.Millisecond)
+	now = now.Add(acknowledgmentTTL + time.Millisecond)
 
 	if granted() {
 		t.Error("without news of the others: got a grant, want none")
--- a/quota/global.go
+++ b/quota/global.go
@@ -14,42 +14,42 @@
 	Ages     []uint32
 }
 
-// recordAll returns what all have spent. An instance that has not read what was spent
+// recordGlobal returns what all have spent. An instance that has not read what was spent
 // before it started does not know it.
-func (q *Quota) recordAll(now time.Time) []GlobalConsumption {
+func (q *Quota) recordGlobal(now time.Time) []GlobalConsumption {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if q.reached.IsZero() {
+	if q.syncedAt.IsZero() {
 		return nil
 	}
 
 	all := make([]GlobalConsumption, 0, len(q.accounts))
 
 	for name, a := range q.accounts {
-		sum := a.own.ages(now, q.policy.Window)
-		addAges(sum, a.inherited.ages(now, q.policy.Window))
+		sum := a.consumed.buckets(now, q.policy.Window)
+		addBuckets(sum, a.restored.buckets(now, q.policy.Window))
 
-		for _, o := range a.others {
-			addAges(sum, o.spent.ages(now, q.policy.Window))
+		for _, o := range a.remotes {
+			addBuckets(sum, o.consumed.buckets(now, q.policy.Window))
 		}
 
-		a.knownRecorded = a.known
+		a.globalRecorded = a.globalTotal
 		all = append(all, GlobalConsumption{Account: name, Ages: sum})
 	}
 
 	return all
 }
 
-func addAges(sum, more []uint32) {
+func addBuckets(sum, more []uint32) {
 	for i := range sum {
 		sum[i] += more[i]
 	}
 }
 
-// inheritKnown takes in what all had spent at a time before this instance started. The
+// restoreGlobal takes in what all had spent at a time before this instance started. The
 // runs that were recorded until then tell the same spending when they are heard.
-func (q *Quota) inheritKnown(now, at time.Time, known []GlobalConsumption, runs []run) {
+func (q *Quota) restoreGlobal(now, at time.Time, known []GlobalConsumption, runs []incarnationRecord) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -60,23 +60,23 @@
 		}
 
 		for i, part := range k.Ages {
-			a.inherited.add(q.youngest(at, i, len(k.Ages)), float64(part))
+			a.restored.add(q.bucketEnd(at, i, len(k.Ages)), float64(part))
 		}
 
 		// What was spent after the record is not told by anybody. It is no part of what
 		// this instance records: instances that start one after the other would add it
 		// up.
-		a.unheard.add(now, UnrecordedFraction*a.allowance.Amount)
+		a.assumed.add(now, UnrecordedFraction*a.allowance.Amount)
 	}
 
-	q.covered = make(map[fleet.InstanceID]fleet.Incarnation, len(runs))
+	q.restored = make(map[fleet.InstanceID]fleet.Incarnation, len(runs))
 	for _, r := range runs {
-		q.covered[r.instance] = r.incarnation
+		q.restored[r.instance] = r.incarnation
 	}
 }
 
-// youngest is the latest time that a part of a window may stand for, which ends at a
+// bucketEnd is the latest time that a part of a window may stand for, which ends at a
 // time and is divided into parts, the oldest first.
-func (q *Quota) youngest(at time.Time, part, parts int) time.Time {
+func (q *Quota) bucketEnd(at time.Time, part, parts int) time.Time {
 	return at.Add(-q.policy.Window * time.Duration(parts-1-part) / time.Duration(parts))
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// readPatience is how long a request waits at an instance that has just started: eight
+	// firstSyncTimeout is how long a request waits at an instance that has just started: eight
 	// instances read what was spent within 300 ms, in which 26 of 88 requests were refused
 	// until 1.5 s later.
-	readPatience = 500 * time.Millisecond
-	// refusedLoan is how long a holder that had too little is not asked for as much
+	firstSyncTimeout = 500 * time.Millisecond
+	// refusedLoanBackoff is how long a holder that had too little is not asked for as much
 	// again: accounts far beyond their limit would ask for each request.
-	refusedLoan = 200 * time.Millisecond
+	refusedLoanBackoff = 200 * time.Millisecond
 )
 
 // LoanRequest is the question for a loan.
@@ -50,10 +50,10 @@
 	// nothing, since others take its place. Nil is always.
 	Current func() bool
 
-	questions gossip.Requests[bool]
+	requests gossip.Requests[bool]
 
 	mu      sync.Mutex
-	refused map[loanKey]refusedAsk
+	refused map[loanKey]refusedLoan
 }
 
 type loanKey struct {
@@ -61,14 +61,14 @@
 	account fleet.Account
 }
 
-type refusedAsk struct {
+type refusedLoan struct {
 	at   time.Time
 	cost float64
 }
 
 // Take spends cost of an account's allowance here or at a holder of its reserve.
 func (l *Limiter) Take(ctx context.Context, name fleet.Account, cost float64) Decision {
-	l.awaitRead(ctx)
+	l.awaitSync(ctx)
 
 	decision := l.Quota.Take(l.Clock.Now(), name, cost)
 	if decision.Granted {
@@ -84,9 +84,9 @@
 	return decision
 }
 
-// awaitRead waits for a moment at an instance that has just started and has not read yet
+// awaitSync waits for a moment at an instance that has just started and has not read yet
 // what the others have spent.
-func (l *Limiter) awaitRead(ctx context.Context) {
+func (l *Limiter) awaitSync(ctx context.Context) {
 	select {
 	case <-l.Quota.Synced():
 		return
@@ -95,7 +95,7 @@
 
 	select {
 	case <-l.Quota.Synced():
-	case <-l.Clock.After(readPatience):
+	case <-l.Clock.After(firstSyncTimeout):
 	case <-ctx.Done():
 	}
 }
@@ -110,7 +110,7 @@
 }
 
 // HandleResponse takes an answer in. One that comes too late is dropped.
-func (l *Limiter) HandleResponse(r LoanResponse) { l.questions.Reply(r.Number, r.Granted) }
+func (l *Limiter) HandleResponse(r LoanResponse) { l.requests.Reply(r.Number, r.Granted) }
 
 func (l *Limiter) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
 	if holder == l.Self {
@@ -122,11 +122,11 @@
 		return false
 	}
 
-	granted, answered := l.questions.Do(ctx, l.Clock, holder, func(number uint64) {
+	granted, answered := l.requests.Do(ctx, l.Clock, holder, func(number uint64) {
 		l.Send(holder, LoanRequest{From: l.Self, Number: number, Account: name, Cost: cost})
 	})
 	if answered {
-		l.remember(key, cost, granted)
+		l.recordOutcome(key, cost, granted)
 	}
 
 	return granted
@@ -139,10 +139,10 @@
 
 	last, ok := l.refused[key]
 
-	return ok && cost >= last.cost && l.Clock.Now().Sub(last.at) < refusedLoan
+	return ok && cost >= last.cost && l.Clock.Now().Sub(last.at) < refusedLoanBackoff
 }
 
-func (l *Limiter) remember(key loanKey, cost float64, granted bool) {
+func (l *Limiter) recordOutcome(key loanKey, cost float64, granted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -153,8 +153,8 @@
 	}
 
 	if l.refused == nil {
-		l.refused = make(map[loanKey]refusedAsk)
+		l.refused = make(map[loanKey]refusedLoan)
 	}
 
-	l.refused[key] = refusedAsk{at: l.Clock.Now(), cost: cost}
+	l.refused[key] = refusedLoan{at: l.Clock.Now(), cost: cost}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -77,34 +77,34 @@
 	Ages []uint32
 }
 
-// ages is the number of parts of a window by which Recent is divided.
-const ages = 8
+// ageBuckets is the number of parts of a window by which Recent is divided.
+const ageBuckets = 8
 
 const (
-	// evenPart of what may be spent is divided evenly, so that an account that turns
+	// evenFraction of what may be spent is divided evenly, so that an account that turns
 	// to another instance is served there at once; the rest follows demand.
-	evenPart = 0.5
-	// safety is the part of an allowance that is spent: instances know each other's
+	evenFraction = 0.5
+	// usableFraction is the part of an allowance that is spent: instances know each other's
 	// demand at slightly different times, and their parts may add up to more than one.
-	safety = 0.92
-	// largePart of the rest may go to one request of an instance that has spent nothing
+	usableFraction = 0.92
+	// largeRequestFraction of the rest may go to one request of an instance that has spent nothing
 	// lately, since a large request may exceed any instance's part; largeTotal bounds
 	// what all instances together may give so, where they are many.
-	largePart  = 0.25
-	largeTotal = 2.25
-	// demandSpan is how far back demand is looked at, in windows.
-	demandSpan = 2
-	// recordPart is the part of Untold at which a record is asked for; the rest is for
+	largeRequestFraction = 0.25
+	largeRequestTotal    = 2.25
+	// demandWindows is how far back demand is looked at, in windows.
+	demandWindows = 2
+	// recordThreshold is the part of Untold at which a record is asked for; the rest is for
 	// what is spent until it is made.
-	recordPart = 0.6
-	// firstRead is how long nothing is granted while nothing was read of the others:
+	recordThreshold = 0.6
+	// firstSyncGrace is how long nothing is granted while nothing was read of the others:
 	// all instances may have started at once, after they had spent the whole.
-	firstRead = 1500 * time.Millisecond
-	// unknownMembers is how many instances are assumed where none is known.
-	unknownMembers = 16
-	// firstRetry and lastRetry bound when a caller is told to come back.
-	firstRetry = 300 * time.Millisecond
-	lastRetry  = 4 * time.Second
+	firstSyncGrace = 1500 * time.Millisecond
+	// assumedMembers is how many instances are assumed where none is known.
+	assumedMembers = 16
+	// minRetryAfter and lastRetry bound when a caller is told to come back.
+	minRetryAfter = 300 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
 )
 
 // Quota is the view of one instance. It is safe for concurrent use.
@@ -116,57 +116,57 @@
 	members  map[fleet.InstanceID]bool
 	// recorders are the members that record what all have spent.
 	recorders []fleet.InstanceID
-	// covered are runs whose spending before this instance started was inherited from
+	// restored are runs whose spending before this instance started was inherited from
 	// a record of all.
-	covered map[fleet.InstanceID]fleet.Incarnation
-	// begun is when the first request came.
-	begun time.Time
-	// reached is when the others' news was last read to its end, and heard the
+	restored map[fleet.InstanceID]fleet.Incarnation
+	// firstRequest is when the first request came.
+	firstRequest time.Time
+	// syncedAt is when the others' news was last read to its end, and heard the
 	// newest time up to which each other knows what this one spent.
-	reached time.Time
-	heard   map[fleet.InstanceID]time.Time
-	// read is closed once the others' news was read.
-	read chan struct{}
+	syncedAt     time.Time
+	acknowledged map[fleet.InstanceID]time.Time
+	// synced is closed once the others' news was synced.
+	synced chan struct{}
 	// quorum is how many keepers must hear each other, zero where all instances share the
 	// allowances. client tells that others keep them, and joined since when this one does.
-	quorum int
-	client bool
-	joined time.Time
+	quorum           int
+	delegated        bool
+	coordinatorSince time.Time
 }
 
 // account is what is known of one account.
 type account struct {
 	allowance Allowance
-	own       history
-	ownAsked  history
-	// recorded is the part of own that a record tells.
-	recorded float64
-	others   map[fleet.InstanceID]*other
+	consumed  history
+	demand    history
+	// recordedTotal is the part of own that a record tells.
+	recordedTotal float64
+	remotes       map[fleet.InstanceID]*remote
 	// holders are the instances that hold the reserve, and lenders those that are asked,
 	// in their order.
 	holders, lenders []fleet.InstanceID
-	// inherited is what all had spent before this instance started.
-	inherited history
-	// unheard stands for what others may have spent that no record told.
-	unheard history
-	// known is what all have spent as far as this instance knows, and knownRecorded
+	// restored is what all had spent before this instance started.
+	restored history
+	// assumed stands for what others may have spent that no record told.
+	assumed history
+	// globalTotal is what all have spent as far as this instance knows, and globalRecorded
 	// the part of it that a record of this instance tells.
-	known, knownRecorded float64
+	globalTotal, globalRecorded float64
 }
 
-// other is what another instance told.
-type other struct {
+// remote is what another instance told.
+type remote struct {
 	incarnation fleet.Incarnation
 	// base is what earlier runs of it had told.
-	baseSpent, baseAsked float64
-	spent, asked         history
+	baseConsumed, baseDemand float64
+	consumed, demand         history
 }
 
 // New returns a quota that knows no account.
 func New(p Policy) *Quota {
 	return &Quota{
 		policy: p, accounts: make(map[fleet.Account]*account), members: make(map[fleet.InstanceID]bool),
-		heard: make(map[fleet.InstanceID]time.Time), read: make(chan struct{}),
+		acknowledged: make(map[fleet.InstanceID]time.Time), synced: make(chan struct{}),
 	}
 }
 
@@ -180,7 +180,7 @@
 	for _, a := range allowances {
 		one := q.accounts[a.Account]
 		if one == nil {
-			one = &account{others: make(map[fleet.InstanceID]*other)}
+			one = &account{remotes: make(map[fleet.InstanceID]*remote)}
 		}
 
 		one.allowance = a
@@ -188,7 +188,7 @@
 	}
 
 	q.accounts = next
-	q.placeReserves()
+	q.assignReserves()
 }
 
 // Decision is the answer to Take.
@@ -214,27 +214,27 @@
 		return Decision{Granted: true}
 	}
 
-	if q.client {
-		return Decision{RetryAfter: firstRetry}
+	if q.delegated {
+		return Decision{RetryAfter: minRetryAfter}
 	}
 
-	a.ownAsked.add(now, cost)
+	a.demand.add(now, cost)
 
-	if !q.grants(now) {
-		return Decision{RetryAfter: firstRetry}
+	if !q.canGrant(now) {
+		return Decision{RetryAfter: minRetryAfter}
 	}
 
-	if q.begun.IsZero() {
-		q.begun = now
+	if q.firstRequest.IsZero() {
+		q.firstRequest = now
 	}
 
-	if q.reached.IsZero() && now.Sub(q.begun) < firstRead {
-		return Decision{RetryAfter: firstRead}
+	if q.syncedAt.IsZero() && now.Sub(q.firstRequest) < firstSyncGrace {
+		return Decision{RetryAfter: firstSyncGrace}
 	}
 
-	rest, part, recent := q.room(now, a)
-	if recent+cost <= part || recent == 0 && cost <= q.large(a)*rest && recent+cost <= rest {
-		q.spend(now, a, cost)
+	rest, part, recent := q.budget(now, a)
+	if recent+cost <= part || recent == 0 && cost <= q.largeRequestShare(a)*rest && recent+cost <= rest {
+		q.consume(now, a, cost)
 
 		return Decision{Granted: true, Remaining: rest, Share: part}
 	}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -14,8 +14,8 @@
 
 var policy = Policy{Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond}
 
-// quickPolicy is that of instances which hear each other directly.
-var quickPolicy = Policy{
+// directPolicy is that of instances which hear each other directly.
+var directPolicy = Policy{
 	Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond,
 	DirectDelay: func(int) time.Duration { return 450 * time.Millisecond },
 }
@@ -29,17 +29,17 @@
 type group struct {
 	quotas  []*Quota
 	ids     []fleet.InstanceID
-	pending []news
-	// asked are the instances that asked for a record.
-	asked []bool
-	// quick tells that words are passed directly.
-	quick       bool
+	pending []delayedRecord
+	// recordRequested are the instances that recordRequested for a record.
+	recordRequested []bool
+	// direct tells that words are passed directly.
+	direct      bool
 	incarnation fleet.Incarnation
 	random      *rand.Rand
 }
 
-// say passes one word to all others, but for one in ten that is lost.
-func (g *group) say(now time.Time, from int, spent []Consumption) {
+// broadcast passes one word to all others, but for one in ten that is lost.
+func (g *group) broadcast(now time.Time, from int, spent []Consumption) {
 	for i, q := range g.quotas {
 		if i != from && g.random.IntN(10) > 0 {
 			q.Receive(now, g.ids[from], g.incarnation, spent)
@@ -62,10 +62,10 @@
 	return d
 }
 
-type news struct {
-	at    time.Time
-	from  int
-	spent []Consumption
+type delayedRecord struct {
+	at          time.Time
+	from        int
+	consumption []Consumption
 }
 
 // newGroup returns n instances without reserves.
@@ -84,7 +84,7 @@
 
 	for i, q := range g.quotas {
 		q.SetMembers(g.ids, g.ids[:min(5, n)])
-		q.policy.RequestRecord = func() { g.asked[i] = true }
+		q.policy.RequestRecord = func() { g.recordRequested[i] = true }
 	}
 
 	return g
@@ -98,10 +98,10 @@
 		p := policyOf(id)
 		q := New(p)
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
-		g.quick = p.DirectDelay != nil
+		g.direct = p.DirectDelay != nil
 		g.quotas = append(g.quotas, q)
 		g.ids = append(g.ids, id)
-		g.asked = append(g.asked, false)
+		g.recordRequested = append(g.recordRequested, false)
 	}
 
 	for _, q := range g.quotas {
@@ -115,17 +115,17 @@
 // exchange lets each instance tell its spending at its own part of each second, and
 // hear what is old enough.
 func (g *group) exchange(now time.Time, tick int) {
-	if g.quick {
+	if g.direct {
 		for i, from := range g.quotas {
-			g.say(now, i, from.Consumption(now))
+			g.broadcast(now, i, from.Consumption(now))
 		}
 	}
 
 	for i, q := range g.quotas {
-		if tick%10 == i%10 || g.asked[i] && tick%3 == 0 {
-			g.asked[i] = false
+		if tick%10 == i%10 || g.recordRequested[i] && tick%3 == 0 {
+			g.recordRequested[i] = false
 			spent, _ := q.Record(now)
-			g.pending = append(g.pending, news{at: now, from: i, spent: spent})
+			g.pending = append(g.pending, delayedRecord{at: now, from: i, consumption: spent})
 		}
 	}
 
@@ -136,7 +136,7 @@
 
 		for _, n := range g.pending {
 			if n.from != i && now.Sub(n.at) < 2*time.Second {
-				q.Receive(now, g.ids[n.from], g.incarnation, n.spent)
+				q.Receive(now, g.ids[n.from], g.incarnation, n.consumption)
 			}
 		}
 
@@ -144,8 +144,8 @@
 	}
 }
 
-// worst returns the most that was granted in any window.
-func worst(grants []step) float64 {
+// maxInWindow returns the most that was granted in any window.
+func maxInWindow(grants []increment) float64 {
 	most := 0.0
 
 	for i := range grants {
@@ -163,11 +163,11 @@
 
 // Whatever instances the requests of an account come to, and however they jump
 // between them, no window holds more than the allowance.
-func TestHoldsAllowanceOverAllInstances(t *testing.T) {
+func TestAllowanceHoldsAcrossInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := policy
 		if rapid.Bool().Draw(t, "hear each other directly") {
-			policy = quickPolicy
+			policy = directPolicy
 		}
 
 		n := rapid.OneOf(rapid.IntRange(1, 12), rapid.IntRange(1, 12), rapid.IntRange(1, 12), rapid.Just(60)).Draw(t, "instances")
@@ -180,7 +180,7 @@
 			g = newLendingGroup(n, policy)
 		}
 
-		var grants []step
+		var grants []increment
 
 		favourite := 0
 
@@ -205,31 +205,31 @@
 
 				cost := 1000 + random.ExpFloat64()*10_000
 				if g.take(now, i, cost).Granted {
-					grants = append(grants, step{at: now, amount: cost})
+					grants = append(grants, increment{at: now, amount: cost})
 				}
 			}
 		}
 
-		if got := worst(grants); got > amount {
+		if got := maxInWindow(grants); got > amount {
 			t.Fatalf("granted in a window: got %.0f, want at most %d", got, amount)
 		}
 	})
 }
 
-// returning is a request that was refused and comes back.
-type returning struct {
+// retriedRequest is a request that was refused and comes back.
+type retriedRequest struct {
 	at   time.Time
 	cost float64
 }
 
 // An account that asks for half of its limit, with large requests that come to
 // instances unevenly, is seldom refused, and served when it comes back elsewhere.
-func TestHalfOfTheLimitIsServed(t *testing.T) {
-	g := newGroup(9, quickPolicy)
+func TestHalfOfLimitIsServed(t *testing.T) {
+	g := newGroup(9, directPolicy)
 	random := rand.New(rand.NewPCG(7, 7))
 	first, again, asked := 0, 0, 0
 
-	var back []returning
+	var back []retriedRequest
 
 	for tick := range 600 {
 		now := start.Add(time.Duration(tick) * 100 * time.Millisecond)
@@ -259,7 +259,7 @@
 		if !d.Granted {
 			first++
 
-			back = append(back, returning{at: now.Add(d.RetryAfter), cost: cost})
+			back = append(back, retriedRequest{at: now.Add(d.RetryAfter), cost: cost})
 		}
 	}
 
@@ -272,7 +272,7 @@
 	}
 }
 
-func TestAnInstanceThatHearsNothingKeepsToItsPart(t *testing.T) {
+func TestIsolatedInstanceStaysWithinItsShare(t *testing.T) {
 	g := newGroup(5, policy)
 	granted := 0.0
 
@@ -290,7 +290,7 @@
 
 // An instance that starts knows what the others spent lately, and takes nothing
 // that they spent before for recent.
-func TestAnInstanceThatStartsCountsOnlyWhatIsRecent(t *testing.T) {
+func TestNewInstanceCountsOnlyRecentConsumption(t *testing.T) {
 	old := New(policy)
 	old.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 	old.SetMembers([]fleet.InstanceID{"old"}, nil)
@@ -318,7 +318,7 @@
 
 // All instances start at the same moment, before any has read what the earlier runs
 // spent: together they must not grant a whole allowance each.
-func TestAnInstanceThatHasReadNothingGrantsNothing(t *testing.T) {
+func TestUnsyncedInstanceGrantsNothing(t *testing.T) {
 	q := New(policy)
 	q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 
@@ -343,7 +343,7 @@
 
 // All instances are killed at once and start again. What they spent after their last
 // records on the board is known to nobody, and still counts.
-func TestHoldsAllowanceOverAStartOfAll(t *testing.T) {
+func TestAllowanceHoldsWhenAllInstancesRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 6
 
@@ -355,15 +355,15 @@
 			newGroup = newLendingGroup
 		}
 
-		g := newGroup(n, quickPolicy)
+		g := newGroup(n, directPolicy)
 
-		var grants []step
+		var grants []increment
 
 		ask := func(now time.Time) {
 			for range random.IntN(int(2*heat) + 1) {
 				cost := 1000 + random.ExpFloat64()*10_000
 				if g.take(now, random.IntN(n), cost).Granted {
-					grants = append(grants, step{at: now, amount: cost})
+					grants = append(grants, increment{at: now, amount: cost})
 				}
 			}
 		}
@@ -393,12 +393,12 @@
 			}
 		}
 
-		next := newGroup(n, quickPolicy)
+		next := newGroup(n, directPolicy)
 
 		for _, q := range next.quotas {
 			// The others started a moment earlier and wrote that they spent nothing yet.
 			past := past
-			past.runs = slices.Clone(past.runs)
+			past.incarnations = slices.Clone(past.incarnations)
 
 			for _, id := range next.ids {
 				past.Add(id, 2, now, nil, nil)
@@ -417,13 +417,13 @@
 			ask(later)
 		}
 
-		if got := worst(grants); got > amount {
+		if got := maxInWindow(grants); got > amount {
 			t.Fatalf("granted in a window: got %.0f, want at most %d", got, amount)
 		}
 	})
 }
 
-func TestARefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalSetsRetryAfter(t *testing.T) {
 	g := newGroup(1, policy)
 
 	for range 100 {
@@ -431,14 +431,14 @@
 	}
 
 	got := g.quotas[0].Take(start, "a", 50_000)
-	if got.Granted || got.RetryAfter < firstRetry || got.RetryAfter > lastRetry {
-		t.Errorf("over the limit: got %+v, want a refusal with a time between %v and %v", got, firstRetry, lastRetry)
+	if got.Granted || got.RetryAfter < minRetryAfter || got.RetryAfter > maxRetryAfter {
+		t.Errorf("over the limit: got %+v, want a refusal with a time between %v and %v", got, minRetryAfter, maxRetryAfter)
 	}
 }
 
 // What was recorded some time ago leaves the window that much earlier, and what was
 // spent long before its record as well.
-func TestWhatIsInheritedIsAsOldAsItWas(t *testing.T) {
+func TestRestoredConsumptionKeepsItsAge(t *testing.T) {
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 	spent := func(total float64, ages ...uint32) []Consumption {
@@ -468,8 +468,8 @@
 		{0.5, 280_000}, {1.5, 180_000}, {3.5, 180_000}, {4.5, 100_000}, {8.5, 0},
 	} {
 		known := 0.0
-		for _, o := range q.accounts["a"].others {
-			known += o.spent.since(at(10 + tt.after - policy.Window.Seconds()))
+		for _, o := range q.accounts["a"].remotes {
+			known += o.consumed.since(at(10 + tt.after - policy.Window.Seconds()))
 		}
 
 		// Two instances may each have spent their part of what is not recorded.
--- a/quota/record.go
+++ b/quota/record.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// spend counts cost as spent by this instance.
-func (q *Quota) spend(now time.Time, a *account, cost float64) {
-	a.own.add(now, cost)
-	a.known += cost
-	q.tell(now, a)
+// consume counts cost as spent by this instance.
+func (q *Quota) consume(now time.Time, a *account, cost float64) {
+	a.consumed.add(now, cost)
+	a.globalTotal += cost
+	q.requestRecord(now, a)
 }
 
-// tell asks for a record if much was spent that none tells. While others hear this
+// requestRecord asks for a record if much was spent that none tells. While others hear this
 // instance, it is enough that those record it who record for all.
-func (q *Quota) tell(now time.Time, a *account) {
-	if q.policy.RequestRecord == nil || q.recorded(now) {
+func (q *Quota) requestRecord(now time.Time, a *account) {
+	if q.policy.RequestRecord == nil || q.recordedByOthers(now) {
 		return
 	}
 
-	own := a.own.total-a.recorded > recordPart*q.untold(a)
-	all := a.known-a.knownRecorded > recordPart*UnrecordedFraction*a.allowance.Amount
+	own := a.consumed.total-a.recordedTotal > recordThreshold*q.unrecordedLimit(a)
+	all := a.globalTotal-a.globalRecorded > recordThreshold*UnrecordedFraction*a.allowance.Amount
 
-	if own || all && q.recorder() {
+	if own || all && q.isRecorder() {
 		q.policy.RequestRecord()
 	}
 }
 
-// untold is this instance's part of what may be spent before it is recorded.
-func (q *Quota) untold(a *account) float64 {
-	held := q.held(a)
+// unrecordedLimit is this instance's part of what may be spent before it is recorded.
+func (q *Quota) unrecordedLimit(a *account) float64 {
+	held := q.reserveShare(a)
 	part := 1 / float64(max(len(q.members), 1))
 
 	if len(a.holders) > 0 {
-		part = (1-reservePart)*part + held
+		part = (1-reserveFraction)*part + held
 	}
 
 	return UnrecordedFraction * a.allowance.Amount * part
 }
 
-// recorder tells whether this instance records what all have spent.
-func (q *Quota) recorder() bool {
+// isRecorder tells whether this instance records what all have spent.
+func (q *Quota) isRecorder() bool {
 	return len(q.recorders) == 0 || slices.Contains(q.recorders, q.policy.Self)
 }
 
@@ -50,16 +50,16 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	return q.recorded(now)
+	return q.recordedByOthers(now)
 }
 
-func (q *Quota) recorded(now time.Time) bool {
-	if q.client {
+func (q *Quota) recordedByOthers(now time.Time) bool {
+	if q.delegated {
 		// It has spent nothing that is not a keeper's.
 		return true
 	}
 
-	if q.policy.DirectDelay == nil || q.recorder() {
+	if q.policy.DirectDelay == nil || q.isRecorder() {
 		return false
 	}
 
@@ -67,7 +67,7 @@
 	span := q.policy.DirectDelay(len(q.members))
 
 	for _, id := range q.recorders {
-		if at, ok := q.heard[id]; ok && now.Sub(at) <= span {
+		if at, ok := q.acknowledged[id]; ok && now.Sub(at) <= span {
 			hear++
 		}
 	}
@@ -80,12 +80,12 @@
 // hear leaves both to those that record for all.
 func (q *Quota) Record(now time.Time) ([]Consumption, []GlobalConsumption) {
 	q.mu.Lock()
-	forAll, recorded := len(q.recorders) > 0 && q.recorder(), q.recorded(now)
+	forAll, recorded := len(q.recorders) > 0 && q.isRecorder(), q.recordedByOthers(now)
 	q.mu.Unlock()
 
 	switch {
 	case forAll:
-		return q.recordOwn(now), q.recordAll(now)
+		return q.recordOwn(now), q.recordGlobal(now)
 	case recorded:
 		return nil, nil
 	default:
@@ -101,8 +101,8 @@
 
 	for i, s := range spent {
 		if a := q.accounts[s.Account]; a != nil {
-			a.recorded = s.Total
-			spent[i].Ages = a.own.ages(now, q.policy.Window)
+			a.recordedTotal = s.Total
+			spent[i].Ages = a.consumed.buckets(now, q.policy.Window)
 		}
 	}
 
@@ -119,9 +119,9 @@
 	window := now.Add(-q.policy.Window)
 
 	for name, a := range q.accounts {
-		if a.ownAsked.total > 0 || a.own.total > 0 {
+		if a.demand.total > 0 || a.consumed.total > 0 {
 			all = append(all, Consumption{
-				Account: name, Total: a.own.total, Recent: a.own.since(window), Asked: a.ownAsked.total,
+				Account: name, Total: a.consumed.total, Recent: a.consumed.since(window), Asked: a.demand.total,
 			})
 		}
 	}
--- a/quota/reserve.go
+++ b/quota/reserve.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// reservePart of the rest of an allowance is held by a few instances that lend it
+	// reserveFraction of the rest of an allowance is held by a few instances that lend it
 	// to the others: divided evenly, the parts of many instances are each too small for
 	// one large request, while most of the rest lies idle.
-	reservePart = 0.5
-	// holders is how many instances hold an account's reserve, so that half of it is
+	reserveFraction = 0.5
+	// reserveHolders is how many instances hold an account's reserve, so that half of it is
 	// there while one is gone or frozen.
-	holders = 2
-	// fewest is how many instances make a reserve worth its messages.
-	fewest = 4
+	reserveHolders = 2
+	// minReserveMembers is how many instances make a reserve worth its messages.
+	minReserveMembers = 4
 )
 
 // Lenders returns the instances that are asked for a loan of an account's limit, in their
@@ -36,11 +36,11 @@
 	return nil
 }
 
-// holdersOf returns those that may hold the reserve of an account, the one with the
+// rankLenders returns those that may hold the reserve of an account, the one with the
 // highest hash of account and instance first. One that comes or goes moves only the
 // reserves that it has.
-func (q *Quota) holdersOf(name fleet.Account) []fleet.InstanceID {
-	if q.policy.Self == "" || q.quorum == 0 && len(q.members) < fewest {
+func (q *Quota) rankLenders(name fleet.Account) []fleet.InstanceID {
+	if q.policy.Self == "" || q.quorum == 0 && len(q.members) < minReserveMembers {
 		return nil
 	}
 
@@ -70,11 +70,11 @@
 	return ids
 }
 
-// placeReserves finds the holders of all reserves anew.
-func (q *Quota) placeReserves() {
+// assignReserves finds the holders of all reserves anew.
+func (q *Quota) assignReserves() {
 	for name, a := range q.accounts {
-		ranked := q.holdersOf(name)
-		a.holders = ranked[:min(holders, len(ranked))]
+		ranked := q.rankLenders(name)
+		a.holders = ranked[:min(reserveHolders, len(ranked))]
 		a.lenders = a.holders
 
 		if q.quorum > 0 {
@@ -83,13 +83,13 @@
 	}
 }
 
-// held is the part of the rest that this instance holds as reserve.
-func (q *Quota) held(a *account) float64 {
+// reserveShare is the part of the rest that this instance holds as reserve.
+func (q *Quota) reserveShare(a *account) float64 {
 	if !slices.Contains(a.holders, q.policy.Self) {
 		return 0
 	}
 
-	return reservePart / float64(len(a.holders))
+	return reserveFraction / float64(len(a.holders))
 }
 
 // Lend spends cost of the reserve that this instance holds, for another one or
@@ -102,8 +102,8 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if cost <= 0 || q.reached.IsZero() || !q.grants(now) {
-		return Decision{RetryAfter: firstRetry}
+	if cost <= 0 || q.syncedAt.IsZero() || !q.canGrant(now) {
+		return Decision{RetryAfter: minRetryAfter}
 	}
 
 	a := q.accounts[name]
@@ -112,20 +112,20 @@
 		return Decision{Granted: true}
 	}
 
-	rest, part, recent := q.room(now, a)
-	part += q.held(a) * rest
+	rest, part, recent := q.budget(now, a)
+	part += q.reserveShare(a) * rest
 
 	if recent+cost > part {
 		return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Share: part}
 	}
 
-	if untold := a.own.total - a.recorded; untold > 0 && untold+cost > q.untold(a) {
-		q.tell(now, a)
+	if untold := a.consumed.total - a.recordedTotal; untold > 0 && untold+cost > q.unrecordedLimit(a) {
+		q.requestRecord(now, a)
 
-		return Decision{RetryAfter: firstRetry, Remaining: rest, Share: part}
+		return Decision{RetryAfter: minRetryAfter, Remaining: rest, Share: part}
 	}
 
-	q.spend(now, a, cost)
+	q.consume(now, a, cost)
 
 	return Decision{Granted: true, Remaining: rest, Share: part}
 }
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -12,18 +12,18 @@
 	"monsoonlever/gossip"
 )
 
-// manyPolicy is that of many instances, whose words are slower.
-var manyPolicy = Policy{
+// largeFleetPolicy is that of many instances, whose words are slower.
+var largeFleetPolicy = Policy{
 	Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
 	DirectDelay: func(int) time.Duration { return 1500 * time.Millisecond },
 }
 
 // An account that asks many instances for half of its limit, now and then with a
 // fifteenth of the whole at once, finds room for almost all: no instance's part holds as much.
-func TestLargeRequestsFindRoomAtManyInstances(t *testing.T) {
+func TestLargeRequestsAreServedInLargeFleet(t *testing.T) {
 	const instances = 80
 
-	g := newLendingGroup(instances, manyPolicy)
+	g := newLendingGroup(instances, largeFleetPolicy)
 	random := rand.New(rand.NewPCG(9, 9))
 	asked, refused, large, largeRefused := 0, 0, 0, 0
 
@@ -68,12 +68,12 @@
 	}
 }
 
-func TestAllInstancesNameTheSameHolders(t *testing.T) {
-	g := newLendingGroup(30, manyPolicy)
+func TestAllInstancesAgreeOnLenders(t *testing.T) {
+	g := newLendingGroup(30, largeFleetPolicy)
 	want := g.quotas[0].Lenders("a")
 
-	if len(want) != holders {
-		t.Fatalf("holders: got %v, want %d", want, holders)
+	if len(want) != reserveHolders {
+		t.Fatalf("holders: got %v, want %d", want, reserveHolders)
 	}
 
 	for i, q := range g.quotas {
@@ -98,15 +98,15 @@
 	}
 }
 
-// desks are the loans of two instances, of which the second one lends.
-type desks struct {
+// loanPair are the loans of two instances, of which the second one lends.
+type loanPair struct {
 	borrower, lender *Limiter
-	asks             int
-	lose             bool
+	requests         int
+	dropRequests     bool
 }
 
-func newDesks(clk clock.Clock) *desks {
-	d := &desks{}
+func newLoanPair(clk clock.Clock) *loanPair {
+	d := &loanPair{}
 	quotas := make(map[fleet.InstanceID]*Quota)
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 
@@ -129,9 +129,9 @@
 
 	d.lender = &Limiter{Quota: quotas[holder], Clock: clk, Self: holder}
 	d.borrower = &Limiter{Quota: quotas[other], Clock: clk, Self: other, Send: func(to fleet.InstanceID, ask LoanRequest) {
-		d.asks++
+		d.requests++
 
-		if to == holder && !d.lose {
+		if to == holder && !d.dropRequests {
 			d.borrower.HandleResponse(d.lender.HandleRequest(ask))
 		}
 	}}
@@ -139,9 +139,9 @@
 	return d
 }
 
-func TestWhatIsBorrowedIsSpentByTheLender(t *testing.T) {
+func TestLoanCountsAsConsumptionOfLender(t *testing.T) {
 	clk := clock.NewSteady()
-	d := newDesks(clk)
+	d := newLoanPair(clk)
 
 	got := d.borrower.Take(context.Background(), "a", amount/5)
 	if !got.Granted || got.Lender != d.lender.Self {
@@ -161,8 +161,8 @@
 
 // One that is cut off and takes no requests itself lends nothing: others may have taken its
 // place.
-func TestALenderThatIsNotCurrentLendsNothing(t *testing.T) {
-	d := newDesks(clock.NewSteady())
+func TestLenderThatIsNotCurrentLendsNothing(t *testing.T) {
+	d := newLoanPair(clock.NewSteady())
 	current := false
 	d.lender.Current = func() bool { return current }
 
@@ -177,29 +177,29 @@
 	}
 }
 
-func TestALostQuestionIsARefusalWithinItsPatience(t *testing.T) {
-	d := newDesks(clock.NewSteady())
-	d.lose = true
+func TestLostLoanRequestIsRefusedWithinTimeout(t *testing.T) {
+	d := newLoanPair(clock.NewSteady())
+	d.dropRequests = true
 	begun := time.Now()
 
 	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || got.RetryAfter <= 0 {
 		t.Errorf("nobody answers: got %+v, want a refusal with a time to come back", got)
 	}
 
-	if took, most := time.Since(begun), (holders+1)*gossip.ReplyTimeout; took > most {
+	if took, most := time.Since(begun), (reserveHolders+1)*gossip.ReplyTimeout; took > most {
 		t.Errorf("refused after %v, want at most %v", took, most)
 	}
 
-	asked := d.asks
+	asked := d.requests
 
-	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || d.asks != asked {
-		t.Errorf("right after: got %+v and %d questions, want a refusal without one", got, d.asks-asked)
+	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || d.requests != asked {
+		t.Errorf("right after: got %+v and %d questions, want a refusal without one", got, d.requests-asked)
 	}
 }
 
 // A request that comes to an instance before it has read what the others have spent
 // waits for that, and is not sent away for seconds.
-func TestARequestWaitsForTheFirstRead(t *testing.T) {
+func TestRequestWaitsForFirstSync(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
 	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
@@ -225,7 +225,7 @@
 }
 
 // A store that does not answer must not hold requests.
-func TestTheWaitForTheFirstReadIsBounded(t *testing.T) {
+func TestWaitForFirstSyncIsBounded(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
 	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
@@ -235,7 +235,7 @@
 
 	go func() { decided <- loans.Take(t.Context(), "acme", 100) }()
 
-	for waited := time.Duration(0); ; waited += readPatience / 10 {
+	for waited := time.Duration(0); ; waited += firstSyncTimeout / 10 {
 		select {
 		case d := <-decided:
 			if d.Granted || d.RetryAfter <= 0 {
@@ -244,17 +244,17 @@
 
 			return
 		case <-time.After(time.Millisecond):
-			clk.Advance(readPatience / 10)
+			clk.Advance(firstSyncTimeout / 10)
 		}
 
-		if waited > 100*readPatience {
+		if waited > 100*firstSyncTimeout {
 			t.Fatal("decision: got none, want one after the time to wait")
 		}
 	}
 }
 
 // An account whose limit was lifted must not be refused to borrowers that have yet to get the new rules.
-func TestALenderThatNoLongerLimitsAnAccountLends(t *testing.T) {
+func TestLenderWithoutLimitGrantsLoan(t *testing.T) {
 	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 1000}})
 	q.SetMembers([]fleet.InstanceID{"entry-1"}, nil)
--- a/quota/restore.go
+++ b/quota/restore.go
@@ -16,71 +16,71 @@
 // on both sides of a gap, the gap counts as no time, which keeps spending in the window
 // for longer than it is.
 type EarlierRecords struct {
-	runs []run
+	incarnations []incarnationRecord
 	// elapsed is the time from the first record to the newest.
 	elapsed time.Duration
-	// known is the newest record of what all have spent, and knownAt when that was.
-	known   []GlobalConsumption
-	knownAt time.Duration
+	// global is the newest record of what all have spent, and knownAt when that was.
+	global   []GlobalConsumption
+	globalAt time.Duration
 }
 
-// knownLife is the age up to which a record of what all have spent stands for all of
+// globalRecordTTL is the age up to which a record of what all have spent stands for all of
 // it: those that record for all do so every two seconds, and sooner when much is spent.
-const knownLife = 3 * time.Second
+const globalRecordTTL = 3 * time.Second
 
-// run is one run of an instance.
-type run struct {
+// incarnationRecord is one incarnationRecord of an instance.
+type incarnationRecord struct {
 	instance    fleet.InstanceID
 	incarnation fleet.Incarnation
-	// clock is the run's own clock at its newest record, and elapsed when that was.
-	clock   time.Time
-	elapsed time.Duration
-	spent   []Consumption
+	// recordedAt is the run's own recordedAt at its newest record, and elapsed when that was.
+	recordedAt  time.Time
+	elapsed     time.Duration
+	consumption []Consumption
 }
 
 // Add takes a record in that a run made when its clock said at.
 func (p *EarlierRecords) Add(
 	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption, known []GlobalConsumption,
 ) {
-	p.addRun(id, incarnation, at, spent)
+	p.addIncarnation(id, incarnation, at, spent)
 
 	if len(known) > 0 {
-		p.known, p.knownAt = known, p.elapsed
+		p.global, p.globalAt = known, p.elapsed
 	}
 }
 
-func (p *EarlierRecords) addRun(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption) {
-	for i := range p.runs {
-		r := &p.runs[i]
+func (p *EarlierRecords) addIncarnation(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption) {
+	for i := range p.incarnations {
+		r := &p.incarnations[i]
 		if r.instance != id || r.incarnation != incarnation {
 			continue
 		}
 
-		p.elapsed = max(p.elapsed, r.elapsed+at.Sub(r.clock))
-		r.clock, r.elapsed, r.spent = at, p.elapsed, spent
+		p.elapsed = max(p.elapsed, r.elapsed+at.Sub(r.recordedAt))
+		r.recordedAt, r.elapsed, r.consumption = at, p.elapsed, spent
 
 		return
 	}
 
-	p.runs = append(p.runs, run{instance: id, incarnation: incarnation, clock: at, elapsed: p.elapsed, spent: spent})
+	p.incarnations = append(p.incarnations, incarnationRecord{instance: id, incarnation: incarnation, recordedAt: at, elapsed: p.elapsed, consumption: spent})
 }
 
 // Restore takes in what was recorded before this instance started. All instances
 // may have ended since, each with its part of what is spent before it is recorded.
 func (q *Quota) Restore(now time.Time, p *EarlierRecords) {
-	if len(p.known) > 0 && p.elapsed-p.knownAt <= knownLife {
-		q.inheritKnown(now, now.Add(p.knownAt-p.elapsed), p.known, p.runs)
+	if len(p.global) > 0 && p.elapsed-p.globalAt <= globalRecordTTL {
+		q.restoreGlobal(now, now.Add(p.globalAt-p.elapsed), p.global, p.incarnations)
 
 		return
 	}
 
 	instances := make(map[fleet.InstanceID]bool)
-	for _, r := range p.runs {
+	for _, r := range p.incarnations {
 		instances[r.instance] = true
 	}
 
-	for _, r := range p.runs {
-		q.RestoreInstance(r.instance, r.incarnation, now.Add(r.elapsed-p.elapsed), r.spent, UnrecordedFraction/float64(len(instances)))
+	for _, r := range p.incarnations {
+		q.RestoreInstance(r.instance, r.incarnation, now.Add(r.elapsed-p.elapsed), r.consumption, UnrecordedFraction/float64(len(instances)))
 	}
 }
 
@@ -97,33 +97,33 @@
 			continue
 		}
 
-		o := a.other(id, incarnation)
-		o.spent.total = max(o.spent.total, o.baseSpent+s.Total-s.Recent)
-		o.asked.total = max(o.asked.total, o.baseAsked+s.Asked-s.Recent)
+		o := a.remote(id, incarnation)
+		o.consumed.total = max(o.consumed.total, o.baseConsumed+s.Total-s.Recent)
+		o.demand.total = max(o.demand.total, o.baseDemand+s.Asked-s.Recent)
 
-		total := o.baseSpent + s.Total - s.Recent
+		total := o.baseConsumed + s.Total - s.Recent
 		for i, part := range s.Ages {
 			total += float64(part)
-			o.spent.raise(q.youngest(at, i, len(s.Ages)), total)
+			o.consumed.raiseTo(q.bucketEnd(at, i, len(s.Ages)), total)
 		}
 
-		o.spent.raise(at, o.baseSpent+s.Total+untold*a.allowance.Amount)
-		o.asked.raise(at, o.baseAsked+s.Asked)
+		o.consumed.raiseTo(at, o.baseConsumed+s.Total+untold*a.allowance.Amount)
+		o.demand.raiseTo(at, o.baseDemand+s.Asked)
 	}
 }
 
-// other returns what is known of another instance, whose run is a new one where it was
+// remote returns what is known of another instance, whose run is a new one where it was
 // not known yet or has another incarnation.
-func (a *account) other(id fleet.InstanceID, incarnation fleet.Incarnation) *other {
-	o := a.others[id]
+func (a *account) remote(id fleet.InstanceID, incarnation fleet.Incarnation) *remote {
+	o := a.remotes[id]
 	if o == nil {
-		o = &other{incarnation: incarnation}
-		a.others[id] = o
+		o = &remote{incarnation: incarnation}
+		a.remotes[id] = o
 	}
 
 	if o.incarnation != incarnation {
 		o.incarnation = incarnation
-		o.baseSpent, o.baseAsked = o.spent.total, o.asked.total
+		o.baseConsumed, o.baseDemand = o.consumed.total, o.demand.total
 	}
 
 	return o
--- a/quota/updates.go
+++ b/quota/updates.go
@@ -12,8 +12,8 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if at.After(q.heard[id]) {
-		q.heard[id] = at
+	if at.After(q.acknowledged[id]) {
+		q.acknowledged[id] = at
 	}
 }
 
@@ -28,24 +28,24 @@
 			continue
 		}
 
-		_, known := a.others[id]
-		o := a.other(id, incarnation)
+		_, known := a.remotes[id]
+		o := a.remote(id, incarnation)
 
-		switch covered, ok := q.covered[id]; {
+		switch covered, ok := q.restored[id]; {
 		case known:
 		case ok && covered == incarnation:
 			// All of it was inherited.
-			o.spent.total, o.asked.total = s.Total, s.Asked
+			o.consumed.total, o.demand.total = s.Total, s.Asked
 		default:
 			// Of what was spent before, only the newest part still counts.
-			o.spent.total = s.Total - s.Recent
-			o.asked.total = s.Asked - s.Recent
+			o.consumed.total = s.Total - s.Recent
+			o.demand.total = s.Asked - s.Recent
 		}
 
-		a.known += max(o.baseSpent+s.Total-o.spent.total, 0)
-		o.spent.raise(now, o.baseSpent+s.Total)
-		q.tell(now, a)
-		o.asked.raise(now, o.baseAsked+s.Asked)
+		a.globalTotal += max(o.baseConsumed+s.Total-o.consumed.total, 0)
+		o.consumed.raiseTo(now, o.baseConsumed+s.Total)
+		q.requestRecord(now, a)
+		o.demand.raiseTo(now, o.baseDemand+s.Asked)
 	}
 }
 
@@ -55,11 +55,11 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	q.quorum, q.client = 0, false
-	q.setMembers(ids, recorders)
+	q.quorum, q.delegated = 0, false
+	q.applyMembers(ids, recorders)
 }
 
-func (q *Quota) setMembers(ids, recorders []fleet.InstanceID) {
+func (q *Quota) applyMembers(ids, recorders []fleet.InstanceID) {
 	clear(q.members)
 
 	for _, id := range ids {
@@ -67,7 +67,7 @@
 	}
 
 	q.recorders = recorders
-	q.placeReserves()
+	q.assignReserves()
 }
 
 // HasSynced tells whether the others' news was read at least once.
@@ -75,43 +75,43 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	return !q.reached.IsZero()
+	return !q.syncedAt.IsZero()
 }
 
 // Synced returns a channel that is closed once the others' news was read.
-func (q *Quota) Synced() <-chan struct{} { return q.read }
+func (q *Quota) Synced() <-chan struct{} { return q.synced }
 
 // MarkSynced is told that the others' news was read to its end.
 func (q *Quota) MarkSynced(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if q.reached.IsZero() {
-		close(q.read)
+	if q.syncedAt.IsZero() {
+		close(q.synced)
 	}
 
-	q.reached = now
+	q.syncedAt = now
 
-	for id := range q.heard {
+	for id := range q.acknowledged {
 		if !q.members[id] {
-			delete(q.heard, id)
+			delete(q.acknowledged, id)
 		}
 	}
 
-	oldest := now.Add(-demandSpan * q.policy.Window)
+	oldest := now.Add(-demandWindows * q.policy.Window)
 
 	for _, a := range q.accounts {
-		a.own.trim(oldest)
-		a.ownAsked.trim(oldest)
-		a.inherited.trim(oldest)
-		a.unheard.trim(oldest)
+		a.consumed.trim(oldest)
+		a.demand.trim(oldest)
+		a.restored.trim(oldest)
+		a.assumed.trim(oldest)
 
-		for id, o := range a.others {
-			o.spent.trim(oldest)
-			o.asked.trim(oldest)
+		for id, o := range a.remotes {
+			o.consumed.trim(oldest)
+			o.demand.trim(oldest)
 
-			if !q.members[id] && o.asked.empty() {
-				delete(a.others, id)
+			if !q.members[id] && o.demand.empty() {
+				delete(a.remotes, id)
 			}
 		}
 	}
