--- a/quota/budget.go
+++ b/quota/budget.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// largeRequestShare is the part of the rest that may go to one request of an instance that has
-// spent nothing lately. The more instances there are, the more may do so at once.
+// largeRequestShare is the fraction of the remainder that may go to one request at an instance
+// that has consumed nothing recently. It falls as members are added, since each of them may
+// grant one at the same time.
 func (q *Quota) largeRequestShare(a *account) float64 {
 	if len(a.holders) > 0 {
-		// Large requests are for the reserve.
+		// Large requests are served by the reserve.
 		return 0
 	}
 
 	return min(largeRequestFraction, largeRequestTotal/float64(max(len(q.members), 1)))
 }
 
-// budget returns the rest of the allowance, this instance's part of it, and what it
-// has spent of that part.
-func (q *Quota) budget(now time.Time, a *account) (rest, part, recent float64) {
+// budget returns the remainder of the allowance, how much of it this instance may consume, and
+// what it has consumed of that so far.
+func (q *Quota) budget(now time.Time, a *account) (remaining, limit, recent float64) {
 	amount := a.allowance.Amount * usableFraction
-	unseen := q.propagationDelay(now)
-	share := q.share(now, a, unseen)
+	delay := q.propagationDelay(now)
+	share := q.share(now, a, delay)
 	window := now.Add(-q.policy.Window)
 
-	if now.Sub(q.syncedAt) > q.policy.PropagationDelay && unseen == q.policy.PropagationDelay {
-		// Nothing new is known of the others: the part of the whole is kept to.
-		rest = max(amount-a.consumedElsewhere(window), 0)
+	if now.Sub(q.syncedAt) > q.policy.PropagationDelay && delay == q.policy.PropagationDelay {
+		// No updates of the other instances arrived in time: stay within the share of the
+		// whole allowance.
+		remaining = max(amount-a.consumedElsewhere(window), 0)
 
-		return rest, min(amount*share, rest), a.consumed.since(window)
+		return remaining, min(amount*share, remaining), a.consumed.since(window)
 	}
 
-	recent = a.consumed.since(now.Add(-unseen))
-	rest = max(amount-a.consumedElsewhere(window)-(a.consumed.since(window)-recent), 0)
+	recent = a.consumed.since(now.Add(-delay))
+	remaining = max(amount-a.consumedElsewhere(window)-(a.consumed.since(window)-recent), 0)
 
-	return rest, rest * share, recent
+	return remaining, remaining * share, recent
 }
 
-// consumedElsewhere returns what others, and all before this instance started, have spent since
-// a time, as far as it is known or has to be assumed.
+// consumedElsewhere returns what other instances, and all instances before this one started,
+// have consumed since a time, known or assumed.
 func (a *account) consumedElsewhere(since time.Time) float64 {
 	sum := a.restored.since(since) + a.assumed.since(since)
 	for _, o := range a.remotes {
@@ -45,31 +47,32 @@
 	return sum
 }
 
-// propagationDelay returns the time in which what this instance spends is known to all.
+// propagationDelay returns the time after which all instances know what this one has consumed.
 func (q *Quota) propagationDelay(now time.Time) time.Duration {
 	if q.policy.DirectDelay == nil {
 		return q.policy.PropagationDelay
 	}
 
-	quick := min(q.policy.DirectDelay(len(q.members)), q.policy.PropagationDelay)
-	if !q.acknowledgedWithin(now, quick) {
+	direct := min(q.policy.DirectDelay(len(q.members)), q.policy.PropagationDelay)
+	if !q.acknowledgedWithin(now, direct) {
 		return q.policy.PropagationDelay
 	}
 
-	return quick
+	return direct
 }
 
-// acknowledgedWithin tells whether all others have heard this instance within a span.
-func (q *Quota) acknowledgedWithin(now time.Time, span time.Duration) bool {
+// acknowledgedWithin reports whether all other members have acknowledged updates of this
+// instance that are no older than age.
+func (q *Quota) acknowledgedWithin(now time.Time, age time.Duration) bool {
 	silent := 0
 
 	for id := range q.members {
-		if at, ok := q.acknowledged[id]; !ok || now.Sub(at) > span {
+		if at, ok := q.acknowledged[id]; !ok || now.Sub(at) > age {
 			silent++
 		}
 	}
 
-	// This instance itself is never heard.
+	// This instance does not acknowledge its own updates.
 	return silent <= 1
 }
 
@@ -77,7 +80,8 @@
 	return q.policy.DirectDelay != nil && len(q.members) > 1 && q.acknowledgedWithin(now, q.policy.DirectDelay(len(q.members)))
 }
 
-// AcknowledgedByAll tells whether all others hear this instance directly.
+// AcknowledgedByAll reports whether all other members acknowledge the updates of this instance
+// directly, within DirectDelay.
 func (q *Quota) AcknowledgedByAll(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -85,8 +89,9 @@
 	return q.acknowledgedByAll(now)
 }
 
-// share is this instance's part: evenly among the members, and by demand.
-func (q *Quota) share(now time.Time, a *account, unseen time.Duration) float64 {
+// share is this instance's share of the remainder: one part divided evenly among the members,
+// one part by demand, without the reserve.
+func (q *Quota) share(now time.Time, a *account, delay time.Duration) float64 {
 	members := len(q.members)
 	if members == 0 {
 		members = assumedMembers
@@ -94,8 +99,9 @@
 
 	even := 1 / float64(members)
 	since := now.Add(-demandWindows * q.policy.Window)
-	// What the others can't know yet would make the parts add up to more than one.
-	own := a.demand.since(since) - a.demand.since(now.Add(-unseen))
+	// Demand that the other instances cannot know yet is left out: shares would add up to more
+	// than one.
+	own := a.demand.since(since) - a.demand.since(now.Add(-delay))
 	all := own
 
 	for id, o := range a.remotes {
@@ -104,16 +110,16 @@
 		}
 	}
 
-	divided := 1.0
+	scale := 1.0
 	if len(a.holders) > 0 {
-		divided = 1 - reserveFraction
+		scale = 1 - reserveFraction
 	}
 
 	if all <= 0 {
-		return divided * even
+		return scale * even
 	}
 
-	return divided * (evenFraction*even + (1-evenFraction)*own/all)
+	return scale * (evenFraction*even + (1-evenFraction)*own/all)
 }
 
 func (q *Quota) retryAfter(a *account, missing float64) time.Duration {
--- a/quota/coordinators.go
+++ b/quota/coordinators.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// coordinatorQuorum is how many of the keepers, this one included, must have heard each
-	// other before one grants: the most of five. Of instances that are cut off from each
-	// other only one side grants.
+	// coordinatorQuorum is how many coordinators, including this one, must be connected before
+	// one of them grants: the majority of five, so that only one side of a network partition
+	// grants.
 	coordinatorQuorum = 3
-	// acknowledgmentTTL is how long ago that may be: some words, and less than the time after
-	// which one that is silent is replaced.
+	// acknowledgmentTTL is how long an acknowledgment counts toward the quorum. It spans
+	// several updates, and is shorter than the time after which a silent coordinator is
+	// replaced.
 	acknowledgmentTTL = 1500 * time.Millisecond
 )
 
-// SetCoordinators sets which instances keep the limits for all others: of many instances each
-// part would be too small for one request, and what each tells would have to reach all.
-// The keepers divide and tell what is spent among themselves; every other instance asks
-// one of them for each request. With 195 instances and an account at nine tenths of its
-// limit, 0 of 170 requests are refused; with the rest divided among all, 21
-// (TestFewKeepersServeManyInstances).
+// SetCoordinators sets which instances enforce the limits for all others. In a large
+// fleet, the share of each instance would be too small for one request, and the updates of
+// each would have to reach all. The coordinators divide the allowances and exchange updates
+// among themselves; every other instance requests a loan from them for each request. With
+// 195 instances and an account at nine tenths of its limit, 0 of 170 requests are refused;
+// with the remainder divided among all instances, 21 are
+// (TestFewCoordinatorsServeManyInstances).
 //
-// One that comes to keep limits grants nothing before it has read what was recorded.
+// A new coordinator grants nothing before it has read the records.
 func (q *Quota) SetCoordinators(now time.Time, ids []fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -34,16 +36,17 @@
 		return
 	}
 
-	keeps := slices.Contains(ids, q.policy.Self)
-	if keeps && (q.delegated || q.quorum == 0) {
+	coordinates := slices.Contains(ids, q.policy.Self)
+	if coordinates && (q.delegated || q.quorum == 0) {
 		q.coordinatorSince = now
 	}
 
-	q.quorum, q.delegated = coordinatorQuorum, !keeps
+	q.quorum, q.delegated = coordinatorQuorum, !coordinates
 	q.applyMembers(ids, sorted)
 }
 
-// LendTo lends to an instance. What one asks that keeps no limits counts as demand here.
+// LendTo decides a loan request of another instance. A request from an instance that is not a
+// member counts as demand of this one.
 func (q *Quota) LendTo(now time.Time, from fleet.InstanceID, name fleet.Account, cost float64) Decision {
 	q.mu.Lock()
 
@@ -56,7 +59,8 @@
 	return q.Lend(now, name, cost)
 }
 
-// CanGrant reports whether this instance keeps limits and may grant something now.
+// CanGrant reports whether this instance may grant anything now: it has read the records and,
+// among coordinators, has a quorum.
 func (q *Quota) CanGrant(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -64,7 +68,8 @@
 	return !q.syncedAt.IsZero() && q.canGrant(now)
 }
 
-// canGrant tells whether this instance may grant anything by itself.
+// canGrant reports whether the role of this instance, and the quorum of coordinators, allow it
+// to grant.
 func (q *Quota) canGrant(now time.Time) bool {
 	if q.delegated {
 		return false
@@ -74,13 +79,13 @@
 		return true
 	}
 
-	heard := 1
+	acknowledged := 1
 
 	for id := range q.members {
 		if at, ok := q.acknowledged[id]; ok && now.Sub(at) <= acknowledgmentTTL {
-			heard++
+			acknowledged++
 		}
 	}
 
-	return heard >= q.quorum && !q.syncedAt.Before(q.coordinatorSince)
+	return acknowledged >= q.quorum && !q.syncedAt.Before(q.coordinatorSince)
 }
--- a/quota/coordinators_test.go
+++ b/quota/coordinators_test.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// coordinators is how many instances keep the limits.
+	// coordinators is the number of instances that enforce the limits.
 	coordinators = 5
-	// memberTimeout is how long an instance counts that is not heard of, and trustedFor how
-	// long one that is cut off takes requests.
+	// memberTimeout is how long a silent instance still counts as a member, and rulesTimeout
+	// how long an instance that is cut off accepts requests.
 	memberTimeout = 7 * time.Second
 	rulesTimeout  = 4750 * time.Millisecond
 )
 
-// coordinatedFleet is a number of instances of which the first five that are heard of keep
-// the limits. They are killed, cut off from each other and from the store.
+// coordinatedFleet simulates instances of which the first five live ones are the coordinators.
+// Instances are killed, and cut off from each other and from the store.
 type coordinatedFleet struct {
 	nodes   []*coordinatedNode
 	records []storedRecord
@@ -33,10 +33,11 @@
 	id     fleet.InstanceID
 	quota  *Quota
 	killed bool
-	// partitionedUntil is until when no other hears it or is heard by it, and storeDownUntil until
-	// when it can't reach the store.
+	// partitionedUntil is the end of a partition from all other instances, and storeDownUntil
+	// the end of one from the store.
 	partitionedUntil, storeDownUntil time.Time
-	// lastSeen is when each other was lastSeen of, and receivedAt the newest time of each other's word.
+	// lastSeen is when a message or record of each other instance was last received, and
+	// receivedAt the time of the newest message from each.
 	lastSeen, receivedAt []time.Time
 	// confirmed is when its rules were last confirmed.
 	confirmed    time.Time
@@ -78,7 +79,8 @@
 
 func (n *coordinatedNode) coordinates() bool { return slices.Contains(n.coordinators, n.id) }
 
-// exchange lets each keeper exchange the others what it has spent, one word in twenty is lost.
+// exchange sends the consumption of each coordinator to the others. One message in twenty is
+// lost.
 func (f *coordinatedFleet) exchange(now time.Time) {
 	for i, from := range f.nodes {
 		for j, to := range f.nodes {
@@ -107,21 +109,21 @@
 	return b
 }
 
-// syncStore lets an instance write its record and read those of the others.
+// syncStore writes the record of an instance and reads those of the others.
 func (f *coordinatedFleet) syncStore(now time.Time, node *coordinatedNode) {
 	if node.killed || !now.After(node.storeDownUntil) {
 		return
 	}
 
 	node.confirmed = now
-	self := slices.Index(f.nodes, node)
-	spent, _ := node.quota.Record(now)
-	f.records = append(f.records, storedRecord{from: self, consumption: spent})
+	index := slices.Index(f.nodes, node)
+	consumption, _ := node.quota.Record(now)
+	f.records = append(f.records, storedRecord{from: index, consumption: consumption})
 
 	for _, r := range f.records[node.recordsRead:] {
 		node.lastSeen[r.from] = now
 
-		if r.from != self {
+		if r.from != index {
 			node.quota.Receive(now, f.nodes[r.from].id, 1, r.consumption)
 		}
 	}
@@ -130,7 +132,7 @@
 	node.coordinators = nil
 
 	for i, other := range f.nodes {
-		if (i == self || now.Sub(node.lastSeen[i]) <= memberTimeout) && len(node.coordinators) < coordinators {
+		if (i == index || now.Sub(node.lastSeen[i]) <= memberTimeout) && len(node.coordinators) < coordinators {
 			node.coordinators = append(node.coordinators, other.id)
 		}
 	}
@@ -151,7 +153,7 @@
 	}
 }
 
-// take asks an instance, and those that it would ask.
+// take requests cost from an instance, and then from its lenders.
 func (f *coordinatedFleet) take(now time.Time, i int, cost float64) bool {
 	node := f.nodes[i]
 	if node.killed || now.Sub(node.confirmed) > rulesTimeout {
@@ -178,12 +180,12 @@
 	return false
 }
 
-// Whichever keepers are killed or cut off from each other and from the store, and whoever
-// takes their place, no window holds more than the allowance.
+// Whichever coordinators are killed, partitioned or cut off from the store, and whichever
+// instances replace them, no window exceeds the allowance.
 func TestAllowanceHoldsWhenCoordinatorsChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 16).Draw(t, "instances")
-		heat := rapid.Float64Range(0.5, 8).Draw(t, "heat")
+		load := rapid.Float64Range(0.5, 8).Draw(t, "heat")
 		f := newCoordinatedFleet(n, rapid.Uint64().Draw(t, "seed"))
 		at := func(tick int) time.Time { return start.Add(time.Duration(tick) * 100 * time.Millisecond) }
 
@@ -210,7 +212,7 @@
 
 			f.step(now, tick)
 
-			for range f.random.IntN(int(2*heat) + 1) {
+			for range f.random.IntN(int(2*load) + 1) {
 				cost := 1000 + f.random.ExpFloat64()*10_000
 				if f.take(now, f.random.IntN(n), cost) {
 					grants = append(grants, increment{at: now, amount: cost})
@@ -224,29 +226,30 @@
 	})
 }
 
-// Of 195 instances, five keep the limit of an account that asks for nine tenths of it. Where
-// the rest is divided among all, each has a word for each other in 1.2 s and a record of
-// its own in 4.9 s: what may be lent between two records is soon used up.
+// Five of 195 instances coordinate the limit of an account that demands nine tenths of it.
+// With the remainder divided among all instances, each receives the updates of the others
+// every 1.2 s and writes a record every 4.9 s, so the amount that may be lent between two
+// records is soon used up.
 func TestFewCoordinatorsServeManyInstances(t *testing.T) {
 	const instances, warmUp, ticks = 195, 20, 220
 
 	random := rand.New(rand.NewPCG(5, 5))
 
-	type ask struct {
+	type loanRequest struct {
 		tick, at int
 		cost     float64
 	}
 
-	var asks []ask
+	var requests []loanRequest
 
 	for tick := warmUp; tick < ticks; tick++ {
-		for spent := 0.0; ; {
+		for demanded := 0.0; ; {
 			cost := 500 + random.ExpFloat64()*5_000
-			if spent += cost; spent > 0.9*usableFraction*amount/80 {
+			if demanded += cost; demanded > 0.9*usableFraction*amount/80 {
 				break
 			}
 
-			asks = append(asks, ask{tick: tick, at: random.IntN(instances), cost: cost})
+			requests = append(requests, loanRequest{tick: tick, at: random.IntN(instances), cost: cost})
 		}
 	}
 
@@ -257,8 +260,8 @@
 			now := start.Add(time.Duration(tick) * 100 * time.Millisecond)
 			step(now, tick)
 
-			for ; next < len(asks) && asks[next].tick == tick; next++ {
-				if !take(now, asks[next].at, asks[next].cost) {
+			for ; next < len(requests) && requests[next].tick == tick; next++ {
+				if !take(now, requests[next].at, requests[next].cost) {
 					count++
 				}
 			}
@@ -267,8 +270,8 @@
 		return count
 	}
 
-	kept := newCoordinatedFleet(instances, 5)
-	got := refused(kept.step, kept.take)
+	coordinated := newCoordinatedFleet(instances, 5)
+	got := refused(coordinated.step, coordinated.take)
 
 	shared := newLendingGroup(instances, Policy{
 		Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
@@ -287,20 +290,20 @@
 			from.MarkSynced(now)
 		}
 	}
-	before := refused(slow, func(now time.Time, i int, cost float64) bool { return shared.take(now, i, cost).Granted })
+	sharedRefused := refused(slow, func(now time.Time, i int, cost float64) bool { return shared.take(now, i, cost).Granted })
 
-	t.Logf("refused of %d: %d with keepers, %d with shares for all", len(asks), got, before)
+	t.Logf("refused of %d: %d with coordinators, %d with shares for all", len(requests), got, sharedRefused)
 
-	if most := len(asks) / 50; got > most {
-		t.Errorf("refused with keepers: got %d of %d, want at most %d", got, len(asks), most)
+	if most := len(requests) / 50; got > most {
+		t.Errorf("refused with coordinators: got %d of %d, want at most %d", got, len(requests), most)
 	}
 
-	if got > before/10 {
-		t.Errorf("refused with keepers: got %d, want at most a tenth of the %d with shares for all", got, before)
+	if got > sharedRefused/10 {
+		t.Errorf("refused with coordinators: got %d, want at most a tenth of the %d with shares for all", got, sharedRefused)
 	}
 }
 
-// One that is cut off from the other keepers, or has not read what was recorded, grants
+// A coordinator that is partitioned from the others, or has not read the records, grants
 // nothing.
 func TestCoordinatorWithoutQuorumGrantsNothing(t *testing.T) {
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
@@ -319,24 +322,24 @@
 	q.Acknowledged(now, "entry-3")
 
 	if granted() {
-		t.Error("before it has read what was recorded: got a grant, want none")
+		t.Error("before it has read the records: got a grant, want none")
 	}
 
 	q.MarkSynced(now)
 
 	if !granted() {
-		t.Error("with two others that hear it: got no grant, want one")
+		t.Error("with acknowledgments of two others: got no grant, want one")
 	}
 
 	now = now.Add(acknowledgmentTTL + time.Millisecond)
 
 	if granted() {
-		t.Error("without news of the others: got a grant, want none")
+		t.Error("after the acknowledgments expired: got a grant, want none")
 	}
 
 	q.Acknowledged(now, "entry-4")
 
 	if granted() {
-		t.Error("heard by one other: got a grant, want none")
+		t.Error("with an acknowledgment of one other: got a grant, want none")
 	}
 }
--- a/quota/global.go
+++ b/quota/global.go
@@ -6,16 +6,16 @@
 	"monsoonlever/fleet"
 )
 
-// GlobalConsumption is what all instances have spent of an account's limit within the last window,
-// as far as one of them knows, by age: the oldest part of the window first.
+// GlobalConsumption is what all instances have consumed of an account's limit within the last
+// window, as far as one of them knows. Ages holds it in buckets by age, the oldest first.
 type GlobalConsumption struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Account  fleet.Account
 	Ages     []uint32
 }
 
-// recordGlobal returns what all have spent. An instance that has not read what was spent
-// before it started does not know it.
+// recordGlobal returns what all instances have consumed, or nil if this instance has not yet
+// read what was consumed before it started.
 func (q *Quota) recordGlobal(now time.Time) []GlobalConsumption {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -47,36 +47,37 @@
 	}
 }
 
-// restoreGlobal takes in what all had spent at a time before this instance started. The
-// runs that were recorded until then tell the same spending when they are heard.
-func (q *Quota) restoreGlobal(now, at time.Time, known []GlobalConsumption, runs []incarnationRecord) {
+// restoreGlobal restores what all instances had consumed at a time before this instance
+// started. Receive does not count again the consumption of incarnations that were recorded by
+// then.
+func (q *Quota) restoreGlobal(now, at time.Time, global []GlobalConsumption, incarnations []incarnationRecord) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	for _, k := range known {
+	for _, k := range global {
 		a := q.accounts[k.Account]
 		if a == nil {
 			continue
 		}
 
-		for i, part := range k.Ages {
-			a.restored.add(q.bucketEnd(at, i, len(k.Ages)), float64(part))
+		for i, amount := range k.Ages {
+			a.restored.add(q.bucketEnd(at, i, len(k.Ages)), float64(amount))
 		}
 
-		// What was spent after the record is not told by anybody. It is no part of what
-		// this instance records: instances that start one after the other would add it
+		// Nothing states what was consumed after the record. The assumed amount is not part of
+		// the records of this instance: instances that start one after the other would add it
 		// up.
 		a.assumed.add(now, UnrecordedFraction*a.allowance.Amount)
 	}
 
-	q.restored = make(map[fleet.InstanceID]fleet.Incarnation, len(runs))
-	for _, r := range runs {
+	q.restored = make(map[fleet.InstanceID]fleet.Incarnation, len(incarnations))
+	for _, r := range incarnations {
 		q.restored[r.instance] = r.incarnation
 	}
 }
 
-// bucketEnd is the latest time that a part of a window may stand for, which ends at a
-// time and is divided into parts, the oldest first.
-func (q *Quota) bucketEnd(at time.Time, part, parts int) time.Time {
-	return at.Add(-q.policy.Window * time.Duration(parts-1-part) / time.Duration(parts))
+// bucketEnd returns the end of a bucket, for a window that ends at a time and is divided into
+// count buckets, the oldest first.
+func (q *Quota) bucketEnd(at time.Time, bucket, count int) time.Time {
+	return at.Add(-q.policy.Window * time.Duration(count-1-bucket) / time.Duration(count))
 }
--- a/quota/history.go
+++ b/quota/history.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// history is a sum that grows, with the times of its last steps.
+// history is a growing total with the times of its recent increments.
 type history struct {
 	total      float64
 	increments []increment
@@ -13,8 +13,8 @@
 	amount float64
 }
 
-// mergeInterval bounds the memory of steps: those that are this close count as one,
-// at the time of the later one.
+// mergeInterval bounds the memory of a history: increments that are closer than this are
+// merged, at the time of the later one.
 const mergeInterval = 50 * time.Millisecond
 
 func (h *history) add(now time.Time, amount float64) {
@@ -24,7 +24,8 @@
 
 	h.total += amount
 
-	// Steps are in the order of their times. A time that goes back counts as the newest.
+	// Increments are in the order of their times. An earlier time is replaced by that of the
+	// newest increment.
 	if n := len(h.increments); n > 0 && now.Before(h.increments[n-1].at) {
 		now = h.increments[n-1].at
 	}
@@ -39,7 +40,7 @@
 	h.increments = append(h.increments, increment{at: now, amount: amount})
 }
 
-// raiseTo brings the sum up to a total.
+// raiseTo raises the total to a value. A lower value is ignored.
 func (h *history) raiseTo(now time.Time, total float64) {
 	if total > h.total {
 		h.add(now, total-h.total)
@@ -57,9 +58,9 @@
 	return sum
 }
 
-// buckets divides what was added within a window by age, the oldest part first.
+// buckets divides what was added within a window by age, the oldest bucket first.
 func (h *history) buckets(now time.Time, window time.Duration) []uint32 {
-	parts := make([]uint32, ageBuckets)
+	counts := make([]uint32, ageBuckets)
 
 	for i := len(h.increments) - 1; i >= 0; i-- {
 		age := now.Sub(h.increments[i].at)
@@ -67,14 +68,14 @@
 			break
 		}
 
-		part := ageBuckets - 1 - int(max(age, 0)*ageBuckets/window)
-		parts[part] += uint32(h.increments[i].amount)
+		bucket := ageBuckets - 1 - int(max(age, 0)*ageBuckets/window)
+		counts[bucket] += uint32(h.increments[i].amount)
 	}
 
-	return parts
+	return counts
 }
 
-// trim forgets the steps up to t.
+// trim removes the increments up to t and keeps the total.
 func (h *history) trim(t time.Time) {
 	n := 0
 	for n < len(h.increments) && !h.increments[n].at.After(t) {
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// firstSyncTimeout is how long a request waits at an instance that has just started: eight
-	// instances read what was spent within 300 ms, in which 26 of 88 requests were refused
-	// until 1.5 s later.
+	// firstSyncTimeout is how long a request waits at an instance that has just started. Eight
+	// starting instances read the records within 300 ms; without the wait, 26 of 88 requests
+	// in that time were refused until 1.5 s later.
 	firstSyncTimeout = 500 * time.Millisecond
-	// refusedLoanBackoff is how long a holder that had too little is not asked for as much
-	// again: accounts far beyond their limit would ask for each request.
+	// refusedLoanBackoff is how long an instance that refused a loan is not asked for as much
+	// again. Otherwise accounts far beyond their limit would cause a loan request for each of
+	// their requests.
 	refusedLoanBackoff = 200 * time.Millisecond
 )
 
-// LoanRequest is the question for a loan.
+// LoanRequest asks another instance to consume cost on behalf of the sender.
 type LoanRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	From     fleet.InstanceID
@@ -29,25 +30,25 @@
 	Cost     float64
 }
 
-// LoanResponse is the answer to an Ask.
+// LoanResponse is the response to a LoanRequest.
 type LoanResponse struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Number   uint64
 	Granted  bool
 }
 
-// Limiter takes from a Quota, and borrows from the holders of reserves what the part of
-// this instance does not cover. A question or answer that is lost costs the lender
-// what it lent until the window is over; nothing is ever spent twice. Its exported
-// fields are set before its first use.
+// Limiter takes from a Quota, and requests a loan from the lenders if this instance's share
+// does not cover a request. If the response to a granted loan is lost, the loan stays consumed
+// at the lender until it leaves the window; nothing is granted twice. Its exported fields are
+// set before its first use.
 type Limiter struct {
 	Quota *Quota
 	Clock clock.Clock
 	Self  fleet.InstanceID
-	// Send sends a question to another instance.
-	Send func(to fleet.InstanceID, ask LoanRequest)
-	// Current tells whether this instance still takes requests: one that is cut off lends
-	// nothing, since others take its place. Nil is always.
+	// Send sends a loan request to another instance.
+	Send func(to fleet.InstanceID, request LoanRequest)
+	// Current reports whether this instance still accepts requests. One that is cut off lends
+	// nothing, since others may have replaced it. Nil means always.
 	Current func() bool
 
 	requests gossip.Requests[bool]
@@ -57,7 +58,7 @@
 }
 
 type loanKey struct {
-	holder  fleet.InstanceID
+	lender  fleet.InstanceID
 	account fleet.Account
 }
 
@@ -66,7 +67,7 @@
 	cost float64
 }
 
-// Take spends cost of an account's allowance here or at a holder of its reserve.
+// Take consumes cost of an account's allowance, from the share of this instance or as a loan.
 func (l *Limiter) Take(ctx context.Context, name fleet.Account, cost float64) Decision {
 	l.awaitSync(ctx)
 
@@ -75,17 +76,17 @@
 		return decision
 	}
 
-	for _, holder := range l.Quota.Lenders(name) {
-		if l.borrow(ctx, holder, name, cost) {
-			return Decision{Granted: true, Remaining: decision.Remaining, Share: decision.Share, Lender: holder}
+	for _, lender := range l.Quota.Lenders(name) {
+		if l.borrow(ctx, lender, name, cost) {
+			return Decision{Granted: true, Remaining: decision.Remaining, Share: decision.Share, Lender: lender}
 		}
 	}
 
 	return decision
 }
 
-// awaitSync waits for a moment at an instance that has just started and has not read yet
-// what the others have spent.
+// awaitSync waits briefly if this instance has just started and has not yet read what the
+// other instances have consumed.
 func (l *Limiter) awaitSync(ctx context.Context) {
 	select {
 	case <-l.Quota.Synced():
@@ -100,39 +101,43 @@
 	}
 }
 
-// HandleRequest answers another instance's question.
-func (l *Limiter) HandleRequest(ask LoanRequest) LoanResponse {
+// HandleRequest handles the loan request of another instance.
+func (l *Limiter) HandleRequest(request LoanRequest) LoanResponse {
 	if l.Current != nil && !l.Current() {
-		return LoanResponse{Number: ask.Number}
+		return LoanResponse{Number: request.Number}
 	}
 
-	return LoanResponse{Number: ask.Number, Granted: l.Quota.LendTo(l.Clock.Now(), ask.From, ask.Account, ask.Cost).Granted}
+	return LoanResponse{Number: request.Number, Granted: l.Quota.LendTo(l.Clock.Now(), request.From, request.Account, request.Cost).Granted}
 }
 
-// HandleResponse takes an answer in. One that comes too late is dropped.
-func (l *Limiter) HandleResponse(r LoanResponse) { l.requests.Reply(r.Number, r.Granted) }
+// HandleResponse delivers the response to a pending loan request. A response after the timeout
+// is discarded.
+func (l *Limiter) HandleResponse(response LoanResponse) {
+	l.requests.Reply(response.Number, response.Granted)
+}
 
-func (l *Limiter) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
-	if holder == l.Self {
+func (l *Limiter) borrow(ctx context.Context, lender fleet.InstanceID, name fleet.Account, cost float64) bool {
+	if lender == l.Self {
 		return l.Quota.Lend(l.Clock.Now(), name, cost).Granted
 	}
 
-	key := loanKey{holder: holder, account: name}
+	key := loanKey{lender: lender, account: name}
 	if l.refusedRecently(key, cost) {
 		return false
 	}
 
-	granted, answered := l.requests.Do(ctx, l.Clock, holder, func(number uint64) {
-		l.Send(holder, LoanRequest{From: l.Self, Number: number, Account: name, Cost: cost})
+	granted, responded := l.requests.Do(ctx, l.Clock, lender, func(number uint64) {
+		l.Send(lender, LoanRequest{From: l.Self, Number: number, Account: name, Cost: cost})
 	})
-	if answered {
+	if responded {
 		l.recordOutcome(key, cost, granted)
 	}
 
 	return granted
 }
 
-// refusedRecently reports whether a holder had too little for as much a moment ago.
+// refusedRecently reports whether a lender refused the same or a smaller cost within
+// refusedLoanBackoff.
 func (l *Limiter) refusedRecently(key loanKey, cost float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,30 +1,31 @@
-// Package quota holds the limits of client accounts over all entry instances,
-// where a limit allows a number of tokens or requests in any span of a window.
+// Package quota enforces the limits of client accounts over all entry instances. A limit
+// allows a number of tokens or requests within any time window of a given length.
 //
-// Every instance tells the others how much it has spent since it started. What
-// was spent longer ago than the time in which such news spreads is known to all,
-// so that the rest of the window's allowance can be divided: each instance may
-// spend its part of the rest within that time. However the spending shifts
-// between instances, all together stay within the allowance as long as news
-// spreads in time; while it does not, an instance keeps to its part of the whole.
+// Every instance publishes what it has consumed since it started. All instances know the
+// consumption that is older than the propagation delay of these updates, so they can divide
+// what remains of the window's allowance: each instance may consume its share of the
+// remainder within one propagation delay. However the load shifts between instances, all
+// together stay within the allowance as long as updates arrive in time. While they do not,
+// an instance stays within its share of the whole allowance.
 //
-// Half of the rest is the reserve of an account. Few instances hold it and lend it to
-// the others (Loans), so that a large request finds enough in one place. Of many
-// instances a few keep the limits for all others, which ask them (Keepers).
+// Half of the remainder is the reserve of an account. Few instances hold it and lend it to
+// the others (Limiter), so that a large request finds enough in one place. In a large fleet
+// a few coordinators enforce the limits for all other instances, which request a loan from
+// them for each request (SetCoordinators).
 //
-// Shares of a rate would be simpler, but a prompt of a large request is many times
-// what a share earns in a second: most large requests of an account far below its
-// limit were refused.
+// Dividing the rate would be simpler, but a large request costs many times what a share of
+// the rate refills in a second: most large requests of accounts far below their limit would
+// be refused.
 //
 // # Usage
 //
-//	q := quota.New(quota.Policy{Window: 8 * time.Second, Spread: 2500 * time.Millisecond})
+//	q := quota.New(quota.Policy{Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond})
 //	q.Configure(allowances)
-//	q.Hear(now, "entry-2", incarnation, spent)
+//	q.Receive(now, "entry-2", incarnation, consumption)
 //	decision := q.Take(now, "wholesale-1", 12_000)
 //
-//	loans := &quota.Loans{Quota: q, Clock: clk, Self: "entry-1", Send: send}
-//	decision = loans.Take(ctx, "wholesale-1", 54_000)
+//	limiter := &quota.Limiter{Quota: q, Clock: clk, Self: "entry-1", Send: send}
+//	decision = limiter.Take(ctx, "wholesale-1", 54_000)
 package quota
 
 import (
@@ -34,135 +35,140 @@
 	"monsoonlever/fleet"
 )
 
-// Policy sets the spans that count.
+// Policy holds the settings of a Quota.
 type Policy struct {
-	// Self is this instance, which may hold reserves; without it there are none.
+	// Self is this instance, which may hold reserves. If it is empty, there are no reserves.
 	Self fleet.InstanceID
-	// Window is the span over which allowances hold.
+	// Window is the length of the window in which allowances apply.
 	Window time.Duration
-	// PropagationDelay is the time in which what an instance has spent is known to all.
+	// PropagationDelay is the time after which all instances know what an instance has
+	// consumed.
 	PropagationDelay time.Duration
-	// DirectDelay is the same while all members are heard directly, which Heard tells;
-	// zero is never.
+	// DirectDelay returns that delay for a number of members while all of them acknowledge
+	// updates directly (Acknowledged). If it is nil, PropagationDelay always applies.
 	DirectDelay func(members int) time.Duration
-	// RequestRecord asks for the next record of what was spent to be made soon; nil is not
-	// asked. Together all instances have spent no more than Untold of an allowance,
-	// and one request each, that no record tells.
+	// RequestRecord requests that the next durable record of consumption is written soon; nil
+	// requests nothing. At any time, all instances together have consumed at most
+	// UnrecordedFraction of an allowance, plus one request each, that no record contains.
 	RequestRecord func()
 }
 
-// UnrecordedFraction is the part of an allowance that may be spent before it is recorded.
+// UnrecordedFraction is the fraction of an allowance that may be consumed before it is
+// recorded.
 const UnrecordedFraction = 0.25
 
-// Allowance is what an account may spend in a window, over all instances.
+// Allowance is what an account may consume in a window, over all instances.
 type Allowance struct {
 	Account fleet.Account
 	// Amount is in the unit of the account's limit.
 	Amount float64
-	// Rate is what is earned again in a second; it serves Retry-After.
+	// Rate is how much of the allowance is refilled per second. It is used for Retry-After.
 	Rate float64
 }
 
-// Consumption is what one instance has spent of an account's limit since its start.
+// Consumption is what one instance has consumed of an account's limit since it started.
 type Consumption struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Account  fleet.Account
 	Total    float64
-	// Recent is the part of Total that was spent within the last window.
+	// Recent is the part of Total that was consumed within the last window.
 	Recent float64
-	// Asked is what callers asked for, granted or not; shares follow it.
+	// Asked is the demand: the cost of all requests, granted or not. Shares follow it.
 	Asked float64
-	// Ages divides Recent by age, the oldest part of the window first. Only records
-	// have it.
+	// Ages divides Recent into buckets by age, the oldest first. Only durable records contain
+	// it.
 	Ages []uint32
 }
 
-// ageBuckets is the number of parts of a window by which Recent is divided.
+// ageBuckets is the number of buckets into which a window is divided by age.
 const ageBuckets = 8
 
 const (
-	// evenFraction of what may be spent is divided evenly, so that an account that turns
-	// to another instance is served there at once; the rest follows demand.
+	// evenFraction of the shares is divided evenly, so that an account that starts to use
+	// another instance is served there immediately. The rest follows demand.
 	evenFraction = 0.5
-	// usableFraction is the part of an allowance that is spent: instances know each other's
-	// demand at slightly different times, and their parts may add up to more than one.
+	// usableFraction is the fraction of an allowance that is granted. Instances learn each
+	// other's demand at slightly different times, so their shares may add up to more than one.
 	usableFraction = 0.92
-	// largeRequestFraction of the rest may go to one request of an instance that has spent nothing
-	// lately, since a large request may exceed any instance's part; largeTotal bounds
-	// what all instances together may give so, where they are many.
+	// largeRequestFraction of the remainder may go to one request at an instance that has
+	// consumed nothing recently, since a large request may exceed the share of any instance.
+	// largeRequestTotal bounds what all members of a large fleet may grant this way, as a
+	// multiple of the remainder.
 	largeRequestFraction = 0.25
 	largeRequestTotal    = 2.25
-	// demandWindows is how far back demand is looked at, in windows.
+	// demandWindows is the number of windows over which demand is measured.
 	demandWindows = 2
-	// recordThreshold is the part of Untold at which a record is asked for; the rest is for
-	// what is spent until it is made.
+	// recordThreshold is the fraction of the unrecorded limit at which a record is requested.
+	// The rest is for consumption until the record is written.
 	recordThreshold = 0.6
-	// firstSyncGrace is how long nothing is granted while nothing was read of the others:
-	// all instances may have started at once, after they had spent the whole.
+	// firstSyncGrace is how long nothing is granted if no records could be read: all instances
+	// may have restarted at the same time, after they had consumed the whole allowance.
 	firstSyncGrace = 1500 * time.Millisecond
-	// assumedMembers is how many instances are assumed where none is known.
+	// assumedMembers is the number of instances that is assumed while no member is known.
 	assumedMembers = 16
-	// minRetryAfter and lastRetry bound when a caller is told to come back.
+	// minRetryAfter and maxRetryAfter bound Decision.RetryAfter.
 	minRetryAfter = 300 * time.Millisecond
 	maxRetryAfter = 4 * time.Second
 )
 
-// Quota is the view of one instance. It is safe for concurrent use.
+// Quota is one instance's view of all limits. It is safe for concurrent use.
 type Quota struct {
 	policy Policy
 
 	mu       sync.Mutex
 	accounts map[fleet.Account]*account
 	members  map[fleet.InstanceID]bool
-	// recorders are the members that record what all have spent.
+	// recorders are the members that record the consumption of all instances.
 	recorders []fleet.InstanceID
-	// restored are runs whose spending before this instance started was inherited from
-	// a record of all.
+	// restored holds, for each instance, the incarnation whose consumption before this
+	// instance started was restored from a record of the consumption of all instances.
 	restored map[fleet.InstanceID]fleet.Incarnation
-	// firstRequest is when the first request came.
+	// firstRequest is when the first request arrived.
 	firstRequest time.Time
-	// syncedAt is when the others' news was last read to its end, and heard the
-	// newest time up to which each other knows what this one spent.
+	// syncedAt is when the records of the other instances were last read to the end.
+	// acknowledged holds, for each other instance, the time up to which it knows the
+	// consumption of this one.
 	syncedAt     time.Time
 	acknowledged map[fleet.InstanceID]time.Time
-	// synced is closed once the others' news was synced.
+	// synced is closed once the records of the other instances were read to the end.
 	synced chan struct{}
-	// quorum is how many keepers must hear each other, zero where all instances share the
-	// allowances. client tells that others keep them, and joined since when this one does.
+	// quorum is how many coordinators must be connected before one grants; it is zero where
+	// all members share the allowances. delegated is set if other instances are the
+	// coordinators. coordinatorSince is when this instance became a coordinator.
 	quorum           int
 	delegated        bool
 	coordinatorSince time.Time
 }
 
-// account is what is known of one account.
+// account is the state of one account.
 type account struct {
 	allowance Allowance
 	consumed  history
 	demand    history
-	// recordedTotal is the part of own that a record tells.
+	// recordedTotal is the part of consumed that is in a durable record.
 	recordedTotal float64
 	remotes       map[fleet.InstanceID]*remote
-	// holders are the instances that hold the reserve, and lenders those that are asked,
-	// in their order.
+	// holders are the instances that hold the reserve. lenders are those that loans are
+	// requested from, in this order.
 	holders, lenders []fleet.InstanceID
-	// restored is what all had spent before this instance started.
+	// restored is what all instances had consumed before this one started.
 	restored history
-	// assumed stands for what others may have spent that no record told.
+	// assumed is what others are assumed to have consumed without recording it.
 	assumed history
-	// globalTotal is what all have spent as far as this instance knows, and globalRecorded
-	// the part of it that a record of this instance tells.
+	// globalTotal is what all instances have consumed, as far as this one knows.
+	// globalRecorded is the part of it that is in a record of this instance.
 	globalTotal, globalRecorded float64
 }
 
-// remote is what another instance told.
+// remote is the consumption and demand that another instance published.
 type remote struct {
 	incarnation fleet.Incarnation
-	// base is what earlier runs of it had told.
+	// baseConsumed and baseDemand are the totals of its earlier incarnations.
 	baseConsumed, baseDemand float64
 	consumed, demand         history
 }
 
-// New returns a quota that knows no account.
+// New returns a Quota without allowances.
 func New(p Policy) *Quota {
 	return &Quota{
 		policy: p, accounts: make(map[fleet.Account]*account), members: make(map[fleet.InstanceID]bool),
@@ -170,7 +176,7 @@
 	}
 }
 
-// Configure puts allowances in force and keeps what is known of accounts that stay.
+// Configure replaces the allowances. The state of accounts that remain is kept.
 func (q *Quota) Configure(allowances []Allowance) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -178,32 +184,32 @@
 	next := make(map[fleet.Account]*account, len(allowances))
 
 	for _, a := range allowances {
-		one := q.accounts[a.Account]
-		if one == nil {
-			one = &account{remotes: make(map[fleet.InstanceID]*remote)}
+		entry := q.accounts[a.Account]
+		if entry == nil {
+			entry = &account{remotes: make(map[fleet.InstanceID]*remote)}
 		}
 
-		one.allowance = a
-		next[a.Account] = one
+		entry.allowance = a
+		next[a.Account] = entry
 	}
 
 	q.accounts = next
 	q.assignReserves()
 }
 
-// Decision is the answer to Take.
+// Decision is the result of Take and Lend.
 type Decision struct {
 	Granted bool
-	// RetryAfter is when there may be room, where nothing was granted.
+	// RetryAfter is when capacity may be available, if nothing was granted.
 	RetryAfter time.Duration
-	// Remaining is what was left of the allowance, and Share what this instance could
-	// spend of it, for logs.
+	// Remaining is what was left of the allowance, and Share how much of it this instance
+	// could consume. Both are for logs.
 	Remaining, Share float64
-	// Lender is the instance that the allowance was borrowed from, or empty.
+	// Lender is the instance that granted a loan, or empty.
 	Lender fleet.InstanceID
 }
 
-// Take spends cost of an account's allowance, if there is room. An account
+// Take consumes cost of an account's allowance if this instance's share covers it. An account
 // without an allowance is not limited.
 func (q *Quota) Take(now time.Time, name fleet.Account, cost float64) Decision {
 	q.mu.Lock()
@@ -232,12 +238,12 @@
 		return Decision{RetryAfter: firstSyncGrace}
 	}
 
-	rest, part, recent := q.budget(now, a)
-	if recent+cost <= part || recent == 0 && cost <= q.largeRequestShare(a)*rest && recent+cost <= rest {
+	remaining, limit, recent := q.budget(now, a)
+	if recent+cost <= limit || recent == 0 && cost <= q.largeRequestShare(a)*remaining && recent+cost <= remaining {
 		q.consume(now, a, cost)
 
-		return Decision{Granted: true, Remaining: rest, Share: part}
+		return Decision{Granted: true, Remaining: remaining, Share: limit}
 	}
 
-	return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Share: part}
+	return Decision{RetryAfter: q.retryAfter(a, recent+cost-limit), Remaining: remaining, Share: limit}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -14,7 +14,7 @@
 
 var policy = Policy{Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond}
 
-// directPolicy is that of instances which hear each other directly.
+// directPolicy is the policy of instances that acknowledge updates directly.
 var directPolicy = Policy{
 	Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond,
 	DirectDelay: func(int) time.Duration { return 450 * time.Millisecond },
@@ -24,31 +24,31 @@
 
 const amount = 500_000
 
-// group is a number of instances that tell each other what they spend once a
-// second, with a delay of up to a second.
+// group simulates instances that publish their consumption once a second, with a delay of up
+// to a second.
 type group struct {
 	quotas  []*Quota
 	ids     []fleet.InstanceID
 	pending []delayedRecord
-	// recordRequested are the instances that recordRequested for a record.
+	// recordRequested marks the instances that requested a record.
 	recordRequested []bool
-	// direct tells that words are passed directly.
+	// direct is set if updates are also sent directly.
 	direct      bool
 	incarnation fleet.Incarnation
 	random      *rand.Rand
 }
 
-// broadcast passes one word to all others, but for one in ten that is lost.
-func (g *group) broadcast(now time.Time, from int, spent []Consumption) {
+// broadcast sends an update to all other instances. One message in ten is lost.
+func (g *group) broadcast(now time.Time, from int, consumption []Consumption) {
 	for i, q := range g.quotas {
 		if i != from && g.random.IntN(10) > 0 {
-			q.Receive(now, g.ids[from], g.incarnation, spent)
+			q.Receive(now, g.ids[from], g.incarnation, consumption)
 			q.Acknowledged(now, g.ids[from])
 		}
 	}
 }
 
-// take asks one instance, and then the holders of the reserve if there are any.
+// take requests cost from an instance, and then from its lenders if there are any.
 func (g *group) take(now time.Time, i int, cost float64) Decision {
 	d := g.quotas[i].Take(now, "a", cost)
 	for _, holder := range g.quotas[i].Lenders("a") {
@@ -73,8 +73,7 @@
 	return newGroupOf(n, func(fleet.InstanceID) Policy { return p })
 }
 
-// newLendingGroup returns n instances of which five record what all have spent, and
-// hold reserves.
+// newLendingGroup returns n instances of which five are recorders and may hold reserves.
 func newLendingGroup(n int, p Policy) *group {
 	g := newGroupOf(n, func(id fleet.InstanceID) Policy {
 		p.Self = id
@@ -112,8 +111,8 @@
 	return g
 }
 
-// exchange lets each instance tell its spending at its own part of each second, and
-// hear what is old enough.
+// exchange lets each instance publish its consumption once a second, at its own offset, and
+// receive records that are old enough.
 func (g *group) exchange(now time.Time, tick int) {
 	if g.direct {
 		for i, from := range g.quotas {
@@ -124,8 +123,8 @@
 	for i, q := range g.quotas {
 		if tick%10 == i%10 || g.recordRequested[i] && tick%3 == 0 {
 			g.recordRequested[i] = false
-			spent, _ := q.Record(now)
-			g.pending = append(g.pending, delayedRecord{at: now, from: i, consumption: spent})
+			consumption, _ := q.Record(now)
+			g.pending = append(g.pending, delayedRecord{at: now, from: i, consumption: consumption})
 		}
 	}
 
@@ -144,7 +143,7 @@
 	}
 }
 
-// maxInWindow returns the most that was granted in any window.
+// maxInWindow returns the highest amount that was granted in any window.
 func maxInWindow(grants []increment) float64 {
 	most := 0.0
 
@@ -161,18 +160,18 @@
 	return most
 }
 
-// Whatever instances the requests of an account come to, and however they jump
-// between them, no window holds more than the allowance.
+// Whichever instances receive the requests of an account, and however they move between
+// instances, no window exceeds the allowance.
 func TestAllowanceHoldsAcrossInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := policy
-		if rapid.Bool().Draw(t, "hear each other directly") {
+		if rapid.Bool().Draw(t, "direct updates") {
 			policy = directPolicy
 		}
 
 		n := rapid.OneOf(rapid.IntRange(1, 12), rapid.IntRange(1, 12), rapid.IntRange(1, 12), rapid.Just(60)).Draw(t, "instances")
 		seed := rapid.Uint64().Draw(t, "seed")
-		heat := rapid.Float64Range(0.1, 10).Draw(t, "heat")
+		load := rapid.Float64Range(0.1, 10).Draw(t, "heat")
 		random := rand.New(rand.NewPCG(seed, 1))
 		g := newGroup(n, policy)
 
@@ -197,7 +196,7 @@
 				favourite = random.IntN(n)
 			}
 
-			for range random.IntN(int(2*heat) + 1) {
+			for range random.IntN(int(2*load) + 1) {
 				i := favourite
 				if random.IntN(3) == 0 {
 					i = random.IntN(n)
@@ -216,36 +215,36 @@
 	})
 }
 
-// retriedRequest is a request that was refused and comes back.
+// retriedRequest is a refused request that is retried.
 type retriedRequest struct {
 	at   time.Time
 	cost float64
 }
 
-// An account that asks for half of its limit, with large requests that come to
-// instances unevenly, is seldom refused, and served when it comes back elsewhere.
+// An account that demands half of its limit, with large requests that arrive unevenly at the
+// instances, is seldom refused, and is served when it retries at another instance.
 func TestHalfOfLimitIsServed(t *testing.T) {
 	g := newGroup(9, directPolicy)
 	random := rand.New(rand.NewPCG(7, 7))
-	first, again, asked := 0, 0, 0
+	first, refusedRetries, asked := 0, 0, 0
 
-	var back []retriedRequest
+	var retries []retriedRequest
 
 	for tick := range 600 {
 		now := start.Add(time.Duration(tick) * 100 * time.Millisecond)
 		g.exchange(now, tick)
 
-		kept := back[:0]
+		pending := retries[:0]
 
-		for _, r := range back {
+		for _, r := range retries {
 			if now.Before(r.at) {
-				kept = append(kept, r)
+				pending = append(pending, r)
 			} else if !g.quotas[random.IntN(9)].Take(now, "a", r.cost).Granted {
-				again++
+				refusedRetries++
 			}
 		}
 
-		back = kept
+		retries = pending
 
 		// 2.5 requests of 12,500 tokens a second are half of the allowance in 8 s.
 		if random.IntN(4) > 0 {
@@ -259,7 +258,7 @@
 		if !d.Granted {
 			first++
 
-			back = append(back, retriedRequest{at: now.Add(d.RetryAfter), cost: cost})
+			retries = append(retries, retriedRequest{at: now.Add(d.RetryAfter), cost: cost})
 		}
 	}
 
@@ -267,8 +266,8 @@
 		t.Errorf("refused at first: got %d of %d, want at most %d", first, asked, most)
 	}
 
-	if most := asked * 3 / 100; again > most {
-		t.Errorf("refused again: got %d of %d, want at most %d", again, asked, most)
+	if most := asked * 3 / 100; refusedRetries > most {
+		t.Errorf("refused retries: got %d of %d, want at most %d", refusedRetries, asked, most)
 	}
 }
 
@@ -284,12 +283,12 @@
 	}
 
 	if got, most := granted, float64(amount); got > most*0.6 {
-		t.Errorf("granted alone: got %.0f, want at most the part of one that has all the demand", got)
+		t.Errorf("granted alone: got %.0f, want at most the share of one that has all the demand", got)
 	}
 }
 
-// An instance that starts knows what the others spent lately, and takes nothing
-// that they spent before for recent.
+// A new instance knows the recent consumption of the others, and does not count older
+// consumption as recent.
 func TestNewInstanceCountsOnlyRecentConsumption(t *testing.T) {
 	old := New(policy)
 	old.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
@@ -312,25 +311,25 @@
 	}
 
 	if granted < 100_000 || granted > amount-200_000 {
-		t.Errorf("granted beside 240,000 that are recent: got %.0f, want the rest of %d", granted, amount)
+		t.Errorf("granted beside 240,000 of recent consumption: got %.0f, want the rest of %d", granted, amount)
 	}
 }
 
-// All instances start at the same moment, before any has read what the earlier runs
-// spent: together they must not grant a whole allowance each.
+// If all instances restart at the same time, before any has read what was consumed earlier,
+// each must not grant a whole allowance.
 func TestUnsyncedInstanceGrantsNothing(t *testing.T) {
 	q := New(policy)
 	q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 
 	if q.HasSynced() {
-		t.Error("before anything was read: got known, want not")
+		t.Error("before the records were read: got synced, want not")
 	}
 
 	if d := q.Take(start, "a", 1000); d.Granted || d.RetryAfter <= 0 {
-		t.Errorf("before anything was read: got %+v, want a refusal with a time", d)
+		t.Errorf("before the records were read: got %+v, want a refusal with a time", d)
 	}
 
-	// If nothing can be read, a small part of the allowance is granted.
+	// If no records can be read, a small part of the allowance is granted.
 	granted := 0.0
 	for q.Take(start.Add(2*time.Second), "a", 1000).Granted {
 		granted += 1000
@@ -341,14 +340,14 @@
 	}
 }
 
-// All instances are killed at once and start again. What they spent after their last
-// records on the board is known to nobody, and still counts.
+// All instances are killed at the same time and restart. What they consumed after their last
+// records is unknown and still counts.
 func TestAllowanceHoldsWhenAllInstancesRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 6
 
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		heat := rapid.Float64Range(0.2, 6).Draw(t, "heat")
+		load := rapid.Float64Range(0.2, 6).Draw(t, "heat")
 		newGroup := newGroup
 
 		if rapid.Bool().Draw(t, "reserves are lent") {
@@ -360,7 +359,7 @@
 		var grants []increment
 
 		ask := func(now time.Time) {
-			for range random.IntN(int(2*heat) + 1) {
+			for range random.IntN(int(2*load) + 1) {
 				cost := 1000 + random.ExpFloat64()*10_000
 				if g.take(now, random.IntN(n), cost).Granted {
 					grants = append(grants, increment{at: now, amount: cost})
@@ -370,9 +369,9 @@
 
 		now := start
 
-		var past EarlierRecords
+		var earlier EarlierRecords
 
-		// Records are written every two seconds, and soon after one is asked for.
+		// Records are written every two seconds, and soon after one is requested.
 		asked := make([]bool, n)
 		for i, q := range g.quotas {
 			q.policy.RequestRecord = func() { asked[i] = true }
@@ -385,8 +384,8 @@
 
 			for i, q := range g.quotas {
 				if tick%20 == i || asked[i] && tick%3 == 0 {
-					spent, known := q.Record(now)
-					past.Add(g.ids[i], 1, now, spent, known)
+					consumption, global := q.Record(now)
+					earlier.Add(g.ids[i], 1, now, consumption, global)
 
 					asked[i] = false
 				}
@@ -396,15 +395,15 @@
 		next := newGroup(n, directPolicy)
 
 		for _, q := range next.quotas {
-			// The others started a moment earlier and wrote that they spent nothing yet.
-			past := past
-			past.incarnations = slices.Clone(past.incarnations)
+			// The other instances started slightly earlier and recorded no consumption yet.
+			snapshot := earlier
+			snapshot.incarnations = slices.Clone(snapshot.incarnations)
 
 			for _, id := range next.ids {
-				past.Add(id, 2, now, nil, nil)
+				snapshot.Add(id, 2, now, nil, nil)
 			}
 
-			q.Restore(now, &past)
+			q.Restore(now, &snapshot)
 			q.MarkSynced(now)
 		}
 
@@ -432,16 +431,16 @@
 
 	got := g.quotas[0].Take(start, "a", 50_000)
 	if got.Granted || got.RetryAfter < minRetryAfter || got.RetryAfter > maxRetryAfter {
-		t.Errorf("over the limit: got %+v, want a refusal with a time between %v and %v", got, minRetryAfter, maxRetryAfter)
+		t.Errorf("over the limit: got %+v, want a refusal with RetryAfter between %v and %v", got, minRetryAfter, maxRetryAfter)
 	}
 }
 
-// What was recorded some time ago leaves the window that much earlier, and what was
-// spent long before its record as well.
+// Consumption that was recorded some time ago leaves the window that much earlier, as does
+// consumption from long before its record.
 func TestRestoredConsumptionKeepsItsAge(t *testing.T) {
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-	spent := func(total float64, ages ...uint32) []Consumption {
+	consumption := func(total float64, ages ...uint32) []Consumption {
 		recent := 0.0
 		for _, part := range ages {
 			recent += float64(part)
@@ -450,15 +449,15 @@
 		return []Consumption{{Account: "a", Total: total, Recent: recent, Asked: total, Ages: ages}}
 	}
 
-	var past EarlierRecords
-	// One run ended early, another goes on and shows how long ago that was. Its clock
-	// began at another time.
-	past.Add("entry-2", 1, at(0), spent(900_000, 0, 0, 0, 0, 0, 0, 0, 80_000), nil)
-	past.Add("entry-3", 1, at(5000), spent(0), nil)
-	past.Add("entry-3", 1, at(5004), spent(200_000, 100_000, 0, 0, 0, 0, 0, 0, 100_000), nil)
+	var earlier EarlierRecords
+	// One incarnation terminated early. The records of another, whose clock has another
+	// origin, show how long ago that was.
+	earlier.Add("entry-2", 1, at(0), consumption(900_000, 0, 0, 0, 0, 0, 0, 0, 80_000), nil)
+	earlier.Add("entry-3", 1, at(5000), consumption(0), nil)
+	earlier.Add("entry-3", 1, at(5004), consumption(200_000, 100_000, 0, 0, 0, 0, 0, 0, 100_000), nil)
 
 	q := newGroup(1, policy).quotas[0]
-	q.Restore(at(10), &past)
+	q.Restore(at(10), &earlier)
 	q.MarkSynced(at(10))
 
 	for _, tt := range []struct {
@@ -467,15 +466,15 @@
 	}{
 		{0.5, 280_000}, {1.5, 180_000}, {3.5, 180_000}, {4.5, 100_000}, {8.5, 0},
 	} {
-		known := 0.0
+		restored := 0.0
 		for _, o := range q.accounts["a"].remotes {
-			known += o.consumed.since(at(10 + tt.after - policy.Window.Seconds()))
+			restored += o.consumed.since(at(10 + tt.after - policy.Window.Seconds()))
 		}
 
-		// Two instances may each have spent their part of what is not recorded.
+		// Two instances may each have consumed their share of the unrecorded fraction.
 		most := tt.want + UnrecordedFraction*amount
-		if known < tt.want || known > most {
-			t.Errorf("known %.1f s later: got %.0f, want %.0f to %.0f", tt.after, known, tt.want, most)
+		if restored < tt.want || restored > most {
+			t.Errorf("restored, %.1f s later: got %.0f, want %.0f to %.0f", tt.after, restored, tt.want, most)
 		}
 	}
 }
--- a/quota/record.go
+++ b/quota/record.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// consume counts cost as spent by this instance.
+// consume adds cost to what this instance has consumed.
 func (q *Quota) consume(now time.Time, a *account, cost float64) {
 	a.consumed.add(now, cost)
 	a.globalTotal += cost
 	q.requestRecord(now, a)
 }
 
-// requestRecord asks for a record if much was spent that none tells. While others hear this
-// instance, it is enough that those record it who record for all.
+// requestRecord requests a record if much was consumed that no record contains. While the
+// recorders acknowledge the updates of this instance, their records are enough.
 func (q *Quota) requestRecord(now time.Time, a *account) {
 	if q.policy.RequestRecord == nil || q.recordedByOthers(now) {
 		return
@@ -27,25 +27,25 @@
 	}
 }
 
-// unrecordedLimit is this instance's part of what may be spent before it is recorded.
+// unrecordedLimit is this instance's share of what may be consumed before it is recorded.
 func (q *Quota) unrecordedLimit(a *account) float64 {
-	held := q.reserveShare(a)
-	part := 1 / float64(max(len(q.members), 1))
+	reserve := q.reserveShare(a)
+	fraction := 1 / float64(max(len(q.members), 1))
 
 	if len(a.holders) > 0 {
-		part = (1-reserveFraction)*part + held
+		fraction = (1-reserveFraction)*fraction + reserve
 	}
 
-	return UnrecordedFraction * a.allowance.Amount * part
+	return UnrecordedFraction * a.allowance.Amount * fraction
 }
 
-// isRecorder tells whether this instance records what all have spent.
+// isRecorder reports whether this instance records the consumption of all instances.
 func (q *Quota) isRecorder() bool {
 	return len(q.recorders) == 0 || slices.Contains(q.recorders, q.policy.Self)
 }
 
-// RecordedByOthers tells whether others record what this instance spends: most of those that
-// record for all hear it directly.
+// RecordedByOthers reports whether other instances record what this instance consumes: most
+// recorders acknowledge its updates directly.
 func (q *Quota) RecordedByOthers(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,7 +55,7 @@
 
 func (q *Quota) recordedByOthers(now time.Time) bool {
 	if q.delegated {
-		// It has spent nothing that is not a keeper's.
+		// All that it consumes is consumption of a coordinator.
 		return true
 	}
 
@@ -63,30 +63,31 @@
 		return false
 	}
 
-	hear := 0
-	span := q.policy.DirectDelay(len(q.members))
+	acknowledged := 0
+	delay := q.policy.DirectDelay(len(q.members))
 
 	for _, id := range q.recorders {
-		if at, ok := q.acknowledged[id]; ok && now.Sub(at) <= span {
-			hear++
+		if at, ok := q.acknowledged[id]; ok && now.Sub(at) <= delay {
+			acknowledged++
 		}
 	}
 
-	return 2*hear > len(q.recorders)
+	return 2*acknowledged > len(q.recorders)
 }
 
-// Record returns what a record that outlives this instance should tell: what this
-// instance has spent, and what all have, as far as it is known here. One that others
-// hear leaves both to those that record for all.
+// Record returns the content of a durable record, which outlives this instance: what this
+// instance has consumed, and what all instances have consumed as far as it knows. A recorder
+// returns both. Another instance returns its own consumption, or nothing if the recorders
+// acknowledge its updates.
 func (q *Quota) Record(now time.Time) ([]Consumption, []GlobalConsumption) {
 	q.mu.Lock()
-	forAll, recorded := len(q.recorders) > 0 && q.isRecorder(), q.recordedByOthers(now)
+	forAll, byOthers := len(q.recorders) > 0 && q.isRecorder(), q.recordedByOthers(now)
 	q.mu.Unlock()
 
 	switch {
 	case forAll:
 		return q.recordOwn(now), q.recordGlobal(now)
-	case recorded:
+	case byOthers:
 		return nil, nil
 	default:
 		return q.recordOwn(now), nil
@@ -94,22 +95,23 @@
 }
 
 func (q *Quota) recordOwn(now time.Time) []Consumption {
-	spent := q.Consumption(now)
+	consumption := q.Consumption(now)
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	for i, s := range spent {
+	for i, s := range consumption {
 		if a := q.accounts[s.Account]; a != nil {
 			a.recordedTotal = s.Total
-			spent[i].Ages = a.consumed.buckets(now, q.policy.Window)
+			consumption[i].Ages = a.consumed.buckets(now, q.policy.Window)
 		}
 	}
 
-	return spent
+	return consumption
 }
 
-// Consumption returns what this instance has spent since its start, for the others.
+// Consumption returns what this instance has consumed since it started, to be published to the
+// other instances.
 func (q *Quota) Consumption(now time.Time) []Consumption {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/quota/reserve.go
+++ b/quota/reserve.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// reserveFraction of the rest of an allowance is held by a few instances that lend it
-	// to the others: divided evenly, the parts of many instances are each too small for
-	// one large request, while most of the rest lies idle.
+	// reserveFraction of the remainder of an allowance is held by a few instances that lend it
+	// to the others. Divided evenly among many instances, each share would be too small for
+	// one large request while most of the remainder stays unused.
 	reserveFraction = 0.5
 	// reserveHolders is how many instances hold an account's reserve, so that half of it is
-	// there while one is gone or frozen.
+	// available while one of them is down or frozen.
 	reserveHolders = 2
-	// minReserveMembers is how many instances make a reserve worth its messages.
+	// minReserveMembers is the smallest number of instances for which a reserve is worth its
+	// messages.
 	minReserveMembers = 4
 )
 
-// Lenders returns the instances that are asked for a loan of an account's limit, in their
-// order: those that hold its reserve, and then the other keepers where there are some. All
-// that know the same members name the same ones.
+// Lenders returns the instances to request a loan of an account's limit from, in order: the
+// holders of its reserve, then the other coordinators if there are any. All instances with the
+// same members get the same order.
 func (q *Quota) Lenders(name fleet.Account) []fleet.InstanceID {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -36,9 +37,9 @@
 	return nil
 }
 
-// rankLenders returns those that may hold the reserve of an account, the one with the
-// highest hash of account and instance first. One that comes or goes moves only the
-// reserves that it has.
+// rankLenders orders the instances that may hold the reserve of an account by rendezvous
+// hashing, the highest hash of account and instance first. An instance that joins or leaves
+// moves only the reserves that it holds.
 func (q *Quota) rankLenders(name fleet.Account) []fleet.InstanceID {
 	if q.policy.Self == "" || q.quorum == 0 && len(q.members) < minReserveMembers {
 		return nil
@@ -52,7 +53,7 @@
 	ranks := make([]rank, 0, len(q.members))
 
 	for id := range q.members {
-		// What is lent has to be recorded soon.
+		// A loan has to be recorded soon, so that only recorders lend.
 		if len(q.recorders) > 0 && !slices.Contains(q.recorders, id) {
 			continue
 		}
@@ -70,7 +71,7 @@
 	return ids
 }
 
-// assignReserves finds the holders of all reserves anew.
+// assignReserves assigns the holders and lenders of all accounts.
 func (q *Quota) assignReserves() {
 	for name, a := range q.accounts {
 		ranked := q.rankLenders(name)
@@ -83,7 +84,7 @@
 	}
 }
 
-// reserveShare is the part of the rest that this instance holds as reserve.
+// reserveShare is the fraction of the remainder that this instance holds as reserve.
 func (q *Quota) reserveShare(a *account) float64 {
 	if !slices.Contains(a.holders, q.policy.Self) {
 		return 0
@@ -92,12 +93,12 @@
 	return reserveFraction / float64(len(a.holders))
 }
 
-// Lend spends cost of the reserve that this instance holds, for another one or
-// itself. The borrower may then spend as much without counting it: for all others it
-// is as if this instance had spent it.
+// Lend consumes cost of the reserve that this instance holds, for another instance or for
+// itself. The borrower does not count it: to all other instances this instance has consumed
+// it.
 //
-// What is lent and not recorded yet is bounded, since one instance lends in a moment
-// what many others together would spend.
+// The unrecorded part of loans is bounded, since one lender may lend within moments what
+// many other instances together would consume.
 func (q *Quota) Lend(now time.Time, name fleet.Account, cost float64) Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -108,24 +109,24 @@
 
 	a := q.accounts[name]
 	if a == nil || a.allowance.Amount <= 0 {
-		// The borrower has yet to get the rules that limit the account no longer.
+		// The borrower has not yet received the rules that lift the limit of the account.
 		return Decision{Granted: true}
 	}
 
-	rest, part, recent := q.budget(now, a)
-	part += q.reserveShare(a) * rest
+	remaining, limit, recent := q.budget(now, a)
+	limit += q.reserveShare(a) * remaining
 
-	if recent+cost > part {
-		return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Share: part}
+	if recent+cost > limit {
+		return Decision{RetryAfter: q.retryAfter(a, recent+cost-limit), Remaining: remaining, Share: limit}
 	}
 
-	if untold := a.consumed.total - a.recordedTotal; untold > 0 && untold+cost > q.unrecordedLimit(a) {
+	if unrecorded := a.consumed.total - a.recordedTotal; unrecorded > 0 && unrecorded+cost > q.unrecordedLimit(a) {
 		q.requestRecord(now, a)
 
-		return Decision{RetryAfter: minRetryAfter, Remaining: rest, Share: part}
+		return Decision{RetryAfter: minRetryAfter, Remaining: remaining, Share: limit}
 	}
 
 	q.consume(now, a, cost)
 
-	return Decision{Granted: true, Remaining: rest, Share: part}
+	return Decision{Granted: true, Remaining: remaining, Share: limit}
 }
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -12,14 +12,15 @@
 	"monsoonlever/gossip"
 )
 
-// largeFleetPolicy is that of many instances, whose words are slower.
+// largeFleetPolicy is the policy of a large fleet, in which updates take longer.
 var largeFleetPolicy = Policy{
 	Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
 	DirectDelay: func(int) time.Duration { return 1500 * time.Millisecond },
 }
 
-// An account that asks many instances for half of its limit, now and then with a
-// fifteenth of the whole at once, finds room for almost all: no instance's part holds as much.
+// An account that demands half of its limit at many instances, occasionally with a fifteenth
+// of the whole in one request, is almost always served, although no instance's share covers
+// such a request.
 func TestLargeRequestsAreServedInLargeFleet(t *testing.T) {
 	const instances = 80
 
@@ -73,12 +74,12 @@
 	want := g.quotas[0].Lenders("a")
 
 	if len(want) != reserveHolders {
-		t.Fatalf("holders: got %v, want %d", want, reserveHolders)
+		t.Fatalf("lenders: got %v, want %d", want, reserveHolders)
 	}
 
 	for i, q := range g.quotas {
 		if got := q.Lenders("a"); got[0] != want[0] || got[1] != want[1] {
-			t.Errorf("holders by instance %d: got %v, want %v", i, got, want)
+			t.Errorf("lenders by instance %d: got %v, want %v", i, got, want)
 		}
 	}
 
@@ -94,11 +95,11 @@
 	g.quotas[3].SetMembers(left, recorders)
 
 	if got := g.quotas[3].Lenders("a"); got[0] != want[1] {
-		t.Errorf("holders after one has left: got %v, want %v to stay", got, want[1])
+		t.Errorf("lenders after one has left: got %v, want %v to stay", got, want[1])
 	}
 }
 
-// loanPair are the loans of two instances, of which the second one lends.
+// loanPair is a borrower and a lender.
 type loanPair struct {
 	borrower, lender *Limiter
 	requests         int
@@ -148,19 +149,19 @@
 		t.Fatalf("large request: got %+v, want it borrowed from %s", got, d.lender.Self)
 	}
 
-	if spent := d.lender.Quota.Consumption(clk.Now()); len(spent) != 1 || spent[0].Total != amount/5 {
-		t.Errorf("spent by the lender: got %+v, want %d", spent, amount/5)
+	if consumption := d.lender.Quota.Consumption(clk.Now()); len(consumption) != 1 || consumption[0].Total != amount/5 {
+		t.Errorf("consumed by the lender: got %+v, want %d", consumption, amount/5)
 	}
 
 	for _, s := range d.borrower.Quota.Consumption(clk.Now()) {
 		if s.Total != 0 {
-			t.Errorf("spent by the borrower: got %.0f, want 0", s.Total)
+			t.Errorf("consumed by the borrower: got %.0f, want 0", s.Total)
 		}
 	}
 }
 
-// One that is cut off and takes no requests itself lends nothing: others may have taken its
-// place.
+// An instance that is cut off and accepts no requests lends nothing: others may have replaced
+// it.
 func TestLenderThatIsNotCurrentLendsNothing(t *testing.T) {
 	d := newLoanPair(clock.NewSteady())
 	current := false
@@ -180,25 +181,25 @@
 func TestLostLoanRequestIsRefusedWithinTimeout(t *testing.T) {
 	d := newLoanPair(clock.NewSteady())
 	d.dropRequests = true
-	begun := time.Now()
+	started := time.Now()
 
 	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || got.RetryAfter <= 0 {
-		t.Errorf("nobody answers: got %+v, want a refusal with a time to come back", got)
+		t.Errorf("no response: got %+v, want a refusal with RetryAfter", got)
 	}
 
-	if took, most := time.Since(begun), (reserveHolders+1)*gossip.ReplyTimeout; took > most {
+	if took, most := time.Since(started), (reserveHolders+1)*gossip.ReplyTimeout; took > most {
 		t.Errorf("refused after %v, want at most %v", took, most)
 	}
 
 	asked := d.requests
 
 	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || d.requests != asked {
-		t.Errorf("right after: got %+v and %d questions, want a refusal without one", got, d.requests-asked)
+		t.Errorf("right after: got %+v and %d requests, want a refusal without one", got, d.requests-asked)
 	}
 }
 
-// A request that comes to an instance before it has read what the others have spent
-// waits for that, and is not sent away for seconds.
+// A request that arrives before the instance has read the records waits for them instead of
+// being refused for seconds.
 func TestRequestWaitsForFirstSync(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
 	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
@@ -212,7 +213,7 @@
 
 	select {
 	case d := <-decided:
-		t.Fatalf("before the first read: got %+v, want no decision yet", d)
+		t.Fatalf("before the first sync: got %+v, want no decision yet", d)
 	case <-time.After(20 * time.Millisecond):
 	}
 
@@ -220,11 +221,11 @@
 	q.MarkSynced(clk.Now())
 
 	if d := <-decided; !d.Granted {
-		t.Errorf("after the first read: got %+v, want it granted", d)
+		t.Errorf("after the first sync: got %+v, want it granted", d)
 	}
 }
 
-// A store that does not answer must not hold requests.
+// A store that does not respond must not delay requests without bound.
 func TestWaitForFirstSyncIsBounded(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
 	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
@@ -239,7 +240,7 @@
 		select {
 		case d := <-decided:
 			if d.Granted || d.RetryAfter <= 0 {
-				t.Errorf("without a read: got %+v, want it refused with when to come back", d)
+				t.Errorf("without a sync: got %+v, want it refused with RetryAfter", d)
 			}
 
 			return
@@ -248,12 +249,13 @@
 		}
 
 		if waited > 100*firstSyncTimeout {
-			t.Fatal("decision: got none, want one after the time to wait")
+			t.Fatal("decision: got none, want one after the timeout")
 		}
 	}
 }
 
-// An account whose limit was lifted must not be refused to borrowers that have yet to get the new rules.
+// The requests of an account whose limit was lifted must not be refused at borrowers that have
+// not received the new rules yet.
 func TestLenderWithoutLimitGrantsLoan(t *testing.T) {
 	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 1000}})
--- a/quota/restore.go
+++ b/quota/restore.go
@@ -6,50 +6,53 @@
 	"monsoonlever/fleet"
 )
 
-// EarlierRecords collects what was recorded before an instance started, in the order of the
-// records. Of each run of an instance the newest record counts; one run does not
-// replace the one before, whose spending still counts in the window. The zero value is
-// empty.
+// EarlierRecords collects the records from before an instance started, in the order of
+// the log. Of each incarnation of an instance, the newest record counts. An incarnation
+// does not replace its predecessor, whose consumption is still in the window. The zero
+// value is empty.
 //
-// How old a record is follows from other records: the clock of one run tells the time
-// between two of its own. Times of day may jump and differ. Where no run has a record
-// on both sides of a gap, the gap counts as no time, which keeps spending in the window
-// for longer than it is.
+// The age of a record follows from other records: the clock of one incarnation gives the
+// time between two of its own. Wall clocks may jump, and differ between instances. If no
+// incarnation has a record on both sides of a gap, the gap counts as zero, which keeps
+// consumption in the window for longer than it is there.
 type EarlierRecords struct {
 	incarnations []incarnationRecord
 	// elapsed is the time from the first record to the newest.
 	elapsed time.Duration
-	// global is the newest record of what all have spent, and knownAt when that was.
+	// global is the newest record of the consumption of all instances, and globalAt is when it
+	// was written, on the time scale of elapsed.
 	global   []GlobalConsumption
 	globalAt time.Duration
 }
 
-// globalRecordTTL is the age up to which a record of what all have spent stands for all of
-// it: those that record for all do so every two seconds, and sooner when much is spent.
+// globalRecordTTL is the age up to which a record of the consumption of all instances is used
+// instead of the records of each instance. Recorders write one every two seconds, and sooner
+// when much is consumed.
 const globalRecordTTL = 3 * time.Second
 
-// incarnationRecord is one incarnationRecord of an instance.
+// incarnationRecord is the newest record of one incarnation of an instance.
 type incarnationRecord struct {
 	instance    fleet.InstanceID
 	incarnation fleet.Incarnation
-	// recordedAt is the run's own recordedAt at its newest record, and elapsed when that was.
+	// recordedAt is the record's time on the clock of the incarnation, and elapsed the same
+	// time on the scale of EarlierRecords.elapsed.
 	recordedAt  time.Time
 	elapsed     time.Duration
 	consumption []Consumption
 }
 
-// Add takes a record in that a run made when its clock said at.
+// Add adds a record that an incarnation wrote when its clock showed at.
 func (p *EarlierRecords) Add(
-	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption, known []GlobalConsumption,
+	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, consumption []Consumption, global []GlobalConsumption,
 ) {
-	p.addIncarnation(id, incarnation, at, spent)
+	p.addIncarnation(id, incarnation, at, consumption)
 
-	if len(known) > 0 {
-		p.global, p.globalAt = known, p.elapsed
+	if len(global) > 0 {
+		p.global, p.globalAt = global, p.elapsed
 	}
 }
 
-func (p *EarlierRecords) addIncarnation(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption) {
+func (p *EarlierRecords) addIncarnation(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, consumption []Consumption) {
 	for i := range p.incarnations {
 		r := &p.incarnations[i]
 		if r.instance != id || r.incarnation != incarnation {
@@ -57,41 +60,42 @@
 		}
 
 		p.elapsed = max(p.elapsed, r.elapsed+at.Sub(r.recordedAt))
-		r.recordedAt, r.elapsed, r.consumption = at, p.elapsed, spent
+		r.recordedAt, r.elapsed, r.consumption = at, p.elapsed, consumption
 
 		return
 	}
 
-	p.incarnations = append(p.incarnations, incarnationRecord{instance: id, incarnation: incarnation, recordedAt: at, elapsed: p.elapsed, consumption: spent})
+	p.incarnations = append(p.incarnations, incarnationRecord{instance: id, incarnation: incarnation, recordedAt: at, elapsed: p.elapsed, consumption: consumption})
 }
 
-// Restore takes in what was recorded before this instance started. All instances
-// may have ended since, each with its part of what is spent before it is recorded.
-func (q *Quota) Restore(now time.Time, p *EarlierRecords) {
-	if len(p.global) > 0 && p.elapsed-p.globalAt <= globalRecordTTL {
-		q.restoreGlobal(now, now.Add(p.globalAt-p.elapsed), p.global, p.incarnations)
+// Restore restores the consumption that was recorded before this instance started. All
+// instances may have terminated since, each after it consumed its share of the unrecorded
+// fraction.
+func (q *Quota) Restore(now time.Time, records *EarlierRecords) {
+	if len(records.global) > 0 && records.elapsed-records.globalAt <= globalRecordTTL {
+		q.restoreGlobal(now, now.Add(records.globalAt-records.elapsed), records.global, records.incarnations)
 
 		return
 	}
 
 	instances := make(map[fleet.InstanceID]bool)
-	for _, r := range p.incarnations {
+	for _, r := range records.incarnations {
 		instances[r.instance] = true
 	}
 
-	for _, r := range p.incarnations {
-		q.RestoreInstance(r.instance, r.incarnation, now.Add(r.elapsed-p.elapsed), r.consumption, UnrecordedFraction/float64(len(instances)))
+	for _, r := range records.incarnations {
+		q.RestoreInstance(r.instance, r.incarnation, now.Add(r.elapsed-records.elapsed), r.consumption, UnrecordedFraction/float64(len(instances)))
 	}
 }
 
-// RestoreInstance takes in what an instance had recorded at a time before this one started. It
-// may have ended since; untold is the part of each allowance that it may have spent
-// after that without telling anybody.
-func (q *Quota) RestoreInstance(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption, untold float64) {
+// RestoreInstance restores what an instance had recorded at a time before this one
+// started. That instance may have terminated since; unrecordedFraction is the fraction of each
+// allowance that it may have consumed afterwards without recording it.
+func (q *Quota) RestoreInstance(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, consumption []Consumption, unrecordedFraction float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	for _, s := range spent {
+	for _, s := range consumption {
 		a := q.accounts[s.Account]
 		if a == nil {
 			continue
@@ -102,18 +106,18 @@
 		o.demand.total = max(o.demand.total, o.baseDemand+s.Asked-s.Recent)
 
 		total := o.baseConsumed + s.Total - s.Recent
-		for i, part := range s.Ages {
-			total += float64(part)
+		for i, amount := range s.Ages {
+			total += float64(amount)
 			o.consumed.raiseTo(q.bucketEnd(at, i, len(s.Ages)), total)
 		}
 
-		o.consumed.raiseTo(at, o.baseConsumed+s.Total+untold*a.allowance.Amount)
+		o.consumed.raiseTo(at, o.baseConsumed+s.Total+unrecordedFraction*a.allowance.Amount)
 		o.demand.raiseTo(at, o.baseDemand+s.Asked)
 	}
 }
 
-// remote returns what is known of another instance, whose run is a new one where it was
-// not known yet or has another incarnation.
+// remote returns the state of an instance, which it adds if it is missing. If the incarnation
+// is a new one, the totals so far become its base.
 func (a *account) remote(id fleet.InstanceID, incarnation fleet.Incarnation) *remote {
 	o := a.remotes[id]
 	if o == nil {
--- a/quota/updates.go
+++ b/quota/updates.go
@@ -6,8 +6,8 @@
 	"monsoonlever/fleet"
 )
 
-// Acknowledged is told that another instance has heard this one directly, what this one
-// had spent by then included.
+// Acknowledged records that another instance has received directly what this instance had
+// consumed at a time.
 func (q *Quota) Acknowledged(at time.Time, id fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -17,27 +17,28 @@
 	}
 }
 
-// Receive takes in what another instance has spent since its start.
-func (q *Quota) Receive(now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, spent []Consumption) {
+// Receive merges what another instance has consumed since it started.
+func (q *Quota) Receive(now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, consumption []Consumption) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	for _, s := range spent {
+	for _, s := range consumption {
 		a := q.accounts[s.Account]
 		if a == nil {
 			continue
 		}
 
-		_, known := a.remotes[id]
+		_, exists := a.remotes[id]
 		o := a.remote(id, incarnation)
 
-		switch covered, ok := q.restored[id]; {
-		case known:
-		case ok && covered == incarnation:
-			// All of it was inherited.
+		switch restored, ok := q.restored[id]; {
+		case exists:
+		case ok && restored == incarnation:
+			// All of it is in the restored record.
 			o.consumed.total, o.demand.total = s.Total, s.Asked
 		default:
-			// Of what was spent before, only the newest part still counts.
+			// Of the consumption before the first update, only the recent part is still in the
+			// window.
 			o.consumed.total = s.Total - s.Recent
 			o.demand.total = s.Asked - s.Recent
 		}
@@ -49,8 +50,9 @@
 	}
 }
 
-// SetMembers sets which instances share the allowances, this one among them, and which of
-// them record what all have spent. Where none is named, each records its own.
+// SetMembers sets the instances that share the allowances, including this one, and which of
+// them record the consumption of all instances. Without recorders, each instance records its
+// own.
 func (q *Quota) SetMembers(ids, recorders []fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -70,7 +72,8 @@
 	q.assignReserves()
 }
 
-// HasSynced tells whether the others' news was read at least once.
+// HasSynced reports whether the records of the other instances were read to the end at least
+// once.
 func (q *Quota) HasSynced() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -78,10 +81,12 @@
 	return !q.syncedAt.IsZero()
 }
 
-// Synced returns a channel that is closed once the others' news was read.
+// Synced returns a channel that is closed once the records of the other instances were read to
+// the end.
 func (q *Quota) Synced() <-chan struct{} { return q.synced }
 
-// MarkSynced is told that the others' news was read to its end.
+// MarkSynced records that the records of the other instances were read to the end, and removes
+// state that is no longer needed.
 func (q *Quota) MarkSynced(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -21,22 +21,22 @@
 	asker := &Limiter{Self: self, Clock: clock.NewSteady(), Announcements: &announcementStore{}, Granter: &Granter{Self: self}}
 	asker.Granter.SetLeaders(asker.Clock.Now(), leaders)
 
-	question, err := msgpack.Marshal(&PermitRequest{
+	message, err := msgpack.Marshal(&PermitRequest{
 		From: "entry-9", Number: 1, Server: server, Rate: 1.5, Age: time.Second, Patience: time.Millisecond,
 	})
 	if err != nil {
 		b.Fatal(err)
 	}
 
-	b.ReportMetric(float64(len(question)), "request-B")
+	b.ReportMetric(float64(len(message)), "request-B")
 
 	for b.Loop() {
-		var ask PermitRequest
-		if err := codec.Unmarshal(question, &ask); err != nil {
+		var request PermitRequest
+		if err := codec.Unmarshal(message, &request); err != nil {
 			b.Fatal(err)
 		}
 
-		reply := asker.HandleRequest(ask)
+		reply := asker.HandleRequest(request)
 		if _, err := msgpack.Marshal(&reply); err != nil {
 			b.Fatal(err)
 		}
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -59,7 +59,7 @@
 	// Leaders returns the current leaders.
 	Leaders func() []fleet.InstanceID
 	// Send sends a permit request to another instance.
-	Send func(to fleet.InstanceID, ask PermitRequest)
+	Send func(to fleet.InstanceID, request PermitRequest)
 	// Counters count the permit requests by outcome; nil counts none.
 	Counters *Counters
 
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -52,11 +52,11 @@
 	return d, RankLeaders(limited, ids)
 }
 
-func (d *limiterGroup) send(to fleet.InstanceID, ask PermitRequest) {
+func (d *limiterGroup) send(to fleet.InstanceID, request PermitRequest) {
 	d.received[to]++
 
 	if !d.unreachable[to] {
-		d.limiters[ask.From].HandleResponse(d.limiters[to].HandleRequest(ask))
+		d.limiters[request.From].HandleResponse(d.limiters[to].HandleRequest(request))
 	}
 }
 
@@ -187,18 +187,18 @@
 func TestResponseLiftsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b")
-		asks := ranked[1]
-		d.announcements[asks].newest = Announcement{Rate: 10, At: time.Now()}
+		requester := ranked[1]
+		d.announcements[requester].newest = Announcement{Rate: 10, At: time.Now()}
 
 		time.Sleep(time.Second)
 
 		d.announcements[ranked[0]].newest = Announcement{Rate: Unlimited, At: time.Now()}
 
-		if got := d.limiters[asks].Acquire(t.Context(), limited, d.announcements[asks].newest, 0); !got.Granted {
+		if got := d.limiters[requester].Acquire(t.Context(), limited, d.announcements[requester].newest, 0); !got.Granted {
 			t.Errorf("got %+v, want it granted", got)
 		}
 
-		if got := d.announcements[asks].newest.Rate; got != Unlimited {
+		if got := d.announcements[requester].newest.Rate; got != Unlimited {
 			t.Errorf("announcement after the response: got %v, want no limit", got)
 		}
 	})
@@ -211,17 +211,17 @@
 		known := Announcement{Rate: 10, At: time.Now()}
 		d.announcements[ranked[0]].newest = known
 
-		for name, ask := range map[string]PermitRequest{
+		for name, request := range map[string]PermitRequest{
 			"not a number":   {Rate: Rate(math.NaN())},
 			"negative rate":  {Rate: -1},
 			"infinite rate":  {Rate: Rate(math.Inf(1))},
 			"negative age":   {Rate: 1, Age: -time.Hour},
 			"unbounded wait": {Rate: 10, Age: time.Hour, Patience: math.MaxInt64},
 		} {
-			ask.Server = limited
+			request.Server = limited
 
 			for range 100 {
-				if got := d.limiters[ranked[0]].HandleRequest(ask); got.Wait > maxReservation+time.Second {
+				if got := d.limiters[ranked[0]].HandleRequest(request); got.Wait > maxReservation+time.Second {
 					t.Errorf("%s: got %+v, want a wait of %v or so at most", name, got, maxReservation)
 				}
 			}
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -36,10 +36,10 @@
 // does not hide that limit from an instance that receives its announcement later.
 func TestResponseInFlightDoesNotHideLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
-	named := Announcement{Rate: 2, At: now}
+	announced := Announcement{Rate: 2, At: now}
 
-	got := Announcement{}.Observed(Unlimited, now.Add(-time.Second), now.Add(time.Second)).Newest(named)
-	if got != named {
-		t.Errorf("got %+v, want %+v", got, named)
+	got := Announcement{}.Observed(Unlimited, now.Add(-time.Second), now.Add(time.Second)).Newest(announced)
+	if got != announced {
+		t.Errorf("got %+v, want %+v", got, announced)
 	}
 }
