--- a/board/board.go
+++ b/board/board.go
@@ -97,13 +97,13 @@
 const (
 	// callTimeout bounds one call; the store answers in some milliseconds.
 	callTimeout = time.Second
-	// firstTimeout bounds a call until the board was first read to its end: what is
+	// firstReadTimeout bounds a call until the board was first read to its end: what is
 	// kept takes a second on a slow link, and more while all instances read it.
-	firstTimeout = 5 * time.Second
-	// maxReads bounds the reads of one round.
-	maxReads = 8
-	// inactivePause is how often an instance that takes no part looks whether it does.
-	inactivePause = 500 * time.Millisecond
+	firstReadTimeout = 5 * time.Second
+	// maxReadsPerRound bounds the reads of one round.
+	maxReadsPerRound = 8
+	// inactivePollInterval is how often an instance that takes no part looks whether it does.
+	inactivePollInterval = 500 * time.Millisecond
 )
 
 // Board writes and reads. Its exported fields are set before Run.
@@ -127,12 +127,12 @@
 	// CaughtUp is told when a round has read to the end.
 	CaughtUp func(now time.Time)
 
-	wake  feed.Signal
-	next  feed.Position
-	begun bool
-	lost  bool
-	// readAt is when the board was last read.
-	readAt time.Time
+	wake         feed.Signal
+	nextPosition feed.Position
+	positioned   bool
+	unavailable  bool
+	// lastReadAt is when the board was last read.
+	lastReadAt time.Time
 }
 
 // Run writes and reads until ctx ends.
@@ -153,7 +153,7 @@
 			err = errors.Join(err, b.read(ctx))
 		}
 
-		b.note(ctx, err)
+		b.logAvailability(ctx, err)
 		b.pause(ctx, began)
 	}
 }
@@ -165,7 +165,7 @@
 	}
 
 	select {
-	case <-b.Clock.After(inactivePause):
+	case <-b.Clock.After(inactivePollInterval):
 	case <-b.wake.C():
 	case <-ctx.Done():
 	}
@@ -174,7 +174,7 @@
 }
 
 func (b *Board) readDue(now time.Time) bool {
-	return b.readAt.IsZero() || b.ReadInterval == nil || now.Sub(b.readAt) >= b.ReadInterval()
+	return b.lastReadAt.IsZero() || b.ReadInterval == nil || now.Sub(b.lastReadAt) >= b.ReadInterval()
 }
 
 // Wake asks for the next round to be made soon.
@@ -213,7 +213,7 @@
 }
 
 func (b *Board) read(ctx context.Context) error {
-	for range maxReads {
+	for range maxReadsPerRound {
 		more, err := b.readOnce(ctx)
 		if err != nil || !more {
 			return err
@@ -225,25 +225,25 @@
 
 func (b *Board) readOnce(ctx context.Context) (bool, error) {
 	timeout := callTimeout
-	if b.readAt.IsZero() {
-		timeout = firstTimeout
+	if b.lastReadAt.IsZero() {
+		timeout = firstReadTimeout
 	}
 
 	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 
-	if !b.begun {
+	if !b.positioned {
 		first, err := b.Log.First(call)
 		if err != nil {
 			return false, err
 		}
 
-		b.next, b.begun = first, true
+		b.nextPosition, b.positioned = first, true
 	}
 
-	changes, err := b.Log.Changes(call, b.next, 0)
+	changes, err := b.Log.Changes(call, b.nextPosition, 0)
 	if errors.Is(err, feed.ErrTrimmed) {
-		b.begun = false
+		b.positioned = false
 
 		return true, nil
 	}
@@ -254,13 +254,13 @@
 
 	now := b.Clock.Now()
 	b.deliver(now, changes.Entries)
-	b.next = changes.Next
+	b.nextPosition = changes.Next
 
 	if changes.Next < changes.End {
 		return true, nil
 	}
 
-	b.readAt = now
+	b.lastReadAt = now
 	b.CaughtUp(now)
 
 	return false, nil
@@ -281,13 +281,13 @@
 	}
 }
 
-func (b *Board) note(ctx context.Context, err error) {
-	if ctx.Err() != nil || (err != nil) == b.lost {
+func (b *Board) logAvailability(ctx context.Context, err error) {
+	if ctx.Err() != nil || (err != nil) == b.unavailable {
 		return
 	}
 
-	b.lost = err != nil
-	if b.lost {
+	b.unavailable = err != nil
+	if b.unavailable {
 		klog.InfoS("dependency lost", "dependency", "board", "err", err.Error())
 	} else {
 		klog.InfoS("dependency regained", "dependency", "board")
--- a/board/members.go
+++ b/board/members.go
@@ -14,14 +14,14 @@
 // Members are the entry instances that were heard of lately. The zero value knows
 // none.
 type Members struct {
-	mu    sync.Mutex
-	heard map[fleet.InstanceID]heardMember
-	// asked is when Expire was last called, and steady since when without a gap.
-	asked, steady time.Time
-	lapse         time.Duration
+	mu      sync.Mutex
+	members map[fleet.InstanceID]seenMember
+	// lastExpireAt is when Expire was last called, and steadySince since when without a gap.
+	lastExpireAt, steadySince time.Time
+	lastTimeout               time.Duration
 }
 
-type heardMember struct {
+type seenMember struct {
 	topology.Member
 	at time.Time
 }
@@ -50,18 +50,18 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	if m.heard == nil {
-		m.heard = make(map[fleet.InstanceID]heardMember)
+	if m.members == nil {
+		m.members = make(map[fleet.InstanceID]seenMember)
 	}
 
-	m.heard[member.ID] = heardMember{Member: member, at: now}
+	m.members[member.ID] = seenMember{Member: member, at: now}
 }
 
 // Remove takes in that an instance stops.
 func (m *Members) Remove(id fleet.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.heard, id)
+	delete(m.members, id)
 }
 
 // Refresh takes in that an instance that is known has said something.
@@ -69,9 +69,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	if one, ok := m.heard[id]; ok {
+	if one, ok := m.members[id]; ok {
 		one.at = now
-		m.heard[id] = one
+		m.members[id] = one
 	}
 }
 
@@ -80,8 +80,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	all := make([]topology.Member, 0, len(m.heard))
-	for _, one := range m.heard {
+	all := make([]topology.Member, 0, len(m.members))
+	for _, one := range m.members {
 		all = append(all, one.Member)
 	}
 
@@ -93,7 +93,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	one := m.heard[id]
+	one := m.members[id]
 
 	return one.Address, one.Address.IsValid()
 }
@@ -101,32 +101,32 @@
 // Expire drops the instances that have been silent for longer than lapse. It is called
 // only after the board was read to its end: one that can't be read says nothing of
 // the others.
-func (m *Members) Expire(now time.Time, lapse time.Duration) []fleet.InstanceID {
+func (m *Members) Expire(now time.Time, timeout time.Duration) []fleet.InstanceID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	if now.Sub(m.asked) > lapse/2 || lapse < m.lapse {
+	if now.Sub(m.lastExpireAt) > timeout/2 || timeout < m.lastTimeout {
 		// The board was away: others could not be heard either. And one that hears more
 		// of the others than before has yet to hear them.
-		m.steady = now
+		m.steadySince = now
 	}
 
-	m.asked, m.lapse = now, lapse
+	m.lastExpireAt, m.lastTimeout = now, timeout
 
-	if now.Sub(m.steady) < lapse {
+	if now.Sub(m.steadySince) < timeout {
 		return nil
 	}
 
-	var gone []fleet.InstanceID
+	var expired []fleet.InstanceID
 
-	for id, one := range m.heard {
-		if now.Sub(one.at) > lapse {
-			gone = append(gone, id)
-			delete(m.heard, id)
+	for id, one := range m.members {
+		if now.Sub(one.at) > timeout {
+			expired = append(expired, id)
+			delete(m.members, id)
 		}
 	}
 
-	return gone
+	return expired
 }
 
 // Count returns how many instances there are, at least one.
@@ -134,7 +134,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	return max(len(m.heard), 1)
+	return max(len(m.members), 1)
 }
 
 // IDs returns the instances in the order of their names.
@@ -142,5 +142,5 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	return slices.Sorted(maps.Keys(m.heard))
+	return slices.Sorted(maps.Keys(m.members))
 }
--- a/directory/planner.go
+++ b/directory/planner.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// silentAfter is how long a relay without a report is kept: some reports may be lost, and
+	// reportTimeout is how long a relay without a report is kept: some reports may be lost, and
 	// an instance that is restarted is back by then.
-	silentAfter = 6 * time.Second
-	// countDrift is the change of the number of instances that is worth a record.
-	countDrift = 0.1
+	reportTimeout = 6 * time.Second
+	// maxCountDrift is the change of the number of instances that is worth a record.
+	maxCountDrift = 0.1
 )
 
 // Report is what one relay says of the instances that turned to it.
@@ -31,56 +31,56 @@
 // Planner decides which instances relay. The zero value has no reports; it is safe for
 // concurrent use.
 type Planner struct {
-	mu      sync.Mutex
-	began   time.Time
-	reports map[fleet.InstanceID]received
+	mu        sync.Mutex
+	startedAt time.Time
+	reports   map[fleet.InstanceID]timedReport
 }
 
-type received struct {
+type timedReport struct {
 	Report
 
 	at time.Time
 }
 
 // AddReport takes a relay's report in.
-func (k *Planner) AddReport(now time.Time, r Report) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (p *Planner) AddReport(now time.Time, r Report) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 
-	if k.reports == nil {
-		k.reports = make(map[fleet.InstanceID]received)
+	if p.reports == nil {
+		p.reports = make(map[fleet.InstanceID]timedReport)
 	}
 
-	k.reports[r.Relay.ID] = received{Report: r, at: now}
+	p.reports[r.Relay.ID] = timedReport{Report: r, at: now}
 }
 
 // Reset forgets all reports: this instance did not get any meanwhile.
-func (k *Planner) Reset() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (p *Planner) Reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 
-	k.began, k.reports = time.Time{}, nil
+	p.startedAt, p.reports = time.Time{}, nil
 }
 
 // Next returns the directory that should follow the current one, and whether it says
 // anything else.
-func (k *Planner) Next(now time.Time, current *Directory) (*Directory, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (p *Planner) Next(now time.Time, current *Directory) (*Directory, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 
-	if k.began.IsZero() {
-		k.began = now
+	if p.startedAt.IsZero() {
+		p.startedAt = now
 	}
 
-	for id, r := range k.reports {
+	for id, r := range p.reports {
 		// Instances that turned to one that relays no longer are counted elsewhere.
-		if now.Sub(r.at) > silentAfter || !current.HasRelay(id) {
-			delete(k.reports, id)
+		if now.Sub(r.at) > reportTimeout || !current.HasRelay(id) {
+			delete(p.reports, id)
 		}
 	}
 
-	sizes, count := k.sizes()
-	if now.Sub(k.began) < silentAfter {
+	sizes, count := p.sizes()
+	if now.Sub(p.startedAt) < reportTimeout {
 		// Some relays may not have reported yet.
 		count = max(count, current.Count)
 	}
@@ -88,18 +88,18 @@
 	next := &Directory{Count: count}
 
 	if count > topology.FullMeshMax {
-		next.Relays = k.choose(k.staying(now, current), sizes)
+		next.Relays = p.chooseRelays(p.retainedRelays(now, current), sizes)
 	}
 
-	return next, differs(current, next)
+	return next, differsEnough(current, next)
 }
 
 // sizes adds up how many instances there are in each failure domain and in all.
-func (k *Planner) sizes() (map[fleet.FailureDomain]int, int) {
+func (p *Planner) sizes() (map[fleet.FailureDomain]int, int) {
 	sizes := make(map[fleet.FailureDomain]int)
 	count := 0
 
-	for _, r := range k.reports {
+	for _, r := range p.reports {
 		for domain, n := range r.Sizes {
 			sizes[domain] += n
 			count += n
@@ -109,12 +109,12 @@
 	return sizes, count
 }
 
-// staying returns the relays that have reported, or may not have had the time to.
-func (k *Planner) staying(now time.Time, current *Directory) []topology.Member {
+// retainedRelays returns the relays that have reported, or may not have had the time to.
+func (p *Planner) retainedRelays(now time.Time, current *Directory) []topology.Member {
 	var staying []topology.Member
 
 	for _, m := range current.Relays {
-		if _, ok := k.reports[m.ID]; ok || now.Sub(k.began) < silentAfter {
+		if _, ok := p.reports[m.ID]; ok || now.Sub(p.startedAt) < reportTimeout {
 			staying = append(staying, m)
 		}
 	}
@@ -122,21 +122,21 @@
 	return staying
 }
 
-// choose fills up the relays of each failure domain from the candidates, and replaces smaller
+// chooseRelays fills up the relays of each failure domain from the candidates, and replaces smaller
 // instances by larger ones.
-func (k *Planner) choose(relays []topology.Member, sizes map[fleet.FailureDomain]int) []topology.Member {
-	candidates := k.candidates(relays)
+func (p *Planner) chooseRelays(relays []topology.Member, sizes map[fleet.FailureDomain]int) []topology.Member {
+	candidates := p.candidates(relays)
 	chosen := slices.Clone(relays)
 
 	for domain, size := range sizes {
-		chosen = fill(chosen, candidates[domain], domain, topology.TargetRelays(size, len(sizes)))
+		chosen = fillDomain(chosen, candidates[domain], domain, topology.TargetRelays(size, len(sizes)))
 	}
 
 	return topology.Rank(chosen)
 }
 
 // candidates returns those that are no relays yet, by failure domain, the first in rank first.
-func (k *Planner) candidates(relays []topology.Member) map[fleet.FailureDomain][]topology.Member {
+func (p *Planner) candidates(relays []topology.Member) map[fleet.FailureDomain][]topology.Member {
 	seen := make(map[fleet.InstanceID]bool, len(relays))
 	for _, m := range relays {
 		seen[m.ID] = true
@@ -144,7 +144,7 @@
 
 	var all []topology.Member
 
-	for _, r := range k.reports {
+	for _, r := range p.reports {
 		for _, m := range r.Candidates {
 			if !seen[m.ID] {
 				seen[m.ID] = true
@@ -161,9 +161,9 @@
 	return candidates
 }
 
-// fill adds candidates of one failure domain to all relays until it has as many as wanted, and
+// fillDomain adds candidates of one failure domain to all relays until it has as many as wanted, and
 // puts larger candidates in the place of its smallest relays.
-func fill(relays, candidates []topology.Member, domain fleet.FailureDomain, wanted int) []topology.Member {
+func fillDomain(relays, candidates []topology.Member, domain fleet.FailureDomain, wanted int) []topology.Member {
 	var own, others []topology.Member
 
 	for _, m := range relays {
@@ -191,9 +191,9 @@
 	return append(others, own...)
 }
 
-// differs reports whether two directories differ by more than a few instances that came or went.
-func differs(a, b *Directory) bool {
-	if a.Forming != b.Forming || a.FullMesh() != b.FullMesh() || math.Abs(float64(a.Count-b.Count)) > countDrift*float64(a.Count) {
+// differsEnough reports whether two directories differ by more than a few instances that came or went.
+func differsEnough(a, b *Directory) bool {
+	if a.Forming != b.Forming || a.FullMesh() != b.FullMesh() || math.Abs(float64(a.Count-b.Count)) > maxCountDrift*float64(a.Count) {
 		return true
 	}
 
--- a/directory/planner_test.go
+++ b/directory/planner_test.go
@@ -98,7 +98,7 @@
 	return current, changes
 }
 
-func TestTheFirstDirectoryHasEnoughRelaysInEachDomain(t *testing.T) {
+func TestFirstDirectoryHasEnoughRelaysPerDomain(t *testing.T) {
 	for _, n := range []int{13, 30, 80, 195, 410, 986, 2000} {
 		members := fleetOf(n, 6)
 		first := members[0]
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestADirectoryGrowsWithTheFleet(t *testing.T) {
+func TestDirectoryGrowsWithFleet(t *testing.T) {
 	members := fleetOf(986, 6)
 	few := members[:100]
 
@@ -186,8 +186,8 @@
 			current = next
 		}
 
-		if now.Sub(begin) < silentAfter && !current.HasRelay(lost.ID) {
-			t.Fatalf("after %v: got the relay replaced, want it kept for %v", now.Sub(begin), silentAfter)
+		if now.Sub(begin) < reportTimeout && !current.HasRelay(lost.ID) {
+			t.Fatalf("after %v: got the relay replaced, want it kept for %v", now.Sub(begin), reportTimeout)
 		}
 	}
 
@@ -197,20 +197,20 @@
 }
 
 // An instance that has just begun to lead knows few reports, and must not take that for a loss.
-func TestANewLeaderDropsNobodyBeforeItCouldHear(t *testing.T) {
+func TestNewLeaderKeepsRelaysBeforeReports(t *testing.T) {
 	members := fleetOf(986, 6)
 	current, _ := settle(t, &Directory{Relays: topology.RelaysOf(topology.Rank(members)), Count: len(members)}, members)
 
 	var keeper Planner
 
-	for _, after := range []time.Duration{0, time.Second, silentAfter - time.Millisecond} {
+	for _, after := range []time.Duration{0, time.Second, reportTimeout - time.Millisecond} {
 		if next, changed := keeper.Next(begin.Add(after), current); changed {
 			t.Errorf("after %v without reports: got %d instances and %d relays, want nothing changed", after, next.Count, len(next.Relays))
 		}
 	}
 }
 
-func TestADirectoryIsDecodedAsItWasEncoded(t *testing.T) {
+func TestMarshalRoundTrip(t *testing.T) {
 	want := &Directory{Relays: fleetOf(20, 3), Count: 400, Forming: true}
 
 	data, err := want.Marshal()
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -29,14 +29,14 @@
 	// IntervalPerPeer is the time between two words per peer: at most some 170 datagrams a
 	// second leave an instance, however many there are.
 	IntervalPerPeer = 6 * time.Millisecond
-	// minEvery keeps few instances from waking each other more often than the news
+	// minInterval keeps few instances from waking each other more often than the news
 	// is worth.
-	minEvery = 150 * time.Millisecond
+	minInterval = 150 * time.Millisecond
 )
 
 // Interval returns the time between two words of an instance with n peers.
 func Interval(n int) time.Duration {
-	return max(time.Duration(n)*IntervalPerPeer, minEvery)
+	return max(time.Duration(n)*IntervalPerPeer, minInterval)
 }
 
 // Exchange sends and receives. Its fields are set before Run.
@@ -134,7 +134,7 @@
 		if err != nil {
 			if ctx.Err() == nil {
 				klog.ErrorS(err, "gossip is not received")
-				clock.Sleep(ctx, e.Clock, minEvery)
+				clock.Sleep(ctx, e.Clock, minInterval)
 			}
 
 			continue
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/clock"
 )
 
-func TestTheSocketIsClosedOnceTheExchangeHasEnded(t *testing.T) {
+func TestRunClosesSocketBeforeReturning(t *testing.T) {
 	const turns = 500
 
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
--- a/gossip/requests_test.go
+++ b/gossip/requests_test.go
@@ -9,7 +9,7 @@
 	"monsoonlever/clock"
 )
 
-func TestAQuestionGetsItsReply(t *testing.T) {
+func TestDoReturnsMatchingReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var q Requests[string]
 
@@ -27,7 +27,7 @@
 }
 
 // One that does not reply is waited for once, and then not asked for a while.
-func TestOneThatDoesNotReplyIsPassedOver(t *testing.T) {
+func TestDoSkipsSilentInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var q Requests[string]
 
@@ -50,7 +50,7 @@
 			t.Errorf("next wait: got %v after %d questions, want none after 1", got, asked)
 		}
 
-		time.Sleep(silentSpan)
+		time.Sleep(silentRetryDelay)
 		ask()
 
 		if asked != 2 {
@@ -60,7 +60,7 @@
 }
 
 // A caller that leaves says nothing of the instance that was asked.
-func TestACallerThatLeavesSilencesNobody(t *testing.T) {
+func TestCanceledCallerDoesNotMarkSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var q Requests[string]
 
--- a/register/deltas_test.go
+++ b/register/deltas_test.go
@@ -12,7 +12,7 @@
 )
 
 // However changes come, the list, the digest and the deltas agree with the changes one by one.
-func TestHoldsDeltasAgreeWithTheServers(t *testing.T) {
+func TestHoldsDeltasMatchServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Register
 
--- a/register/leaving.go
+++ b/register/leaving.go
@@ -2,25 +2,25 @@
 
 import "github.com/hashicorp/golang-lru/v2/simplelru"
 
-// maxLeaving bounds how many starts are remembered to leave: a server that leaves ends
+// maxLeavingProcesses bounds how many starts are remembered to leave: a server that leaves ends
 // within minutes, and most of those are long gone.
-const maxLeaving = 4096
+const maxLeavingProcesses = 4096
 
-// leavingStarts are the starts of servers that are known to leave, also those whose entry is
+// leavingProcesses are the starts of servers that are known to leave, also those whose entry is
 // not there: it may lapse and come back. The zero value is empty.
-type leavingStarts struct {
-	known *simplelru.LRU[Process, struct{}]
+type leavingProcesses struct {
+	processes *simplelru.LRU[Process, struct{}]
 }
 
-func (l *leavingStarts) add(start Process) {
-	if l.known == nil {
+func (l *leavingProcesses) add(process Process) {
+	if l.processes == nil {
 		// It fails for a size that is not positive only.
-		l.known, _ = simplelru.NewLRU[Process, struct{}](maxLeaving, nil)
+		l.processes, _ = simplelru.NewLRU[Process, struct{}](maxLeavingProcesses, nil)
 	}
 
-	l.known.Add(start, struct{}{})
+	l.processes.Add(process, struct{}{})
 }
 
-func (l *leavingStarts) has(start Process) bool {
-	return l.known != nil && l.known.Contains(start)
+func (l *leavingProcesses) has(process Process) bool {
+	return l.processes != nil && l.processes.Contains(process)
 }
--- a/register/leaving_test.go
+++ b/register/leaving_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a server that leaves being taken for ready again by an older entry, a whole
 // set, or an entry that lapsed and came back.
-func TestHoldsLeavingIsFinalForAStart(t *testing.T) {
+func TestHoldsLeavingIsFinalForProcess(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Register
 
@@ -56,14 +56,14 @@
 }
 
 // Guards against what leaves piling up without a bound.
-func TestFewStartsAreRememberedToLeave(t *testing.T) {
+func TestLeavingProcessesAreBounded(t *testing.T) {
 	var r Register
 
-	for i := range 2 * maxLeaving {
+	for i := range 2 * maxLeavingProcesses {
 		r.MarkLeaving([]Process{{ID: "i-1", Incarnation: fleet.Incarnation(i + 1)}})
 	}
 
-	if got := r.leaving.known.Len(); got != maxLeaving {
-		t.Errorf("remembered: got %d, want %d", got, maxLeaving)
+	if got := r.leaving.processes.Len(); got != maxLeavingProcesses {
+		t.Errorf("remembered: got %d, want %d", got, maxLeavingProcesses)
 	}
 }
--- a/register/register.go
+++ b/register/register.go
@@ -87,13 +87,13 @@
 type Register struct {
 	mu      sync.Mutex
 	servers map[fleet.InstanceID]Server
-	// touched are the servers that are being changed, as they were before; nil was not there.
-	touched map[fleet.InstanceID]*Server
-	// sum is the digest of servers.
-	sum uint64
+	// beforeChange are the servers that are being changed, as they were before; nil was not there.
+	beforeChange map[fleet.InstanceID]*Server
+	// digestSum is the digest of servers.
+	digestSum uint64
 	// versions are those of the newest changes, also of servers that are gone.
 	versions map[fleet.InstanceID]uint64
-	leaving  leavingStarts
+	leaving  leavingProcesses
 	current  atomic.Pointer[[]Server]
 	digest   atomic.Uint64
 }
@@ -148,7 +148,7 @@
 func (r *Register) init() {
 	if r.servers == nil {
 		r.servers = make(map[fleet.InstanceID]Server)
-		r.touched = make(map[fleet.InstanceID]*Server)
+		r.beforeChange = make(map[fleet.InstanceID]*Server)
 		r.versions = make(map[fleet.InstanceID]uint64)
 	}
 }
@@ -186,42 +186,42 @@
 func (r *Register) put(s Server) {
 	r.remove(s.ID)
 	r.servers[s.ID] = s
-	r.sum += digest(s)
+	r.digestSum += digest(s)
 }
 
 // remove takes a server away if it is there.
 func (r *Register) remove(id fleet.InstanceID) {
 	before, there := r.servers[id]
-	if _, touched := r.touched[id]; !touched {
-		r.touched[id] = nil
+	if _, touched := r.beforeChange[id]; !touched {
+		r.beforeChange[id] = nil
 		if there {
-			r.touched[id] = &before
+			r.beforeChange[id] = &before
 		}
 	}
 
 	if there {
 		delete(r.servers, id)
-		r.sum -= digest(before)
+		r.digestSum -= digest(before)
 	}
 }
 
 // MarkLeaving marks starts of servers that are known to leave, and returns what changed. It is final: a server announces it in its answers while its entry can't be
 // written, and an older entry of the same start does not take it back.
-func (r *Register) MarkLeaving(starts []Process) []Delta {
+func (r *Register) MarkLeaving(processes []Process) []Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
 
-	for _, start := range starts {
-		r.leaving.add(start)
+	for _, process := range processes {
+		r.leaving.add(process)
 
-		if s, ok := r.servers[start.ID]; ok && !s.Leaving && s.Process() == start {
+		if s, ok := r.servers[process.ID]; ok && !s.Leaving && s.Process() == process {
 			s.Leaving = true
 			r.put(s)
 		}
 	}
 
-	if len(r.touched) == 0 {
+	if len(r.beforeChange) == 0 {
 		return nil
 	}
 
@@ -235,7 +235,7 @@
 func (r *Register) publish() []Delta {
 	var deltas []Delta
 
-	for id, before := range r.touched {
+	for id, before := range r.beforeChange {
 		after, there := r.servers[id]
 
 		switch {
@@ -247,7 +247,7 @@
 	}
 
 	slices.SortFunc(deltas, func(a, b Delta) int { return strings.Compare(string(a.id()), string(b.id())) })
-	clear(r.touched)
+	clear(r.beforeChange)
 
 	if current := r.current.Load(); current == nil || float64(len(deltas)) > rebuildShare*float64(len(r.servers)) {
 		servers := slices.SortedFunc(maps.Values(r.servers), byID)
@@ -257,7 +257,7 @@
 		r.current.Store(&servers)
 	}
 
-	r.digest.Store(r.sum)
+	r.digest.Store(r.digestSum)
 
 	return deltas
 }
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -10,7 +10,7 @@
 	return Change{ID: id, Version: version, Server: &Server{ID: id, Service: "llm"}}
 }
 
-func TestAnOlderChangeChangesNothing(t *testing.T) {
+func TestApplyIgnoresOlderChanges(t *testing.T) {
 	var r Register
 	r.Replace([]Change{ready("i-1", 10), ready("i-2", 11)})
 	r.Apply([]Change{{ID: "i-1", Version: 20}})
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestTheDigestNamesWhichServersThereAre(t *testing.T) {
+func TestDigestIdentifiesServerSet(t *testing.T) {
 	var one, other Register
 	one.Replace([]Change{ready("i-1", 10), ready("i-2", 11)})
 	other.Replace([]Change{ready("i-2", 31), ready("i-1", 30)})
@@ -47,7 +47,7 @@
 
 // A server may start again under its id. What was said of the start before says nothing
 // of it, and an entry of that start which comes late does not bring it back.
-func TestAStartEndsWhatWasSaidOfTheOneBefore(t *testing.T) {
+func TestNewProcessIsNotLeaving(t *testing.T) {
 	var r Register
 
 	entry := func(version uint64, incarnation fleet.Incarnation, leaving bool) Change {
--- a/register/restore_test.go
+++ b/register/restore_test.go
@@ -12,7 +12,7 @@
 
 // A copy that lacks the newest records takes no server away, ends no leaving, and brings
 // nothing back that is gone. What is written after it counts as ever.
-func TestAnOlderCopyTakesNothingBack(t *testing.T) {
+func TestRestoreRevertsNoNewerChange(t *testing.T) {
 	var r Register
 
 	r.Replace([]Change{entryOf("stays", 1, false), entryOf("leaves", 2, false), entryOf("goes", 3, false)})
--- a/topology/churn_model_test.go
+++ b/topology/churn_model_test.go
@@ -14,30 +14,30 @@
 // of its own which members come and go.
 type churn struct {
 	*model
-	// learnsAt is when a node learns that a member is there, and forgetsAt that it is gone.
-	learnsAt, forgetsAt map[[2]fleet.InstanceID]time.Time
+	// joinReadAt is when a node learns that a member is there, and removalReadAt that it is gone.
+	joinReadAt, removalReadAt map[[2]fleet.InstanceID]time.Time
 	// changes counts how often a node named other leaders than before, and last is what it
 	// named.
 	changes map[fleet.InstanceID]int
 	last    map[fleet.InstanceID][]fleet.InstanceID
 }
 
-// slowest is how long an instance takes at most to read the record of another.
-const slowest = 4500 * time.Millisecond
+// maxReadDelay is how long an instance takes at most to read the record of another.
+const maxReadDelay = 4500 * time.Millisecond
 
 func newChurn(n, domains int, seed uint64) *churn {
 	c := &churn{
-		model: newModel(n, domains), learnsAt: make(map[[2]fleet.InstanceID]time.Time),
-		forgetsAt: make(map[[2]fleet.InstanceID]time.Time), changes: make(map[fleet.InstanceID]int),
+		model: newModel(n, domains), joinReadAt: make(map[[2]fleet.InstanceID]time.Time),
+		removalReadAt: make(map[[2]fleet.InstanceID]time.Time), changes: make(map[fleet.InstanceID]int),
 		last: make(map[fleet.InstanceID][]fleet.InstanceID),
 	}
 	c.random = rand.New(rand.NewPCG(seed, 7))
 	c.view = func(node *modelNode) []Member {
 		return slices.DeleteFunc(slices.Clone(c.members), func(m Member) bool {
 			pair := [2]fleet.InstanceID{node.member.ID, m.ID}
-			gone, ends := c.forgetsAt[pair]
+			gone, ends := c.removalReadAt[pair]
 
-			return c.now.Before(c.learnsAt[pair]) || ends && !c.now.Before(gone)
+			return c.now.Before(c.joinReadAt[pair]) || ends && !c.now.Before(gone)
 		})
 	}
 
@@ -48,37 +48,37 @@
 func (c *churn) replace(i int) {
 	c.nodes[i].dead = true
 
-	gone, next := c.members[i], c.members[i]
-	next.ID += "-next"
+	removed, replacement := c.members[i], c.members[i]
+	replacement.ID += "-next"
 
 	for _, node := range c.nodes {
-		c.learnsAt[[2]fleet.InstanceID{node.member.ID, next.ID}] = c.now.Add(time.Duration(c.random.Int64N(int64(slowest))))
+		c.joinReadAt[[2]fleet.InstanceID{node.member.ID, replacement.ID}] = c.now.Add(time.Duration(c.random.Int64N(int64(maxReadDelay))))
 	}
 
-	c.index[next.ID] = len(c.nodes)
-	c.members = append(c.members, next)
+	c.index[replacement.ID] = len(c.nodes)
+	c.members = append(c.members, replacement)
 	c.nodes = append(c.nodes, &modelNode{
-		member: next, links: Links{Self: next}, known: make([]int32, len(c.nodes)), group: make(map[int]int32), wordAt: c.now,
+		member: replacement, links: Links{Self: replacement}, known: make([]int32, len(c.nodes)), group: make(map[int]int32), nextMessageAt: c.now,
 	})
 
 	for _, node := range c.nodes {
 		if node.dead {
 			// Records of those that ended before are gone.
-			c.forgetsAt[[2]fleet.InstanceID{next.ID, node.member.ID}] = c.now
+			c.removalReadAt[[2]fleet.InstanceID{replacement.ID, node.member.ID}] = c.now
 		}
 	}
 
 	for _, node := range c.nodes {
 		node.known = append(node.known, 0)
-		c.forgetsAt[[2]fleet.InstanceID{node.member.ID, gone.ID}] = c.now.Add(time.Duration(c.random.Int64N(int64(slowest))))
+		c.removalReadAt[[2]fleet.InstanceID{node.member.ID, removed.ID}] = c.now.Add(time.Duration(c.random.Int64N(int64(maxReadDelay))))
 	}
 }
 
-// settle plays a span, counts changes of view, and returns for how long views differed.
-func (c *churn) settle(span time.Duration) time.Duration {
-	differed := time.Duration(0)
+// observe plays a span, counts changes of view, and returns for how long views differed.
+func (c *churn) observe(duration time.Duration) time.Duration {
+	disagreement := time.Duration(0)
 
-	for passed := time.Duration(0); passed < span; passed += tick {
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += tick {
 		c.run(tick)
 
 		views := make(map[string]bool)
@@ -98,11 +98,11 @@
 		}
 
 		if len(views) > 1 {
-			differed += tick
+			disagreement += tick
 		}
 	}
 
-	return differed
+	return disagreement
 }
 
 func join(ids []fleet.InstanceID) string {
@@ -116,15 +116,15 @@
 
 // Guards against instances that take opinions of who leads from each other in turn, each round
 // anew, while some know of a change and others do not. SIZES=all also prints larger fleets.
-func TestViewsOfWhoLeadsChangeOnceForEachChange(t *testing.T) {
-	// perReplaced is how many changes of view one replaced instance may cost: it goes, and
+func TestLeaderViewsChangeOncePerReplacement(t *testing.T) {
+	// maxChangesPerReplacement is how many changes of view one replaced instance may cost: it goes, and
 	// another comes.
-	const perReplaced, replaced = 2, 3
+	const maxChangesPerReplacement, replaced = 2, 3
 
 	type size struct{ instances, domains int }
 
-	judged := []size{{4, 4}, {9, 4}, {80, 4}}
-	sizes, seeds := judged, uint64(1)
+	checkedSizes := []size{{4, 4}, {9, 4}, {80, 4}}
+	sizes, seeds := checkedSizes, uint64(1)
 
 	if os.Getenv("SIZES") == "all" {
 		sizes, seeds = append(sizes, size{195, 6}, size{410, 5}), 5
@@ -133,12 +133,12 @@
 	for _, size := range sizes {
 		for seed := range seeds {
 			c := newChurn(size.instances, size.domains, seed)
-			c.settle(3 * time.Second)
+			c.observe(3 * time.Second)
 			clear(c.changes)
 
 			nodes := c.nodes
 
-			differed := time.Duration(0)
+			disagreement := time.Duration(0)
 
 			for round := range replaced {
 				leaders := c.nodes[len(c.nodes)-1].plan.Leaders
@@ -149,7 +149,7 @@
 				}
 
 				c.replace(c.index[leader])
-				differed += c.settle(6 * time.Second)
+				disagreement += c.observe(6 * time.Second)
 			}
 
 			most := 0
@@ -160,11 +160,11 @@
 				}
 			}
 
-			t.Logf("%d instances, seed %d: at most %d changes of view at an instance, views differed for %v", size.instances, seed, most, differed)
+			t.Logf("%d instances, seed %d: at most %d changes of view at an instance, views differed for %v", size.instances, seed, most, disagreement)
 
-			if slices.Contains(judged, size) && most > perReplaced*replaced {
+			if slices.Contains(checkedSizes, size) && most > maxChangesPerReplacement*replaced {
 				t.Errorf("%d instances, seed %d: got %d changes of view at an instance, want at most %d for %d that were replaced",
-					size.instances, seed, most, perReplaced*replaced, replaced)
+					size.instances, seed, most, maxChangesPerReplacement*replaced, replaced)
 			}
 		}
 	}
--- a/topology/links.go
+++ b/topology/links.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// patience is how long one that is told waits for a word of the other before it takes
+	// uplinkTimeout is how long one that is told waits for a word of the other before it takes
 	// it for silent: a lost word or two at the pace of words, and far less than rules may
 	// be old.
-	patience = 700 * time.Millisecond
-	// relayPatience is the same between relays, which tell more others at a slower pace: a
+	uplinkTimeout = 700 * time.Millisecond
+	// relayTimeout is the same between relays, which tell more others at a slower pace: a
 	// relay that is replaced for one lost word moves what leaders keep.
-	relayPatience = 1500 * time.Millisecond
-	// subscribed is how long a member that said nothing more is still told.
-	subscribed = 1500 * time.Millisecond
-	// tried is how many relays a member turns to while none has answered.
-	tried = 3
-	// askAgain is how long an assigned relay that did not answer is passed over.
-	askAgain = 3 * time.Second
-	// stoodStill is a pause between two rounds of words after which this instance itself may
+	relayTimeout = 1500 * time.Millisecond
+	// subscriptionTTL is how long a member that said nothing more is still told.
+	subscriptionTTL = 1500 * time.Millisecond
+	// maxUplinkCandidates is how many relays a member turns to while none has answered.
+	maxUplinkCandidates = 3
+	// silentRelayRetryDelay is how long an assigned relay that did not answer is passed over.
+	silentRelayRetryDelay = 3 * time.Second
+	// stallThreshold is a pause between two rounds of words after which this instance itself may
 	// have been the silent one.
-	stoodStill = 500 * time.Millisecond
-	// knowsEnough is the part of the instances known here that another has to know to be
+	stallThreshold = 500 * time.Millisecond
+	// minKnownShare is the part of the instances known here that another has to know to be
 	// believed who leads.
-	knowsEnough = 0.8
-	// rememberedPerMember is how much is remembered of one member at most: when it was
+	minKnownShare = 0.8
+	// maxEntriesPerMember is how much is remembered of one member at most: when it was
 	// heard, and that it is silent.
-	rememberedPerMember = 2
-	// viewLife is how long it counts who leads as another names it: that is said several
+	maxEntriesPerMember = 2
+	// viewTTL is how long it counts who leads as another names it: that is said several
 	// times a second, and all that lead may be lost at once.
-	viewLife = 3 * time.Second
+	viewTTL = 3 * time.Second
 )
 
 // Relation is what two instances are to each other in a message.
@@ -99,39 +99,39 @@
 	Self Member
 
 	mu sync.Mutex
-	// heard is when each was last heard, and asked since when it has been told without
-	// being heard.
-	heard, asked map[fleet.InstanceID]time.Time
-	// silent are those that did not answer, and since when. gone are those that have announced
+	// lastReceived is when each was last lastReceived, and awaitedSince since when it has been told without
+	// being lastReceived.
+	lastReceived, awaitedSince map[fleet.InstanceID]time.Time
+	// silentSince are those that did not answer, and since when. gone are those that have announced
 	// their stop.
-	silent map[fleet.InstanceID]time.Time
-	gone   map[fleet.InstanceID]bool
-	// subscribers are the members that turned to this instance, and others those that told
+	silentSince map[fleet.InstanceID]time.Time
+	stopped     map[fleet.InstanceID]bool
+	// subscribers are the members that turned to this instance, and otherRelays those that told
 	// it as one relay tells another, with when they last did.
-	subscribers, others map[fleet.InstanceID]heardMember
+	subscribers, otherRelays map[fleet.InstanceID]seenMember
 	// uplink is the relay that answers this instance where it is none, and uplinkCount how
 	// many instances it knows of.
-	uplink      fleet.InstanceID
-	uplinkCount int
+	uplink              fleet.InstanceID
+	uplinkInstanceCount int
 	// views are the leaders as those that lead, and the uplink, name them. leading are those
 	// of the last plan, and count the instances that it knew.
-	views   map[fleet.InstanceID]view
-	leading []fleet.InstanceID
-	count   int
-	// assigned are the relays as a directory names them; nil means that they follow from the
+	views         map[fleet.InstanceID]view
+	lastLeaders   []fleet.InstanceID
+	instanceCount int
+	// assignedRelays are the relays as a directory names them; nil means that they follow from the
 	// members.
-	assigned []Member
-	// sizes are how many instances other relays stand for, themselves included.
-	sizes map[fleet.InstanceID]int
+	assignedRelays []Member
+	// groupSizes are how many instances other relays stand for, themselves included.
+	groupSizes map[fleet.InstanceID]int
 	// stopping tells that this instance neither relays nor leads any more.
 	stopping bool
-	// invited is when another relay last told this instance as a relay.
-	invited time.Time
-	// planned is when Plan was last called, and latest when any other was heard.
-	planned, latest time.Time
+	// addressedAsRelayAt is when another relay last told this instance as a relay.
+	addressedAsRelayAt time.Time
+	// lastPlanAt is when Plan was last called, and anyReceivedAt when any other was heard.
+	lastPlanAt, anyReceivedAt time.Time
 }
 
-type heardMember struct {
+type seenMember struct {
 	member Member
 	at     time.Time
 }
@@ -148,19 +148,19 @@
 	defer l.mu.Unlock()
 	l.init()
 
-	l.heard[m.ID], l.latest = now, now
-	delete(l.asked, m.ID)
-	delete(l.silent, m.ID)
-	delete(l.gone, m.ID)
+	l.lastReceived[m.ID], l.anyReceivedAt = now, now
+	delete(l.awaitedSince, m.ID)
+	delete(l.silentSince, m.ID)
+	delete(l.stopped, m.ID)
 
 	delete(l.subscribers, m.ID)
-	delete(l.others, m.ID)
+	delete(l.otherRelays, m.ID)
 
 	switch as {
 	case BetweenRelays:
-		l.others[m.ID], l.invited = heardMember{member: m, at: now}, now
+		l.otherRelays[m.ID], l.addressedAsRelayAt = seenMember{member: m, at: now}, now
 	case ToRelay:
-		l.subscribers[m.ID] = heardMember{member: m, at: now}
+		l.subscribers[m.ID] = seenMember{member: m, at: now}
 	case FromRelay:
 	}
 }
@@ -169,8 +169,8 @@
 func (l *Links) RecordRead(id fleet.InstanceID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.silent, id)
-	delete(l.gone, id)
+	delete(l.silentSince, id)
+	delete(l.stopped, id)
 }
 
 // PeerStopped takes in that a member stops.
@@ -179,12 +179,12 @@
 	defer l.mu.Unlock()
 	l.init()
 
-	l.gone[id] = true
+	l.stopped[id] = true
 
 	delete(l.subscribers, id)
-	delete(l.others, id)
+	delete(l.otherRelays, id)
 	delete(l.views, id)
-	delete(l.sizes, id)
+	delete(l.groupSizes, id)
 }
 
 // StepDown makes this instance neither relay nor lead, so that others take its place while it
@@ -199,7 +199,7 @@
 func (l *Links) AssignRelays(relays []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.assigned = relays
+	l.assignedRelays = relays
 }
 
 // GroupSizeReported takes in how many instances another relay stands for, itself included.
@@ -207,7 +207,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
-	l.sizes[from] = size
+	l.groupSizes[from] = size
 }
 
 // LeadersReported takes in which instances lead as another one knows it, of count that it knows: one
@@ -220,10 +220,10 @@
 	l.init()
 
 	if from == l.uplink {
-		l.uplinkCount = count
+		l.uplinkInstanceCount = count
 	}
 
-	if float64(count) < knowsEnough*float64(l.count) || from != l.uplink && !slices.Contains(leaders, from) {
+	if float64(count) < minKnownShare*float64(l.instanceCount) || from != l.uplink && !slices.Contains(leaders, from) {
 		delete(l.views, from)
 
 		return
@@ -238,9 +238,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	at, ok := l.heard[id]
+	at, ok := l.lastReceived[id]
 
-	return ok && now.Sub(at) <= relayPatience
+	return ok && now.Sub(at) <= relayTimeout
 }
 
 // Connected tells whether this instance hears what others tell.
@@ -248,7 +248,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	return now.Sub(l.latest) <= relayPatience
+	return now.Sub(l.anyReceivedAt) <= relayTimeout
 }
 
 // Plan returns whom to tell now, of the members that are known. What it returns is told
@@ -257,42 +257,42 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
-	l.resume(now)
+	l.resetAfterStall(now)
 
-	if l.assigned != nil {
-		members = l.assigned
-		l.forgive(now)
+	if l.assignedRelays != nil {
+		members = l.assignedRelays
+		l.retrySilentRelays(now)
 	}
 
-	l.forget(members)
+	l.evictNonMembers(members)
 
-	count := l.countOf(members)
-	few := l.assigned == nil && count <= FullMeshMax
-	takesPart := !l.stopping && (l.assigned == nil || slices.ContainsFunc(l.assigned, l.isSelf))
-	answers := func(id fleet.InstanceID) bool { return l.silent[id].IsZero() && !l.gone[id] }
-	answering := l.relaysAmong(l.ranked(members, takesPart, answers))
+	count := l.countInstances(members)
+	fullMesh := l.assignedRelays == nil && count <= FullMeshMax
+	eligible := !l.stopping && (l.assignedRelays == nil || slices.ContainsFunc(l.assignedRelays, l.isSelf))
+	responds := func(id fleet.InstanceID) bool { return l.silentSince[id].IsZero() && !l.stopped[id] }
+	responding := l.relaysAmong(l.ranked(members, eligible, responds))
 
-	if len(answering) == 0 && l.assigned == nil {
-		answering = []Member{l.Self}
+	if len(responding) == 0 && l.assignedRelays == nil {
+		responding = []Member{l.Self}
 	}
 
-	relays := answering
-	if few {
+	relays := responding
+	if fullMesh {
 		// Few instances go on sharing limits while one of them stops.
 		relays = l.ranked(members, true, func(fleet.InstanceID) bool { return true })
 	}
 
-	plan := &Plan{FullMesh: few, InstanceCount: count}
+	plan := &Plan{FullMesh: fullMesh, InstanceCount: count}
 	// Others may have found sooner that this instance takes the place of a silent relay.
-	plan.Relay = few || slices.ContainsFunc(relays, l.isSelf) || !l.stopping && now.Sub(l.invited) <= subscribed
-	plan.Leaders = l.leaders(now, members, answering, func() []Member {
-		return l.ranked(members, takesPart, func(id fleet.InstanceID) bool {
-			return answers(id) || !few && !l.heard[id].IsZero() && !l.gone[id]
+	plan.Relay = fullMesh || slices.ContainsFunc(relays, l.isSelf) || !l.stopping && now.Sub(l.addressedAsRelayAt) <= subscriptionTTL
+	plan.Leaders = l.chooseLeaders(now, members, responding, func() []Member {
+		return l.ranked(members, eligible, func(id fleet.InstanceID) bool {
+			return responds(id) || !fullMesh && !l.lastReceived[id].IsZero() && !l.stopped[id]
 		})
 	})
-	l.leading, l.count = plan.Leaders, count
+	l.lastLeaders, l.instanceCount = plan.Leaders, count
 	plan.Relays = l.chooseRelays(now, plan, relays)
-	plan.Subscribers = l.current(now, l.subscribers, plan.Relays)
+	plan.Subscribers = l.activeMembers(now, l.subscribers, plan.Relays)
 
 	return plan
 }
@@ -309,19 +309,19 @@
 	}
 
 	l.uplink = ""
-	l.askAll(now, others, relayPatience)
+	l.awaitAll(now, others, relayTimeout)
 
-	return append(others, l.current(now, l.others, others)...)
+	return append(others, l.activeMembers(now, l.otherRelays, others)...)
 }
 
-// countOf returns how many instances there are: those that are known where an instance knows
+// countInstances returns how many instances there are: those that are known where an instance knows
 // them all, and otherwise what the relays stand for.
-func (l *Links) countOf(members []Member) int {
+func (l *Links) countInstances(members []Member) int {
 	count := 1
 
-	if l.assigned != nil {
+	if l.assignedRelays != nil {
 		if l.uplink != "" {
-			return max(l.uplinkCount, count)
+			return max(l.uplinkInstanceCount, count)
 		}
 
 		count += len(l.subscribers)
@@ -330,10 +330,10 @@
 	for _, m := range members {
 		switch {
 		case l.isSelf(m):
-		case l.assigned == nil:
+		case l.assignedRelays == nil:
 			count++
-		case l.silent[m.ID].IsZero() && !l.gone[m.ID]:
-			count += max(l.sizes[m.ID], 1)
+		case l.silentSince[m.ID].IsZero() && !l.stopped[m.ID]:
+			count += max(l.groupSizes[m.ID], 1)
 		}
 	}
 
@@ -342,7 +342,7 @@
 
 // relaysAmong returns the relays among ranked members.
 func (l *Links) relaysAmong(ranked []Member) []Member {
-	if l.assigned != nil {
+	if l.assignedRelays != nil {
 		return ranked
 	}
 
@@ -355,7 +355,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	subscribers := l.current(now, l.subscribers, nil)
+	subscribers := l.activeMembers(now, l.subscribers, nil)
 	sizes := map[fleet.FailureDomain]int{l.Self.Domain: 1}
 
 	for _, m := range subscribers {
@@ -365,30 +365,32 @@
 	return sizes, subscribers
 }
 
-// resume forgives all who did not answer where this instance itself told nobody for a
+// resetAfterStall forgives all who did not answer where this instance itself told nobody for a
 // while, as after it stood still.
-func (l *Links) resume(now time.Time) {
-	if now.Sub(l.planned) > stoodStill {
-		clear(l.asked)
+func (l *Links) resetAfterStall(now time.Time) {
+	if now.Sub(l.lastPlanAt) > stallThreshold {
+		clear(l.awaitedSince)
 	}
 
-	l.planned = now
+	l.lastPlanAt = now
 }
 
-// forgive has relays asked again that did not answer for a while, or all of them where none
+// retrySilentRelays has relays asked again that did not answer for a while, or all of them where none
 // answers: no record of an assigned relay shows that it may answer again.
-func (l *Links) forgive(now time.Time) {
-	none := !slices.ContainsFunc(l.assigned, func(m Member) bool {
-		return !l.isSelf(m) && l.silent[m.ID].IsZero() && !l.gone[m.ID]
+func (l *Links) retrySilentRelays(now time.Time) {
+	noneResponds := !slices.ContainsFunc(l.assignedRelays, func(m Member) bool {
+		return !l.isSelf(m) && l.silentSince[m.ID].IsZero() && !l.stopped[m.ID]
 	})
 
-	maps.DeleteFunc(l.silent, func(_ fleet.InstanceID, since time.Time) bool { return none || now.Sub(since) > askAgain })
+	maps.DeleteFunc(l.silentSince, func(_ fleet.InstanceID, since time.Time) bool {
+		return noneResponds || now.Sub(since) > silentRelayRetryDelay
+	})
 }
 
-// forget drops what is remembered of instances that are no members, once that is more
+// evictNonMembers drops what is remembered of instances that are no members, once that is more
 // than of those that are: instances are replaced for as long as this one runs.
-func (l *Links) forget(members []Member) {
-	if len(l.heard)+len(l.silent)+len(l.gone) <= rememberedPerMember*(len(members)+1) {
+func (l *Links) evictNonMembers(members []Member) {
+	if len(l.lastReceived)+len(l.silentSince)+len(l.stopped) <= maxEntriesPerMember*(len(members)+1) {
 		return
 	}
 
@@ -397,25 +399,25 @@
 		known[m.ID] = true
 	}
 
-	maps.DeleteFunc(l.heard, func(id fleet.InstanceID, _ time.Time) bool { return !known[id] })
-	maps.DeleteFunc(l.asked, func(id fleet.InstanceID, _ time.Time) bool { return !known[id] })
-	maps.DeleteFunc(l.silent, func(id fleet.InstanceID, _ time.Time) bool { return !known[id] })
-	maps.DeleteFunc(l.gone, func(id fleet.InstanceID, _ bool) bool { return !known[id] })
+	maps.DeleteFunc(l.lastReceived, func(id fleet.InstanceID, _ time.Time) bool { return !known[id] })
+	maps.DeleteFunc(l.awaitedSince, func(id fleet.InstanceID, _ time.Time) bool { return !known[id] })
+	maps.DeleteFunc(l.silentSince, func(id fleet.InstanceID, _ time.Time) bool { return !known[id] })
+	maps.DeleteFunc(l.stopped, func(id fleet.InstanceID, _ bool) bool { return !known[id] })
 	maps.DeleteFunc(l.views, func(id fleet.InstanceID, _ view) bool { return !known[id] })
-	maps.DeleteFunc(l.sizes, func(id fleet.InstanceID, _ int) bool { return !known[id] })
+	maps.DeleteFunc(l.groupSizes, func(id fleet.InstanceID, _ int) bool { return !known[id] })
 }
 
 // ranked returns the members that fit, and this one if it takes part, in their rank.
-func (l *Links) ranked(members []Member, self bool, fits func(fleet.InstanceID) bool) []Member {
+func (l *Links) ranked(members []Member, includeSelf bool, include func(fleet.InstanceID) bool) []Member {
 	ranked := make([]Member, 0, len(members)+1)
 
 	for _, m := range members {
-		if m.ID != l.Self.ID && fits(m.ID) {
+		if m.ID != l.Self.ID && include(m.ID) {
 			ranked = append(ranked, m)
 		}
 	}
 
-	if self {
+	if includeSelf {
 		ranked = append(ranked, l.Self)
 	}
 
@@ -424,12 +426,12 @@
 
 func (l *Links) isSelf(m Member) bool { return m.ID == l.Self.ID }
 
-// leaders returns who leads, as the first in rank of those that lead names them: instances
+// chooseLeaders returns who leads, as the first in rank of those that lead names them: instances
 // learn at different times which members come and go, and by the newest view alone each would
-// take those of two leaders in turn. One that turned to a relay goes by that alone. Without any
+// take those of two chooseLeaders in turn. One that turned to a relay goes by that alone. Without any
 // view the relays that answer lead.
-func (l *Links) leaders(now time.Time, members, answering []Member, known func() []Member) []fleet.InstanceID {
-	maps.DeleteFunc(l.views, func(_ fleet.InstanceID, v view) bool { return now.Sub(v.at) > viewLife })
+func (l *Links) chooseLeaders(now time.Time, members, responding []Member, knownMembers func() []Member) []fleet.InstanceID {
+	maps.DeleteFunc(l.views, func(_ fleet.InstanceID, v view) bool { return now.Sub(v.at) > viewTTL })
 
 	if v, ok := l.views[l.uplink]; ok && !slices.Contains(v.leaders, l.Self.ID) {
 		return v.leaders
@@ -443,28 +445,28 @@
 		}
 	}
 
-	own := l.ownView(known)
+	own := l.ownView(knownMembers)
 	if own != nil {
 		named = append(named, l.Self)
 	}
 
 	if len(named) > 0 {
-		if first := Rank(named)[0]; first.ID != l.Self.ID {
-			return l.views[first.ID].leaders
+		if highest := Rank(named)[0]; highest.ID != l.Self.ID {
+			return l.views[highest.ID].leaders
 		}
 
 		return own
 	}
 
-	return leadersOf(answering)
+	return leadersOf(responding)
 }
 
 // ownView returns who leads by what this instance knows, where it leads itself. One that was
 // heard before and is silent now is dropped only once it writes no records either, since what
 // it keeps must not be kept twice. An instance leads once others name it, and gives way where
 // one of those that lead with it names others.
-func (l *Links) ownView(known func() []Member) []fleet.InstanceID {
-	named := slices.Contains(l.leading, l.Self.ID)
+func (l *Links) ownView(knownMembers func() []Member) []fleet.InstanceID {
+	named := slices.Contains(l.lastLeaders, l.Self.ID)
 	for _, v := range l.views {
 		named = named || slices.Contains(v.leaders, l.Self.ID)
 	}
@@ -473,7 +475,7 @@
 		return nil
 	}
 
-	own := leadersOf(l.relaysAmong(known()))
+	own := leadersOf(l.relaysAmong(knownMembers()))
 	if !slices.Contains(own, l.Self.ID) {
 		return nil
 	}
@@ -488,15 +490,15 @@
 }
 
 func (l *Links) init() {
-	if l.heard == nil {
-		l.heard = make(map[fleet.InstanceID]time.Time)
-		l.asked = make(map[fleet.InstanceID]time.Time)
-		l.silent = make(map[fleet.InstanceID]time.Time)
-		l.gone = make(map[fleet.InstanceID]bool)
-		l.subscribers = make(map[fleet.InstanceID]heardMember)
-		l.others = make(map[fleet.InstanceID]heardMember)
+	if l.lastReceived == nil {
+		l.lastReceived = make(map[fleet.InstanceID]time.Time)
+		l.awaitedSince = make(map[fleet.InstanceID]time.Time)
+		l.silentSince = make(map[fleet.InstanceID]time.Time)
+		l.stopped = make(map[fleet.InstanceID]bool)
+		l.subscribers = make(map[fleet.InstanceID]seenMember)
+		l.otherRelays = make(map[fleet.InstanceID]seenMember)
 		l.views = make(map[fleet.InstanceID]view)
-		l.sizes = make(map[fleet.InstanceID]int)
+		l.groupSizes = make(map[fleet.InstanceID]int)
 	}
 }
 
@@ -504,65 +506,65 @@
 // next ones that are not known to be silent otherwise.
 func (l *Links) chooseUplink(now time.Time, relays []Member) []Member {
 	for _, m := range relays {
-		if now.Sub(l.heard[m.ID]) > patience {
+		if now.Sub(l.lastReceived[m.ID]) > uplinkTimeout {
 			continue
 		}
 
 		// One of the domain's relays answers. It is kept to, also if another that is
 		// preferred comes back.
-		if m.ID == l.uplink || l.uplink == "" || !l.answers(now, relays) {
+		if m.ID == l.uplink || l.uplink == "" || !l.uplinkResponds(now, relays) {
 			l.uplink = m.ID
-			l.ask(now, m.ID, patience)
+			l.await(now, m.ID, uplinkTimeout)
 
 			return []Member{m}
 		}
 	}
 
 	l.uplink = ""
-	chosen := relays[:min(tried, len(relays))]
-	l.askAll(now, chosen, patience)
+	chosen := relays[:min(maxUplinkCandidates, len(relays))]
+	l.awaitAll(now, chosen, uplinkTimeout)
 
 	return slices.Clone(chosen)
 }
 
-// answers tells whether the uplink is one of some relays and answers.
-func (l *Links) answers(now time.Time, relays []Member) bool {
-	return now.Sub(l.heard[l.uplink]) <= patience &&
+// uplinkResponds tells whether the uplink is one of some relays and uplinkResponds.
+func (l *Links) uplinkResponds(now time.Time, relays []Member) bool {
+	return now.Sub(l.lastReceived[l.uplink]) <= uplinkTimeout &&
 		slices.ContainsFunc(relays, func(m Member) bool { return m.ID == l.uplink })
 }
 
-func (l *Links) askAll(now time.Time, members []Member, within time.Duration) {
+func (l *Links) awaitAll(now time.Time, members []Member, timeout time.Duration) {
 	for _, m := range members {
-		l.ask(now, m.ID, within)
+		l.await(now, m.ID, timeout)
 	}
 }
 
-// ask notes that a member is told, and that it is silent if it has not been heard since.
-func (l *Links) ask(now time.Time, id fleet.InstanceID, within time.Duration) {
-	since, ok := l.asked[id]
+// await notes that a member is told, and that it is silent if it has not been heard since.
+func (l *Links) await(now time.Time, id fleet.InstanceID, timeout time.Duration) {
+	since, ok := l.awaitedSince[id]
 
 	switch {
 	case !ok:
-		l.asked[id] = now
-	case now.Sub(since) > within:
-		l.silent[id] = now
+		l.awaitedSince[id] = now
+	case now.Sub(since) > timeout:
+		l.silentSince[id] = now
 
-		delete(l.asked, id)
+		delete(l.awaitedSince, id)
 	}
 }
 
-// current returns those that were heard of late and are not told already.
-func (l *Links) current(now time.Time, heard map[fleet.InstanceID]heardMember, told []Member) []Member {
+// activeMembers returns those that were heard of late and are not told already.
+func (l *Links) activeMembers(now time.Time, seen map[fleet.InstanceID]seenMember, exclude []Member) []Member {
 	var members []Member
 
-	for id, h := range heard {
-		if now.Sub(h.at) > subscribed {
-			delete(heard, id)
+	for id, h := range seen {
+		if now.Sub(h.at) > subscriptionTTL {
+			delete(seen, id)
 
 			continue
 		}
 
-		if !slices.ContainsFunc(told, func(m Member) bool { return m.ID == id }) {
+		if !slices.ContainsFunc(exclude, func(m Member) bool { return m.ID == id }) {
 			members = append(members, h.member)
 		}
 	}
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -10,27 +10,27 @@
 	"monsoonlever/register"
 )
 
-// harmful is the request that ends each server which begins it, and contact the time in
+// crashingRequest is the request that ends each server which begins it, and propagationLimit the time in
 // which operators want all instances to know.
 const (
-	harmful = quarantine.Fingerprint(1)
-	contact = time.Second
+	crashingRequest  = quarantine.Fingerprint(1)
+	propagationLimit = time.Second
 )
 
 // lossModel is a fleet whose instances tell each other of servers that ended.
 type lossModel struct {
 	*model
-	ledgers []*quarantine.Ledger
-	tellAt  []time.Time
-	// ended is when each server ended under the harmful request.
-	ended []time.Time
+	ledgers    []*quarantine.Ledger
+	nextSendAt []time.Time
+	// crashedAt is when each server crashedAt under the harmful request.
+	crashedAt []time.Time
 }
 
 func newLossModel(n, domains int) *lossModel {
 	m := &lossModel{model: newModel(n, domains)}
 	for range n {
 		m.ledgers = append(m.ledgers, &quarantine.Ledger{})
-		m.tellAt = append(m.tellAt, begin)
+		m.nextSendAt = append(m.nextSendAt, begin)
 	}
 
 	return m
@@ -41,44 +41,44 @@
 	m.run(tick)
 
 	for i, node := range m.nodes {
-		if node.dead || m.now.Before(m.tellAt[i]) {
+		if node.dead || m.now.Before(m.nextSendAt[i]) {
 			continue
 		}
 
-		news := m.ledgers[i].News(m.now)
-		if len(news) == 0 {
+		update := m.ledgers[i].News(m.now)
+		if len(update) == 0 {
 			continue
 		}
 
 		peers := node.plan.Peers()
 		for _, peer := range peers {
 			m.send(node, peer.ID, func(to *modelNode) {
-				m.ledgers[m.index[to.member.ID]].Hear(m.now, news, to.plan.Relay && !to.plan.FullMesh)
+				m.ledgers[m.index[to.member.ID]].Hear(m.now, update, to.plan.Relay && !to.plan.FullMesh)
 			})
 		}
 
-		m.tellAt[i] = m.now.Add(max(newsEvery, time.Duration(len(peers))*newsPeer))
+		m.nextSendAt[i] = m.now.Add(max(updateInterval, time.Duration(len(peers))*updateIntervalPerPeer))
 	}
 }
 
-// arrive lets the harmful request come to an instance.
-func (m *lossModel) arrive(i int) {
-	if _, held := m.ledgers[i].Held(m.now, harmful); held || m.nodes[i].dead {
+// receiveRequest lets the harmful request come to an instance.
+func (m *lossModel) receiveRequest(i int) {
+	if _, held := m.ledgers[i].Held(m.now, crashingRequest); held || m.nodes[i].dead {
 		return
 	}
 
-	server := register.Process{ID: fleet.InstanceID(fmt.Sprint("i-", len(m.ended)))}
-	m.ended = append(m.ended, m.now)
-	m.ledgers[i].Lost(m.now, harmful, server, quarantine.Strong)
+	server := register.Process{ID: fleet.InstanceID(fmt.Sprint("i-", len(m.crashedAt)))}
+	m.crashedAt = append(m.crashedAt, m.now)
+	m.ledgers[i].Lost(m.now, crashingRequest, server, quarantine.Strong)
 }
 
-// sentAfter returns how often the request was sent on later than contact after the third
+// lateSends returns how often the request was sent on later than contact after the third
 // server had ended under it.
-func (m *lossModel) sentAfter() int {
+func (m *lossModel) lateSends() int {
 	n := 0
 
-	for _, at := range m.ended {
-		if len(m.ended) >= 3 && at.Sub(m.ended[2]) > contact {
+	for _, at := range m.crashedAt {
+		if len(m.crashedAt) >= 3 && at.Sub(m.crashedAt[2]) > propagationLimit {
 			n++
 		}
 	}
@@ -88,7 +88,7 @@
 
 // A request that ends its servers may come at any instance, however many they are: once it
 // has ended three, all know within a second, with two in a hundred messages lost.
-func TestAllKnowARequestThatEndsItsServers(t *testing.T) {
+func TestCrashingRequestIsKnownEverywhere(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{9, 4}, {80, 4}, {195, 6}, {410, 5}} {
 		for seed := range 5 {
 			m := newLossModel(size.instances, size.domains)
@@ -97,28 +97,28 @@
 			}
 
 			for range 3 {
-				m.arrive(m.random.IntN(size.instances))
+				m.receiveRequest(m.random.IntN(size.instances))
 				m.step()
 			}
 
-			third := m.now
-			for m.count(harmful) < size.instances && m.now.Sub(third) < 5*time.Second {
+			thirdCrashAt := m.now
+			for m.countQuarantining(crashingRequest) < size.instances && m.now.Sub(thirdCrashAt) < 5*time.Second {
 				m.step()
 			}
 
 			if seed == 0 {
-				t.Logf("%d instances: all know after %v", size.instances, m.now.Sub(third))
+				t.Logf("%d instances: all know after %v", size.instances, m.now.Sub(thirdCrashAt))
 			}
 
-			if got := m.now.Sub(third); got > contact {
-				t.Errorf("%d instances, seed %d: got %v until all know, want at most %v", size.instances, seed, got, contact)
+			if got := m.now.Sub(thirdCrashAt); got > propagationLimit {
+				t.Errorf("%d instances, seed %d: got %v until all know, want at most %v", size.instances, seed, got, propagationLimit)
 			}
 		}
 	}
 }
 
-// count returns how many instances hold a request off.
-func (m *lossModel) count(f quarantine.Fingerprint) int {
+// countQuarantining returns how many instances hold a request off.
+func (m *lossModel) countQuarantining(f quarantine.Fingerprint) int {
 	n := 0
 
 	for _, l := range m.ledgers {
@@ -133,7 +133,7 @@
 // While instances, and a whole failure domain with its relays, are lost, a request that
 // comes ten times a second reaches servers at most three times once it has ended three and
 // a second has passed.
-func TestARequestIsHeldOffWhileRelaysAreLost(t *testing.T) {
+func TestCrashingRequestStaysQuarantinedDuringRelayLoss(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{9, 4}, {80, 4}, {195, 6}} {
 		m := newLossModel(size.instances, size.domains)
 		for range 100 {
@@ -142,7 +142,7 @@
 
 		for i := range 800 {
 			if i%10 == 0 {
-				m.arrive(m.random.IntN(size.instances))
+				m.receiveRequest(m.random.IntN(size.instances))
 			}
 
 			if i == 15 {
@@ -154,9 +154,9 @@
 			m.step()
 		}
 
-		t.Logf("%d instances: %d servers ended, %d later than %v", size.instances, len(m.ended), m.sentAfter(), contact)
+		t.Logf("%d instances: %d servers ended, %d later than %v", size.instances, len(m.crashedAt), m.lateSends(), propagationLimit)
 
-		if got := m.sentAfter(); got > 3 {
+		if got := m.lateSends(); got > 3 {
 			t.Errorf("%d instances: got %d sends, want at most 3", size.instances, got)
 		}
 	}
--- a/topology/model_test.go
+++ b/topology/model_test.go
@@ -15,13 +15,13 @@
 const (
 	// tick is the step of the model, and the others the pace of words and news as they are
 	// sent: at least so much time between two, and so much for each peer.
-	tick      = 10 * time.Millisecond
-	wordEvery = 150 * time.Millisecond
-	perPeer   = 6 * time.Millisecond
-	newsEvery = 20 * time.Millisecond
-	newsPeer  = 4 * time.Millisecond
-	// lost is how many of a hundred messages are lost.
-	lost = 2
+	tick                   = 10 * time.Millisecond
+	messageInterval        = 150 * time.Millisecond
+	messageIntervalPerPeer = 6 * time.Millisecond
+	updateInterval         = 20 * time.Millisecond
+	updateIntervalPerPeer  = 4 * time.Millisecond
+	// lossPercent is how many of a hundred messages are lossPercent.
+	lossPercent = 2
 )
 
 // modelNode is one instance: it tells its peers words, and news of what it knows.
@@ -30,8 +30,8 @@
 	links  Links
 	dead   bool
 	plan   *Plan
-	// wordAt and upAt and downAt are when it tells next.
-	wordAt, upAt, downAt time.Time
+	// nextMessageAt and nextUpAt and nextDownAt are when it tells next.
+	nextMessageAt, nextUpAt, nextDownAt time.Time
 	// known is the step of the newest state of each instance that has come here. Own and
 	// subscribers' states go up, all go down.
 	known []int32
@@ -66,7 +66,7 @@
 		m.index[member.ID] = i
 		m.nodes = append(m.nodes, &modelNode{
 			member: member, links: Links{Self: member}, known: make([]int32, n),
-			group: make(map[int]int32), wordAt: begin.Add(time.Duration(m.random.IntN(150)) * time.Millisecond),
+			group: make(map[int]int32), nextMessageAt: begin.Add(time.Duration(m.random.IntN(150)) * time.Millisecond),
 		})
 	}
 
@@ -82,14 +82,14 @@
 	}
 
 	node := m.nodes[i]
-	if node.dead || m.cut(from, node) || m.random.IntN(100) < lost {
+	if node.dead || m.cut(from, node) || m.random.IntN(100) < lossPercent {
 		return
 	}
 
 	do(node)
 }
 
-func (m *model) word(node *modelNode) {
+func (m *model) sendMessages(node *modelNode) {
 	node.plan = node.links.Plan(m.now, m.view(node))
 	peers := node.plan.Peers()
 
@@ -100,10 +100,10 @@
 		})
 	}
 
-	node.wordAt = m.now.Add(max(wordEvery, time.Duration(len(peers))*perPeer))
+	node.nextMessageAt = m.now.Add(max(messageInterval, time.Duration(len(peers))*messageIntervalPerPeer))
 }
 
-func (m *model) up(node *modelNode) {
+func (m *model) sendUp(node *modelNode) {
 	relays := node.plan.Relays
 	if !node.plan.Relay {
 		relays = relays[:min(1, len(relays))]
@@ -121,10 +121,10 @@
 		})
 	}
 
-	node.upAt = m.now.Add(max(newsEvery, time.Duration(len(relays))*newsPeer))
+	node.nextUpAt = m.now.Add(max(updateInterval, time.Duration(len(relays))*updateIntervalPerPeer))
 }
 
-func (m *model) down(node *modelNode) {
+func (m *model) sendDown(node *modelNode) {
 	for _, s := range node.plan.Subscribers {
 		m.send(node, s.ID, func(to *modelNode) {
 			for i, at := range node.known {
@@ -133,14 +133,14 @@
 		})
 	}
 
-	node.downAt = m.now.Add(max(newsEvery, time.Duration(len(node.plan.Subscribers))*newsPeer))
+	node.nextDownAt = m.now.Add(max(updateInterval, time.Duration(len(node.plan.Subscribers))*updateIntervalPerPeer))
 }
 
 func (n *modelNode) learn(i int, at int32) { n.known[i] = max(n.known[i], at) }
 
 // run plays a span.
-func (m *model) run(span time.Duration) {
-	for end := m.now.Add(span); m.now.Before(end); m.now, m.step = m.now.Add(tick), m.step+1 {
+func (m *model) run(duration time.Duration) {
+	for end := m.now.Add(duration); m.now.Before(end); m.now, m.step = m.now.Add(tick), m.step+1 {
 		for i, node := range m.nodes {
 			if node.dead {
 				continue
@@ -148,23 +148,23 @@
 
 			node.known[i], node.group[i] = m.step, m.step
 
-			if node.plan == nil || !m.now.Before(node.wordAt) {
-				m.word(node)
+			if node.plan == nil || !m.now.Before(node.nextMessageAt) {
+				m.sendMessages(node)
 			}
 
-			if !m.now.Before(node.upAt) {
-				m.up(node)
+			if !m.now.Before(node.nextUpAt) {
+				m.sendUp(node)
 			}
 
-			if !m.now.Before(node.downAt) {
-				m.down(node)
+			if !m.now.Before(node.nextDownAt) {
+				m.sendDown(node)
 			}
 		}
 	}
 }
 
-// age returns how old what the living know of each other is, at a share of all pairs.
-func (m *model) age(share float64) time.Duration {
+// ageQuantile returns how old what the living know of each other is, at a share of all pairs.
+func (m *model) ageQuantile(share float64) time.Duration {
 	var ages []time.Duration
 
 	for i, node := range m.nodes {
@@ -184,20 +184,20 @@
 	return ages[int(share*float64(len(ages)-1))]
 }
 
-// sent returns the most messages that instances of a kind have sent in a second.
-func (m *model) sent(relays bool, span time.Duration) int {
+// maxSentPerSecond returns the most messages that instances of a kind have maxSentPerSecond in a second.
+func (m *model) maxSentPerSecond(relays bool, duration time.Duration) int {
 	most := 0
 
 	for _, node := range m.nodes {
 		if !node.dead && node.plan.Relay == relays {
-			most = max(most, int(float64(node.sent)/span.Seconds()))
+			most = max(most, int(float64(node.sent)/duration.Seconds()))
 		}
 	}
 
 	return most
 }
 
-func (m *model) count() {
+func (m *model) resetSent() {
 	for _, node := range m.nodes {
 		node.sent = 0
 	}
@@ -206,7 +206,7 @@
 // With all telling each other, an instance of 195 has a word of each other in 1.2 s and one
 // of 410 in 2.5 s. With relays what instances know of each other is younger than 300 ms for
 // 99 in 100 pairs, with two in a hundred messages lost, at any size.
-func TestNewsIsYoungHoweverManyInstances(t *testing.T) {
+func TestStateAgeIsBoundedAtAnyFleetSize(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{13, 4}, {80, 4}, {195, 6}, {410, 5}} {
 		m := newModel(size.instances, size.domains)
 		m.run(800 * time.Millisecond)
@@ -214,7 +214,7 @@
 		worst := time.Duration(0)
 		for range 3 {
 			m.run(130 * time.Millisecond)
-			worst = max(worst, m.age(0.99))
+			worst = max(worst, m.ageQuantile(0.99))
 		}
 
 		t.Logf("%d instances: age at 99 in 100 %v", size.instances, worst)
@@ -225,18 +225,18 @@
 	}
 }
 
-func TestMessagesHardlyGrowWithTheFleet(t *testing.T) {
-	const span = time.Second
+func TestMessageRateGrowsSublinearly(t *testing.T) {
+	const duration = time.Second
 
 	sent := make(map[int][2]int)
 
 	for _, size := range []struct{ instances, domains int }{{80, 5}, {410, 5}} {
 		m := newModel(size.instances, size.domains)
 		m.run(500 * time.Millisecond)
-		m.count()
-		m.run(span)
+		m.resetSent()
+		m.run(duration)
 
-		sent[size.instances] = [2]int{m.sent(false, span), m.sent(true, span)}
+		sent[size.instances] = [2]int{m.maxSentPerSecond(false, duration), m.maxSentPerSecond(true, duration)}
 		t.Logf("%d instances: %d messages a second of one that is no relay, %d of a relay",
 			size.instances, sent[size.instances][0], sent[size.instances][1])
 	}
@@ -253,8 +253,8 @@
 // just all relays, the others know each other again in seconds.
 func TestLostRelaysAreReplaced(t *testing.T) {
 	for name, tt := range map[string]struct {
-		dies func(m *model, node *modelNode) bool
-		most time.Duration
+		killed      func(m *model, node *modelNode) bool
+		maxRecovery time.Duration
 	}{
 		"a failure domain": {
 			func(m *model, node *modelNode) bool { return node.member.Domain == m.members[0].Domain }, time.Second,
@@ -267,28 +267,28 @@
 			m.run(1500 * time.Millisecond)
 
 			for _, node := range m.nodes {
-				node.dead = tt.dies(m, node)
+				node.dead = tt.killed(m, node)
 			}
 
-			const span, step = 6 * time.Second, 100 * time.Millisecond
+			const duration, step = 6 * time.Second, 100 * time.Millisecond
 
 			recovered, worst := time.Duration(0), time.Duration(0)
 
-			for passed := step; passed <= span; passed += step {
+			for elapsed := step; elapsed <= duration; elapsed += step {
 				m.run(step)
 
-				age := m.age(0.99)
+				age := m.ageQuantile(0.99)
 				worst = max(worst, age)
 
 				if age > 400*time.Millisecond {
-					recovered = passed
+					recovered = elapsed
 				}
 			}
 
 			t.Logf("news at 99 in 100 is older than 400 ms for %v, and %v old at most", recovered, worst)
 
-			if recovered > tt.most {
-				t.Errorf("news is old for %v, want %v at most", recovered, tt.most)
+			if recovered > tt.maxRecovery {
+				t.Errorf("news is old for %v, want %v at most", recovered, tt.maxRecovery)
 			}
 		})
 	}
@@ -297,23 +297,23 @@
 // After a start of all, each instance knows only itself until it has read the records, and
 // many believe in some that have ended: the larger ones, which would lead. Within seconds
 // five lead, all know the same ones, and that stays so.
-func TestLeadersAreAgreedOnAfterAStartOfAll(t *testing.T) {
+func TestLeadersConvergeAfterFleetRestart(t *testing.T) {
 	for seed := range uint64(4) {
 		m := newModel(80, 5)
 		m.random = rand.New(rand.NewPCG(seed, 3))
 
 		readAt := make(map[fleet.InstanceID]time.Time)
-		believes := make(map[fleet.InstanceID]int)
-		ended := fleetOf(4, 4)
+		terminatedKnown := make(map[fleet.InstanceID]int)
+		terminated := fleetOf(4, 4)
 
-		for i := range ended {
-			ended[i].ID += "-ended"
-			ended[i].Cores = 0.8
+		for i := range terminated {
+			terminated[i].ID += "-ended"
+			terminated[i].Cores = 0.8
 		}
 
 		for _, member := range m.members {
 			readAt[member.ID] = begin.Add(time.Duration(m.random.IntN(1500)) * time.Millisecond)
-			believes[member.ID] = m.random.IntN(len(ended) + 1)
+			terminatedKnown[member.ID] = m.random.IntN(len(terminated) + 1)
 		}
 
 		m.view = func(node *modelNode) []Member {
@@ -326,19 +326,19 @@
 				return m.members
 			}
 
-			return slices.Concat(m.members, ended[:believes[node.member.ID]])
+			return slices.Concat(m.members, terminated[:terminatedKnown[node.member.ID]])
 		}
 
 		m.run(10 * time.Second)
 
 		for range 40 {
 			m.run(100 * time.Millisecond)
-			m.checkLeaders(t, seed, leaders)
+			m.checkLeaders(t, seed, maxLeaders)
 		}
 	}
 }
 
-func (m *model) checkLeaders(t *testing.T, seed uint64, most int) {
+func (m *model) checkLeaders(t *testing.T, seed uint64, maxLeading int) {
 	t.Helper()
 
 	leading := 0
@@ -349,8 +349,8 @@
 		}
 	}
 
-	if leading < 3 || leading > most {
-		t.Fatalf("seed %d, %v after the start: got %d that lead, want 3 to %d", seed, m.now.Sub(begin), leading, most)
+	if leading < 3 || leading > maxLeading {
+		t.Fatalf("seed %d, %v after the start: got %d that lead, want 3 to %d", seed, m.now.Sub(begin), leading, maxLeading)
 	}
 
 	for _, node := range m.nodes {
@@ -363,21 +363,21 @@
 		}
 
 		// While they change, one that answers is enough.
-		least := 3
-		if most > leaders {
-			least = 1
+		minKnown := 3
+		if maxLeading > maxLeaders {
+			minKnown = 1
 		}
 
-		if known < least {
+		if known < minKnown {
 			t.Fatalf("seed %d, %v after the start: %s knows %d of %d that lead, want %d",
-				seed, m.now.Sub(begin), node.member.ID, known, leading, least)
+				seed, m.now.Sub(begin), node.member.ID, known, leading, minKnown)
 		}
 	}
 }
 
 // While instances stop and start again in turn, ten at a time, those that lead among them,
 // three of those that lead are there at any time, and all know them.
-func TestLeadersAreThereWhileInstancesAreReplaced(t *testing.T) {
+func TestLeadersPersistDuringRollingRestart(t *testing.T) {
 	m := newModel(80, 5)
 	m.run(2 * time.Second)
 
@@ -402,9 +402,9 @@
 			m.run(100 * time.Millisecond)
 
 			// Those that give way and those that take their place may lead together at first.
-			most := 2 * leaders
+			most := 2 * maxLeaders
 			if i >= 10 {
-				most = leaders
+				most = maxLeaders
 			}
 
 			m.checkLeaders(t, 0, most)
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -40,15 +40,15 @@
 	// FullMeshMax is the number of instances up to which each tells each: 12 of them send no
 	// more messages than a relay does.
 	FullMeshMax = 12
-	// relaysPerDomain is the least number of relays of a failure domain: while one is
+	// minRelaysPerDomain is the least number of relays of a failure domain: while one is
 	// lost its members turn to the other.
-	relaysPerDomain = 2
+	minRelaysPerDomain = 2
 	// membersPerRelay bounds how many members a relay tells: the more they are, the older
 	// is their news (TestNewsIsYoungHoweverManyInstances).
 	membersPerRelay = 20
-	// leaders is how many instances lead: some may be frozen, cut off from the store or
+	// maxLeaders is how many instances lead: some may be frozen, cut off from the store or
 	// killed at once.
-	leaders = 5
+	maxLeaders = 5
 )
 
 // Member is an entry instance as others know it.
@@ -61,21 +61,21 @@
 	Cores float64
 }
 
-// weighed is a member with the hash of its id.
-type weighed struct {
+// hashedMember is a member with the hash of its id.
+type hashedMember struct {
 	Member
-	weight uint64
+	hash uint64
 }
 
 // Rank orders members alike for all that know them: the larger first, then by hash.
 func Rank(members []Member) []Member {
-	ranked := make([]weighed, 0, len(members))
+	ranked := make([]hashedMember, 0, len(members))
 	for _, m := range members {
-		ranked = append(ranked, weighed{Member: m, weight: xxhash.Sum64String(string(m.ID))})
+		ranked = append(ranked, hashedMember{Member: m, hash: xxhash.Sum64String(string(m.ID))})
 	}
 
-	slices.SortFunc(ranked, func(a, b weighed) int {
-		return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(b.weight, a.weight), cmp.Compare(a.ID, b.ID))
+	slices.SortFunc(ranked, func(a, b hashedMember) int {
+		return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(b.hash, a.hash), cmp.Compare(a.ID, b.ID))
 	})
 
 	ordered := make([]Member, 0, len(ranked))
@@ -89,7 +89,7 @@
 // TargetRelays is how many relays a failure domain of some instances should have, one of a
 // number of domains.
 func TargetRelays(instances, domains int) int {
-	return max(relaysPerDomain, ceil(instances, membersPerRelay), ceil(leaders, max(domains, 1)))
+	return max(minRelaysPerDomain, ceilDiv(instances, membersPerRelay), ceilDiv(maxLeaders, max(domains, 1)))
 }
 
 // RelaysOf returns the relays of ranked members, in their order.
@@ -117,23 +117,23 @@
 	return relays
 }
 
-// ceil divides and rounds up.
-func ceil(a, b int) int { return (a + b - 1) / b }
+// ceilDiv divides and rounds up.
+func ceilDiv(a, b int) int { return (a + b - 1) / b }
 
 // leadersOf returns those of the relays that lead: one of each failure domain in turn,
 // since a domain may be lost as a whole.
 func leadersOf(relays []Member) []fleet.InstanceID {
 	var ids []fleet.InstanceID
 
-	rest := slices.Clone(relays)
+	remaining := slices.Clone(relays)
 
-	for len(rest) > 0 && len(ids) < leaders {
+	for len(remaining) > 0 && len(ids) < maxLeaders {
 		taken := make(map[fleet.FailureDomain]bool)
-		next := rest[:0]
+		skipped := remaining[:0]
 
-		for _, m := range rest {
-			if taken[m.Domain] || len(ids) == leaders {
-				next = append(next, m)
+		for _, m := range remaining {
+			if taken[m.Domain] || len(ids) == maxLeaders {
+				skipped = append(skipped, m)
 
 				continue
 			}
@@ -142,7 +142,7 @@
 			ids = append(ids, m.ID)
 		}
 
-		rest = next
+		remaining = skipped
 	}
 
 	return ids
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/fleet"
 )
 
-func instance(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("entry-", i)) }
+func instanceID(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("entry-", i)) }
 
 // fleetOf returns n members in some failure domains, in any order.
 func fleetOf(n, domains int) []Member {
@@ -18,7 +18,7 @@
 
 	for i := range n {
 		members = append(members, Member{
-			ID: instance(i), Domain: fleet.FailureDomain(fmt.Sprint("domain-", i%domains)), Cores: 0.2,
+			ID: instanceID(i), Domain: fleet.FailureDomain(fmt.Sprint("domain-", i%domains)), Cores: 0.2,
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7600),
 		})
 	}
@@ -30,7 +30,7 @@
 	return (&Links{Self: self}).Plan(begin, members)
 }
 
-func TestFewLeadAndAllNameTheSame(t *testing.T) {
+func TestAllInstancesComputeSameLeaders(t *testing.T) {
 	if plan := planOf(Member{ID: "entry-3"}, nil); !plan.IsLeader("entry-3") {
 		t.Error("nobody is known: got no lead, want one")
 	}
@@ -38,8 +38,8 @@
 	members := fleetOf(40, 4)
 	want := planOf(members[0], members).Leaders
 
-	if len(want) != leaders {
-		t.Errorf("leading: got %d, want %d", len(want), leaders)
+	if len(want) != maxLeaders {
+		t.Errorf("leading: got %d, want %d", len(want), maxLeaders)
 	}
 
 	slices.Reverse(members)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestLeadersAreSpreadOverFailureDomains(t *testing.T) {
+func TestLeadersSpreadOverFailureDomains(t *testing.T) {
 	members := fleetOf(60, 6)
 
 	domains := make(map[fleet.FailureDomain]int)
@@ -61,12 +61,12 @@
 		}
 	}
 
-	if len(domains) != leaders {
-		t.Errorf("failure domains with leaders: got %v, want %d with one each", domains, leaders)
+	if len(domains) != maxLeaders {
+		t.Errorf("failure domains with leaders: got %v, want %d with one each", domains, maxLeaders)
 	}
 }
 
-func TestLargerInstancesLeadFirst(t *testing.T) {
+func TestLargestInstanceIsFirstLeader(t *testing.T) {
 	members := fleetOf(60, 6)
 	members[17].Cores = 0.8
 
@@ -75,16 +75,16 @@
 	}
 }
 
-func TestEnoughLeadInAnyNumberOfFailureDomains(t *testing.T) {
+func TestLeaderCountIsIndependentOfFailureDomains(t *testing.T) {
 	for domains := range 8 {
 		members := fleetOf(40, domains+1)
-		if got := len(planOf(members[0], members).Leaders); got != leaders {
-			t.Errorf("%d failure domains: got %d that lead, want %d", domains+1, got, leaders)
+		if got := len(planOf(members[0], members).Leaders); got != maxLeaders {
+			t.Errorf("%d failure domains: got %d that lead, want %d", domains+1, got, maxLeaders)
 		}
 	}
 }
 
-func TestFewInstancesTellEachOther(t *testing.T) {
+func TestFewInstancesFormFullMesh(t *testing.T) {
 	members := fleetOf(FullMeshMax, 4)
 
 	for _, self := range members {
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestManyInstancesHaveFewRelays(t *testing.T) {
+func TestManyInstancesUseFewRelays(t *testing.T) {
 	for _, tt := range []struct{ instances, domains, relays int }{{13, 4, 8}, {80, 4, 8}, {195, 6, 12}, {410, 5, 25}} {
 		members := fleetOf(tt.instances, tt.domains)
 		relays := 0
@@ -117,7 +117,7 @@
 
 // One of many that stops neither relays nor leads, while it can still answer; few go on
 // telling each other.
-func TestAnInstanceThatStopsIsReplacedAtOnce(t *testing.T) {
+func TestStoppingLeaderIsReplacedImmediately(t *testing.T) {
 	members := fleetOf(80, 4)
 	leader := planOf(members[0], members).Leaders[0]
 	self := members[slices.IndexFunc(members, func(m Member) bool { return m.ID == leader })]
@@ -125,12 +125,12 @@
 	l := &Links{Self: self}
 	l.StepDown()
 
-	if plan := l.Plan(begin, members); plan.Relay || plan.IsLeader(leader) || len(plan.Leaders) != leaders {
+	if plan := l.Plan(begin, members); plan.Relay || plan.IsLeader(leader) || len(plan.Leaders) != maxLeaders {
 		t.Errorf("while it stops: got relay %t, leaders %v, want others to lead", plan.Relay, plan.Leaders)
 	}
 
 	others := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.ID == leader })
-	if got := planOf(others[0], others).Leaders; slices.Contains(got, leader) || len(got) != leaders {
+	if got := planOf(others[0], others).Leaders; slices.Contains(got, leader) || len(got) != maxLeaders {
 		t.Errorf("by others: got %v, want five without %s", got, leader)
 	}
 
@@ -144,7 +144,7 @@
 }
 
 // Among few instances one that stops still shares limits, and must neither lead nor grant.
-func TestAStoppingInstanceOfFewLeadsNoLonger(t *testing.T) {
+func TestStoppedPeerInFullMeshIsNoLeader(t *testing.T) {
 	few := fleetOf(4, 2)
 	leading := planOf(few[0], few).Leaders[0]
 	other := few[slices.IndexFunc(few, func(m Member) bool { return m.ID != leading })]
@@ -161,7 +161,7 @@
 
 // Instances are replaced for as long as one runs: what it remembers of those that are gone
 // does not grow.
-func TestLinksForgetThoseThatAreGone(t *testing.T) {
+func TestLinksEvictRemovedMembers(t *testing.T) {
 	members := fleetOf(80, 4)
 	l := &Links{Self: members[0]}
 	now := begin
@@ -176,13 +176,13 @@
 		l.Plan(now, members)
 	}
 
-	if got, most := len(l.heard)+len(l.silent), rememberedPerMember*(len(members)+1); got > most {
+	if got, most := len(l.lastReceived)+len(l.silentSince), maxEntriesPerMember*(len(members)+1); got > most {
 		t.Errorf("remembered: got %d times and marks, want at most %d", got, most)
 	}
 }
 
 // One that has just started knows itself and names itself; nobody believes it.
-func TestOneThatKnowsFewIsNotBelievedWhoLeads(t *testing.T) {
+func TestViewOfStartingInstanceIsIgnored(t *testing.T) {
 	members := fleetOf(80, 4)
 	want := planOf(members[0], members).Leaders
 	self := members[slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(want, m.ID) })]
@@ -204,7 +204,7 @@
 }
 
 // Guards against an instance that takes the views of two that lead in turn.
-func TestOneOfTwoViewsIsKept(t *testing.T) {
+func TestConflictingViewsResolveByRank(t *testing.T) {
 	members := fleetOf(9, 4)
 	all := planOf(members[0], members).Leaders
 	self := members[slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(all, m.ID) })]
@@ -221,7 +221,7 @@
 		}
 	}
 
-	later := begin.Add(viewLife + time.Second)
+	later := begin.Add(viewTTL + time.Second)
 	l.LeadersReported(later, all[1], views[1], len(members))
 
 	if got := l.Plan(later, members).Leaders; !slices.Equal(got, views[1]) {
@@ -230,7 +230,7 @@
 }
 
 // Two sets of leaders that made each other give way would leave none.
-func TestLeadersGiveWayOnlyToThoseThatLeadWithThem(t *testing.T) {
+func TestLeaderYieldsOnlyToCoLeaders(t *testing.T) {
 	members := fleetOf(80, 4)
 	leaders := planOf(members[0], members).Leaders
 	self := members[slices.IndexFunc(members, func(m Member) bool { return m.ID == leaders[0] })]
