--- a/daemon/build_requests.go
+++ b/daemon/build_requests.go
@@ -36,7 +36,7 @@
 // buildRequests makes the path of a request.
 func (p *parts) buildRequests() {
 	budgets := retry.NewBudgets(retry.BudgetPolicy{})
-	answers := retry.NewBudgets(retry.BudgetPolicy{Share: answerRetryShare, Least: answerRetryLeast}).Of(retry.Scope{})
+	answers := retry.NewBudgets(retry.BudgetPolicy{Share: answerRetryShare, MinRetries: answerRetryLeast}).Of(retry.Scope{})
 
 	p.runner = &answer.Runner{
 		Clock:         p.clock,
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -305,7 +305,7 @@
 
 func newRetries(b settings.Bounds) *retry.Budgets {
 	return retry.NewBudgets(retry.BudgetPolicy{
-		Window: b.RetryWindow, Share: b.RetryShare * retryMargin, Least: b.Retries(),
+		Window: b.RetryWindow, Share: b.RetryShare * retryMargin, MinRetries: b.Retries(),
 	})
 }
 
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -27,7 +27,7 @@
 
 func newBudget(p BudgetPolicy) *Budget {
 	least := new(atomic.Int64)
-	least.Store(int64(p.Least))
+	least.Store(int64(p.MinRetries))
 
 	width := p.Window / windowBuckets
 
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -13,9 +13,9 @@
 func TestHoldsBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := BudgetPolicy{
-			Window: 10 * time.Second,
-			Share:  rapid.Float64Range(0.01, 1).Draw(t, "share"),
-			Least:  rapid.IntRange(1, 5).Draw(t, "least"),
+			Window:     10 * time.Second,
+			Share:      rapid.Float64Range(0.01, 1).Draw(t, "share"),
+			MinRetries: rapid.IntRange(1, 5).Draw(t, "least"),
 		}
 		b := newBudget(policy.withDefaults())
 		now := testStart
@@ -47,7 +47,7 @@
 				}
 			}
 
-			most := int(policy.Share*float64(within(requests))) + policy.Least
+			most := int(policy.Share*float64(within(requests))) + policy.MinRetries
 			if got := within(retries); len(retries) > 0 && retries[len(retries)-1].Equal(now) && got > most {
 				t.Fatalf("%d retries in the last %v, want at most %d", got, policy.Window, most)
 			}
@@ -82,7 +82,7 @@
 	const workers, tries, want = 8, 2000, 50
 
 	for range 20 {
-		b := newBudget(BudgetPolicy{Least: want}.withDefaults())
+		b := newBudget(BudgetPolicy{MinRetries: want}.withDefaults())
 
 		var (
 			taken atomic.Int64
--- a/retry/budgetpolicy.go
+++ b/retry/budgetpolicy.go
@@ -14,16 +14,16 @@
 	// UnsentShare is the same for retries of attempts that were never sent.
 	// They load no server, and the loss of a failure domain makes many of them.
 	UnsentShare float64
-	// Least is how many retries there may be in a window however few requests
+	// MinRetries is how many retries there may be in a window however few requests
 	// there are.
-	Least int
+	MinRetries int
 }
 
 func (p BudgetPolicy) withDefaults() BudgetPolicy {
 	p.Window = cmp.Or(p.Window, 10*time.Second)
 	p.Share = cmp.Or(p.Share, 0.1)
 	p.UnsentShare = cmp.Or(p.UnsentShare, 1)
-	p.Least = cmp.Or(p.Least, 3)
+	p.MinRetries = cmp.Or(p.MinRetries, 3)
 
 	return p
 }
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -24,7 +24,7 @@
 func NewBudgets(p BudgetPolicy) *Budgets {
 	p = p.withDefaults()
 	b := &Budgets{policy: p}
-	b.least.Store(int64(p.Least))
+	b.least.Store(int64(p.MinRetries))
 	b.shared = b.newBudget()
 	b.current.Store(&map[Scope]*Budget{})
 
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -42,7 +42,7 @@
 
 func TestHoldsNoRetryOfNonIdempotentCall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Policy{Budgets: NewBudgets(BudgetPolicy{Least: 1000}), Attempts: 20}
+		p := &Policy{Budgets: NewBudgets(BudgetPolicy{MinRetries: 1000}), Attempts: 20}
 		random := rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0)
 		c := NewCall(testScope, false)
 		now := testStart
@@ -78,7 +78,7 @@
 
 func TestHoldsNoAttemptThatCannotFinish(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Policy{Budgets: NewBudgets(BudgetPolicy{Least: 1000}), Attempts: 20}
+		p := &Policy{Budgets: NewBudgets(BudgetPolicy{MinRetries: 1000}), Attempts: 20}
 		random := rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0)
 		expected := time.Duration(rapid.IntRange(0, 2000).Draw(t, "expected")) * time.Millisecond
 		deadline := testStart.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "deadline")) * time.Millisecond)
@@ -126,7 +126,7 @@
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			p := &Policy{Budgets: NewBudgets(BudgetPolicy{Least: tt.least})}
+			p := &Policy{Budgets: NewBudgets(BudgetPolicy{MinRetries: tt.least})}
 			c := NewCall(testScope, tt.idempotent).WithExpected(2 * time.Second)
 			c.failed = tt.failed
 
