--- a/entry/peers.go
+++ b/entry/peers.go
@@ -57,7 +57,7 @@
 
 // shareBudgets gives this instance its part of what all may use together.
 func (p *parts) shareBudgets() {
-	p.retries.SetLeast(p.bounds.Load().Retries() / p.count())
+	p.retries.SetMinRetries(p.bounds.Load().Retries() / p.count())
 	p.shareConnections()
 }
 
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -16,7 +16,7 @@
 		p.limits.Configure(p.allowances(rules))
 	}
 
-	p.retries.SetLeast(s.Bounds.Retries() / p.count())
+	p.retries.SetMinRetries(s.Bounds.Retries() / p.count())
 
 	restart := s
 	restart.Bounds, restart.Duties = p.settings.Bounds, p.settings.Duties
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -60,9 +60,9 @@
 	return next[s]
 }
 
-// SetLeast sets how many retries there may be in a window of each scope however few
+// SetMinRetries sets how many retries there may be in a window of each scope however few
 // requests there are, as when the instances that share a bound come and go.
-func (b *Budgets) SetLeast(n int) {
+func (b *Budgets) SetMinRetries(n int) {
 	b.least.Store(int64(n))
 }
 
