--- a/dispatch/answers.go
+++ b/dispatch/answers.go
@@ -53,7 +53,7 @@
 
 // Keep begins to answer a request.
 func (a *Answers) Keep(ctx context.Context, r gateway.ModelRequest, durable bool, ended func(answer.Result)) error {
-	a.Budget.Request(a.Clock.Now())
+	a.Budget.CountRequest(a.Clock.Now())
 
 	if !durable {
 		a.run(r.Answer, a.Replicator.Keep(r.Answer), nil, false, ended)
--- a/dispatch/models.go
+++ b/dispatch/models.go
@@ -21,7 +21,7 @@
 
 // Answer relays one answer to its sink.
 func (m *Models) Answer(ctx context.Context, r gateway.ModelRequest, sink answer.Sink) answer.Result {
-	m.Budget.Request(m.Clock.Now())
+	m.Budget.CountRequest(m.Clock.Now())
 
 	return m.Runner.Run(ctx, r.Answer, sink)
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -197,7 +197,7 @@
 	}
 
 	j.service = route.Target(rand.Float64())
-	f.Retries.Of(retry.NewScope(j.service, "")).Request(f.Clock.Now())
+	f.Retries.Of(retry.NewScope(j.service, "")).CountRequest(f.Clock.Now())
 
 	return j, f.admit(ctx, j)
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Request counts a request, at its first attempt.
-func (b *Budget) Request(now time.Time) {
+// CountRequest counts a request, at its first attempt.
+func (b *Budget) CountRequest(now time.Time) {
 	b.requests.Add(now, 1)
 }
 
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -37,7 +37,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
-				b.Request(now)
+				b.CountRequest(now)
 				requests = append(requests, now)
 			}
 
@@ -65,7 +65,7 @@
 
 	for range seconds * rate {
 		now = now.Add(time.Second / rate)
-		b.Request(now)
+		b.CountRequest(now)
 
 		if b.Take(now) {
 			taken++
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -30,7 +30,7 @@
 
 // Begin counts a call, before its first attempt.
 func (p *Policy) Begin(now time.Time, c *Call) {
-	p.Budgets.Of(c.scope).Request(now)
+	p.Budgets.Of(c.scope).CountRequest(now)
 }
 
 // Decide takes in that an attempt failed and tells whether there is another.
