--- a/daemon/build_requests.go
+++ b/daemon/build_requests.go
@@ -75,7 +75,7 @@
 		Models:    &dispatch.Models{Clock: p.clock, Runner: p.runner, Budget: answers},
 		Plain: &dispatch.Plain{
 			Clock: p.clock, Table: p.table, Directory: p.directory, Claims: p.claims,
-			Retry: &retry.Policy{Budgets: budgets, Attempts: plainAttempts, Metrics: p.metrics},
+			Retry: &retry.Policy{Budgets: budgets, MaxAttempts: plainAttempts, Metrics: p.metrics},
 		},
 		Kept:         p.answers,
 		Observer:     &observer{clock: p.clock, recorder: p.recorder},
--- a/dispatch/fixture_test.go
+++ b/dispatch/fixture_test.go
@@ -90,7 +90,7 @@
 
 // attempts returns a policy that bounds only how often a call is tried.
 func attempts(n int) *retry.Policy {
-	return &retry.Policy{Budgets: retry.NewBudgets(retry.BudgetPolicy{MinRetries: 100}), Attempts: n}
+	return &retry.Policy{Budgets: retry.NewBudgets(retry.BudgetPolicy{MinRetries: 100}), MaxAttempts: n}
 }
 
 // newPlain returns a Plain before four backend servers. It is called in a bubble.
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -15,8 +15,8 @@
 type Policy struct {
 	Budgets *Budgets
 	Backoff Backoff
-	// Attempts is how often a call is tried at most.
-	Attempts int
+	// MaxAttempts is how often a call is tried at most.
+	MaxAttempts int
 	// HedgeBelow is the utilisation of a service below which it is hedged.
 	HedgeBelow float64
 	// Metrics receives the counters, unless it is nil.
@@ -47,7 +47,7 @@
 		return Decision{reason: MayHaveRun}
 	}
 
-	if c.failed >= cmp.Or(p.Attempts, defaultAttempts) {
+	if c.failed >= cmp.Or(p.MaxAttempts, defaultAttempts) {
 		return Decision{reason: NoAttemptLeft}
 	}
 
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -42,7 +42,7 @@
 
 func TestHoldsNoRetryOfNonIdempotentCall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Policy{Budgets: NewBudgets(BudgetPolicy{MinRetries: 1000}), Attempts: 20}
+		p := &Policy{Budgets: NewBudgets(BudgetPolicy{MinRetries: 1000}), MaxAttempts: 20}
 		random := rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0)
 		c := NewCall(testScope, false)
 		now := testStart
@@ -78,7 +78,7 @@
 
 func TestHoldsNoAttemptThatCannotFinish(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Policy{Budgets: NewBudgets(BudgetPolicy{MinRetries: 1000}), Attempts: 20}
+		p := &Policy{Budgets: NewBudgets(BudgetPolicy{MinRetries: 1000}), MaxAttempts: 20}
 		random := rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0)
 		expected := time.Duration(rapid.IntRange(0, 2000).Draw(t, "expected")) * time.Millisecond
 		deadline := testStart.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "deadline")) * time.Millisecond)
