--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -38,7 +38,7 @@
 	}
 
 	decision := t.plain.Retry.Decide(t.plain.Clock.Now(), discovery.Random{}, t.call, err)
-	if !decision.Again() {
+	if !decision.Retry() {
 		return false
 	}
 
--- a/retry/decision.go
+++ b/retry/decision.go
@@ -8,8 +8,8 @@
 	after  time.Duration
 }
 
-// Again tells whether the call is tried again.
-func (d Decision) Again() bool { return d.reason == None }
+// Retry tells whether the call is tried again.
+func (d Decision) Retry() bool { return d.reason == None }
 
 // After returns the wait before the next attempt.
 func (d Decision) After() time.Duration { return d.after }
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -89,7 +89,7 @@
 		return
 	}
 
-	if d.Again() {
+	if d.Retry() {
 		p.Metrics.GetOrCreateCounter(`monsoonlever_retry_retries_total`).Inc()
 
 		return
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -63,7 +63,7 @@
 			mayHaveRun = mayHaveRun || o.mayHave
 			d := p.Decide(now, random, c, o.err)
 
-			if d.Again() && mayHaveRun {
+			if d.Retry() && mayHaveRun {
 				t.Fatalf("retry after %q", o.err)
 			}
 
@@ -91,7 +91,7 @@
 			}
 
 			d := p.Decide(now, random, c, rapid.SampledFrom(outcomes).Draw(t, "outcome").err)
-			if !d.Again() {
+			if !d.Retry() {
 				return
 			}
 
