--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -42,12 +42,12 @@
 		return false
 	}
 
-	if decision.After() <= 0 {
+	if decision.Delay() <= 0 {
 		return true
 	}
 
 	select {
-	case <-t.plain.Clock.After(decision.After()):
+	case <-t.plain.Clock.After(decision.Delay()):
 		return true
 	case <-ctx.Done():
 		return false
--- a/retry/decision.go
+++ b/retry/decision.go
@@ -11,8 +11,8 @@
 // Retry tells whether the call is tried again.
 func (d Decision) Retry() bool { return d.reason == None }
 
-// After returns the wait before the next attempt.
-func (d Decision) After() time.Duration { return d.after }
+// Delay returns the wait before the next attempt.
+func (d Decision) Delay() time.Duration { return d.after }
 
 // Reason returns why the call isn't tried again.
 func (d Decision) Reason() Reason { return d.reason }
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -71,7 +71,7 @@
 				t.Fatalf("may have run after %q: got %v, want %v", o.err, c.MayHaveRun(), mayHaveRun)
 			}
 
-			now = now.Add(d.After())
+			now = now.Add(d.Delay())
 		}
 	})
 }
@@ -95,7 +95,7 @@
 				return
 			}
 
-			now = now.Add(d.After())
+			now = now.Add(d.Delay())
 			if now.Add(expected).After(deadline) {
 				t.Fatalf("attempt at %v can't finish", now.Sub(testStart))
 			}
