--- a/entry/rules.go
+++ b/entry/rules.go
@@ -170,7 +170,7 @@
 	for _, d := range deltas {
 		switch {
 		case d.After == nil:
-			p.pool.Forget(d.Before.ID)
+			p.pool.RemoveServer(d.Before.ID)
 		case d.Before != nil && d.Before.Start() != d.After.Start():
 			// What ran there is lost.
 			p.pool.Cut(d.After.ID)
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -80,8 +80,8 @@
 	p.of(id).limit = limit
 }
 
-// Forget closes the idle connections to a server that is gone and keeps no more.
-func (p *Pool) Forget(id fleet.InstanceID) {
+// RemoveServer closes the idle connections to a server that is gone and keeps no more.
+func (p *Pool) RemoveServer(id fleet.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 
-	pool.Forget(server.ID)
+	pool.RemoveServer(server.ID)
 	pool.SetLimit(server.ID, 1)
 
 	if got := pool.Open(server.ID); got != 0 {
