--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -185,7 +185,7 @@
 		return merry.Prependf(errFailed, "status %d instead of the rest of a stream", answer.Status())
 	}
 
-	if err := sink.Answer(answer.Status(), answer.Header(), body); err != nil {
+	if err := sink.WriteResponse(answer.Status(), answer.Header(), body); err != nil {
 		return merry.Prepend(errCallerWrite, "write answer", merry.WithCause(err))
 	}
 
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -280,7 +280,7 @@
 	refusals []Refusal
 }
 
-func (c *caught) Answer(status int, _ http.Header, _ []byte) error {
+func (c *caught) WriteResponse(status int, _ http.Header, _ []byte) error {
 	c.status = status
 
 	return nil
--- a/forward/job.go
+++ b/forward/job.go
@@ -155,7 +155,7 @@
 // giveUp makes the final answer after the last attempt.
 func (j *job) giveUp(err error, sink Sink) *Refusal {
 	if j.last != nil && j.stream.count == 0 {
-		if writeErr := sink.Answer(j.last.status, j.last.header, j.last.body); writeErr == nil {
+		if writeErr := sink.WriteResponse(j.last.status, j.last.header, j.last.body); writeErr == nil {
 			return nil
 		}
 
--- a/forward/sink.go
+++ b/forward/sink.go
@@ -4,8 +4,8 @@
 
 // Sink takes the answer to one request. Its methods are called from one goroutine.
 type Sink interface {
-	// Answer writes a whole answer.
-	Answer(status int, header http.Header, body []byte) error
+	// WriteResponse writes a whole answer.
+	WriteResponse(status int, header http.Header, body []byte) error
 	// Begin writes the header of a stream.
 	Begin(status int, header http.Header) error
 	// Event writes one event of a stream and sends it on.
