--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -286,7 +286,7 @@
 	return nil
 }
 
-func (c *caught) Begin(status int, _ http.Header) error {
+func (c *caught) BeginStream(status int, _ http.Header) error {
 	c.status = status
 	c.begun++
 
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -82,7 +82,7 @@
 // pass writes one event, after the header of the first server's answer.
 func (f *Forwarder) pass(j *job, answer *upstream.Answer, sink Sink, event []byte) error {
 	if !j.stream.begun {
-		if err := sink.Begin(answer.Status(), answer.Header()); err != nil {
+		if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
 			return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
 		}
 
@@ -102,7 +102,7 @@
 	}
 
 	// A stream may be empty, as one that is resumed after its last event.
-	if err := sink.Begin(answer.Status(), answer.Header()); err != nil {
+	if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
 		return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
 	}
 
--- a/forward/sink.go
+++ b/forward/sink.go
@@ -6,8 +6,8 @@
 type Sink interface {
 	// WriteResponse writes a whole answer.
 	WriteResponse(status int, header http.Header, body []byte) error
-	// Begin writes the header of a stream.
-	Begin(status int, header http.Header) error
+	// BeginStream writes the header of a stream.
+	BeginStream(status int, header http.Header) error
 	// Event writes one event of a stream and sends it on.
 	Event(event []byte) error
 	// Refuse writes a final answer of our own. After Begin it breaks the stream
