--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -293,7 +293,7 @@
 	return nil
 }
 
-func (c *caught) Event(event []byte) error {
+func (c *caught) WriteEvent(event []byte) error {
 	c.events = append(c.events, string(event))
 
 	return nil
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -89,7 +89,7 @@
 		j.stream.begun = true
 	}
 
-	if err := sink.Event(event); err != nil {
+	if err := sink.WriteEvent(event); err != nil {
 		return merry.Prepend(errCallerWrite, "write event", merry.WithCause(err))
 	}
 
