--- a/entry/parts.go
+++ b/entry/parts.go
@@ -216,7 +216,7 @@
 		Clock: e.Clock, Rules: &p.rules, Currency: p.currency, Limits: p.loans, Retries: p.retries,
 		Scheduler: p.scheduler, Pool: p.pool, Protocol: platform.Protocol{Fields: &p.unknownFields}, Usage: p.counter,
 		Versions: &p.rollouts.gate, Trials: &p.rollouts.counter,
-		Quarantine: p.quarantine, Counters: forward.NewCounters(set), MaxAnswerBytes: maxAnswerBytes, Observe: e.logOutcome,
+		Quarantine: p.quarantine, Counters: forward.NewCounters(set), MaxResponseBytes: maxAnswerBytes, Observe: e.logOutcome,
 	}
 	p.handler = &platform.Handler{Clock: e.Clock, Serve: p.serve, BodyBytes: p.bodyBytes}
 	p.board = &board.Board{
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -146,7 +146,7 @@
 
 	if reading.NotRun {
 		// The body says nothing more, but reading it keeps the connection.
-		_, _ = answer.ReadAll(f.MaxAnswerBytes)
+		_, _ = answer.ReadAll(f.MaxResponseBytes)
 
 		return merry.Prepend(backend.ErrRefused, string(assignment.ID()))
 	}
@@ -163,7 +163,7 @@
 
 // relayWhole passes an answer on that is not a stream, once it is whole.
 func (f *Forwarder) relayWhole(j *job, answer *upstream.Answer, reading Reading, sink Sink) error {
-	body, err := answer.ReadAll(f.MaxAnswerBytes)
+	body, err := answer.ReadAll(f.MaxResponseBytes)
 	if err != nil {
 		return err
 	}
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -177,7 +177,7 @@
 		Clock: s.clock, Rules: &s.rules, Currency: tracker, Limits: freeLimits{},
 		Retries:   retry.NewBudgets(retry.BudgetPolicy{Window: 10 * time.Second, Share: 1e-9, MinRetries: budget}),
 		Scheduler: scheduler, Pool: &upstream.Pool{Clock: s.clock, Dial: s.dial}, Protocol: plainProtocol{},
-		Usage: &s.usage, MaxAnswerBytes: 1 << 20, Quarantine: &quarantine.Ledger{},
+		Usage: &s.usage, MaxResponseBytes: 1 << 20, Quarantine: &quarantine.Ledger{},
 	}
 
 	return s
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -109,8 +109,8 @@
 	// of it while one is tried.
 	Versions *rollout.Gate
 	Trials   *rollout.Counter
-	// MaxAnswerBytes bounds an answer that is not a stream.
-	MaxAnswerBytes int64
+	// MaxResponseBytes bounds an answer that is not a stream.
+	MaxResponseBytes int64
 	// Observe is told each outcome; it may be nil.
 	Observe func(*Request, Outcome)
 
