--- a/forward/forward.go
+++ b/forward/forward.go
@@ -51,8 +51,8 @@
 type Attempt struct {
 	Server  fleet.InstanceID
 	Account fleet.Account
-	// Left is the time until the answer is of no use.
-	Left time.Duration
+	// Remaining is the time until the answer is of no use.
+	Remaining time.Duration
 	// Priority is from 0, the most urgent, to 9.
 	Priority int
 	// ResumeAfter is the id of the last event that the caller has, or empty.
--- a/forward/job.go
+++ b/forward/job.go
@@ -287,7 +287,7 @@
 func (j *job) message(a *scheduling.Assignment) *upstream.Request {
 	attempt := Attempt{
 		Server:      a.ID(),
-		Left:        j.deadline.Sub(j.forwarder.Clock.Now()),
+		Remaining:   j.deadline.Sub(j.forwarder.Clock.Now()),
 		Priority:    j.priority(),
 		ResumeAfter: j.request.ResumeAfter,
 		Generative:  j.route.Generative,
