--- a/forward/counters.go
+++ b/forward/counters.go
@@ -38,7 +38,7 @@
 	}
 
 	c.outcomes[o.Reason].Inc()
-	c.took.Update(o.Took.Seconds())
+	c.took.Update(o.Duration.Seconds())
 
 	if o.Held >= leastHeld {
 		c.held.Update(o.Held.Seconds())
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -143,7 +143,7 @@
 		refusal = f.run(ctx, j, sink)
 	}
 
-	outcome := Outcome{Reason: Answered, Took: f.Clock.Now().Sub(r.Arrived)}
+	outcome := Outcome{Reason: Answered, Duration: f.Clock.Now().Sub(r.Arrived)}
 	if j != nil {
 		outcome.Route, outcome.Account, outcome.Servers = j.route.Name, j.accountName(), j.servers
 		outcome.Events, outcome.Rules, outcome.Held = j.stream.count, j.rules.Version(), j.held
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -84,6 +84,6 @@
 	// Events is the number of events that were relayed.
 	Events int
 	// Held is how long it was held back while servers were busy.
-	Held time.Duration
-	Took time.Duration
+	Held     time.Duration
+	Duration time.Duration
 }
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -417,7 +417,7 @@
 			outcome.Reason, got.refusals)
 	}
 
-	if most := max(leastGiveUp, giveUpObjectives*500*time.Millisecond) + slow; outcome.Took > most {
-		t.Errorf("refused: got after %v, want within %v", outcome.Took, most)
+	if most := max(leastGiveUp, giveUpObjectives*500*time.Millisecond) + slow; outcome.Duration > most {
+		t.Errorf("refused: got after %v, want within %v", outcome.Duration, most)
 	}
 }
