--- a/entry/parts.go
+++ b/entry/parts.go
@@ -397,7 +397,7 @@
 	}
 
 	klog.InfoS("request", "id", r.ID, "outcome", o.Reason.String(), "route", o.Route, "account", o.Account, "content", o.Content,
-		"rules", o.Rules, "rulesAge", o.RulesAge, "notRun", o.NotRun, "servers", o.Servers, "events", o.Events,
+		"rules", o.RulesVersion, "rulesAge", o.RulesAge, "notRun", o.NotRun, "servers", o.Servers, "events", o.Events,
 		"held", o.Held, "took", o.Duration, "cause", o.Cause)
 }
 
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -75,10 +75,10 @@
 	// Content is what the request asks for, alike for all attempts of its caller; zero
 	// where the account was not found.
 	Content quarantine.Fingerprint
-	// Rules is the version that the request was judged by, and RulesAge how long ago it
+	// RulesVersion is the version that the request was judged by, and RulesAge how long ago it
 	// was confirmed at the end.
-	Rules    uint64
-	RulesAge time.Duration
+	RulesVersion uint64
+	RulesAge     time.Duration
 	// Servers are the backend servers it was sent to, in order.
 	Servers []string
 	// Events is the number of events that were relayed.
