--- a/forward/forward.go
+++ b/forward/forward.go
@@ -147,7 +147,7 @@
 	if j != nil {
 		outcome.Route, outcome.Account, outcome.Servers = j.route.Name, j.accountName(), j.servers
 		outcome.Events, outcome.RulesVersion, outcome.Held = j.stream.count, j.rules.Version(), j.held
-		outcome.Content = j.content
+		outcome.Fingerprint = j.content
 	}
 
 	outcome.RulesAge, _ = f.Currency.Age()
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -72,9 +72,9 @@
 	Cause   string
 	Route   string
 	Account string
-	// Content is what the request asks for, alike for all attempts of its caller; zero
+	// Fingerprint is what the request asks for, alike for all attempts of its caller; zero
 	// where the account was not found.
-	Content quarantine.Fingerprint
+	Fingerprint quarantine.Fingerprint
 	// RulesVersion is the version that the request was judged by, and RulesAge how long ago it
 	// was confirmed at the end.
 	RulesVersion uint64
