--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -266,7 +266,7 @@
 	got := &caught{}
 	outcome := s.Serve(s.t.Context(), &Request{
 		ID: id, Method: http.MethodPost, Host: "a.example", Target: "/" + route + "/x", Path: "/" + route + "/x",
-		Key: "key", Arrived: s.clock.Now(), Prompt: scheduling.Prompt{Tokens: 100},
+		APIKey: "key", Arrived: s.clock.Now(), Prompt: scheduling.Prompt{Tokens: 100},
 	}, got)
 
 	return outcome, got
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -211,7 +211,7 @@
 		return notRun(StaleRules, retryLater)
 	}
 
-	account, ok := j.rules.AccountOf(j.request.Key)
+	account, ok := j.rules.AccountOf(j.request.APIKey)
 	if !ok {
 		return &Refusal{Reason: Unauthorized, NotRun: true}
 	}
--- a/forward/guards_test.go
+++ b/forward/guards_test.go
@@ -299,7 +299,7 @@
 	}
 
 	outcome := s.Serve(ctx, &Request{
-		ID: "r-1", Method: http.MethodGet, Host: "a.example", Target: "/safe/x", Path: "/safe/x", Key: "key",
+		ID: "r-1", Method: http.MethodGet, Host: "a.example", Target: "/safe/x", Path: "/safe/x", APIKey: "key",
 		Arrived: s.clock.Now(),
 	}, &caught{})
 
--- a/forward/job.go
+++ b/forward/job.go
@@ -221,7 +221,7 @@
 		return nil
 	}
 
-	if account, ok := rules.AccountOf(j.request.Key); !ok || account.Name != j.account.Name {
+	if account, ok := rules.AccountOf(j.request.APIKey); !ok || account.Name != j.account.Name {
 		return merry.Prepend(errRevoked, "key was taken away")
 	}
 
--- a/forward/request.go
+++ b/forward/request.go
@@ -19,7 +19,7 @@
 	// Header holds what is passed to backend servers.
 	Header http.Header
 	Body   []byte
-	Key    string
+	APIKey string
 	// Arrived is when the request came; Timeout is how long the caller waits from
 	// then on, zero is not known.
 	Arrived time.Time
