--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -26,7 +26,7 @@
 
 func (p *Plain) newTrial(r gateway.PlainRequest) *trial {
 	call := retry.NewCall(retry.NewScope(r.Service, r.Account), r.Kind.Idempotent()).WithDeadline(r.Deadline)
-	p.Retry.Begin(p.Clock.Now(), call)
+	p.Retry.CountCall(p.Clock.Now(), call)
 
 	return &trial{plain: p, request: r, call: call}
 }
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -28,8 +28,8 @@
 	defaultHedgeBelow = 0.7
 )
 
-// Begin counts a call, before its first attempt.
-func (p *Policy) Begin(now time.Time, c *Call) {
+// CountCall counts a call, before its first attempt.
+func (p *Policy) CountCall(now time.Time, c *Call) {
 	p.Budgets.Of(c.scope).CountRequest(now)
 }
 
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -48,7 +48,7 @@
 		now := testStart
 		mayHaveRun := false
 
-		p.Begin(now, c)
+		p.CountCall(now, c)
 
 		for range 20 {
 			if at, ok := p.HedgeAt(c, now, time.Millisecond, 0); ok {
