--- a/board/board.go
+++ b/board/board.go
@@ -55,10 +55,10 @@
 	Cores   float64             `msgpack:"c"`
 	// Leaving is set in the last record of an instance that stops.
 	Leaving bool `msgpack:"q,omitempty"`
-	// Spent is what this instance has spent of the limits of client accounts.
-	Spent []quota.Spent `msgpack:"d,omitempty"`
-	// Known is what all instances have spent, told by those that lead.
-	Known []quota.Known `msgpack:"k,omitempty"`
+	// Consumed is what this instance has spent of the limits of client accounts.
+	Consumed []quota.Spent `msgpack:"d,omitempty"`
+	// TotalConsumed is what all instances have spent, told by those that lead.
+	TotalConsumed []quota.Known `msgpack:"k,omitempty"`
 	// Work is what all instances measured of services of model engines, told by those that
 	// lead.
 	Work []scheduling.Work `msgpack:"w,omitempty"`
@@ -80,8 +80,8 @@
 
 	// Offset is the place of the record, from 1, and Copied tells that it is one of an older
 	// copy; both are set by the reader.
-	Offset provider.Offset `msgpack:"-"`
-	Copied bool            `msgpack:"-"`
+	Offset      provider.Offset `msgpack:"-"`
+	FromOldCopy bool            `msgpack:"-"`
 }
 
 // Log is one topic of the platform's log.
@@ -110,22 +110,22 @@
 type Board struct {
 	Log   Log
 	Clock clock.Clock
-	// Every is the time between two rounds, and Soon the least.
-	Every func() time.Duration
-	Soon  func() time.Duration
-	// ReadEvery is the least time between two reads; nil reads in each round.
-	ReadEvery func() time.Duration
-	// Begin ends before the first round, so that what callers wait for first is not
+	// Interval is the time between two rounds, and Soon the least.
+	Interval    func() time.Duration
+	MinInterval func() time.Duration
+	// ReadInterval is the least time between two reads; nil reads in each round.
+	ReadInterval func() time.Duration
+	// BeforeFirstRound ends before the first round, so that what callers wait for first is not
 	// held up by what is kept of the board; it may be nil.
-	Begin func(ctx context.Context)
+	BeforeFirstRound func(ctx context.Context)
 	// Active reports whether this instance writes and reads now; nil is always.
 	Active func() bool
 	// Write makes the next record.
 	Write func(now time.Time) Record
 	// Receive takes a record in, also those of this instance.
 	Receive func(now time.Time, r Record)
-	// Reached is told when a round has read to the end.
-	Reached func(now time.Time)
+	// CaughtUp is told when a round has read to the end.
+	CaughtUp func(now time.Time)
 
 	wake  feed.Signal
 	next  feed.Position
@@ -137,8 +137,8 @@
 
 // Run writes and reads until ctx ends.
 func (b *Board) Run(ctx context.Context) {
-	if b.Begin != nil {
-		b.Begin(ctx)
+	if b.BeforeFirstRound != nil {
+		b.BeforeFirstRound(ctx)
 	}
 
 	for ctx.Err() == nil {
@@ -174,7 +174,7 @@
 }
 
 func (b *Board) readDue(now time.Time) bool {
-	return b.readAt.IsZero() || b.ReadEvery == nil || now.Sub(b.readAt) >= b.ReadEvery()
+	return b.readAt.IsZero() || b.ReadInterval == nil || now.Sub(b.readAt) >= b.ReadInterval()
 }
 
 // Wake asks for the next round to be made soon.
@@ -182,17 +182,17 @@
 
 // pause waits for the next round, which is made sooner if it was asked for.
 func (b *Board) pause(ctx context.Context, began time.Time) {
-	clock.Sleep(ctx, b.Clock, b.Soon())
+	clock.Sleep(ctx, b.Clock, b.MinInterval())
 
 	select {
-	case <-b.Clock.After(max(b.Every()-b.Clock.Now().Sub(began), 0)):
+	case <-b.Clock.After(max(b.Interval()-b.Clock.Now().Sub(began), 0)):
 	case <-b.wake.C():
 	case <-ctx.Done():
 	}
 }
 
-// Last appends one more record, as an instance that stops does.
-func (b *Board) Last(ctx context.Context, r Record) error {
+// AppendFinal appends one more record, as an instance that stops does.
+func (b *Board) AppendFinal(ctx context.Context, r Record) error {
 	return b.append(ctx, r)
 }
 
@@ -261,7 +261,7 @@
 	}
 
 	b.readAt = now
-	b.Reached(now)
+	b.CaughtUp(now)
 
 	return false, nil
 }
@@ -276,7 +276,7 @@
 		}
 
 		r.Offset = provider.Offset(e.At) + 1
-		r.Copied = r.Era < e.At.Era()
+		r.FromOldCopy = r.Era < e.At.Era()
 		b.Receive(now, r)
 	}
 }
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -67,18 +67,18 @@
 func (p *parts) few() bool {
 	view := p.directory.Load()
 
-	return view != nil && view.Few()
+	return view != nil && view.FullMesh()
 }
 
 // count returns how many instances there are, at least one. It rather counts instances that
 // are gone than misses some: each uses a part of what all may use together.
 func (p *parts) count() int {
 	view := p.directory.Load()
-	if view == nil || view.Few() {
+	if view == nil || view.FullMesh() {
 		return p.members.Count()
 	}
 
-	return max(p.plan.Load().Count, view.Count, 1)
+	return max(p.plan.Load().InstanceCount, view.Count, 1)
 }
 
 // usesBoard reports whether this instance writes and reads the board: the few that lead many do, and
@@ -86,7 +86,7 @@
 func (p *parts) usesBoard() bool {
 	view := p.directory.Load()
 
-	return view != nil && !view.Forming && (view.Few() || p.leads())
+	return view != nil && !view.Forming && (view.FullMesh() || p.leads())
 }
 
 // applyDirectory takes the newest directory in.
@@ -120,22 +120,22 @@
 func (p *parts) useDirectory(view *directoryView) {
 	before := p.directory.Swap(view)
 
-	if view.Few() {
-		p.links.Assign(nil)
+	if view.FullMesh() {
+		p.links.AssignRelays(nil)
 	} else {
-		p.links.Assign(view.Relays)
+		p.links.AssignRelays(view.Relays)
 	}
 
 	if before == nil || before.Count != view.Count || len(before.Relays) != len(view.Relays) {
 		klog.InfoS("directory in force", "instances", view.Count, "relays", len(view.Relays), "forming", view.Forming,
-			"relay", view.Has(p.self()), "end", view.end)
+			"relay", view.HasRelay(p.self()), "end", view.end)
 	}
 
 	if !view.Forming {
 		p.countedAt.CompareAndSwap(nil, &view.at)
 	}
 
-	if before == nil || before.Few() != view.Few() || before.Forming != view.Forming {
+	if before == nil || before.FullMesh() != view.FullMesh() || before.Forming != view.Forming {
 		p.wakeFeeds()
 		p.board.Wake()
 	}
@@ -188,7 +188,7 @@
 func (p *parts) abandoned(view *directoryView) bool {
 	now := p.clock.Now()
 
-	return !view.Few() && !p.links.Linked(now) && !view.Has(p.self()) && now.Sub(view.at) > directoryAbandoned &&
+	return !view.FullMesh() && !p.links.Connected(now) && !view.HasRelay(p.self()) && now.Sub(view.at) > directoryAbandoned &&
 		now.Sub(p.directoryFeed.Reached()) < directoryRefresh
 }
 
@@ -204,10 +204,10 @@
 		p.outdated = now
 	}
 
-	rank := max(p.plan.Load().Rank(p.self()), 0)
+	rank := max(p.plan.Load().LeaderRank(p.self()), 0)
 	yield := time.Duration(rank) * directoryYield
 	late := changed && (view.Forming || now.Sub(p.outdated) >= directorySettle+yield)
-	refresh := !view.Few() && now.Sub(view.at) >= directoryRefresh+yield
+	refresh := !view.FullMesh() && now.Sub(view.at) >= directoryRefresh+yield
 
 	if late || refresh {
 		p.writeDirectory(ctx, next, view.end)
@@ -219,10 +219,10 @@
 	switch {
 	case view.Forming:
 		return p.formDirectory(now, view)
-	case view.Few():
+	case view.FullMesh():
 		return p.fewDirectory(view)
 	default:
-		p.keeper.Report(now, p.relayReport(now))
+		p.keeper.AddReport(now, p.relayReport(now))
 
 		return p.keeper.Next(now, &view.Directory)
 	}
@@ -230,7 +230,7 @@
 
 // formDirectory returns the first directory that counts all instances, once no more come.
 func (p *parts) formDirectory(now time.Time, view *directoryView) (*directory.Directory, bool) {
-	sizes, subscribers := p.links.Size(now)
+	sizes, subscribers := p.links.GroupSizes(now)
 
 	if len(subscribers) != p.formed {
 		p.formed, p.formedAt = len(subscribers), now
@@ -240,9 +240,9 @@
 		return &view.Directory, false
 	}
 
-	var keeper directory.Keeper
+	var keeper directory.Planner
 
-	keeper.Report(now, directory.Report{Relay: p.links.Self, Sizes: sizes, Candidates: subscribers})
+	keeper.AddReport(now, directory.Report{Relay: p.links.Self, Sizes: sizes, Candidates: subscribers})
 
 	return keeper.Next(now, &directory.Directory{Relays: view.Relays, Count: 1, Forming: true})
 }
@@ -261,7 +261,7 @@
 	members := p.members.All()
 	next := &directory.Directory{Count: max(len(members), 1)}
 
-	if next.Few() {
+	if next.FullMesh() {
 		return &view.Directory, false
 	}
 
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -47,7 +47,7 @@
 	At   int64 `msgpack:"t"`
 	Echo int64 `msgpack:"e"`
 	// Leaving are backend servers that are known to leave.
-	Leaving []register.Start `msgpack:"l,omitempty"`
+	Leaving []register.Process `msgpack:"l,omitempty"`
 	// Rules is the version in force at the sender, and ConfirmedAgo how long ago it
 	// asked for the newest; a negative age was never confirmed.
 	Rules        uint64        `msgpack:"r"`
@@ -97,7 +97,7 @@
 	newest := p.makeHeartbeat(now)
 
 	var spent []spentNews
-	if plan.Few || plan.Leads(p.self()) {
+	if plan.FullMesh || plan.IsLeader(p.self()) {
 		spent = p.makeSpent(now)
 	}
 
@@ -107,7 +107,7 @@
 		w.Relation = plan.Relation(to)
 
 		d := datagram{Heartbeat: &w}
-		if len(spent) == 0 || !plan.Few && !plan.Leads(to) {
+		if len(spent) == 0 || !plan.FullMesh && !plan.IsLeader(to) {
 			return marshalAll(d)
 		}
 
@@ -121,7 +121,7 @@
 	w := heartbeat{
 		Instance: p.self(), Address: p.settings.Listen.Peers,
 		Domain: p.settings.FailureDomain, Cores: p.settings.Limits.ProcessorCores, Stopping: p.stopping.Load(),
-		Leaders: plan.Leaders, Members: plan.Count, At: now.UnixNano(), ConfirmedAgo: -1, RegisterAgo: -1, Leaving: p.leaving(),
+		Leaders: plan.Leaders, Members: plan.InstanceCount, At: now.UnixNano(), ConfirmedAgo: -1, RegisterAgo: -1, Leaving: p.leaving(),
 		Era: p.store.Era(), Rollouts: p.rollouts.updates(now),
 	}
 
@@ -129,10 +129,10 @@
 		w.Forming = view.Forming
 	}
 
-	w.Grants = plan.Leads(p.self()) && p.limits.Grants(now)
+	w.Grants = plan.IsLeader(p.self()) && p.limits.Grants(now)
 	w.Kept = p.keepers.kept()
 
-	if plan.Relay && !plan.Few {
+	if plan.Relay && !plan.FullMesh {
 		w.Size = 1 + len(plan.Subscribers)
 	}
 
@@ -158,16 +158,16 @@
 
 // leaving returns servers that are known to leave. Where they don't fit into one heartbeat,
 // the next heartbeats tell the others.
-func (p *parts) leaving() []register.Start {
-	var starts []register.Start
+func (p *parts) leaving() []register.Process {
+	var starts []register.Process
 
 	for _, s := range p.register.Servers() {
 		if s.Leaving {
-			starts = append(starts, s.Start())
+			starts = append(starts, s.Process())
 		}
 	}
 
-	parts := packInto(starts, leavingBytes, func(s register.Start) int { return startBytes + len(s.ID) })
+	parts := packInto(starts, leavingBytes, func(s register.Process) int { return startBytes + len(s.ID) })
 	if len(parts) == 0 {
 		return nil
 	}
@@ -214,26 +214,26 @@
 	member := board.MemberOf(w.Instance, w.Domain, w.Address, w.Cores)
 
 	if w.Stopping {
-		p.links.Gone(w.Instance)
+		p.links.PeerStopped(w.Instance)
 
-		if p.plan.Load().Few {
-			p.members.Met(now, member)
+		if p.plan.Load().FullMesh {
+			p.members.Add(now, member)
 		} else {
-			p.members.Left(w.Instance)
+			p.members.Remove(w.Instance)
 		}
 
 		return
 	}
 
 	if p.few() {
-		p.members.Met(now, member)
+		p.members.Add(now, member)
 	}
 
-	p.links.Heard(now, member, w.Relation)
-	p.links.Told(now, w.Instance, w.Leaders, w.Members)
+	p.links.MessageReceived(now, member, w.Relation)
+	p.links.LeadersReported(now, w.Instance, w.Leaders, w.Members)
 
 	if w.Size > 0 {
-		p.links.Sized(w.Instance, w.Size)
+		p.links.GroupSizeReported(w.Instance, w.Size)
 	}
 }
 
@@ -273,7 +273,7 @@
 // gossips returns the exchange of heartbeats over a socket.
 func (p *parts) gossips(conn net.PacketConn) *gossip.Exchange {
 	e := &gossip.Exchange{
-		Conn: conn, Clock: p.clock, Words: p.makeHeartbeats, Receive: p.receiveDatagram,
+		Conn: conn, Clock: p.clock, Messages: p.makeHeartbeats, Receive: p.receiveDatagram,
 		Peers: []func(time.Time) map[fleet.InstanceID]netip.AddrPort{p.relayPeers, p.subscribers},
 	}
 	p.gossip.Store(e)
@@ -288,7 +288,7 @@
 		both := first
 		both.Spent = &spent[0]
 
-		if data, err := msgpack.Marshal(&both); err != nil || len(data) <= gossip.MaxWord {
+		if data, err := msgpack.Marshal(&both); err != nil || len(data) <= gossip.MaxMessageBytes {
 			return [][]byte{data}, err
 		}
 	}
--- a/entry/losses_test.go
+++ b/entry/losses_test.go
@@ -18,7 +18,7 @@
 	var l quarantine.Ledger
 
 	for i := range 3 {
-		l.Lost(now, 1, register.Start{ID: "i-1", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
+		l.Lost(now, 1, register.Process{ID: "i-1", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
 	}
 
 	return l.News(now)
@@ -31,7 +31,7 @@
 		want int
 	}{
 		"a relay":          {topology.Plan{Relay: true}, 3},
-		"one of few":       {topology.Plan{Relay: true, Few: true}, 0},
+		"one of few":       {topology.Plan{Relay: true, FullMesh: true}, 0},
 		"one that is none": {topology.Plan{}, 0},
 	} {
 		clk := clock.NewManual(time.Unix(1_790_000_000, 0))
--- a/entry/rules.go
+++ b/entry/rules.go
@@ -161,7 +161,7 @@
 
 // serversChanged has the scheduler and the pool go by changes of servers. serversMu is held.
 func (p *parts) serversChanged(deltas []register.Delta) {
-	if len(deltas) == 0 && p.scheduler.Known() {
+	if len(deltas) == 0 && p.scheduler.Initialized() {
 		return
 	}
 
@@ -171,7 +171,7 @@
 		switch {
 		case d.After == nil:
 			p.pool.RemoveServer(d.Before.ID)
-		case d.Before != nil && d.Before.Start() != d.After.Start():
+		case d.Before != nil && d.Before.Process() != d.After.Process():
 			// What ran there is lost.
 			p.pool.Cut(d.After.ID)
 		}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -103,12 +103,12 @@
 	case err == nil:
 		return scheduling.Served
 	case errors.Is(err, backend.ErrRefused):
-		return scheduling.TurnedAway
+		return scheduling.Rejected
 	case errors.Is(err, errCallerWrite), errors.Is(err, errRevoked), errors.Is(err, errQuarantined),
 		errors.Is(err, errBlocked), errors.Is(err, scheduling.ErrNoServer):
 		return scheduling.Cancelled
 	case errors.Is(err, unix.ECONNREFUSED):
-		return scheduling.Gone
+		return scheduling.Terminated
 	case errors.Is(err, backend.ErrNotSent) && ctx.Err() == nil:
 		return scheduling.Unreachable
 	case ctx.Err() != nil:
@@ -125,11 +125,11 @@
 	reading := f.Protocol.Inspect(answer.Status(), answer.Header())
 
 	if reading.Load != nil {
-		f.Scheduler.Report(f.Clock.Now(), assignment.ID(), *reading.Load)
+		f.Scheduler.RecordLoad(f.Clock.Now(), assignment.ID(), *reading.Load)
 	}
 
 	if reading.Limit != nil {
-		assignment.Announced(f.Clock.Now(), *reading.Limit)
+		assignment.AnnouncedLimit(f.Clock.Now(), *reading.Limit)
 	}
 
 	if reading.Leaving {
@@ -137,7 +137,7 @@
 	}
 
 	if reading.Backoff > 0 {
-		assignment.AskedToBackOff(f.Clock.Now(), reading.Backoff)
+		assignment.AnnouncedBackoff(f.Clock.Now(), reading.Backoff)
 	}
 
 	if !reading.NotRun && reading.Backoff == 0 {
--- a/forward/job.go
+++ b/forward/job.go
@@ -110,7 +110,7 @@
 		return 1
 	}
 
-	if tokens := j.request.Prompt.Tokens + j.request.Prompt.Output; tokens > 0 {
+	if tokens := j.request.Prompt.Tokens + j.request.Prompt.MaxOutputTokens; tokens > 0 {
 		return float64(tokens)
 	}
 
@@ -191,7 +191,7 @@
 
 // comeBack returns when a caller that servers turned away should come back.
 func (j *job) comeBack() time.Duration {
-	if wait, full := j.forwarder.Scheduler.ComeBack(j.forwarder.Clock.Now(), j.service); full {
+	if wait, full := j.forwarder.Scheduler.RetryAfter(j.forwarder.Clock.Now(), j.service); full {
 		return wait
 	}
 
@@ -267,13 +267,13 @@
 	choice := j.choose()
 	r := scheduling.Request{
 		Service: j.service, Prompt: j.request.Prompt, Excluded: j.excluded,
-		Only: choice.Only, Part: choice.Part, Avoid: choice.Avoid, Final: j.sent+1 >= j.route.Attempts(),
+		OnlyVersion: choice.Only, VersionFraction: choice.Part, AvoidVersions: choice.Avoid, Final: j.sent+1 >= j.route.Attempts(),
 	}
 
 	if j.route.Objective > 0 && !j.stream.begun {
 		arrived := j.request.Arrived
 		hold := time.Duration(holdShare * float64(j.timeout()))
-		r.Due, r.HoldUntil, r.GiveUp = arrived.Add(j.route.Objective), arrived.Add(hold), j.waitsUntil()
+		r.Due, r.HoldUntil, r.CallerDeadline = arrived.Add(j.route.Objective), arrived.Add(hold), j.waitsUntil()
 	}
 
 	r.WaitUntil = r.Due
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -24,19 +24,19 @@
 )
 
 const (
-	// MaxWord bounds a word to what a datagram holds without being split.
-	MaxWord = 1400
-	// PerPeer is the time between two words per peer: at most some 170 datagrams a
+	// MaxMessageBytes bounds a word to what a datagram holds without being split.
+	MaxMessageBytes = 1400
+	// IntervalPerPeer is the time between two words per peer: at most some 170 datagrams a
 	// second leave an instance, however many there are.
-	PerPeer = 6 * time.Millisecond
+	IntervalPerPeer = 6 * time.Millisecond
 	// minEvery keeps few instances from waking each other more often than the news
 	// is worth.
 	minEvery = 150 * time.Millisecond
 )
 
-// Every returns the time between two words of an instance with n peers.
-func Every(n int) time.Duration {
-	return max(time.Duration(n)*PerPeer, minEvery)
+// Interval returns the time between two words of an instance with n peers.
+func Interval(n int) time.Duration {
+	return max(time.Duration(n)*IntervalPerPeer, minEvery)
 }
 
 // Exchange sends and receives. Its fields are set before Run.
@@ -46,9 +46,9 @@
 	// Peers return the current receivers and their addresses, in groups. Each group has its own
 	// pace, which follows from its size.
 	Peers []func(now time.Time) map[fleet.InstanceID]netip.AddrPort
-	// Words prepares the newest words of a round, and returns what makes those for one
+	// Messages prepares the newest words of a round, and returns what makes those for one
 	// instance, of at most MaxWord bytes each.
-	Words func(now time.Time) func(to fleet.InstanceID) ([][]byte, error)
+	Messages func(now time.Time) func(to fleet.InstanceID) ([][]byte, error)
 	// Receive takes a word in, with where it came from. The bytes are valid until it
 	// returns.
 	Receive func(now time.Time, from netip.AddrPort, word []byte)
@@ -76,7 +76,7 @@
 	for ctx.Err() == nil {
 		peers := peersOf(e.Clock.Now())
 		e.sendAll(peers)
-		clock.Sleep(ctx, e.Clock, Every(len(peers)))
+		clock.Sleep(ctx, e.Clock, Interval(len(peers)))
 	}
 }
 
@@ -92,7 +92,7 @@
 		return
 	}
 
-	wordsFor := e.Words(e.Clock.Now())
+	wordsFor := e.Messages(e.Clock.Now())
 
 	for id, address := range peers {
 		words, err := wordsFor(id)
@@ -103,7 +103,7 @@
 		}
 
 		for _, word := range words {
-			if len(word) > MaxWord {
+			if len(word) > MaxMessageBytes {
 				klog.ErrorS(nil, "word is not sent: it is too long", "to", id, "bytes", len(word))
 
 				continue
@@ -127,7 +127,7 @@
 }
 
 func (e *Exchange) receive(ctx context.Context) {
-	buffer := make([]byte, MaxWord)
+	buffer := make([]byte, MaxMessageBytes)
 
 	for ctx.Err() == nil {
 		n, from, err := e.Conn.ReadFrom(buffer)
--- a/register/register.go
+++ b/register/register.go
@@ -29,15 +29,15 @@
 	"monsoonlever/fleet"
 )
 
-// Start names one start of a backend server.
-type Start struct {
+// Process names one start of a backend server.
+type Process struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	ID          fleet.InstanceID
 	Incarnation fleet.Incarnation
 }
 
 // String returns a text that differs between the starts of a server.
-func (s Start) String() string {
+func (s Process) String() string {
 	if s.Incarnation == 0 {
 		return string(s.ID)
 	}
@@ -65,8 +65,8 @@
 	Reclaimable bool
 }
 
-// Start returns which start of the server this is.
-func (s Server) Start() Start { return Start{ID: s.ID, Incarnation: s.Incarnation} }
+// Process returns which start of the server this is.
+func (s Server) Process() Process { return Process{ID: s.ID, Incarnation: s.Incarnation} }
 
 // Change is a new entry of a server, or its removal.
 type Change struct {
@@ -174,10 +174,10 @@
 
 		s := *c.Server
 		if s.Leaving {
-			r.leaving.add(s.Start())
+			r.leaving.add(s.Process())
 		}
 
-		s.Leaving = r.leaving.has(s.Start())
+		s.Leaving = r.leaving.has(s.Process())
 		r.put(s)
 	}
 }
@@ -205,9 +205,9 @@
 	}
 }
 
-// Leave marks starts of servers that are known to leave, and returns what changed. It is final: a server announces it in its answers while its entry can't be
+// MarkLeaving marks starts of servers that are known to leave, and returns what changed. It is final: a server announces it in its answers while its entry can't be
 // written, and an older entry of the same start does not take it back.
-func (r *Register) Leave(starts []Start) []Delta {
+func (r *Register) MarkLeaving(starts []Process) []Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
@@ -215,7 +215,7 @@
 	for _, start := range starts {
 		r.leaving.add(start)
 
-		if s, ok := r.servers[start.ID]; ok && !s.Leaving && s.Start() == start {
+		if s, ok := r.servers[start.ID]; ok && !s.Leaving && s.Process() == start {
 			s.Leaving = true
 			r.put(s)
 		}
@@ -297,7 +297,7 @@
 // digest names a start of a server and whether it leaves. The digests of all servers are added
 // up, so that one change costs the same however many there are.
 func digest(s Server) uint64 {
-	text := s.Start().String()
+	text := s.Process().String()
 	if s.Leaving {
 		text += " leaving"
 	}
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -22,7 +22,7 @@
 }
 
 func (p *scriptedPermits) Ask(
-	_ context.Context, server register.Start, _ ratelimit.Announcement, patience time.Duration,
+	_ context.Context, server register.Process, _ ratelimit.Announcement, patience time.Duration,
 ) ratelimit.Permit {
 	p.asked = append(p.asked, server.ID)
 	wait := max(time.Until(p.rooms[server.ID]), 0)
@@ -204,12 +204,12 @@
 		}
 	}
 
-	a.Announced(now, 1.5)
+	a.AnnouncedLimit(now, 1.5)
 	check(now, 1.5)
 
 	later := pick(t, all[0], Request{Service: "llm"})
 	later.Start(now.Add(time.Second))
-	later.Announced(now.Add(2*time.Second), ratelimit.Unlimited)
+	later.AnnouncedLimit(now.Add(2*time.Second), ratelimit.Unlimited)
 	check(now.Add(2*time.Second), ratelimit.Unlimited)
 
 	// The answer to an earlier request that comes now says nothing of what holds now.
@@ -226,18 +226,18 @@
 	at := now
 
 	changes := 0
-	a.OnLimit = func(LimitChange) { changes++ }
-	b.OnLimit = a.OnLimit
+	a.OnLimitChange = func(LimitChange) { changes++ }
+	b.OnLimitChange = a.OnLimitChange
 
 	// The rate is none that a number of fewer bits holds.
 	a.announce(a.servers["i-0"], ratelimit.Announcement{Rate: 1.4, At: at}, true)
 
 	for range 200 {
-		news := a.News(at, Upstream)
+		news := a.TakeUpdate(at, Upstream)
 		at = at.Add(way)
-		b.HearNews(at, "a", Peer, news)
+		b.ApplyUpdate(at, "a", Peer, news)
 
-		start := register.Start{ID: "i-0"}
+		start := register.Process{ID: "i-0"}
 		known := b.Merge(start, ratelimit.Announcement{})
 		age := at.Sub(known.At)
 		at = at.Add(way)
@@ -258,13 +258,13 @@
 	s := engines(1, 64)
 	s.announce(s.servers["i-0"], ratelimit.Announcement{Rate: 1.5, At: now}, true)
 
-	if got := s.Limited(); got != 1 {
+	if got := s.LimitedServers(); got != 1 {
 		t.Errorf("limited servers: got %d, want 1", got)
 	}
 
 	s.Update([]register.Server{{ID: "i-0", Incarnation: 99, Service: "llm", Slots: 64}})
 
-	if got := s.Limited(); got != 0 {
+	if got := s.LimitedServers(); got != 0 {
 		t.Errorf("limited servers after a new start: got %d, want none", got)
 	}
 }
--- a/scheduling/relayed_test.go
+++ b/scheduling/relayed_test.go
@@ -33,25 +33,25 @@
 // exchange passes all news on.
 func (r *relayed) exchange(now time.Time) {
 	for id, member := range r.members {
-		r.relays[r.relayOf[id]].HearNews(now, id, Subscriber, member.News(now, Upstream))
+		r.relays[r.relayOf[id]].ApplyUpdate(now, id, Subscriber, member.TakeUpdate(now, Upstream))
 	}
 
 	for id, relay := range r.relays {
-		news := relay.News(now, Upstream)
+		news := relay.TakeUpdate(now, Upstream)
 
 		for other, peer := range r.relays {
 			if other != id {
-				peer.HearNews(now, id, Peer, news)
+				peer.ApplyUpdate(now, id, Peer, news)
 			}
 		}
 	}
 
 	for id, relay := range r.relays {
-		news := relay.News(now, Downstream)
+		news := relay.TakeUpdate(now, Downstream)
 
 		for member, s := range r.members {
 			if r.relayOf[member] == id {
-				s.HearNews(now, id, Relay, news)
+				s.ApplyUpdate(now, id, Relay, news)
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 	}
 
 	for i, a := range assignments {
-		a.Answering(now)
+		a.FirstEventReceived(now)
 
 		if i%2 == 0 {
 			r.exchange(now)
@@ -105,7 +105,7 @@
 	for range 3 {
 		a := pick(t, r.members["a-1"], p)
 		a.Start(now)
-		a.Answering(now)
+		a.FirstEventReceived(now)
 		a.End(now, Served)
 	}
 
@@ -125,9 +125,9 @@
 
 	again := pick(t, r.members["b-1"], p)
 	again.Start(now)
-	again.Answering(now)
+	again.FirstEventReceived(now)
 
-	if got := r.members["b-1"].News(now, Upstream).Holdings; len(got) != 0 {
+	if got := r.members["b-1"].TakeUpdate(now, Upstream).Holdings; len(got) != 0 {
 		t.Errorf("holdings told again: got %v, want none", got)
 	}
 }
@@ -135,7 +135,7 @@
 // The load that a server told one instance reaches all.
 func TestLoadsReachAllThroughRelays(t *testing.T) {
 	r := newRelayed()
-	r.members["b-1"].Report(now, "i-0", Load{Running: 5, Waiting: 2})
+	r.members["b-1"].RecordLoad(now, "i-0", Load{Running: 5, Waiting: 2})
 	r.exchange(now)
 
 	var got []float64
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -39,8 +39,8 @@
 // ErrNoServer means that no server can take the request now.
 var ErrNoServer = merry.Sentinel("no backend server for the request")
 
-// Part is a piece of a prompt that other requests may share.
-type Part struct {
+// Segment is a piece of a prompt that other requests may share.
+type Segment struct {
 	ID     string
 	Tokens int
 }
@@ -48,9 +48,9 @@
 // Prompt is what a model engine has to read before it answers.
 type Prompt struct {
 	// Tokens is the length of the prompt, Output the most that is generated.
-	Tokens int
-	Output int
-	Parts  []Part
+	Tokens          int
+	MaxOutputTokens int
+	Segments        []Segment
 }
 
 // Request says what a server is wanted for.
@@ -58,17 +58,17 @@
 	Service  fleet.Service
 	Prompt   Prompt
 	Excluded []fleet.InstanceID
-	// Only is the version of servers that may take it, if it is one of the share that tries
+	// OnlyVersion is the version of servers that may take it, if it is one of the share that tries
 	// a new one, and Part the part of these servers that take that share. Avoid are
 	// versions that may not.
-	Only  fleet.Version
-	Part  float64
-	Avoid []fleet.Version
+	OnlyVersion     fleet.Version
+	VersionFraction float64
+	AvoidVersions   []fleet.Version
 	// Due is when the first event should come; zero is not known, and nothing is held.
 	Due time.Time
 	// HoldUntil is until when a prompt that can't begin by Due may be held back, and
-	// GiveUp when its caller leaves if nothing has come.
-	HoldUntil, GiveUp time.Time
+	// CallerDeadline when its caller leaves if nothing has come.
+	HoldUntil, CallerDeadline time.Time
 	// WaitUntil is until when it may wait for a server that limits its requests, where no
 	// other server takes it.
 	WaitUntil time.Time
@@ -92,14 +92,14 @@
 	// Permits grants requests to servers that announce a limit. Without it limits are not
 	// kept.
 	Permits Permits
-	// OnLimit is called where a server announces another limit than before; it may be nil.
-	OnLimit func(LimitChange)
+	// OnLimitChange is called where a server announces another limit than before; it may be nil.
+	OnLimitChange func(LimitChange)
 	// OnLeaving is called once where a server first answers that it leaves, and OnBackoff
 	// where one asks for no requests for some time; both may be nil.
-	OnLeaving func(register.Start)
-	OnBackoff func(server register.Start, backoff time.Duration)
-	// Return says how requests return to a server that asked for backoff.
-	Return ReturnPolicy
+	OnLeaving func(register.Process)
+	OnBackoff func(server register.Process, backoff time.Duration)
+	// Resume says how requests return to a server that asked for backoff.
+	Resume ResumePolicy
 	// Counters may be nil.
 	Counters *Counters
 
@@ -132,10 +132,10 @@
 		one := s.servers[entry.ID]
 		if known := one != nil; !known || !one.stays(entry) {
 			if known {
-				s.departed.add(one.entry().Start(), one.announcements)
+				s.departed.add(one.entry().Process(), one.announcements)
 			}
 
-			one = newServer(entry, s.departed.take(entry.Start()))
+			one = newServer(entry, s.departed.take(entry.Process()))
 			one.again = known
 		}
 
@@ -160,7 +160,7 @@
 		one.gone.Store(true)
 
 		if known[id] == nil {
-			s.departed.add(one.entry().Start(), one.announcements)
+			s.departed.add(one.entry().Process(), one.announcements)
 		}
 	}
 
@@ -174,13 +174,13 @@
 	s.current.Store(&pools)
 }
 
-// Known tells whether Update was called: requests can be placed.
-func (s *Scheduler) Known() bool {
+// Initialized tells whether Update was called: requests can be placed.
+func (s *Scheduler) Initialized() bool {
 	return s.current.Load() != nil
 }
 
-// Report takes in what a server said of its load.
-func (s *Scheduler) Report(now time.Time, id fleet.InstanceID, load Load) {
+// RecordLoad takes in what a server said of its load.
+func (s *Scheduler) RecordLoad(now time.Time, id fleet.InstanceID, load Load) {
 	s.mu.Lock()
 	one := s.servers[id]
 	s.mu.Unlock()
--- a/scheduling/server.go
+++ b/scheduling/server.go
@@ -98,7 +98,7 @@
 
 	s := &server{
 		announcements: known,
-		hash:          xxhash.Sum64String(string(entry.ID)), key: keyOfStart(entry.Start()), parts: make(map[Key]time.Time),
+		hash:          xxhash.Sum64String(string(entry.ID)), key: keyOfStart(entry.Process()), parts: make(map[Key]time.Time),
 		told: make(map[Key]time.Time),
 	}
 	s.registered.Store(&entry)
@@ -117,7 +117,7 @@
 func (s *server) stays(entry register.Server) bool {
 	own := s.entry()
 
-	return own.Start() == entry.Start() && own.Address == entry.Address && own.Service == entry.Service
+	return own.Process() == entry.Process() && own.Address == entry.Address && own.Service == entry.Service
 }
 
 // cost estimates, in tokens of a prompt, what stands before the begin of an answer of
@@ -194,7 +194,7 @@
 			break
 		}
 
-		held += p.Parts[i].Tokens
+		held += p.Segments[i].Tokens
 	}
 
 	return held
@@ -234,7 +234,7 @@
 	return s.upstream
 }
 
-func (s *server) hearBacklog(now time.Time, from fleet.InstanceID, as Sender, tokens int64) {
+func (s *server) hearBacklog(now time.Time, from fleet.InstanceID, as SenderRole, tokens int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.elsewhere.hear(now, from, as, tokens)
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -37,9 +37,9 @@
 )
 
 const (
-	// Few is the number of instances up to which each tells each: 12 of them send no
+	// FullMeshMax is the number of instances up to which each tells each: 12 of them send no
 	// more messages than a relay does.
-	Few = 12
+	FullMeshMax = 12
 	// relaysPerDomain is the least number of relays of a failure domain: while one is
 	// lost its members turn to the other.
 	relaysPerDomain = 2
@@ -86,15 +86,15 @@
 	return ordered
 }
 
-// RelaysWanted is how many relays a failure domain of some instances should have, one of a
+// TargetRelays is how many relays a failure domain of some instances should have, one of a
 // number of domains.
-func RelaysWanted(instances, domains int) int {
+func TargetRelays(instances, domains int) int {
 	return max(relaysPerDomain, ceil(instances, membersPerRelay), ceil(leaders, max(domains, 1)))
 }
 
 // RelaysOf returns the relays of ranked members, in their order.
 func RelaysOf(ranked []Member) []Member {
-	if len(ranked) <= Few {
+	if len(ranked) <= FullMeshMax {
 		return ranked
 	}
 
@@ -108,7 +108,7 @@
 	var relays []Member
 
 	for _, m := range ranked {
-		if chosen[m.Domain] < RelaysWanted(sizes[m.Domain], len(sizes)) {
+		if chosen[m.Domain] < TargetRelays(sizes[m.Domain], len(sizes)) {
 			chosen[m.Domain]++
 			relays = append(relays, m)
 		}
@@ -148,9 +148,9 @@
 	return ids
 }
 
-// PreferredBy orders relays for a member that is none: those of its own domain first,
+// PreferredRelays orders relays for a member that is none: those of its own domain first,
 // each member in an order of its own, so that they spread over the relays.
-func PreferredBy(self Member, relays []Member) []Member {
+func PreferredRelays(self Member, relays []Member) []Member {
 	ordered := slices.Clone(relays)
 	slices.SortStableFunc(ordered, func(a, b Member) int {
 		if own := a.Domain == self.Domain; own != (b.Domain == self.Domain) {
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestFewLeadAndAllNameTheSame(t *testing.T) {
-	if plan := planOf(Member{ID: "entry-3"}, nil); !plan.Leads("entry-3") {
+	if plan := planOf(Member{ID: "entry-3"}, nil); !plan.IsLeader("entry-3") {
 		t.Error("nobody is known: got no lead, want one")
 	}
 
@@ -56,7 +56,7 @@
 
 	domains := make(map[fleet.FailureDomain]int)
 	for _, m := range members {
-		if planOf(members[0], members).Leads(m.ID) {
+		if planOf(members[0], members).IsLeader(m.ID) {
 			domains[m.Domain]++
 		}
 	}
@@ -85,11 +85,11 @@
 }
 
 func TestFewInstancesTellEachOther(t *testing.T) {
-	members := fleetOf(Few, 4)
+	members := fleetOf(FullMeshMax, 4)
 
 	for _, self := range members {
 		plan := planOf(self, members)
-		if !plan.Relay || len(plan.Relays) != Few-1 {
+		if !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
 			t.Errorf("%s: got relay %t with %d others, want all to tell each other", self.ID, plan.Relay, len(plan.Relays))
 		}
 	}
@@ -123,9 +123,9 @@
 	self := members[slices.IndexFunc(members, func(m Member) bool { return m.ID == leader })]
 
 	l := &Links{Self: self}
-	l.Stop()
+	l.StepDown()
 
-	if plan := l.Plan(begin, members); plan.Relay || plan.Leads(leader) || len(plan.Leaders) != leaders {
+	if plan := l.Plan(begin, members); plan.Relay || plan.IsLeader(leader) || len(plan.Leaders) != leaders {
 		t.Errorf("while it stops: got relay %t, leaders %v, want others to lead", plan.Relay, plan.Leaders)
 	}
 
@@ -134,11 +134,11 @@
 		t.Errorf("by others: got %v, want five without %s", got, leader)
 	}
 
-	few := fleetOf(Few, 4)
+	few := fleetOf(FullMeshMax, 4)
 	l = &Links{Self: few[0]}
-	l.Stop()
+	l.StepDown()
 
-	if plan := l.Plan(begin, few); !plan.Relay || len(plan.Relays) != Few-1 {
+	if plan := l.Plan(begin, few); !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
 		t.Errorf("one of few that stops: got relay %t with %d others, want all", plan.Relay, len(plan.Relays))
 	}
 }
@@ -151,10 +151,10 @@
 
 	l := &Links{Self: other}
 	l.Plan(begin, few)
-	l.Gone(leading)
+	l.PeerStopped(leading)
 
 	plan := l.Plan(begin, few)
-	if plan.Leads(leading) || len(plan.Relays) != len(few)-1 {
+	if plan.IsLeader(leading) || len(plan.Relays) != len(few)-1 {
 		t.Errorf("got leaders %v and %d others, want %s to share and not to lead", plan.Leaders, len(plan.Relays), leading)
 	}
 }
@@ -169,8 +169,8 @@
 	for round := range 100 {
 		for i := range members[1:] {
 			members[i+1].ID = fleet.InstanceID(fmt.Sprint("entry-", round, "-", i))
-			l.Heard(now, members[i+1], ToRelay)
-			l.Gone(members[i+1].ID)
+			l.MessageReceived(now, members[i+1], ToRelay)
+			l.PeerStopped(members[i+1].ID)
 		}
 
 		l.Plan(now, members)
@@ -190,13 +190,13 @@
 	l.Plan(begin, members)
 
 	starting := []fleet.InstanceID{members[79].ID}
-	l.Told(begin, members[79].ID, starting, 1)
+	l.LeadersReported(begin, members[79].ID, starting, 1)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, want) {
 		t.Errorf("leaders after one that knows itself has spoken: got %v, want %v", got, want)
 	}
 
-	l.Told(begin, members[79].ID, starting, 80)
+	l.LeadersReported(begin, members[79].ID, starting, 80)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, starting) {
 		t.Errorf("leaders after one that knows all has spoken: got %v, want %v", got, starting)
@@ -214,7 +214,7 @@
 
 	for round := range 6 {
 		from := views[round%2][0]
-		l.Told(begin, from, views[round%2], len(members))
+		l.LeadersReported(begin, from, views[round%2], len(members))
 
 		if got := l.Plan(begin, members).Leaders; !slices.Equal(got, all) {
 			t.Fatalf("after %s spoke: got %v, want the view of the first in rank, %v", from, got, all)
@@ -222,7 +222,7 @@
 	}
 
 	later := begin.Add(viewLife + time.Second)
-	l.Told(later, all[1], views[1], len(members))
+	l.LeadersReported(later, all[1], views[1], len(members))
 
 	if got := l.Plan(later, members).Leaders; !slices.Equal(got, views[1]) {
 		t.Errorf("after the first is not heard any more: got %v, want %v", got, views[1])
@@ -238,14 +238,14 @@
 
 	l := &Links{Self: self}
 	l.Plan(begin, members)
-	l.Told(begin, outsider, []fleet.InstanceID{outsider}, 80)
+	l.LeadersReported(begin, outsider, []fleet.InstanceID{outsider}, 80)
 
-	if !l.Plan(begin, members).Leads(self.ID) {
+	if !l.Plan(begin, members).IsLeader(self.ID) {
 		t.Error("after one that does not lead with it has named others: got no lead, want one")
 	}
 
 	others := append(slices.Clone(leaders[1:]), outsider)
-	l.Told(begin, leaders[1], others, 80)
+	l.LeadersReported(begin, leaders[1], others, 80)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, others) {
 		t.Errorf("after one that leads with it has named others: got %v, want %v", got, others)
