--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -120,7 +120,7 @@
 
 // receive reads an answer whose header has come.
 func (f *Forwarder) receive(
-	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Answer, sink Sink,
+	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Response, sink Sink,
 ) error {
 	reading := f.Protocol.Inspect(answer.Status(), answer.Header())
 
@@ -162,7 +162,7 @@
 }
 
 // relayWhole passes an answer on that is not a stream, once it is whole.
-func (f *Forwarder) relayWhole(j *job, answer *upstream.Answer, reading Reading, sink Sink) error {
+func (f *Forwarder) relayWhole(j *job, answer *upstream.Response, reading Reading, sink Sink) error {
 	body, err := answer.ReadAll(f.MaxResponseBytes)
 	if err != nil {
 		return err
--- a/forward/job.go
+++ b/forward/job.go
@@ -302,8 +302,8 @@
 	}
 
 	m := j.forwarder.Protocol.Encode(j.request, attempt)
-	m.Fresh = !j.route.Idempotent()
-	m.Permit = func() error { return j.permit(a) }
+	m.RequireFresh = !j.route.Idempotent()
+	m.BeforeSend = func() error { return j.permit(a) }
 
 	return m
 }
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -47,7 +47,7 @@
 
 // relayStream passes whole events on as they come.
 func (f *Forwarder) relayStream(
-	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Answer, sink Sink,
+	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Response, sink Sink,
 ) error {
 	events := &eventReader{reader: bufio.NewReaderSize(answer, eventBuffer)}
 
@@ -80,7 +80,7 @@
 }
 
 // pass writes one event, after the header of the first server's answer.
-func (f *Forwarder) pass(j *job, answer *upstream.Answer, sink Sink, event []byte) error {
+func (f *Forwarder) pass(j *job, answer *upstream.Response, sink Sink, event []byte) error {
 	if !j.stream.begun {
 		if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
 			return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (f *Forwarder) endStream(j *job, answer *upstream.Answer, sink Sink) error {
+func (f *Forwarder) endStream(j *job, answer *upstream.Response, sink Sink) error {
 	if j.stream.begun {
 		return nil
 	}
--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -12,15 +12,15 @@
 // that calls which failed together don't come back together. A zero field
 // stands for its default.
 type Backoff struct {
-	First  time.Duration
-	AtMost time.Duration
+	Initial time.Duration
+	Max     time.Duration
 }
 
-// Wait returns the wait after the given number of failed attempts.
-func (b Backoff) Wait(random Random, failed int) time.Duration {
-	first := cmp.Or(b.First, 20*time.Millisecond)
-	atMost := cmp.Or(b.AtMost, 2*time.Second)
+// Delay returns the wait after the given number of failed attempts.
+func (b Backoff) Delay(random Random, failed int) time.Duration {
+	first := cmp.Or(b.Initial, 20*time.Millisecond)
+	atMost := cmp.Or(b.Max, 2*time.Second)
 	doublings := min(max(failed-1, 0), maxDoublings)
 
-	return upTo(random, min(first<<doublings, atMost))
+	return randomBelow(random, min(first<<doublings, atMost))
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -15,14 +15,14 @@
 // Budget counts the requests and the retries of one scope. It is safe for
 // concurrent use.
 type Budget struct {
-	policy   BudgetPolicy
-	least    *atomic.Int64
-	requests *window.Counter
-	// sent and unsent hold the retries. The newest bucket is not full, so that
+	policy     BudgetPolicy
+	minRetries *atomic.Int64
+	requests   *window.Counter
+	// sentRetries and unsent hold the retries. The newest bucket is not full, so that
 	// they reach back one bucket more than the requests: the requests counted
 	// lie within the window, and no retry within it is left out.
-	sent   *window.Counter
-	unsent *window.Counter
+	sentRetries   *window.Counter
+	unsentRetries *window.Counter
 }
 
 func newBudget(p BudgetPolicy) *Budget {
@@ -32,11 +32,11 @@
 	width := p.Window / windowBuckets
 
 	return &Budget{
-		policy:   p,
-		least:    least,
-		requests: window.NewCounter(width, windowBuckets),
-		sent:     window.NewCounter(width, retryBuckets),
-		unsent:   window.NewCounter(width, retryBuckets),
+		policy:        p,
+		minRetries:    least,
+		requests:      window.NewCounter(width, windowBuckets),
+		sentRetries:   window.NewCounter(width, retryBuckets),
+		unsentRetries: window.NewCounter(width, retryBuckets),
 	}
 }
 
@@ -47,18 +47,18 @@
 
 // Take takes a retry or hedge out of the budget, if it is there.
 func (b *Budget) Take(now time.Time) bool {
-	return b.take(now, b.sent, b.policy.Share)
+	return b.take(now, b.sentRetries, b.policy.Share)
 }
 
 // TakeUnsent takes a retry of an attempt that was never sent.
 func (b *Budget) TakeUnsent(now time.Time) bool {
-	return b.take(now, b.unsent, b.policy.UnsentShare)
+	return b.take(now, b.unsentRetries, b.policy.UnsentShare)
 }
 
 // take counts the retry before it looks, and takes it back if it was too much.
 // Two at once may both be refused the last of the budget, never both given it.
 func (b *Budget) take(now time.Time, retries *window.Counter, share float64) bool {
-	limit := int64(share*float64(b.requests.Sum(now, windowBuckets))) + b.least.Load()
+	limit := int64(share*float64(b.requests.Sum(now, windowBuckets))) + b.minRetries.Load()
 
 	retries.Add(now, 1)
 
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestHoldsBudget checks every span that ends at a retry, to the nanosecond.
-func TestHoldsBudget(t *testing.T) {
+// TestHoldsRetriesWithinBudget checks every span that ends at a retry, to the nanosecond.
+func TestHoldsRetriesWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := BudgetPolicy{
 			Window:     10 * time.Second,
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestBudgetGivesItsShare shows that the budget isn't held by giving nothing.
-func TestBudgetGivesItsShare(t *testing.T) {
+// TestBudgetGrantsItsShare shows that the budget isn't held by giving nothing.
+func TestBudgetGrantsItsShare(t *testing.T) {
 	b := newBudget(BudgetPolicy{}.withDefaults())
 	now := testStart
 	taken := 0
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestBudgetHoldsUnderConcurrency(t *testing.T) {
+func TestBudgetIsNotExceededConcurrently(t *testing.T) {
 	const workers, tries, want = 8, 2000, 50
 
 	for range 20 {
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestBudgetsKeepScopesApart(t *testing.T) {
+func TestBudgetsAreSeparatePerScope(t *testing.T) {
 	b := NewBudgets(BudgetPolicy{})
 	other := NewScope("payrun-api", "wholesale-2")
 
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -12,28 +12,28 @@
 // Budgets holds the budget of each scope. Finding one takes no lock.
 type Budgets struct {
 	policy BudgetPolicy
-	// least is the policy's Least until SetLeast changes it for all scopes.
-	least  atomic.Int64
-	shared *Budget
+	// minRetries is the policy's Least until SetLeast changes it for all scopes.
+	minRetries atomic.Int64
+	overflow   *Budget
 
 	mu      sync.Mutex
-	current atomic.Pointer[map[Scope]*Budget]
+	byScope atomic.Pointer[map[Scope]*Budget]
 }
 
 // NewBudgets returns budgets that are made as their scopes are first seen.
 func NewBudgets(p BudgetPolicy) *Budgets {
 	p = p.withDefaults()
 	b := &Budgets{policy: p}
-	b.least.Store(int64(p.MinRetries))
-	b.shared = b.newBudget()
-	b.current.Store(&map[Scope]*Budget{})
+	b.minRetries.Store(int64(p.MinRetries))
+	b.overflow = b.newBudget()
+	b.byScope.Store(&map[Scope]*Budget{})
 
 	return b
 }
 
 // Of returns the budget of a scope.
 func (b *Budgets) Of(s Scope) *Budget {
-	if budget, ok := (*b.current.Load())[s]; ok {
+	if budget, ok := (*b.byScope.Load())[s]; ok {
 		return budget
 	}
 
@@ -44,18 +44,18 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	old := *b.current.Load()
+	old := *b.byScope.Load()
 	if budget, ok := old[s]; ok {
 		return budget
 	}
 
 	if len(old) >= maxScopes {
-		return b.shared
+		return b.overflow
 	}
 
 	next := maps.Clone(old)
 	next[s] = b.newBudget()
-	b.current.Store(&next)
+	b.byScope.Store(&next)
 
 	return next[s]
 }
@@ -63,13 +63,13 @@
 // SetMinRetries sets how many retries there may be in a window of each scope however few
 // requests there are, as when the instances that share a bound come and go.
 func (b *Budgets) SetMinRetries(n int) {
-	b.least.Store(int64(n))
+	b.minRetries.Store(int64(n))
 }
 
 // newBudget makes the budget of one scope, which follows SetLeast.
 func (b *Budgets) newBudget() *Budget {
 	budget := newBudget(b.policy)
-	budget.least = &b.least
+	budget.minRetries = &b.minRetries
 
 	return budget
 }
--- a/retry/call.go
+++ b/retry/call.go
@@ -10,14 +10,14 @@
 // Call is what is known of one call over its attempts. One goroutine at a time
 // may use it.
 type Call struct {
-	scope      Scope
-	idempotent bool
-	deadline   time.Time
-	expected   time.Duration
-
-	failed     int
-	mayHaveRun bool
-	hedged     bool
+	scope            Scope
+	idempotent       bool
+	deadline         time.Time
+	expectedDuration time.Duration
+
+	failedAttempts int
+	mayHaveRun     bool
+	hedged         bool
 }
 
 // NewCall returns a call that was not attempted yet.
@@ -32,9 +32,9 @@
 	return c
 }
 
-// WithExpected sets how long an attempt is expected to take.
-func (c *Call) WithExpected(expected time.Duration) *Call {
-	c.expected = expected
+// WithExpectedDuration sets how long an attempt is expected to take.
+func (c *Call) WithExpectedDuration(expected time.Duration) *Call {
+	c.expectedDuration = expected
 
 	return c
 }
@@ -42,8 +42,8 @@
 // Idempotent tells whether the call may be repeated.
 func (c *Call) Idempotent() bool { return c.idempotent }
 
-// Failed returns how many attempts have failed.
-func (c *Call) Failed() int { return c.failed }
+// FailedAttempts returns how many attempts have failed.
+func (c *Call) FailedAttempts() int { return c.failedAttempts }
 
 // MayHaveRun tells whether an attempt that failed may have run. The caller is
 // told "not run" only where this is false.
@@ -52,12 +52,12 @@
 // canFinish tells whether an attempt that begins at a time can be done before
 // the deadline.
 func (c *Call) canFinish(begin time.Time) bool {
-	return c.deadline.IsZero() || !begin.Add(c.expected).After(c.deadline)
+	return c.deadline.IsZero() || !begin.Add(c.expectedDuration).After(c.deadline)
 }
 
-// note takes the error of an attempt in.
-func (c *Call) note(err error) {
-	c.failed++
+// recordFailure takes the error of an attempt in.
+func (c *Call) recordFailure(err error) {
+	c.failedAttempts++
 
 	if !certainlyNotRun(err) {
 		c.mayHaveRun = true
--- a/retry/drain_test.go
+++ b/retry/drain_test.go
@@ -10,28 +10,28 @@
 
 const drainRate = 50
 
-// newBusyDrain returns a drain that has seen drainRate requests a second.
-func newBusyDrain() *Drain {
-	d := NewDrain(DrainPolicy{})
+// newBusyEstimator returns a drain that has seen drainRate requests a second.
+func newBusyEstimator() *DrainEstimator {
+	d := NewDrainEstimator(DrainPolicy{})
 	for i := range 10 {
-		d.Finished(testStart.Add(-time.Duration(i)*time.Second), drainRate)
+		d.RecordFinished(testStart.Add(-time.Duration(i)*time.Second), drainRate)
 	}
 
 	return d
 }
 
-// TestRetryAfterSpreadsCallersByDrain refuses callers at once and counts how
+// TestRetryAfterSpreadsCallersAtDrainRate refuses callers at once and counts how
 // many come back in the same second.
-func TestRetryAfterSpreadsCallersByDrain(t *testing.T) {
+func TestRetryAfterSpreadsCallersAtDrainRate(t *testing.T) {
 	const callers = 1000
 
-	d := newBusyDrain()
+	d := newBusyEstimator()
 	random := rand.NewPCG(1, 2)
 	returns := map[int]int{}
 	most := 0
 
 	for range callers {
-		second := Seconds(d.RetryAfter(testStart, random, 0))
+		second := RetryAfterSeconds(d.RetryAfter(testStart, random, 0))
 		returns[second]++
 		most = max(most, returns[second])
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestRetryAfterIsAnEstimate(t *testing.T) {
+func TestRetryAfterEstimatesQueueTime(t *testing.T) {
 	tests := []struct {
 		desc     string
 		finished bool
@@ -59,9 +59,9 @@
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			d := NewDrain(DrainPolicy{})
+			d := NewDrainEstimator(DrainPolicy{})
 			if tt.finished {
-				d = newBusyDrain()
+				d = newBusyEstimator()
 			}
 
 			got := d.RetryAfter(testStart, rand.NewPCG(1, 2), tt.excess)
@@ -72,15 +72,15 @@
 	}
 }
 
-func TestHoldsRetryAfterIsBounded(t *testing.T) {
+func TestHoldsRetryAfterWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := NewDrain(DrainPolicy{Least: 2 * time.Second, AtMost: 30 * time.Second})
+		d := NewDrainEstimator(DrainPolicy{MinRetryAfter: 2 * time.Second, MaxRetryAfter: 30 * time.Second})
 		random := rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0)
 		now := testStart
 
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
-			d.Finished(now, rapid.IntRange(0, 100_000).Draw(t, "finished"))
+			d.RecordFinished(now, rapid.IntRange(0, 100_000).Draw(t, "finished"))
 
 			got := d.RetryAfter(now, random, rapid.IntRange(-5, 1_000_000_000).Draw(t, "excess"))
 			if got < 2*time.Second || got > 30*time.Second {
--- a/retry/hedge.go
+++ b/retry/hedge.go
@@ -11,11 +11,11 @@
 // idempotent, has failed or was hedged already, can't finish in time, or whose
 // service is so busy that more work would slow it further.
 func (p *Policy) HedgeAt(c *Call, began time.Time, usual time.Duration, utilisation float64) (time.Time, bool) {
-	if !c.idempotent || c.hedged || c.failed > 0 {
+	if !c.idempotent || c.hedged || c.failedAttempts > 0 {
 		return time.Time{}, false
 	}
 
-	if utilisation >= cmp.Or(p.HedgeBelow, defaultHedgeBelow) {
+	if utilisation >= cmp.Or(p.MaxHedgeUtilisation, defaultMaxHedgeUtilisation) {
 		return time.Time{}, false
 	}
 
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -17,15 +17,15 @@
 	Backoff Backoff
 	// MaxAttempts is how often a call is tried at most.
 	MaxAttempts int
-	// HedgeBelow is the utilisation of a service below which it is hedged.
-	HedgeBelow float64
+	// MaxHedgeUtilisation is the utilisation of a service below which it is hedged.
+	MaxHedgeUtilisation float64
 	// Metrics receives the counters, unless it is nil.
 	Metrics *metrics.Set
 }
 
 const (
-	defaultAttempts   = 3
-	defaultHedgeBelow = 0.7
+	defaultMaxAttempts         = 3
+	defaultMaxHedgeUtilisation = 0.7
 )
 
 // CountCall counts a call, before its first attempt.
@@ -35,7 +35,7 @@
 
 // Decide takes in that an attempt failed and tells whether there is another.
 func (p *Policy) Decide(now time.Time, random Random, c *Call, err error) Decision {
-	c.note(err)
+	c.recordFailure(err)
 	d := p.decide(now, random, c, err)
 	p.count(d)
 
@@ -47,35 +47,35 @@
 		return Decision{reason: MayHaveRun}
 	}
 
-	if c.failed >= cmp.Or(p.MaxAttempts, defaultAttempts) {
-		return Decision{reason: NoAttemptLeft}
+	if c.failedAttempts >= cmp.Or(p.MaxAttempts, defaultMaxAttempts) {
+		return Decision{reason: AttemptsExhausted}
 	}
 
 	unsent := errors.Is(err, backend.ErrNotSent)
-	after := p.wait(random, c, unsent)
+	after := p.delay(random, c, unsent)
 
 	if !c.canFinish(now.Add(after)) {
-		return Decision{reason: TooLate}
+		return Decision{reason: DeadlineTooClose}
 	}
 
-	if !p.take(now, c, unsent) {
-		return Decision{reason: OverBudget}
+	if !p.takeRetry(now, c, unsent) {
+		return Decision{reason: BudgetExhausted}
 	}
 
-	return Decision{after: after}
+	return Decision{delay: after}
 }
 
-// wait returns the wait before the next attempt. The first attempt that wasn't
+// delay returns the delay before the next attempt. The first attempt that wasn't
 // sent needs none: the next goes to another server.
-func (p *Policy) wait(random Random, c *Call, unsent bool) time.Duration {
-	if unsent && c.failed == 1 {
+func (p *Policy) delay(random Random, c *Call, unsent bool) time.Duration {
+	if unsent && c.failedAttempts == 1 {
 		return 0
 	}
 
-	return p.Backoff.Wait(random, c.failed)
+	return p.Backoff.Delay(random, c.failedAttempts)
 }
 
-func (p *Policy) take(now time.Time, c *Call, unsent bool) bool {
+func (p *Policy) takeRetry(now time.Time, c *Call, unsent bool) bool {
 	budget := p.Budgets.Of(c.scope)
 	if unsent {
 		return budget.TakeUnsent(now)
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -20,24 +20,24 @@
 	testScope = NewScope("payrun-api", "wholesale-1")
 )
 
-// outcome is the error of an attempt and whether bytes of it may have left.
-type outcome struct {
-	err     error
-	mayHave bool
+// attemptError is the error of an attempt and whether bytes of it may have left.
+type attemptError struct {
+	err        error
+	mayHaveRun bool
 }
 
-var outcomes = []outcome{
+var attemptErrors = []attemptError{
 	{err: backend.ErrNotSent},
 	{err: fmt.Errorf("dial: %w", backend.ErrNotSent)},
 	{err: errors.Join(backend.ErrNotSent, context.DeadlineExceeded)},
 	{err: fmt.Errorf("503: %w", backend.ErrRefused)},
-	{err: io.EOF, mayHave: true},
-	{err: io.ErrUnexpectedEOF, mayHave: true},
-	{err: syscall.ECONNRESET, mayHave: true},
-	{err: syscall.ECONNREFUSED, mayHave: true},
-	{err: context.DeadlineExceeded, mayHave: true},
-	{err: context.Canceled, mayHave: true},
-	{err: errors.New("500"), mayHave: true},
+	{err: io.EOF, mayHaveRun: true},
+	{err: io.ErrUnexpectedEOF, mayHaveRun: true},
+	{err: syscall.ECONNRESET, mayHaveRun: true},
+	{err: syscall.ECONNREFUSED, mayHaveRun: true},
+	{err: context.DeadlineExceeded, mayHaveRun: true},
+	{err: context.Canceled, mayHaveRun: true},
+	{err: errors.New("500"), mayHaveRun: true},
 }
 
 func TestHoldsNoRetryOfNonIdempotentCall(t *testing.T) {
@@ -59,8 +59,8 @@
 				t.Fatalf("hedge of a call that isn't idempotent")
 			}
 
-			o := rapid.SampledFrom(outcomes).Draw(t, "outcome")
-			mayHaveRun = mayHaveRun || o.mayHave
+			o := rapid.SampledFrom(attemptErrors).Draw(t, "outcome")
+			mayHaveRun = mayHaveRun || o.mayHaveRun
 			d := p.Decide(now, random, c, o.err)
 
 			if d.Retry() && mayHaveRun {
@@ -76,13 +76,13 @@
 	})
 }
 
-func TestHoldsNoAttemptThatCannotFinish(t *testing.T) {
+func TestHoldsNoAttemptThatMissesDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &Policy{Budgets: NewBudgets(BudgetPolicy{MinRetries: 1000}), MaxAttempts: 20}
 		random := rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0)
 		expected := time.Duration(rapid.IntRange(0, 2000).Draw(t, "expected")) * time.Millisecond
 		deadline := testStart.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "deadline")) * time.Millisecond)
-		c := NewCall(testScope, true).WithDeadline(deadline).WithExpected(expected)
+		c := NewCall(testScope, true).WithDeadline(deadline).WithExpectedDuration(expected)
 		now := testStart
 
 		for range 20 {
@@ -90,7 +90,7 @@
 				t.Fatalf("hedge at %v can't finish", at.Sub(testStart))
 			}
 
-			d := p.Decide(now, random, c, rapid.SampledFrom(outcomes).Draw(t, "outcome").err)
+			d := p.Decide(now, random, c, rapid.SampledFrom(attemptErrors).Draw(t, "outcome").err)
 			if !d.Retry() {
 				return
 			}
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestDecideGivesItsReason(t *testing.T) {
+func TestDecideReturnsReason(t *testing.T) {
 	tests := []struct {
 		desc       string
 		idempotent bool
@@ -119,16 +119,16 @@
 		{desc: "refused", err: backend.ErrRefused, least: 9, want: None},
 		{desc: "unknown", err: io.ErrUnexpectedEOF, least: 9, want: MayHaveRun},
 		{desc: "unknown but idempotent", idempotent: true, err: io.ErrUnexpectedEOF, least: 9, want: None},
-		{desc: "last attempt", idempotent: true, failed: 2, err: io.EOF, least: 9, want: NoAttemptLeft},
-		{desc: "deadline too near", idempotent: true, deadline: time.Second, err: backend.ErrNotSent, least: 9, want: TooLate},
-		{desc: "budget spent", idempotent: true, err: io.EOF, least: -1, want: OverBudget},
+		{desc: "last attempt", idempotent: true, failed: 2, err: io.EOF, least: 9, want: AttemptsExhausted},
+		{desc: "deadline too near", idempotent: true, deadline: time.Second, err: backend.ErrNotSent, least: 9, want: DeadlineTooClose},
+		{desc: "budget spent", idempotent: true, err: io.EOF, least: -1, want: BudgetExhausted},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			p := &Policy{Budgets: NewBudgets(BudgetPolicy{MinRetries: tt.least})}
-			c := NewCall(testScope, tt.idempotent).WithExpected(2 * time.Second)
-			c.failed = tt.failed
+			c := NewCall(testScope, tt.idempotent).WithExpectedDuration(2 * time.Second)
+			c.failedAttempts = tt.failed
 
 			if tt.deadline > 0 {
 				c.WithDeadline(testStart.Add(tt.deadline))
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestHedgeOnlyWhereItHelps(t *testing.T) {
+func TestHedgeRequiresIdempotentCallAndIdleService(t *testing.T) {
 	tests := []struct {
 		desc        string
 		idempotent  bool
@@ -162,9 +162,9 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			p := &Policy{Budgets: NewBudgets(BudgetPolicy{})}
 			c := NewCall(testScope, tt.idempotent).
-				WithExpected(2 * time.Second).
+				WithExpectedDuration(2 * time.Second).
 				WithDeadline(testStart.Add(tt.deadline))
-			c.failed = tt.failed
+			c.failedAttempts = tt.failed
 
 			_, got := p.HedgeAt(c, testStart, time.Second, tt.utilisation)
 			if got != tt.want {
--- a/retry/random.go
+++ b/retry/random.go
@@ -12,8 +12,8 @@
 	fractionShift = 64 - fractionBits
 )
 
-// upTo returns a random duration in [0, d).
-func upTo(random Random, d time.Duration) time.Duration {
+// randomBelow returns a random duration in [0, d).
+func randomBelow(random Random, d time.Duration) time.Duration {
 	fraction := float64(random.Uint64()>>fractionShift) / (1 << fractionBits)
 
 	return time.Duration(fraction * float64(d))
--- a/retry/reason.go
+++ b/retry/reason.go
@@ -9,12 +9,12 @@
 	None Reason = iota
 	// MayHaveRun means that the call isn't idempotent and may have run.
 	MayHaveRun
-	// NoAttemptLeft means that the call was tried often enough.
-	NoAttemptLeft
-	// TooLate means that another attempt can't finish before the deadline.
-	TooLate
-	// OverBudget means that the scope has had its share of retries.
-	OverBudget
+	// AttemptsExhausted means that the call was tried often enough.
+	AttemptsExhausted
+	// DeadlineTooClose means that another attempt can't finish before the deadline.
+	DeadlineTooClose
+	// BudgetExhausted means that the scope has had its share of retries.
+	BudgetExhausted
 )
 
 // String returns the name of the reason as metrics show it.
@@ -24,11 +24,11 @@
 		return "none"
 	case MayHaveRun:
 		return "mayHaveRun"
-	case NoAttemptLeft:
+	case AttemptsExhausted:
 		return "noAttemptLeft"
-	case TooLate:
+	case DeadlineTooClose:
 		return "tooLate"
-	case OverBudget:
+	case BudgetExhausted:
 		return "overBudget"
 	default:
 		return "unknown"
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -26,13 +26,13 @@
 	// ID is echoed by the backend server in the header IDHeader.
 	ID       string
 	IDHeader string
-	// Fresh asks for a connection that was in use a moment ago or is new. A kept
+	// RequireFresh asks for a connection that was in use a moment ago or is new. A kept
 	// connection may be dead, which is found out only by sending, and a request
 	// that may not be repeated is lost with it.
-	Fresh bool
-	// Permit is asked right before the first byte leaves, after every wait; an
+	RequireFresh bool
+	// BeforeSend is asked right before the first byte leaves, after every wait; an
 	// error keeps the request from being sent.
-	Permit func() error
+	BeforeSend func() error
 }
 
 // encode writes the whole message.
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -31,26 +31,26 @@
 
 // Send sends a request and returns its answer once the header has come. Ending
 // ctx closes the connection, so that the backend server stops its work.
-func (p *Pool) Send(ctx context.Context, s Server, r *Request) (*Answer, error) {
+func (p *Pool) Send(ctx context.Context, s Server, r *Request) (*Response, error) {
 	message, err := r.encode()
 	if err != nil {
 		return nil, merry.Prepend(backend.ErrNotSent, "encode request", merry.WithCause(err))
 	}
 
-	conn, err := p.get(ctx, s, r.Fresh)
+	conn, err := p.get(ctx, s, r.RequireFresh)
 	if err != nil {
 		return nil, err
 	}
 
-	if r.Permit != nil {
-		if err := r.Permit(); err != nil {
+	if r.BeforeSend != nil {
+		if err := r.BeforeSend(); err != nil {
 			p.drop(conn)
 
 			return nil, merry.Prepend(backend.ErrNotSent, "permit", merry.WithCause(err))
 		}
 	}
 
-	a := &Answer{pool: p, conn: conn}
+	a := &Response{pool: p, conn: conn}
 	a.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	a.write(message)
 
@@ -67,8 +67,8 @@
 	return a, nil
 }
 
-// Answer is an answer whose header has come.
-type Answer struct {
+// Response is an answer whose header has come.
+type Response struct {
 	pool *Pool
 	conn *connection
 	stop func() bool
@@ -82,7 +82,7 @@
 
 // write hands the message to the connection. A long one is written beside the
 // reading, since a server may answer before it has read it all.
-func (a *Answer) write(message []byte) {
+func (a *Response) write(message []byte) {
 	if len(message) <= inlineBody {
 		a.writeAll(message)
 
@@ -92,13 +92,13 @@
 	go a.writeAll(message)
 }
 
-func (a *Answer) writeAll(message []byte) {
+func (a *Response) writeAll(message []byte) {
 	if _, err := a.conn.Write(message); err == nil {
 		a.written.Store(true)
 	}
 }
 
-func (a *Answer) readHeader(r *Request) error {
+func (a *Response) readHeader(r *Request) error {
 	request := &http.Request{Method: r.Method}
 
 	for range maxStray + 1 {
@@ -145,17 +145,17 @@
 }
 
 // Status returns the status code.
-func (a *Answer) Status() int { return a.response.StatusCode }
+func (a *Response) Status() int { return a.response.StatusCode }
 
 // Header returns the header fields.
-func (a *Answer) Header() http.Header { return a.response.Header }
+func (a *Response) Header() http.Header { return a.response.Header }
 
 // ContentLength returns the length of the body, or -1 where it is not known.
-func (a *Answer) ContentLength() int64 { return a.response.ContentLength }
+func (a *Response) ContentLength() int64 { return a.response.ContentLength }
 
 // Read reads the body. It returns io.EOF only after the last byte of a body that
 // is whole.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
 		a.whole = true
@@ -165,7 +165,7 @@
 }
 
 // ReadAll reads the whole body, of at most limit bytes.
-func (a *Answer) ReadAll(limit int64) ([]byte, error) {
+func (a *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err != nil {
 		return nil, merry.Prepend(ErrGarbled, "read body", merry.WithCause(err))
@@ -180,7 +180,7 @@
 
 // Close ends the answer. Its connection is kept if the body was read to its end
 // and nothing else came; else it is closed, and the backend server stops.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.once.Do(func() {
 		// A stop that comes too late means that the connection is being closed.
 		if !a.stop() || !a.reusable() {
@@ -193,7 +193,7 @@
 	})
 }
 
-func (a *Answer) reusable() bool {
+func (a *Response) reusable() bool {
 	return a.response != nil && a.whole && a.written.Load() && !a.response.Close &&
 		a.response.ProtoAtLeast(1, 1) && a.conn.reader.Buffered() == 0
 }
