--- a/capacity/contradiction_test.go
+++ b/capacity/contradiction_test.go
@@ -29,11 +29,11 @@
 		for at := time.Duration(0); at < 20*time.Second; at += tick {
 			now := begin.Add(at)
 			s := m.state(now, load)
-			s.Taken, s.TakenKnown = tt.taken, tt.known
+			s.Occupancy, s.OccupancyKnown = tt.taken, tt.known
 
 			for _, o := range p.Plan(now, s) {
 				none := m.obey(now, o)
-				p.Answered(now, o, !none, none)
+				p.RecordResult(now, o, !none, none)
 			}
 
 			wanted, _ := p.Wanted(now, service)
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -27,7 +27,7 @@
 		Consumed:      spent,
 		TotalConsumed: known,
 		Usage:         p.counter.Recent(),
-		Losses:        p.quarantine.Record(now),
+		Losses:        p.quarantine.StoredLosses(now),
 	}
 
 	if p.leads() {
@@ -52,7 +52,7 @@
 
 	p.receiveSpent(now, r)
 	// All instances read the board, so that none has to pass its records on.
-	p.quarantine.Hear(now, r.Losses, false)
+	p.quarantine.Merge(now, r.Losses, false)
 	p.duties.receive(now, r)
 
 	for _, s := range r.Rollouts {
@@ -66,14 +66,14 @@
 	case p.early != nil:
 		p.early.Add(r.Instance, r.Incarnation, time.Unix(0, r.Clock), r.Consumed, r.TotalConsumed)
 	case r.Instance != p.self():
-		p.limits.Hear(now, r.Instance, r.Incarnation, r.Consumed)
+		p.limits.Receive(now, r.Instance, r.Incarnation, r.Consumed)
 	}
 }
 
 // boardReached is told that all records were taken in.
 func (p *parts) boardReached(now time.Time) {
 	if p.early != nil {
-		p.limits.InheritAll(now, p.early)
+		p.limits.Restore(now, p.early)
 		p.early = nil
 	}
 
@@ -82,7 +82,7 @@
 	}
 
 	p.shareLimits(now)
-	p.limits.Reached(now)
+	p.limits.MarkSynced(now)
 	p.shareBudgets()
 	p.duties.reached(now)
 }
@@ -96,7 +96,7 @@
 	spent, known := p.limits.Record(now)
 	r := board.Record{
 		Instance: p.self(), Incarnation: p.duties.incarnation, Clock: now.UnixNano(), Leaving: true, Era: p.store.Era(),
-		Consumed: spent, TotalConsumed: known, Usage: p.counter.Recent(), Losses: p.quarantine.Record(now),
+		Consumed: spent, TotalConsumed: known, Usage: p.counter.Recent(), Losses: p.quarantine.StoredLosses(now),
 	}
 	p.duties.release(now, &r)
 
--- a/entry/losses.go
+++ b/entry/losses.go
@@ -13,7 +13,7 @@
 // the pace of other news; relays pass on what is news to them.
 func (p *parts) tellLosses(ctx context.Context) {
 	for ctx.Err() == nil {
-		losses := p.quarantine.News(p.clock.Now())
+		losses := p.quarantine.PendingLosses(p.clock.Now())
 		if len(losses) == 0 {
 			select {
 			case <-p.quarantine.Ready():
@@ -33,13 +33,13 @@
 }
 
 func packLosses(losses []quarantine.Loss) [][]quarantine.Loss {
-	return pack(losses, func(quarantine.Loss) int { return quarantine.LossBytes })
+	return pack(losses, func(quarantine.Loss) int { return quarantine.MaxLossBytes })
 }
 
 // receiveLosses takes in what another instance tells.
 func (p *parts) receiveLosses(now time.Time, losses []quarantine.Loss) {
 	plan := p.plan.Load()
-	p.quarantine.Hear(now, losses, plan.Relay && !plan.FullMesh)
+	p.quarantine.Merge(now, losses, plan.Relay && !plan.FullMesh)
 }
 
 // recordHeld asks for a record soon where a request is held off from now on, so that it
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -86,9 +86,9 @@
 	// serversMu is held while the register is changed and the change takes effect.
 	serversMu sync.Mutex
 	limits    *quota.Quota
-	loans     *quota.Loans
+	loans     *quota.Limiter
 	// permits grant requests to backend servers that limit them.
-	permits   *ratelimit.Asker
+	permits   *ratelimit.Limiter
 	retries   *retry.Budgets
 	scheduler *scheduling.Scheduler
 	pool      *upstream.Pool
@@ -153,7 +153,7 @@
 
 	// early holds what the records say of the time before, until the board was first
 	// read to its end; it is nil from then on.
-	early  *quota.Past
+	early  *quota.EarlierRecords
 	echoes echoes
 	// spentSeen are the echoes of news of limits.
 	spentSeen spentSeen
@@ -190,22 +190,22 @@
 		},
 		members:    &board.Members{},
 		quarantine: &quarantine.Ledger{},
-		early:      &quota.Past{},
-		counter:    &usage.Counter{Width: s.Bounds.UsageWindow, Keep: usageKeep, Now: time.Now},
+		early:      &quota.EarlierRecords{},
+		counter:    &usage.Counter{Width: s.Bounds.UsageWindow, Retention: usageKeep, Now: time.Now},
 	}
 	p.scheduler.OnLeaving = p.serverAnnouncedLeaving
 	p.store = platform.NewStore(s.Store, p.eraRose)
 	p.unusable = set.NewCounter("monsoonlever_entry_unusable_server_entries_total")
-	p.quarantine.OnHeld = p.recordHeld
+	p.quarantine.OnQuarantined = p.recordHeld
 	p.bounds.Store(&s.Bounds)
 	self := board.MemberOf(s.Instance, s.FailureDomain, s.Listen.Peers, s.Limits.ProcessorCores)
 	p.links = &topology.Links{Self: self}
 	p.plan.Store(&topology.Plan{InstanceCount: 1})
 	p.limits = quota.New(quota.Policy{
-		Self: s.Instance, Window: s.Bounds.LimitWindow, Spread: newsSpread, Quick: p.quickSpread,
-		Tell: func() { p.board.Wake() },
+		Self: s.Instance, Window: s.Bounds.LimitWindow, PropagationDelay: newsSpread, DirectDelay: p.quickSpread,
+		RequestRecord: func() { p.board.Wake() },
 	})
-	p.loans = &quota.Loans{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.Ask) {
+	p.loans = &quota.Limiter{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.LoanRequest) {
 		p.sendDatagram(to, datagram{Ask: &ask})
 	}}
 	p.permits = newPermits(p)
@@ -270,7 +270,7 @@
 	set.NewGauge("monsoonlever_entry_leads", func() float64 { return gauge(p.leads()) })
 	set.NewGauge("monsoonlever_entry_subscribers", func() float64 { return float64(len(p.plan.Load().Subscribers)) })
 	set.NewGauge("monsoonlever_entry_quarantined_requests", func() float64 {
-		return float64(p.quarantine.Count(p.clock.Now()))
+		return float64(p.quarantine.QuarantinedCount(p.clock.Now()))
 	})
 	set.NewGauge("monsoonlever_entry_limited_servers", func() float64 { return float64(p.scheduler.LimitedServers()) })
 	set.NewGauge("monsoonlever_entry_leaving_servers", func() float64 { return float64(p.scheduler.LeavingServers()) })
@@ -355,7 +355,7 @@
 		return false
 	}
 
-	limits := p.limits.Known() || p.clock.Now().Sub(*counted) > limitsPatience
+	limits := p.limits.HasSynced() || p.clock.Now().Sub(*counted) > limitsPatience
 
 	return !p.stopping.Load() && p.serving() && limits
 }
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -93,7 +93,7 @@
 		}
 
 		if r.gate.AddOrder(r.clock.Now(), order) {
-			klog.InfoS("new version ordered", "service", order.Service, "version", order.Target, "span", order.Span, "offset", e.At)
+			klog.InfoS("new version ordered", "service", order.Service, "version", order.Target, "span", order.Duration, "offset", e.At)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	state, complete := p.Step(now, uint64(r.fence), picture)
 
 	if complete && r.report(ctx, state, rollout.Completed) {
-		p.Completed(picture.OldVersions)
+		p.MarkCompleted(picture.OldVersions)
 		state, _ = p.Step(now, uint64(r.fence), picture)
 	}
 
@@ -193,8 +193,8 @@
 
 	if state.Phase != before.Phase || state.Place != before.Place || state.Share != before.Share {
 		klog.InfoS("roll-out", "service", state.Service, "version", state.Target, "phase", state.Phase.String(),
-			"share", state.Share, "requests", state.Reached, "tried", state.Exposed, "oldServers", picture.Old,
-			"newServers", picture.New, "elapsed", state.Elapsed, "why", p.Why(), "fence", r.fence)
+			"share", state.Share, "requests", state.Reached, "tried", state.Exposed, "oldServers", picture.OldServers,
+			"newServers", picture.NewServers, "elapsed", state.Elapsed, "why", p.Reason(), "fence", r.fence)
 	}
 
 	r.report(ctx, state, state.Phase)
@@ -203,7 +203,7 @@
 func (r *rollouts) planner(task rollout.Task) *rollout.Planner {
 	p := r.planners[task.Order.Service]
 	if p == nil || p.Order != task.Order {
-		p = &rollout.Planner{Policy: r.policy, Order: task.Order, Begun: task.Begun}
+		p = &rollout.Planner{Policy: r.policy, Order: task.Order, FirstSeen: task.FirstSeen}
 		p.Resume(task.State)
 		r.planners[task.Order.Service] = p
 	}
@@ -240,17 +240,17 @@
 }
 
 // picture gathers what is known of an order.
-func (r *rollouts) picture(o rollout.Order) rollout.Picture {
-	pic := rollout.Picture{Routes: r.table.Routes(o), Told: r.told()}
+func (r *rollouts) picture(o rollout.Order) rollout.Observation {
+	pic := rollout.Observation{Routes: r.table.Routes(o), CountDelay: r.told()}
 	versions := make(map[fleet.Version]bool)
 
 	for _, s := range r.register.Servers() {
 		switch {
 		case s.Service != o.Service || s.Leaving:
 		case s.Version == o.Target:
-			pic.New++
+			pic.NewServers++
 		default:
-			pic.Old++
+			pic.OldServers++
 
 			if !versions[s.Version] {
 				versions[s.Version] = true
@@ -266,13 +266,13 @@
 func newRollouts(p *parts) *rollouts {
 	b := p.settings.Bounds
 	r := &rollouts{
-		policy: rollout.Policy{Share: b.TrialShare, Slack: b.TrialSlack, Stop: b.TrialStop},
+		policy: rollout.Policy{Share: b.TrialShare, Slack: b.TrialSlack, StopTimeout: b.TrialStop},
 		clock:  p.clock, self: p.self(), register: p.register,
 		told:     func() time.Duration { return p.countsPace() + dutyEvery },
 		write:    p.store.WriteRollout,
 		planners: make(map[fleet.Service]*rollout.Planner),
 	}
-	r.gate.Life = r.policy.GrantLife()
+	r.gate.GrantTTL = r.policy.GrantTTL()
 
 	return r
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -80,7 +80,7 @@
 
 // Usage counts requests as they begin to run.
 type Usage interface {
-	Began(account fleet.Account)
+	RequestStarted(account fleet.Account)
 }
 
 // Limits holds the limits of client accounts.
@@ -224,7 +224,7 @@
 // quarantined refuses a request that is held off. It is not sent, and says when it may be
 // tried again.
 func (f *Forwarder) quarantined(j *job) *Refusal {
-	if left, held := f.Quarantine.Held(f.Clock.Now(), j.content); held {
+	if left, held := f.Quarantine.Quarantined(f.Clock.Now(), j.content); held {
 		return notRun(Quarantined, left)
 	}
 
@@ -244,6 +244,6 @@
 
 	return &Refusal{
 		Reason: OverLimit, NotRun: true, RetryAfter: decision.RetryAfter,
-		Cause: fmt.Sprintf("cost %.0f, part %.0f of %.0f left", j.cost(), decision.Part, decision.Rest),
+		Cause: fmt.Sprintf("cost %.0f, part %.0f of %.0f left", j.cost(), decision.Share, decision.Remaining),
 	}
 }
--- a/forward/job.go
+++ b/forward/job.go
@@ -85,7 +85,7 @@
 	for {
 		err := f.attempt(limited, j, sink)
 		if err == nil {
-			f.Quarantine.Answered(f.Clock.Now(), j.content)
+			f.Quarantine.RecordAnswer(f.Clock.Now(), j.content)
 
 			return nil
 		}
@@ -175,7 +175,7 @@
 	case errors.Is(err, errRevoked):
 		return &Refusal{Reason: StaleRules, NotRun: true, RetryAfter: retryLater, Cause: err.Error()}
 	case errors.Is(err, errQuarantined):
-		left, _ := j.forwarder.Quarantine.Held(j.forwarder.Clock.Now(), j.content)
+		left, _ := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.content)
 
 		return notRun(Quarantined, left)
 	case errors.As(err, &overload):
@@ -204,7 +204,7 @@
 		return errBlocked
 	}
 
-	if _, held := j.forwarder.Quarantine.Held(j.forwarder.Clock.Now(), j.content); held {
+	if _, held := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.content); held {
 		return errQuarantined
 	}
 
@@ -267,7 +267,7 @@
 	choice := j.choose()
 	r := scheduling.Request{
 		Service: j.service, Prompt: j.request.Prompt, Excluded: j.excluded,
-		OnlyVersion: choice.Only, VersionFraction: choice.Part, AvoidVersions: choice.Avoid, Final: j.sent+1 >= j.route.Attempts(),
+		OnlyVersion: choice.Only, VersionFraction: choice.ServerShare, AvoidVersions: choice.Avoid, Final: j.sent+1 >= j.route.Attempts(),
 	}
 
 	if j.route.Objective > 0 && !j.stream.begun {
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -85,15 +85,15 @@
 func (s *site) settleTo(ends int) {
 	s.t.Helper()
 
-	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.Record(s.clock.Now())) < ends; s.settle() {
+	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.StoredLosses(s.clock.Now())) < ends; s.settle() {
 		if time.Now().After(limit) {
-			s.t.Fatalf("ends that count: got %d, want %d", len(s.Quarantine.Record(s.clock.Now())), ends)
+			s.t.Fatalf("ends that count: got %d, want %d", len(s.Quarantine.StoredLosses(s.clock.Now())), ends)
 		}
 	}
 }
 
 func (s *site) held(route string) bool {
-	_, held := s.Quarantine.Held(s.clock.Now(), content(route))
+	_, held := s.Quarantine.Quarantined(s.clock.Now(), content(route))
 
 	return held
 }
@@ -160,7 +160,7 @@
 
 func (s *site) loseWithThree(route string) {
 	for i := range ends {
-		s.Quarantine.Lost(s.clock.Now(), content(route), register.Process{ID: "i", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
+		s.Quarantine.RecordLoss(s.clock.Now(), content(route), register.Process{ID: "i", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
 	}
 }
 
@@ -196,7 +196,7 @@
 		t.Fatalf("got %+v, want it answered", outcome)
 	}
 
-	f.Quarantine.Lost(f.clock.Now(), content("tell"), register.Process{ID: "another"}, quarantine.Strong)
+	f.Quarantine.RecordLoss(f.clock.Now(), content("tell"), register.Process{ID: "another"}, quarantine.Strong)
 
 	if f.held("tell") {
 		t.Error("a request that was answered since: got it held off, want it served")
@@ -369,7 +369,7 @@
 		f.settleTo(len(tt.want))
 
 		var got []quarantine.Evidence
-		for _, loss := range f.Quarantine.Record(f.clock.Now()) {
+		for _, loss := range f.Quarantine.StoredLosses(f.clock.Now()) {
 			got = append(got, loss.Evidence)
 		}
 
--- a/quota/record.go
+++ b/quota/record.go
@@ -15,15 +15,15 @@
 // tell asks for a record if much was spent that none tells. While others hear this
 // instance, it is enough that those record it who record for all.
 func (q *Quota) tell(now time.Time, a *account) {
-	if q.policy.Tell == nil || q.recorded(now) {
+	if q.policy.RequestRecord == nil || q.recorded(now) {
 		return
 	}
 
 	own := a.own.total-a.recorded > recordPart*q.untold(a)
-	all := a.known-a.knownRecorded > recordPart*Untold*a.allowance.Amount
+	all := a.known-a.knownRecorded > recordPart*UnrecordedFraction*a.allowance.Amount
 
 	if own || all && q.recorder() {
-		q.policy.Tell()
+		q.policy.RequestRecord()
 	}
 }
 
@@ -36,7 +36,7 @@
 		part = (1-reservePart)*part + held
 	}
 
-	return Untold * a.allowance.Amount * part
+	return UnrecordedFraction * a.allowance.Amount * part
 }
 
 // recorder tells whether this instance records what all have spent.
@@ -44,9 +44,9 @@
 	return len(q.recorders) == 0 || slices.Contains(q.recorders, q.policy.Self)
 }
 
-// Recorded tells whether others record what this instance spends: most of those that
+// RecordedByOthers tells whether others record what this instance spends: most of those that
 // record for all hear it directly.
-func (q *Quota) Recorded(now time.Time) bool {
+func (q *Quota) RecordedByOthers(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -59,12 +59,12 @@
 		return true
 	}
 
-	if q.policy.Quick == nil || q.recorder() {
+	if q.policy.DirectDelay == nil || q.recorder() {
 		return false
 	}
 
 	hear := 0
-	span := q.policy.Quick(len(q.members))
+	span := q.policy.DirectDelay(len(q.members))
 
 	for _, id := range q.recorders {
 		if at, ok := q.heard[id]; ok && now.Sub(at) <= span {
@@ -78,7 +78,7 @@
 // Record returns what a record that outlives this instance should tell: what this
 // instance has spent, and what all have, as far as it is known here. One that others
 // hear leaves both to those that record for all.
-func (q *Quota) Record(now time.Time) ([]Spent, []Known) {
+func (q *Quota) Record(now time.Time) ([]Consumption, []GlobalConsumption) {
 	q.mu.Lock()
 	forAll, recorded := len(q.recorders) > 0 && q.recorder(), q.recorded(now)
 	q.mu.Unlock()
@@ -93,8 +93,8 @@
 	}
 }
 
-func (q *Quota) recordOwn(now time.Time) []Spent {
-	spent := q.Spent(now)
+func (q *Quota) recordOwn(now time.Time) []Consumption {
+	spent := q.Consumption(now)
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -109,18 +109,18 @@
 	return spent
 }
 
-// Spent returns what this instance has spent since its start, for the others.
-func (q *Quota) Spent(now time.Time) []Spent {
+// Consumption returns what this instance has spent since its start, for the others.
+func (q *Quota) Consumption(now time.Time) []Consumption {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	var all []Spent
+	var all []Consumption
 
 	window := now.Add(-q.policy.Window)
 
 	for name, a := range q.accounts {
 		if a.ownAsked.total > 0 || a.own.total > 0 {
-			all = append(all, Spent{
+			all = append(all, Consumption{
 				Account: name, Total: a.own.total, Recent: a.own.since(window), Asked: a.ownAsked.total,
 			})
 		}
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -14,8 +14,8 @@
 
 // manyPolicy is that of many instances, whose words are slower.
 var manyPolicy = Policy{
-	Window: 8 * time.Second, Spread: 4500 * time.Millisecond,
-	Quick: func(int) time.Duration { return 1500 * time.Millisecond },
+	Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
+	DirectDelay: func(int) time.Duration { return 1500 * time.Millisecond },
 }
 
 // An account that asks many instances for half of its limit, now and then with a
@@ -70,14 +70,14 @@
 
 func TestAllInstancesNameTheSameHolders(t *testing.T) {
 	g := newLendingGroup(30, manyPolicy)
-	want := g.quotas[0].Holders("a")
+	want := g.quotas[0].Lenders("a")
 
 	if len(want) != holders {
 		t.Fatalf("holders: got %v, want %d", want, holders)
 	}
 
 	for i, q := range g.quotas {
-		if got := q.Holders("a"); got[0] != want[0] || got[1] != want[1] {
+		if got := q.Lenders("a"); got[0] != want[0] || got[1] != want[1] {
 			t.Errorf("holders by instance %d: got %v, want %v", i, got, want)
 		}
 	}
@@ -91,16 +91,16 @@
 	}
 
 	recorders := slices.DeleteFunc(slices.Clone(g.ids[:5]), func(id fleet.InstanceID) bool { return id == want[0] })
-	g.quotas[3].Members(left, recorders)
+	g.quotas[3].SetMembers(left, recorders)
 
-	if got := g.quotas[3].Holders("a"); got[0] != want[1] {
+	if got := g.quotas[3].Lenders("a"); got[0] != want[1] {
 		t.Errorf("holders after one has left: got %v, want %v to stay", got, want[1])
 	}
 }
 
 // desks are the loans of two instances, of which the second one lends.
 type desks struct {
-	borrower, lender *Loans
+	borrower, lender *Limiter
 	asks             int
 	lose             bool
 }
@@ -111,28 +111,28 @@
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 
 	for _, id := range ids {
-		q := New(Policy{Self: id, Window: 8 * time.Second, Spread: 2 * time.Second})
+		q := New(Policy{Self: id, Window: 8 * time.Second, PropagationDelay: 2 * time.Second})
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
-		q.Members(ids, nil)
-		q.Reached(clk.Now())
+		q.SetMembers(ids, nil)
+		q.MarkSynced(clk.Now())
 		quotas[id] = q
 	}
 
-	holder := quotas["entry-1"].Holders("a")[0]
+	holder := quotas["entry-1"].Lenders("a")[0]
 	other := ids[0]
 
 	for _, id := range ids {
-		if id != holder && id != quotas["entry-1"].Holders("a")[1] {
+		if id != holder && id != quotas["entry-1"].Lenders("a")[1] {
 			other = id
 		}
 	}
 
-	d.lender = &Loans{Quota: quotas[holder], Clock: clk, Self: holder}
-	d.borrower = &Loans{Quota: quotas[other], Clock: clk, Self: other, Send: func(to fleet.InstanceID, ask Ask) {
+	d.lender = &Limiter{Quota: quotas[holder], Clock: clk, Self: holder}
+	d.borrower = &Limiter{Quota: quotas[other], Clock: clk, Self: other, Send: func(to fleet.InstanceID, ask LoanRequest) {
 		d.asks++
 
 		if to == holder && !d.lose {
-			d.borrower.Answered(d.lender.Lend(ask))
+			d.borrower.HandleResponse(d.lender.HandleRequest(ask))
 		}
 	}}
 
@@ -148,11 +148,11 @@
 		t.Fatalf("large request: got %+v, want it borrowed from %s", got, d.lender.Self)
 	}
 
-	if spent := d.lender.Quota.Spent(clk.Now()); len(spent) != 1 || spent[0].Total != amount/5 {
+	if spent := d.lender.Quota.Consumption(clk.Now()); len(spent) != 1 || spent[0].Total != amount/5 {
 		t.Errorf("spent by the lender: got %+v, want %d", spent, amount/5)
 	}
 
-	for _, s := range d.borrower.Quota.Spent(clk.Now()) {
+	for _, s := range d.borrower.Quota.Consumption(clk.Now()) {
 		if s.Total != 0 {
 			t.Errorf("spent by the borrower: got %.0f, want 0", s.Total)
 		}
@@ -166,13 +166,13 @@
 	current := false
 	d.lender.Current = func() bool { return current }
 
-	if got := d.lender.Lend(Ask{From: d.borrower.Self, Account: "a", Cost: 100}); got.Granted {
+	if got := d.lender.HandleRequest(LoanRequest{From: d.borrower.Self, Account: "a", Cost: 100}); got.Granted {
 		t.Error("while it is not current: got a loan, want none")
 	}
 
 	current = true
 
-	if got := d.lender.Lend(Ask{From: d.borrower.Self, Account: "a", Cost: 100}); !got.Granted {
+	if got := d.lender.HandleRequest(LoanRequest{From: d.borrower.Self, Account: "a", Cost: 100}); !got.Granted {
 		t.Error("once it is current: got no loan, want one")
 	}
 }
@@ -201,10 +201,10 @@
 // waits for that, and is not sent away for seconds.
 func TestARequestWaitsForTheFirstRead(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
-	q := New(Policy{Window: 8 * time.Second, Spread: time.Second})
+	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
 
-	loans := &Loans{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, Ask) {}}
+	loans := &Limiter{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
 	decided := make(chan Decision)
 	take := func() { decided <- loans.Take(t.Context(), "acme", 100) }
 
@@ -216,8 +216,8 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 
-	q.Members([]fleet.InstanceID{"entry-1"}, nil)
-	q.Reached(clk.Now())
+	q.SetMembers([]fleet.InstanceID{"entry-1"}, nil)
+	q.MarkSynced(clk.Now())
 
 	if d := <-decided; !d.Granted {
 		t.Errorf("after the first read: got %+v, want it granted", d)
@@ -227,10 +227,10 @@
 // A store that does not answer must not hold requests.
 func TestTheWaitForTheFirstReadIsBounded(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
-	q := New(Policy{Window: 8 * time.Second, Spread: time.Second})
+	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
 
-	loans := &Loans{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, Ask) {}}
+	loans := &Limiter{Quota: q, Clock: clk, Self: "entry-1", Send: func(fleet.InstanceID, LoanRequest) {}}
 	decided := make(chan Decision, 1)
 
 	go func() { decided <- loans.Take(t.Context(), "acme", 100) }()
@@ -255,10 +255,10 @@
 
 // An account whose limit was lifted must not be refused to borrowers that have yet to get the new rules.
 func TestALenderThatNoLongerLimitsAnAccountLends(t *testing.T) {
-	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, Spread: time.Second})
+	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 1000}})
-	q.Members([]fleet.InstanceID{"entry-1"}, nil)
-	q.Reached(start)
+	q.SetMembers([]fleet.InstanceID{"entry-1"}, nil)
+	q.MarkSynced(start)
 
 	if got := q.LendTo(start, "entry-2", "acme", 5000); got.Granted {
 		t.Error("above the limit: got it granted, want it refused")
--- a/ratelimit/asker.go
+++ b/ratelimit/asker.go
@@ -17,8 +17,8 @@
 	maxPatience = 2 * time.Second
 )
 
-// Ask is the question for a permit.
-type Ask struct {
+// PermitRequest is the question for a permit.
+type PermitRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	From     fleet.InstanceID
 	Number   uint64
@@ -30,8 +30,8 @@
 	Patience time.Duration
 }
 
-// Reply is the answer to an Ask.
-type Reply struct {
+// PermitResponse is the answer to an Ask.
+type PermitResponse struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Number   uint64
 	Granted  bool
@@ -41,32 +41,32 @@
 	Age  time.Duration
 }
 
-// Known keeps the newest announcements of servers.
-type Known interface {
+// Announcements keeps the newest announcements of servers.
+type Announcements interface {
 	// Merge takes in what another instance knows of a server and returns the newest.
 	Merge(server register.Process, a Announcement) Announcement
 }
 
-// Asker asks for permits, and answers the questions of others. Its exported fields are set
+// Limiter asks for permits, and answers the questions of others. Its exported fields are set
 // before its first use.
-type Asker struct {
-	Self    fleet.InstanceID
-	Clock   clock.Clock
-	Granter *Granter
-	Known   Known
+type Limiter struct {
+	Self          fleet.InstanceID
+	Clock         clock.Clock
+	Granter       *Granter
+	Announcements Announcements
 	// Leaders returns the instances that lead.
 	Leaders func() []fleet.InstanceID
 	// Send sends a question to another instance.
-	Send func(to fleet.InstanceID, ask Ask)
+	Send func(to fleet.InstanceID, ask PermitRequest)
 	// Counters count the questions; nil counts none.
 	Counters *Counters
 
-	questions gossip.Requests[Reply]
+	questions gossip.Requests[PermitResponse]
 }
 
 // Ask asks for one request to a server that announced a limit. patience is how long the
 // request can wait. Where no granter replies nothing is granted.
-func (a *Asker) Ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) Permit {
+func (a *Limiter) Acquire(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) Permit {
 	permit, answered := a.ask(ctx, server, limit, patience)
 	a.Counters.asked(permit, answered)
 
@@ -74,8 +74,8 @@
 }
 
 // ask reports beside the permit whether a granter answered.
-func (a *Asker) ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) (Permit, bool) {
-	ranked := RankOf(server, a.Leaders())
+func (a *Limiter) ask(ctx context.Context, server register.Process, limit Announcement, patience time.Duration) (Permit, bool) {
+	ranked := RankLeaders(server, a.Leaders())
 
 	for _, granter := range ranked[:min(granters, len(ranked))] {
 		if granter == a.Self {
@@ -83,7 +83,7 @@
 		}
 
 		reply, ok := a.questions.Do(ctx, a.Clock, granter, func(number uint64) {
-			a.Send(granter, Ask{
+			a.Send(granter, PermitRequest{
 				From: a.Self, Number: number, Server: server, Rate: limit.Rate, Age: a.Clock.Now().Sub(limit.At), Patience: patience,
 			})
 		})
@@ -101,11 +101,11 @@
 	return Permit{Wait: retryLater}, false
 }
 
-// Answer answers another instance's question.
-func (a *Asker) Answer(ask Ask) Reply {
+// HandleRequest answers another instance's question.
+func (a *Limiter) HandleRequest(ask PermitRequest) PermitResponse {
 	known := a.merge(ask.Server, ask.Rate, ask.Age)
 	now := a.Clock.Now()
-	reply := Reply{Number: ask.Number, Granted: true, Rate: known.Rate, Age: now.Sub(known.At)}
+	reply := PermitResponse{Number: ask.Number, Granted: true, Rate: known.Rate, Age: now.Sub(known.At)}
 
 	if known.Rate != Unlimited {
 		permit := a.Granter.Grant(now, ask.Server, known.Rate, min(ask.Patience, maxPatience))
@@ -117,13 +117,13 @@
 
 // merge takes in what another instance knows, unless its message is damaged, and returns
 // the newest.
-func (a *Asker) merge(server register.Process, rate Rate, age time.Duration) Announcement {
-	if !rate.Usable() || age < 0 {
-		return a.Known.Merge(server, Announcement{})
+func (a *Limiter) merge(server register.Process, rate Rate, age time.Duration) Announcement {
+	if !rate.Valid() || age < 0 {
+		return a.Announcements.Merge(server, Announcement{})
 	}
 
-	return a.Known.Merge(server, Announcement{Rate: rate, At: a.Clock.Now().Add(-age)})
+	return a.Announcements.Merge(server, Announcement{Rate: rate, At: a.Clock.Now().Add(-age)})
 }
 
-// Replied takes the reply to a question in. One that comes too late is dropped.
-func (a *Asker) Replied(r Reply) { a.questions.Reply(r.Number, r) }
+// HandleResponse takes the reply to a question in. One that comes too late is dropped.
+func (a *Limiter) HandleResponse(r PermitResponse) { a.questions.Reply(r.Number, r) }
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -17,11 +17,11 @@
 func BenchmarkAnswer(b *testing.B) {
 	leaders := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 	server := register.Process{ID: "i-0123456789", Incarnation: 1_790_000_000_123}
-	self := RankOf(server, leaders)[0]
-	asker := &Asker{Self: self, Clock: clock.NewSteady(), Known: &notes{}, Granter: &Granter{Self: self}}
+	self := RankLeaders(server, leaders)[0]
+	asker := &Limiter{Self: self, Clock: clock.NewSteady(), Announcements: &notes{}, Granter: &Granter{Self: self}}
 	asker.Granter.SetLeaders(asker.Clock.Now(), leaders)
 
-	question, err := msgpack.Marshal(&Ask{
+	question, err := msgpack.Marshal(&PermitRequest{
 		From: "entry-9", Number: 1, Server: server, Rate: 1.5, Age: time.Second, Patience: time.Millisecond,
 	})
 	if err != nil {
@@ -31,12 +31,12 @@
 	b.ReportMetric(float64(len(question)), "question-B")
 
 	for b.Loop() {
-		var ask Ask
+		var ask PermitRequest
 		if err := codec.Unmarshal(question, &ask); err != nil {
 			b.Fatal(err)
 		}
 
-		reply := asker.Answer(ask)
+		reply := asker.HandleRequest(ask)
 		if _, err := msgpack.Marshal(&reply); err != nil {
 			b.Fatal(err)
 		}
