--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -36,31 +36,31 @@
 	Servers     int
 }
 
-// Place is one failure domain in which a service may have servers.
-type Place struct {
+// DomainState is one failure domain in which a service may have servers.
+type DomainState struct {
 	Domain fleet.FailureDomain
 	Price  float64
-	// Lasting and Reclaimable are the servers that take requests.
-	Lasting     int
+	// OnDemand and Reclaimable are the servers that take requests.
+	OnDemand    int
 	Reclaimable int
 }
 
-// State is what is known of one service.
-type State struct {
+// ServiceState is what is known of one service.
+type ServiceState struct {
 	Service fleet.Service
-	// Least and Most bound the servers of a failure domain, both kinds together.
-	Least, Most int
-	// Boot is the time from an order to the first request.
-	Boot   time.Duration
-	Places []Place
-	// Arriving is the work that arrives in a second, and Speed what an idle server
+	// MinPerDomain and MaxPerDomain bound the servers of a failure domain, both kinds together.
+	MinPerDomain, MaxPerDomain int
+	// BootTime is the time from an order to the first request.
+	BootTime time.Duration
+	Domains  []DomainState
+	// ArrivalRate is the work that arrives in a second, and Speed what an idle server
 	// does in a second. Zero is not known.
-	Arriving float64
-	Speed    float64
-	// Taken is the part of the servers' places that is in use or waited for, as most of
+	ArrivalRate float64
+	ServerRate  float64
+	// Occupancy is the part of the servers' places that is in use or waited for, as most of
 	// them said of late, if TakenKnown.
-	Taken      float64
-	TakenKnown bool
+	Occupancy      float64
+	OccupancyKnown bool
 }
 
 // Plan is the wanted number of servers of a service, in all failure domains.
@@ -120,13 +120,13 @@
 }
 
 // Plan returns the orders to give now for one service.
-func (p *Planner) Plan(now time.Time, s State) []Order {
+func (p *Planner) Plan(now time.Time, s ServiceState) []Order {
 	if p.ordered == nil {
 		p.ordered = make(map[key]given)
 	}
 
-	places := slices.Clone(s.Places)
-	slices.SortFunc(places, func(a, b Place) int {
+	places := slices.Clone(s.Domains)
+	slices.SortFunc(places, func(a, b DomainState) int {
 		if a.Price != b.Price {
 			return int(math.Copysign(1, a.Price-b.Price))
 		}
@@ -146,7 +146,7 @@
 
 	for i, place := range places {
 		orders = p.order(now, s, orders, place.Domain, true, reclaimable[i], place.Reclaimable)
-		orders = p.order(now, s, orders, place.Domain, false, lasting[i], place.Lasting)
+		orders = p.order(now, s, orders, place.Domain, false, lasting[i], place.OnDemand)
 	}
 
 	return orders
@@ -154,7 +154,7 @@
 
 // order adds an order where what is wanted is not what was ordered or has not come.
 func (p *Planner) order(
-	now time.Time, s State, orders []Order, domain fleet.FailureDomain, reclaimable bool, wanted, present int,
+	now time.Time, s ServiceState, orders []Order, domain fleet.FailureDomain, reclaimable bool, wanted, present int,
 ) []Order {
 	k := key{s.Service, domain, reclaimable}
 	last, known := p.ordered[k]
@@ -167,7 +167,7 @@
 		return orders
 	}
 
-	if known && last.servers == wanted && (wanted == present || now.Sub(last.at) < s.Boot+settle) {
+	if known && last.servers == wanted && (wanted == present || now.Sub(last.at) < s.BootTime+settle) {
 		return orders
 	}
 
@@ -176,9 +176,9 @@
 	return append(orders, Order{Service: s.Service, Domain: domain, Reclaimable: reclaimable, Servers: wanted})
 }
 
-// Answered takes in how an order was answered. none is set where no such servers
+// RecordResult takes in how an order was answered. none is set where no such servers
 // were to be had; ok is not set where it is not known whether the order took effect.
-func (p *Planner) Answered(now time.Time, o Order, ok, none bool) {
+func (p *Planner) RecordResult(now time.Time, o Order, ok, none bool) {
 	k := key{o.Service, o.Domain, o.Reclaimable}
 	one := p.ordered[k]
 
--- a/capacity/shares.go
+++ b/capacity/shares.go
@@ -10,13 +10,13 @@
 // spread divides the wanted servers over the places that have reclaimable ones,
 // evenly, since all of a place are lost at once. While there are too few, none is
 // given back: it might not be had again.
-func (p *Planner) spread(now time.Time, s State, places []Place, wanted int) []int {
+func (p *Planner) spread(now time.Time, s ServiceState, places []DomainState, wanted int) []int {
 	counts := make([]int, len(places))
 	left := wanted
 
 	if present(places) < wanted {
 		for i, place := range places {
-			counts[i] = min(place.Reclaimable, s.Most)
+			counts[i] = min(place.Reclaimable, s.MaxPerDomain)
 			left -= counts[i]
 		}
 	}
@@ -25,7 +25,7 @@
 		least := -1
 
 		for i, place := range places {
-			if counts[i] >= s.Most || p.refused(now, s.Service, place) && counts[i] >= place.Reclaimable {
+			if counts[i] >= s.MaxPerDomain || p.refused(now, s.Service, place) && counts[i] >= place.Reclaimable {
 				continue
 			}
 
@@ -46,7 +46,7 @@
 }
 
 // present returns the reclaimable servers of all places.
-func present(places []Place) int {
+func present(places []DomainState) int {
 	n := 0
 	for _, place := range places {
 		n += place.Reclaimable
@@ -55,21 +55,21 @@
 	return n
 }
 
-func (p *Planner) refused(now time.Time, service fleet.Service, place Place) bool {
+func (p *Planner) refused(now time.Time, service fleet.Service, place DomainState) bool {
 	return now.Sub(p.ordered[key{service, place.Domain, true}].refusedAt) < refusedFor
 }
 
 // lasting returns how many servers that are not reclaimable each place keeps: no
 // more than what reclaimable ones leave open, and new ones where these are not to be
 // had.
-func (p *Planner) lasting(now time.Time, s State, places []Place, wanted int) []int {
+func (p *Planner) lasting(now time.Time, s ServiceState, places []DomainState, wanted int) []int {
 	counts := make([]int, len(places))
 	// While the load is lower than it was, lasting servers are not what is kept for it.
 	open := min(wanted, p.peaksOf(s.Service).highest(now, lately)) - present(places)
 
 	// The dearest places come last, and give theirs back first.
 	for i, place := range places {
-		counts[i] = min(max(place.Lasting, p.coming(now, s, place, false)), max(open, 0))
+		counts[i] = min(max(place.OnDemand, p.coming(now, s, place, false)), max(open, 0))
 		open -= counts[i]
 	}
 
@@ -79,7 +79,7 @@
 		before := missing
 
 		for i, place := range places {
-			if missing > 0 && counts[i]+place.Reclaimable < s.Most {
+			if missing > 0 && counts[i]+place.Reclaimable < s.MaxPerDomain {
 				counts[i]++
 				missing--
 			}
@@ -104,7 +104,7 @@
 
 // missing returns how many lasting servers are needed while reclaimable ones are
 // short, those that were ordered and are on their way counted as there.
-func (p *Planner) missing(now time.Time, s State, places []Place) int {
+func (p *Planner) missing(now time.Time, s ServiceState, places []DomainState) int {
 	short := false
 	expected := 0
 
@@ -123,9 +123,9 @@
 }
 
 // coming returns the servers of a place that were ordered and may still start.
-func (p *Planner) coming(now time.Time, s State, place Place, reclaimable bool) int {
+func (p *Planner) coming(now time.Time, s ServiceState, place DomainState, reclaimable bool) int {
 	last := p.ordered[key{s.Service, place.Domain, reclaimable}]
-	if now.Sub(last.at) < s.Boot+settle {
+	if now.Sub(last.at) < s.BootTime+settle {
 		return max(last.servers, 0)
 	}
 
--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -26,7 +26,7 @@
 
 func (p *Plain) newTrial(r gateway.PlainRequest) *trial {
 	call := retry.NewCall(retry.NewScope(r.Service, r.Account), r.Kind.Idempotent()).WithDeadline(r.Deadline)
-	p.Retry.Begin(p.Clock.Now(), call)
+	p.Retry.CountCall(p.Clock.Now(), call)
 
 	return &trial{plain: p, request: r, call: call}
 }
@@ -38,16 +38,16 @@
 	}
 
 	decision := t.plain.Retry.Decide(t.plain.Clock.Now(), discovery.Random{}, t.call, err)
-	if !decision.Again() {
+	if !decision.Retry() {
 		return false
 	}
 
-	if decision.After() <= 0 {
+	if decision.Delay() <= 0 {
 		return true
 	}
 
 	select {
-	case <-t.plain.Clock.After(decision.After()):
+	case <-t.plain.Clock.After(decision.Delay()):
 		return true
 	case <-ctx.Done():
 		return false
--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -38,9 +38,9 @@
 		clock:   clk,
 		metrics: metrics.NewSet(),
 		duties:  &duties{incarnation: 1, ledger: usage.NewLedger(usage.Policy{Width: 5 * time.Second}, clk.Now())},
-		members: &board.Members{}, links: &topology.Links{}, loans: &quota.Loans{Quota: quota.New(quota.Policy{}), Clock: clk},
+		members: &board.Members{}, links: &topology.Links{}, loans: &quota.Limiter{Quota: quota.New(quota.Policy{}), Clock: clk},
 		limits:   quota.New(quota.Policy{Window: 8 * time.Second}),
-		counter:  &usage.Counter{Width: 5 * time.Second, Keep: 15 * time.Second, Now: clk.Now},
+		counter:  &usage.Counter{Width: 5 * time.Second, Retention: 15 * time.Second, Now: clk.Now},
 		currency: &currency.Tracker{Clock: clk}, registered: &currency.Tracker{Clock: clk},
 		register: &register.Register{}, scheduler: &scheduling.Scheduler{}, rollouts: &rollouts{}, store: platform.NewStore("127.0.0.1:1", nil), quarantine: &quarantine.Ledger{},
 	}
@@ -57,12 +57,12 @@
 	}
 
 	p.limits.Configure(allowances)
-	p.limits.Members([]fleet.InstanceID{"edge-ballerup-a-12"}, nil)
-	p.limits.Reached(clk.Now())
+	p.limits.SetMembers([]fleet.InstanceID{"edge-ballerup-a-12"}, nil)
+	p.limits.MarkSynced(clk.Now())
 
 	for _, a := range allowances {
 		p.limits.Take(clk.Now(), a.Account, 1234)
-		p.counter.Began(a.Account)
+		p.counter.RequestStarted(a.Account)
 	}
 
 	var changes []register.Change
@@ -210,12 +210,12 @@
 
 		// All requests of some accounts were lost with servers.
 		for i := range accounts {
-			p.quarantine.Lost(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Process{ID: "i-1"}, quarantine.Strong)
+			p.quarantine.RecordLoss(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Process{ID: "i-1"}, quarantine.Strong)
 		}
 
 		losses := 0
 
-		for _, part := range packLosses(p.quarantine.News(clk.Now())) {
+		for _, part := range packLosses(p.quarantine.PendingLosses(clk.Now())) {
 			losses += len(part)
 			encodeMessage(t, datagram{Losses: part})
 		}
@@ -282,9 +282,9 @@
 	f.Add(data)
 
 	for _, d := range []datagram{
-		{Permit: &ratelimit.Ask{From: "entry-2", Server: register.Process{ID: "i-0000000000"}, Rate: ratelimit.Rate(math.NaN()), Age: -1}},
-		{Permitted: &ratelimit.Reply{Granted: true, Wait: -1, Rate: -1}},
-		{Prompts: &promptNews{News: scheduling.News{Limits: []scheduling.ServerLimit{{Rate: ratelimit.Rate(math.Inf(1))}}}}},
+		{Permit: &ratelimit.PermitRequest{From: "entry-2", Server: register.Process{ID: "i-0000000000"}, Rate: ratelimit.Rate(math.NaN()), Age: -1}},
+		{Permitted: &ratelimit.PermitResponse{Granted: true, Wait: -1, Rate: -1}},
+		{Prompts: &promptNews{News: scheduling.ServerUpdate{Limits: []scheduling.ServerLimit{{Rate: ratelimit.Rate(math.Inf(1))}}}}},
 	} {
 		data, err := msgpack.Marshal(&d)
 		if err != nil {
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -95,15 +95,15 @@
 		rollout:     p.rollouts.step,
 		inTrial:     p.rollouts.gate.InTrial,
 		live:        p.arrivingAtAll,
-		taken:       p.scheduler.Taken,
+		taken:       p.scheduler.Utilization,
 		said:        make(map[fleet.Service]plan),
 		cloud:       platform.NewCloud(p.settings.Cloud, p.settings.Instance),
 		incarnation: fleet.Incarnation(now.UnixNano()),
 		ledger: usage.NewLedger(usage.Policy{
-			Width:    p.settings.Bounds.UsageWindow,
-			Settle:   usageSettle,
-			Patience: time.Duration(float64(p.settings.Bounds.UsageLate) * usagePatience),
-			Late:     p.settings.Bounds.UsageLate,
+			Width:         p.settings.Bounds.UsageWindow,
+			SettleDelay:   usageSettle,
+			MemberTimeout: time.Duration(float64(p.settings.Bounds.UsageLate) * usagePatience),
+			ReportTTL:     p.settings.Bounds.UsageLate,
 		}, time.Now()),
 	}
 
@@ -140,7 +140,7 @@
 
 	if d.again && d.leads() {
 		d.again = false
-		r.Reports = d.ledger.Fixed(time.Now())
+		r.Reports = d.ledger.Finalized(time.Now())
 	}
 
 	if !r.Leaving && state.Holder.Instance != d.settings.Instance {
@@ -180,18 +180,18 @@
 		klog.InfoS("duties are held", "holder", after.Holder.Instance, "fence", after.Fence)
 	}
 
-	d.ledger.Count(time.Now(), r.Instance, r.Incarnation, r.Usage)
+	d.ledger.AddCounts(time.Now(), r.Instance, r.Incarnation, r.Usage)
 
 	if len(r.Work) > 0 {
 		d.recorded = r.Work
 	}
 
 	if r.Instance != d.settings.Instance || r.Incarnation != d.incarnation {
-		d.planner.Follow(now, r.Plans)
+		d.planner.Restore(now, r.Plans)
 	}
 
 	for _, report := range r.Reports {
-		d.ledger.Fix(report)
+		d.ledger.Finalize(report)
 	}
 }
 
@@ -229,7 +229,7 @@
 func (d *duties) count(t *usageCounts) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ledger.Count(time.Now(), t.Instance, t.Incarnation, t.Usage)
+	d.ledger.AddCounts(time.Now(), t.Instance, t.Incarnation, t.Usage)
 }
 
 func (d *duties) reached(now time.Time) {
@@ -280,7 +280,7 @@
 		return nil
 	}
 
-	return d.ledger.ToSend(time.Now())
+	return d.ledger.Unsent(time.Now())
 }
 
 // send sends one report. It may be accepted although no answer comes; it is then
@@ -301,7 +301,7 @@
 
 	switch {
 	case err == nil:
-		d.ledger.Sent(report.Window)
+		d.ledger.MarkSent(report.Window)
 	case errors.Is(err, platform.ErrFenced):
 		d.core.Release(d.clock.Now())
 		klog.InfoS("duties are lost", "fence", fence)
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -59,7 +59,7 @@
 }
 
 // logPlan logs how many servers are wanted and for what load, where that changed.
-func (d *duties) logPlan(now time.Time, s capacity.State) {
+func (d *duties) logPlan(now time.Time, s capacity.ServiceState) {
 	wanted, ofLate := d.planner.Wanted(now, s.Service)
 	said := plan{wanted: wanted, ofLate: ofLate, contradicted: s.Contradicted()}
 
@@ -69,18 +69,18 @@
 
 	d.said[s.Service] = said
 	klog.InfoS("servers wanted", "service", s.Service, "servers", wanted, "ofLate", ofLate,
-		"arriving", int(s.Arriving), "speed", int(s.Speed), "taken", s.Taken, "contradicted", said.contradicted)
+		"arriving", int(s.ArrivalRate), "speed", int(s.ServerRate), "taken", s.Occupancy, "contradicted", said.contradicted)
 }
 
 // stateOf gathers what is known of a service.
-func (d *duties) stateOf(service *ruleset.Service) capacity.State {
-	s := capacity.State{
-		Service: service.Name, Least: service.Scaling.Min, Most: service.Scaling.Max, Boot: service.Scaling.Boot,
+func (d *duties) stateOf(service *ruleset.Service) capacity.ServiceState {
+	s := capacity.ServiceState{
+		Service: service.Name, MinPerDomain: service.Scaling.Min, MaxPerDomain: service.Scaling.Max, BootTime: service.Scaling.Boot,
 	}
-	places := make(map[fleet.FailureDomain]*capacity.Place)
+	places := make(map[fleet.FailureDomain]*capacity.DomainState)
 
 	for domain, price := range service.Scaling.Prices {
-		places[domain] = &capacity.Place{Domain: domain, Price: price}
+		places[domain] = &capacity.DomainState{Domain: domain, Price: price}
 	}
 
 	tried, _, trial := d.inTrial(service.Name)
@@ -94,22 +94,22 @@
 		if server.Reclaimable {
 			place.Reclaimable++
 		} else {
-			place.Lasting++
+			place.OnDemand++
 		}
 	}
 
 	for _, domain := range slices.Sorted(maps.Keys(places)) {
-		s.Places = append(s.Places, *places[domain])
+		s.Domains = append(s.Domains, *places[domain])
 	}
 
-	s.Taken, s.TakenKnown = d.taken(d.clock.Now(), service.Name)
+	s.Occupancy, s.OccupancyKnown = d.taken(d.clock.Now(), service.Name)
 	work := workOf(d.live(d.clock.Now()), service.Name)
 	before := workOf(d.recorded, service.Name)
-	s.Arriving, s.Speed = work.Arriving, work.Speed
+	s.ArrivalRate, s.ServerRate = work.Arriving, work.Speed
 
-	if s.Speed == 0 {
+	if s.ServerRate == 0 {
 		// After a start of all, nobody has measured yet.
-		s.Arriving, s.Speed = max(work.Arriving, before.Arriving), before.Speed
+		s.ArrivalRate, s.ServerRate = max(work.Arriving, before.Arriving), before.Speed
 	}
 
 	return s
@@ -161,7 +161,7 @@
 
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.planner.Answered(d.clock.Now(), o, err == nil, none)
+	d.planner.RecordResult(d.clock.Now(), o, err == nil, none)
 
 	if errors.Is(err, platform.ErrFenced) {
 		d.core.Release(d.clock.Now())
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -36,10 +36,10 @@
 	switch {
 	case plan.FullMesh:
 	case !leads:
-		p.limits.Keepers(now, plan.Leaders)
+		p.limits.SetCoordinators(now, plan.Leaders)
 		// It asks the keepers for each request, and has nothing to read.
-		if p.keepers.kept() && !p.limits.Known() {
-			p.limits.Reached(now)
+		if p.keepers.kept() && !p.limits.HasSynced() {
+			p.limits.MarkSynced(now)
 		}
 	case !led || !slices.Equal(before.Leaders, plan.Leaders):
 		// It keeps limits with the others once it has read what was recorded.
@@ -57,7 +57,7 @@
 
 // shareBudgets gives this instance its part of what all may use together.
 func (p *parts) shareBudgets() {
-	p.retries.SetLeast(p.bounds.Load().Retries() / p.count())
+	p.retries.SetMinRetries(p.bounds.Load().Retries() / p.count())
 	p.shareConnections()
 }
 
@@ -66,9 +66,9 @@
 	plan := p.replan(now)
 
 	if plan.FullMesh {
-		p.limits.Members(p.members.IDs(), plan.Leaders)
+		p.limits.SetMembers(p.members.IDs(), plan.Leaders)
 	} else {
-		p.limits.Keepers(now, plan.Leaders)
+		p.limits.SetCoordinators(now, plan.Leaders)
 	}
 }
 
--- a/entry/prompts.go
+++ b/entry/prompts.go
@@ -16,9 +16,9 @@
 	Instance fleet.InstanceID `msgpack:"i"`
 	// Down is set where a relay tells those that turned to it, and Subscribes where one
 	// of those tells its relay.
-	Down       bool            `msgpack:"d,omitempty"`
-	Subscribes bool            `msgpack:"u,omitempty"`
-	News       scheduling.News `msgpack:"n"`
+	Down       bool                    `msgpack:"d,omitempty"`
+	Subscribes bool                    `msgpack:"u,omitempty"`
+	News       scheduling.ServerUpdate `msgpack:"n"`
 }
 
 const (
@@ -35,13 +35,13 @@
 func (p *parts) tellPrompts(ctx context.Context, to scheduling.Audience) {
 	for ctx.Err() == nil {
 		select {
-		case <-p.scheduler.Ready(to):
+		case <-p.scheduler.UpdateReady(to):
 		case <-p.clock.After(gossip.Interval(0)):
 		case <-ctx.Done():
 			return
 		}
 
-		news := p.scheduler.News(p.clock.Now(), to)
+		news := p.scheduler.TakeUpdate(p.clock.Now(), to)
 		audience := p.audience(to)
 
 		if news.Empty() || len(audience) == 0 {
@@ -98,7 +98,7 @@
 		as = scheduling.Subscriber
 	}
 
-	p.scheduler.HearNews(now, n.Instance, as, n.News)
+	p.scheduler.ApplyUpdate(now, n.Instance, as, n.News)
 }
 
 // The bytes that each kind of news takes, a holding beside its parts.
@@ -113,7 +113,7 @@
 )
 
 // splitNews divides news into what one datagram holds.
-func splitNews(news scheduling.News) []scheduling.News {
+func splitNews(news scheduling.ServerUpdate) []scheduling.ServerUpdate {
 	var s newsSplitter
 
 	for _, b := range news.Backlogs {
@@ -147,8 +147,8 @@
 
 // newsSplitter fills one part after the other. The zero value is empty.
 type newsSplitter struct {
-	parts []scheduling.News
-	part  scheduling.News
+	parts []scheduling.ServerUpdate
+	part  scheduling.ServerUpdate
 	bytes int
 }
 
@@ -162,12 +162,12 @@
 }
 
 // end ends the part that is being filled, and returns all.
-func (s *newsSplitter) end() []scheduling.News {
+func (s *newsSplitter) end() []scheduling.ServerUpdate {
 	if !s.part.Empty() {
 		s.parts = append(s.parts, s.part)
 	}
 
-	s.part, s.bytes = scheduling.News{}, 0
+	s.part, s.bytes = scheduling.ServerUpdate{}, 0
 
 	return s.parts
 }
--- a/entry/prompts_test.go
+++ b/entry/prompts_test.go
@@ -16,14 +16,14 @@
 // A round of news that is larger than a datagram is told in several, and nothing of it
 // is left out.
 func TestNewsOfPromptsFitsIntoDatagrams(t *testing.T) {
-	var news scheduling.News
+	var news scheduling.ServerUpdate
 
 	for i := range uint32(300) {
 		key := scheduling.Key(math.MaxUint32 - i)
 		news.Backlogs = append(news.Backlogs, scheduling.Backlog{Server: key, Tokens: math.MaxUint32 - i})
 		news.Loads = append(news.Loads, scheduling.ServerLoad{Server: key, Requests: math.MaxUint16, AgeMs: math.MaxUint16})
 		news.Limits = append(news.Limits, scheduling.ServerLimit{Server: key, Rate: math.MaxFloat64, AgeMs: math.MaxUint32})
-		news.Holdings = append(news.Holdings, scheduling.Holding{Server: key, Parts: []scheduling.Key{key, key, key, key, key}})
+		news.Holdings = append(news.Holdings, scheduling.CachedSegments{Server: key, Parts: []scheduling.Key{key, key, key, key, key}})
 	}
 
 	backlogs, holdings, loads, limits := 0, 0, 0, 0
@@ -66,33 +66,33 @@
 		t.Fatalf("place: got %v, want a server", err)
 	}
 
-	news := there.News(now, scheduling.Upstream)
+	news := there.TakeUpdate(now, scheduling.Upstream)
 	p.receivePrompts(now, &promptNews{Instance: "relay", Subscribes: true, News: news})
 
-	if got := p.scheduler.News(now, scheduling.Upstream); len(got.Backlogs) != 0 {
+	if got := p.scheduler.TakeUpdate(now, scheduling.Upstream); len(got.Backlogs) != 0 {
 		t.Errorf("told upstream of what the relay told: got %v, want nothing", got.Backlogs)
 	}
 
 	// Nor is what any other tells that turned to this instance while it is no relay.
 	p.receivePrompts(now, &promptNews{Instance: "entry-2", Subscribes: true, News: news})
 
-	if got := p.scheduler.News(now, scheduling.Upstream); len(got.Backlogs) != 1 || got.Backlogs[0].Tokens != 0 {
+	if got := p.scheduler.TakeUpdate(now, scheduling.Upstream); len(got.Backlogs) != 1 || got.Backlogs[0].Tokens != 0 {
 		t.Errorf("told upstream, being no relay: got %v, want its own 0 tokens", got.Backlogs)
 	}
 
 	p.scheduler.SetRelay(true)
 	p.receivePrompts(now, &promptNews{Instance: "entry-2", Subscribes: true, News: news})
 
-	if got := p.scheduler.News(now, scheduling.Upstream); len(got.Backlogs) != 1 || got.Backlogs[0].Tokens != 900 {
+	if got := p.scheduler.TakeUpdate(now, scheduling.Upstream); len(got.Backlogs) != 1 || got.Backlogs[0].Tokens != 900 {
 		t.Errorf("told upstream of what a subscriber told, being a relay: got %v, want its 900 tokens", got.Backlogs)
 	}
 }
 
 // News of little takes one datagram, of whatever kinds it is.
 func TestLittleNewsTakesOneDatagram(t *testing.T) {
-	news := scheduling.News{
+	news := scheduling.ServerUpdate{
 		Backlogs: make([]scheduling.Backlog, 30), Loads: make([]scheduling.ServerLoad, 30),
-		Holdings: []scheduling.Holding{{Parts: make([]scheduling.Key, 5)}, {Parts: make([]scheduling.Key, 500)}},
+		Holdings: []scheduling.CachedSegments{{Parts: make([]scheduling.Key, 5)}, {Parts: make([]scheduling.Key, 500)}},
 	}
 
 	parts := splitNews(news)
@@ -104,7 +104,7 @@
 		t.Errorf("parts of the long holding: got %d, want the first %d", got, maxParts)
 	}
 
-	if got := splitNews(scheduling.News{}); len(got) != 0 {
+	if got := splitNews(scheduling.ServerUpdate{}); len(got) != 0 {
 		t.Errorf("no news: got %d parts, want none", len(got))
 	}
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -94,7 +94,7 @@
 func (j *job) countBegin() {
 	if !j.began && j.account != nil {
 		j.began = true
-		j.forwarder.Usage.Began(j.account.Name)
+		j.forwarder.Usage.RequestStarted(j.account.Name)
 	}
 }
 
@@ -103,12 +103,12 @@
 	case err == nil:
 		return scheduling.Served
 	case errors.Is(err, backend.ErrRefused):
-		return scheduling.TurnedAway
+		return scheduling.Rejected
 	case errors.Is(err, errCallerWrite), errors.Is(err, errRevoked), errors.Is(err, errQuarantined),
 		errors.Is(err, errBlocked), errors.Is(err, scheduling.ErrNoServer):
 		return scheduling.Cancelled
 	case errors.Is(err, unix.ECONNREFUSED):
-		return scheduling.Gone
+		return scheduling.Terminated
 	case errors.Is(err, backend.ErrNotSent) && ctx.Err() == nil:
 		return scheduling.Unreachable
 	case ctx.Err() != nil:
@@ -120,16 +120,16 @@
 
 // receive reads an answer whose header has come.
 func (f *Forwarder) receive(
-	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Answer, sink Sink,
+	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Response, sink Sink,
 ) error {
 	reading := f.Protocol.Inspect(answer.Status(), answer.Header())
 
 	if reading.Load != nil {
-		f.Scheduler.Report(f.Clock.Now(), assignment.ID(), *reading.Load)
+		f.Scheduler.RecordLoad(f.Clock.Now(), assignment.ID(), *reading.Load)
 	}
 
 	if reading.Limit != nil {
-		assignment.Announced(f.Clock.Now(), *reading.Limit)
+		assignment.AnnouncedLimit(f.Clock.Now(), *reading.Limit)
 	}
 
 	if reading.Leaving {
@@ -137,7 +137,7 @@
 	}
 
 	if reading.Backoff > 0 {
-		assignment.AskedToBackOff(f.Clock.Now(), reading.Backoff)
+		assignment.AnnouncedBackoff(f.Clock.Now(), reading.Backoff)
 	}
 
 	if !reading.NotRun && reading.Backoff == 0 {
@@ -146,7 +146,7 @@
 
 	if reading.NotRun {
 		// The body says nothing more, but reading it keeps the connection.
-		_, _ = answer.ReadAll(f.MaxAnswerBytes)
+		_, _ = answer.ReadAll(f.MaxResponseBytes)
 
 		return merry.Prepend(backend.ErrRefused, string(assignment.ID()))
 	}
@@ -162,8 +162,8 @@
 }
 
 // relayWhole passes an answer on that is not a stream, once it is whole.
-func (f *Forwarder) relayWhole(j *job, answer *upstream.Answer, reading Reading, sink Sink) error {
-	body, err := answer.ReadAll(f.MaxAnswerBytes)
+func (f *Forwarder) relayWhole(j *job, answer *upstream.Response, reading Reading, sink Sink) error {
+	body, err := answer.ReadAll(f.MaxResponseBytes)
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 		return merry.Prependf(errFailed, "status %d instead of the rest of a stream", answer.Status())
 	}
 
-	if err := sink.Answer(answer.Status(), answer.Header(), body); err != nil {
+	if err := sink.WriteResponse(answer.Status(), answer.Header(), body); err != nil {
 		return merry.Prepend(errCallerWrite, "write answer", merry.WithCause(err))
 	}
 
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -75,7 +75,7 @@
 
 type countedUsage struct{ began atomic.Int64 }
 
-func (u *countedUsage) Began(fleet.Account) { u.began.Add(1) }
+func (u *countedUsage) RequestStarted(fleet.Account) { u.began.Add(1) }
 
 // site is a forwarder whose backend servers are scripts behind pipes: what they see has
 // been sent, without a network.
@@ -175,9 +175,9 @@
 
 	s.Forwarder = &Forwarder{
 		Clock: s.clock, Rules: &s.rules, Currency: tracker, Limits: freeLimits{},
-		Retries:   retry.NewBudgets(retry.BudgetPolicy{Window: 10 * time.Second, Share: 1e-9, Least: budget}),
+		Retries:   retry.NewBudgets(retry.BudgetPolicy{Window: 10 * time.Second, Share: 1e-9, MinRetries: budget}),
 		Scheduler: scheduler, Pool: &upstream.Pool{Clock: s.clock, Dial: s.dial}, Protocol: plainProtocol{},
-		Usage: &s.usage, MaxAnswerBytes: 1 << 20, Quarantine: &quarantine.Ledger{},
+		Usage: &s.usage, MaxResponseBytes: 1 << 20, Quarantine: &quarantine.Ledger{},
 	}
 
 	return s
@@ -266,7 +266,7 @@
 	got := &caught{}
 	outcome := s.Serve(s.t.Context(), &Request{
 		ID: id, Method: http.MethodPost, Host: "a.example", Target: "/" + route + "/x", Path: "/" + route + "/x",
-		Key: "key", Arrived: s.clock.Now(), Prompt: scheduling.Prompt{Tokens: 100},
+		APIKey: "key", Arrived: s.clock.Now(), Prompt: scheduling.Prompt{Tokens: 100},
 	}, got)
 
 	return outcome, got
@@ -280,20 +280,20 @@
 	refusals []Refusal
 }
 
-func (c *caught) Answer(status int, _ http.Header, _ []byte) error {
+func (c *caught) WriteResponse(status int, _ http.Header, _ []byte) error {
 	c.status = status
 
 	return nil
 }
 
-func (c *caught) Begin(status int, _ http.Header) error {
+func (c *caught) BeginStream(status int, _ http.Header) error {
 	c.status = status
 	c.begun++
 
 	return nil
 }
 
-func (c *caught) Event(event []byte) error {
+func (c *caught) WriteEvent(event []byte) error {
 	c.events = append(c.events, string(event))
 
 	return nil
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -51,8 +51,8 @@
 type Attempt struct {
 	Server  fleet.InstanceID
 	Account fleet.Account
-	// Left is the time until the answer is of no use.
-	Left time.Duration
+	// Remaining is the time until the answer is of no use.
+	Remaining time.Duration
 	// Priority is from 0, the most urgent, to 9.
 	Priority int
 	// ResumeAfter is the id of the last event that the caller has, or empty.
@@ -80,7 +80,7 @@
 
 // Usage counts requests as they begin to run.
 type Usage interface {
-	Began(account fleet.Account)
+	RequestStarted(account fleet.Account)
 }
 
 // Limits holds the limits of client accounts.
@@ -109,8 +109,8 @@
 	// of it while one is tried.
 	Versions *rollout.Gate
 	Trials   *rollout.Counter
-	// MaxAnswerBytes bounds an answer that is not a stream.
-	MaxAnswerBytes int64
+	// MaxResponseBytes bounds an answer that is not a stream.
+	MaxResponseBytes int64
 	// Observe is told each outcome; it may be nil.
 	Observe func(*Request, Outcome)
 
@@ -143,11 +143,11 @@
 		refusal = f.run(ctx, j, sink)
 	}
 
-	outcome := Outcome{Reason: Answered, Took: f.Clock.Now().Sub(r.Arrived)}
+	outcome := Outcome{Reason: Answered, Duration: f.Clock.Now().Sub(r.Arrived)}
 	if j != nil {
 		outcome.Route, outcome.Account, outcome.Servers = j.route.Name, j.accountName(), j.servers
-		outcome.Events, outcome.Rules, outcome.Held = j.stream.count, j.rules.Version(), j.held
-		outcome.Content = j.content
+		outcome.Events, outcome.RulesVersion, outcome.Held = j.stream.count, j.rules.Version(), j.held
+		outcome.Fingerprint = j.content
 	}
 
 	outcome.RulesAge, _ = f.Currency.Age()
@@ -197,7 +197,7 @@
 	}
 
 	j.service = route.Target(rand.Float64())
-	f.Retries.Of(retry.NewScope(j.service, "")).Request(f.Clock.Now())
+	f.Retries.Of(retry.NewScope(j.service, "")).CountRequest(f.Clock.Now())
 
 	return j, f.admit(ctx, j)
 }
@@ -211,7 +211,7 @@
 		return notRun(StaleRules, retryLater)
 	}
 
-	account, ok := j.rules.AccountOf(j.request.Key)
+	account, ok := j.rules.AccountOf(j.request.APIKey)
 	if !ok {
 		return &Refusal{Reason: Unauthorized, NotRun: true}
 	}
@@ -224,7 +224,7 @@
 // quarantined refuses a request that is held off. It is not sent, and says when it may be
 // tried again.
 func (f *Forwarder) quarantined(j *job) *Refusal {
-	if left, held := f.Quarantine.Held(f.Clock.Now(), j.content); held {
+	if left, held := f.Quarantine.Quarantined(f.Clock.Now(), j.content); held {
 		return notRun(Quarantined, left)
 	}
 
@@ -244,6 +244,6 @@
 
 	return &Refusal{
 		Reason: OverLimit, NotRun: true, RetryAfter: decision.RetryAfter,
-		Cause: fmt.Sprintf("cost %.0f, part %.0f of %.0f left", j.cost(), decision.Part, decision.Rest),
+		Cause: fmt.Sprintf("cost %.0f, part %.0f of %.0f left", j.cost(), decision.Share, decision.Remaining),
 	}
 }
--- a/forward/job.go
+++ b/forward/job.go
@@ -85,7 +85,7 @@
 	for {
 		err := f.attempt(limited, j, sink)
 		if err == nil {
-			f.Quarantine.Answered(f.Clock.Now(), j.content)
+			f.Quarantine.RecordAnswer(f.Clock.Now(), j.content)
 
 			return nil
 		}
@@ -110,7 +110,7 @@
 		return 1
 	}
 
-	if tokens := j.request.Prompt.Tokens + j.request.Prompt.Output; tokens > 0 {
+	if tokens := j.request.Prompt.Tokens + j.request.Prompt.MaxOutputTokens; tokens > 0 {
 		return float64(tokens)
 	}
 
@@ -155,7 +155,7 @@
 // giveUp makes the final answer after the last attempt.
 func (j *job) giveUp(err error, sink Sink) *Refusal {
 	if j.last != nil && j.stream.count == 0 {
-		if writeErr := sink.Answer(j.last.status, j.last.header, j.last.body); writeErr == nil {
+		if writeErr := sink.WriteResponse(j.last.status, j.last.header, j.last.body); writeErr == nil {
 			return nil
 		}
 
@@ -175,7 +175,7 @@
 	case errors.Is(err, errRevoked):
 		return &Refusal{Reason: StaleRules, NotRun: true, RetryAfter: retryLater, Cause: err.Error()}
 	case errors.Is(err, errQuarantined):
-		left, _ := j.forwarder.Quarantine.Held(j.forwarder.Clock.Now(), j.content)
+		left, _ := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.content)
 
 		return notRun(Quarantined, left)
 	case errors.As(err, &overload):
@@ -191,7 +191,7 @@
 
 // comeBack returns when a caller that servers turned away should come back.
 func (j *job) comeBack() time.Duration {
-	if wait, full := j.forwarder.Scheduler.ComeBack(j.forwarder.Clock.Now(), j.service); full {
+	if wait, full := j.forwarder.Scheduler.RetryAfter(j.forwarder.Clock.Now(), j.service); full {
 		return wait
 	}
 
@@ -204,7 +204,7 @@
 		return errBlocked
 	}
 
-	if _, held := j.forwarder.Quarantine.Held(j.forwarder.Clock.Now(), j.content); held {
+	if _, held := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.content); held {
 		return errQuarantined
 	}
 
@@ -221,7 +221,7 @@
 		return nil
 	}
 
-	if account, ok := rules.AccountOf(j.request.Key); !ok || account.Name != j.account.Name {
+	if account, ok := rules.AccountOf(j.request.APIKey); !ok || account.Name != j.account.Name {
 		return merry.Prepend(errRevoked, "key was taken away")
 	}
 
@@ -267,13 +267,13 @@
 	choice := j.choose()
 	r := scheduling.Request{
 		Service: j.service, Prompt: j.request.Prompt, Excluded: j.excluded,
-		Only: choice.Only, Part: choice.Part, Avoid: choice.Avoid, Final: j.sent+1 >= j.route.Attempts(),
+		OnlyVersion: choice.Only, VersionFraction: choice.ServerShare, AvoidVersions: choice.Avoid, Final: j.sent+1 >= j.route.Attempts(),
 	}
 
 	if j.route.Objective > 0 && !j.stream.begun {
 		arrived := j.request.Arrived
 		hold := time.Duration(holdShare * float64(j.timeout()))
-		r.Due, r.HoldUntil, r.GiveUp = arrived.Add(j.route.Objective), arrived.Add(hold), j.waitsUntil()
+		r.Due, r.HoldUntil, r.CallerDeadline = arrived.Add(j.route.Objective), arrived.Add(hold), j.waitsUntil()
 	}
 
 	r.WaitUntil = r.Due
@@ -287,7 +287,7 @@
 func (j *job) message(a *scheduling.Assignment) *upstream.Request {
 	attempt := Attempt{
 		Server:      a.ID(),
-		Left:        j.deadline.Sub(j.forwarder.Clock.Now()),
+		Remaining:   j.deadline.Sub(j.forwarder.Clock.Now()),
 		Priority:    j.priority(),
 		ResumeAfter: j.request.ResumeAfter,
 		Generative:  j.route.Generative,
@@ -302,8 +302,8 @@
 	}
 
 	m := j.forwarder.Protocol.Encode(j.request, attempt)
-	m.Fresh = !j.route.Idempotent()
-	m.Permit = func() error { return j.permit(a) }
+	m.RequireFresh = !j.route.Idempotent()
+	m.BeforeSend = func() error { return j.permit(a) }
 
 	return m
 }
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -19,7 +19,7 @@
 	asked []register.Process
 }
 
-func (p *countedPermits) Ask(_ context.Context, server register.Process, _ ratelimit.Announcement, _ time.Duration) ratelimit.Permit {
+func (p *countedPermits) Acquire(_ context.Context, server register.Process, _ ratelimit.Announcement, _ time.Duration) ratelimit.Permit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -103,7 +103,7 @@
 
 	s.call("safe", "r-1")
 
-	if got := s.Scheduler.Limited(); got != 1 {
+	if got := s.Scheduler.LimitedServers(); got != 1 {
 		t.Errorf("limited servers: got %d, want 1", got)
 	}
 
@@ -116,7 +116,7 @@
 		s.call("safe", "r-2")
 	}
 
-	if got := s.Scheduler.Limited(); got != 0 {
+	if got := s.Scheduler.LimitedServers(); got != 0 {
 		t.Errorf("limited servers after it is lifted: got %d, want none", got)
 	}
 }
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -72,18 +72,18 @@
 	Cause   string
 	Route   string
 	Account string
-	// Content is what the request asks for, alike for all attempts of its caller; zero
+	// Fingerprint is what the request asks for, alike for all attempts of its caller; zero
 	// where the account was not found.
-	Content quarantine.Fingerprint
-	// Rules is the version that the request was judged by, and RulesAge how long ago it
+	Fingerprint quarantine.Fingerprint
+	// RulesVersion is the version that the request was judged by, and RulesAge how long ago it
 	// was confirmed at the end.
-	Rules    uint64
-	RulesAge time.Duration
+	RulesVersion uint64
+	RulesAge     time.Duration
 	// Servers are the backend servers it was sent to, in order.
 	Servers []string
 	// Events is the number of events that were relayed.
 	Events int
 	// Held is how long it was held back while servers were busy.
-	Held time.Duration
-	Took time.Duration
+	Held     time.Duration
+	Duration time.Duration
 }
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -47,7 +47,7 @@
 
 // relayStream passes whole events on as they come.
 func (f *Forwarder) relayStream(
-	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Answer, sink Sink,
+	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Response, sink Sink,
 ) error {
 	events := &eventReader{reader: bufio.NewReaderSize(answer, eventBuffer)}
 
@@ -62,7 +62,7 @@
 		}
 
 		now := f.Clock.Now()
-		assignment.Answering(now)
+		assignment.FirstEventReceived(now)
 		j.trial.event(now)
 
 		if err := j.stream.accept(id); err != nil {
@@ -80,29 +80,29 @@
 }
 
 // pass writes one event, after the header of the first server's answer.
-func (f *Forwarder) pass(j *job, answer *upstream.Answer, sink Sink, event []byte) error {
+func (f *Forwarder) pass(j *job, answer *upstream.Response, sink Sink, event []byte) error {
 	if !j.stream.begun {
-		if err := sink.Begin(answer.Status(), answer.Header()); err != nil {
+		if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
 			return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
 		}
 
 		j.stream.begun = true
 	}
 
-	if err := sink.Event(event); err != nil {
+	if err := sink.WriteEvent(event); err != nil {
 		return merry.Prepend(errCallerWrite, "write event", merry.WithCause(err))
 	}
 
 	return nil
 }
 
-func (f *Forwarder) endStream(j *job, answer *upstream.Answer, sink Sink) error {
+func (f *Forwarder) endStream(j *job, answer *upstream.Response, sink Sink) error {
 	if j.stream.begun {
 		return nil
 	}
 
 	// A stream may be empty, as one that is resumed after its last event.
-	if err := sink.Begin(answer.Status(), answer.Header()); err != nil {
+	if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
 		return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
 	}
 
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -64,9 +64,9 @@
 // Ledger remembers what ended under which request. The zero value is empty; it is safe for
 // concurrent use.
 type Ledger struct {
-	// OnHeld is told when one more request is held off, and must not wait; it may be nil.
+	// OnQuarantined is told when one more request is held off, and must not wait; it may be nil.
 	// It is set before the first use.
-	OnHeld func()
+	OnQuarantined func()
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
@@ -81,8 +81,8 @@
 	wake feed.Signal
 }
 
-// Held tells whether a request is held off, and for how much longer.
-func (l *Ledger) Held(now time.Time, f Fingerprint) (time.Duration, bool) {
+// Quarantined tells whether a request is held off, and for how much longer.
+func (l *Ledger) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
 	value, suspected := l.counted.Load(f)
 	if !suspected {
 		return 0, false
@@ -93,8 +93,8 @@
 	return until.Sub(now), until.After(now)
 }
 
-// Count returns how many requests are held off.
-func (l *Ledger) Count(now time.Time) int {
+// QuarantinedCount returns how many requests are held off.
+func (l *Ledger) QuarantinedCount(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -109,17 +109,17 @@
 	return n
 }
 
-// Lost takes in that a server ended under a request. The caller has made sure that the
+// RecordLoss takes in that a server ended under a request. The caller has made sure that the
 // server has ended and had not said that it would.
-func (l *Ledger) Lost(now time.Time, f Fingerprint, s register.Process, e Evidence) {
+func (l *Ledger) RecordLoss(now time.Time, f Fingerprint, s register.Process, e Evidence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	l.take(now, Loss{Request: f, Server: keyOf(s), Evidence: e}, here)
 }
 
-// Answered takes in that a request was answered as a whole, so that it ends no servers.
-func (l *Ledger) Answered(now time.Time, f Fingerprint) {
+// RecordAnswer takes in that a request was answered as a whole, so that it ends no servers.
+func (l *Ledger) RecordAnswer(now time.Time, f Fingerprint) {
 	if _, suspected := l.counted.Load(f); !suspected {
 		return
 	}
@@ -139,9 +139,9 @@
 	}
 }
 
-// Hear takes in what another instance tells, or has recorded. What is new is told on if
+// Merge takes in what another instance tells, or has recorded. What is new is told on if
 // this instance passes news on.
-func (l *Ledger) Hear(now time.Time, losses []Loss, passOn bool) {
+func (l *Ledger) Merge(now time.Time, losses []Loss, passOn bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -191,8 +191,8 @@
 
 	l.show(loss.Request, one)
 
-	if before.IsZero() && !one.heldUntil().IsZero() && l.OnHeld != nil {
-		l.OnHeld()
+	if before.IsZero() && !one.heldUntil().IsZero() && l.OnQuarantined != nil {
+		l.OnQuarantined()
 	}
 
 	l.sweep(now)
--- a/quota/hear.go
+++ b/quota/hear.go
@@ -6,9 +6,9 @@
 	"monsoonlever/fleet"
 )
 
-// Heard is told that another instance has heard this one directly, what this one
+// Acknowledged is told that another instance has heard this one directly, what this one
 // had spent by then included.
-func (q *Quota) Heard(at time.Time, id fleet.InstanceID) {
+func (q *Quota) Acknowledged(at time.Time, id fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -17,8 +17,8 @@
 	}
 }
 
-// Hear takes in what another instance has spent since its start.
-func (q *Quota) Hear(now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, spent []Spent) {
+// Receive takes in what another instance has spent since its start.
+func (q *Quota) Receive(now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, spent []Consumption) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -49,9 +49,9 @@
 	}
 }
 
-// Members sets which instances share the allowances, this one among them, and which of
+// SetMembers sets which instances share the allowances, this one among them, and which of
 // them record what all have spent. Where none is named, each records its own.
-func (q *Quota) Members(ids, recorders []fleet.InstanceID) {
+func (q *Quota) SetMembers(ids, recorders []fleet.InstanceID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -70,19 +70,19 @@
 	q.placeReserves()
 }
 
-// Known tells whether the others' news was read at least once.
-func (q *Quota) Known() bool {
+// HasSynced tells whether the others' news was read at least once.
+func (q *Quota) HasSynced() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	return !q.reached.IsZero()
 }
 
-// Read returns a channel that is closed once the others' news was read.
-func (q *Quota) Read() <-chan struct{} { return q.read }
+// Synced returns a channel that is closed once the others' news was read.
+func (q *Quota) Synced() <-chan struct{} { return q.read }
 
-// Reached is told that the others' news was read to its end.
-func (q *Quota) Reached(now time.Time) {
+// MarkSynced is told that the others' news was read to its end.
+func (q *Quota) MarkSynced(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -40,19 +40,19 @@
 	Self fleet.InstanceID
 	// Window is the span over which allowances hold.
 	Window time.Duration
-	// Spread is the time in which what an instance has spent is known to all.
-	Spread time.Duration
-	// Quick is the same while all members are heard directly, which Heard tells;
+	// PropagationDelay is the time in which what an instance has spent is known to all.
+	PropagationDelay time.Duration
+	// DirectDelay is the same while all members are heard directly, which Heard tells;
 	// zero is never.
-	Quick func(members int) time.Duration
-	// Tell asks for the next record of what was spent to be made soon; nil is not
+	DirectDelay func(members int) time.Duration
+	// RequestRecord asks for the next record of what was spent to be made soon; nil is not
 	// asked. Together all instances have spent no more than Untold of an allowance,
 	// and one request each, that no record tells.
-	Tell func()
+	RequestRecord func()
 }
 
-// Untold is the part of an allowance that may be spent before it is recorded.
-const Untold = 0.25
+// UnrecordedFraction is the part of an allowance that may be spent before it is recorded.
+const UnrecordedFraction = 0.25
 
 // Allowance is what an account may spend in a window, over all instances.
 type Allowance struct {
@@ -63,8 +63,8 @@
 	Rate float64
 }
 
-// Spent is what one instance has spent of an account's limit since its start.
-type Spent struct {
+// Consumption is what one instance has spent of an account's limit since its start.
+type Consumption struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Account  fleet.Account
 	Total    float64
@@ -196,9 +196,9 @@
 	Granted bool
 	// RetryAfter is when there may be room, where nothing was granted.
 	RetryAfter time.Duration
-	// Rest is what was left of the allowance, and Part what this instance could
+	// Remaining is what was left of the allowance, and Share what this instance could
 	// spend of it, for logs.
-	Rest, Part float64
+	Remaining, Share float64
 	// Lender is the instance that the allowance was borrowed from, or empty.
 	Lender fleet.InstanceID
 }
@@ -236,8 +236,8 @@
 	if recent+cost <= part || recent == 0 && cost <= q.large(a)*rest && recent+cost <= rest {
 		q.spend(now, a, cost)
 
-		return Decision{Granted: true, Rest: rest, Part: part}
+		return Decision{Granted: true, Remaining: rest, Share: part}
 	}
 
-	return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Rest: rest, Part: part}
+	return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Share: part}
 }
--- a/ratelimit/asker_test.go
+++ b/ratelimit/asker_test.go
@@ -24,7 +24,7 @@
 
 // desks are askers that reach each other.
 type desks struct {
-	askers map[fleet.InstanceID]*Asker
+	askers map[fleet.InstanceID]*Limiter
 	known  map[fleet.InstanceID]*notes
 	// away don't get questions, and asked counts those that came to each.
 	away  map[fleet.InstanceID]bool
@@ -34,35 +34,35 @@
 // newDesks returns askers of which all lead, and their names in the order for the server.
 func newDesks(ids ...fleet.InstanceID) (*desks, []fleet.InstanceID) {
 	d := &desks{
-		askers: make(map[fleet.InstanceID]*Asker), known: make(map[fleet.InstanceID]*notes),
+		askers: make(map[fleet.InstanceID]*Limiter), known: make(map[fleet.InstanceID]*notes),
 		away: make(map[fleet.InstanceID]bool), asked: make(map[fleet.InstanceID]int),
 	}
 
 	for _, id := range ids {
 		d.known[id] = &notes{}
-		d.askers[id] = &Asker{
-			Self: id, Clock: clock.System{}, Known: d.known[id], Granter: &Granter{Self: id},
+		d.askers[id] = &Limiter{
+			Self: id, Clock: clock.System{}, Announcements: d.known[id], Granter: &Granter{Self: id},
 			Leaders: func() []fleet.InstanceID { return ids },
-			Send:    func(to fleet.InstanceID, ask Ask) { d.send(to, ask) },
+			Send:    func(to fleet.InstanceID, ask PermitRequest) { d.send(to, ask) },
 		}
 		d.askers[id].Granter.SetLeaders(time.Now(), ids)
 	}
 
-	return d, RankOf(limited, ids)
+	return d, RankLeaders(limited, ids)
 }
 
-func (d *desks) send(to fleet.InstanceID, ask Ask) {
+func (d *desks) send(to fleet.InstanceID, ask PermitRequest) {
 	d.asked[to]++
 
 	if !d.away[to] {
-		d.askers[ask.From].Replied(d.askers[to].Answer(ask))
+		d.askers[ask.From].HandleResponse(d.askers[to].HandleRequest(ask))
 	}
 }
 
 func (d *desks) ask(t *testing.T, from fleet.InstanceID) Permit {
 	t.Helper()
 
-	return d.askers[from].Ask(t.Context(), limited, Announcement{Rate: 10, At: time.Now()}, 0)
+	return d.askers[from].Acquire(t.Context(), limited, Announcement{Rate: 10, At: time.Now()}, 0)
 }
 
 // One instance grants the requests of all: together they get what the server takes.
@@ -193,7 +193,7 @@
 
 		d.known[ranked[0]].newest = Announcement{Rate: Unlimited, At: time.Now()}
 
-		if got := d.askers[asks].Ask(t.Context(), limited, d.known[asks].newest, 0); !got.Granted {
+		if got := d.askers[asks].Acquire(t.Context(), limited, d.known[asks].newest, 0); !got.Granted {
 			t.Errorf("got %+v, want it granted", got)
 		}
 
@@ -210,7 +210,7 @@
 		known := Announcement{Rate: 10, At: time.Now()}
 		d.known[ranked[0]].newest = known
 
-		for name, ask := range map[string]Ask{
+		for name, ask := range map[string]PermitRequest{
 			"not a number":      {Rate: Rate(math.NaN())},
 			"a negative rate":   {Rate: -1},
 			"without end":       {Rate: Rate(math.Inf(1))},
@@ -220,7 +220,7 @@
 			ask.Server = limited
 
 			for range 100 {
-				if got := d.askers[ranked[0]].Answer(ask); got.Wait > maxPatience+time.Second {
+				if got := d.askers[ranked[0]].HandleRequest(ask); got.Wait > maxPatience+time.Second {
 					t.Errorf("%s: got %+v, want a wait of %v or so at most", name, got, maxPatience)
 				}
 			}
--- a/retry/decision.go
+++ b/retry/decision.go
@@ -5,14 +5,14 @@
 // Decision tells whether and when a call is tried again.
 type Decision struct {
 	reason Reason
-	after  time.Duration
+	delay  time.Duration
 }
 
-// Again tells whether the call is tried again.
-func (d Decision) Again() bool { return d.reason == None }
+// Retry tells whether the call is tried again.
+func (d Decision) Retry() bool { return d.reason == None }
 
-// After returns the wait before the next attempt.
-func (d Decision) After() time.Duration { return d.after }
+// Delay returns the wait before the next attempt.
+func (d Decision) Delay() time.Duration { return d.delay }
 
 // Reason returns why the call isn't tried again.
 func (d Decision) Reason() Reason { return d.reason }
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -31,15 +31,15 @@
 	patience = 2
 )
 
-// Picture is what the holder of the duty knows at a step.
-type Picture struct {
+// Observation is what the holder of the duty knows at a step.
+type Observation struct {
 	Routes map[string]Count
-	// Old and New are the servers of either version that take requests, and OldVersions
+	// OldServers and NewServers are the servers of either version that take requests, and OldVersions
 	// their versions.
-	Old, New    int
-	OldVersions []fleet.Version
-	// Told is the time in which the counts of all instances come here.
-	Told time.Duration
+	OldServers, NewServers int
+	OldVersions            []fleet.Version
+	// CountDelay is the time in which the counts of all instances come here.
+	CountDelay time.Duration
 }
 
 // Planner decides on one order. Its exported fields are set before its first use; it is not
@@ -47,8 +47,8 @@
 type Planner struct {
 	Policy Policy
 	Order  Order
-	// Begun is when the order was first seen, by the clock of this instance.
-	Begun time.Time
+	// FirstSeen is when the order was first seen, by the clock of this instance.
+	FirstSeen time.Time
 
 	state State
 	judge judge
@@ -69,12 +69,12 @@
 	}
 }
 
-// Why says what decided the end, or the share last.
-func (p *Planner) Why() string { return p.why }
+// Reason says what decided the end, or the share last.
+func (p *Planner) Reason() string { return p.why }
 
 // Step returns the state from now on, and whether the end is to be written as completed:
 // the state says so once Completed was called. fence is the holder's.
-func (p *Planner) Step(now time.Time, fence uint64, pic Picture) (s State, complete bool) {
+func (p *Planner) Step(now time.Time, fence uint64, pic Observation) (s State, complete bool) {
 	p.begin(now, fence, pic)
 
 	if p.state.Phase != Trial {
@@ -98,15 +98,15 @@
 	return p.state, p.completing
 }
 
-// Completed takes in that the end was written.
-func (p *Planner) Completed(old []fleet.Version) {
+// MarkCompleted takes in that the end was written.
+func (p *Planner) MarkCompleted(old []fleet.Version) {
 	p.state.Phase, p.state.Share, p.completing = Completed, 1, false
 	p.state.Avoid = without(avoided(p.state.Avoid, old...), p.Order.Target)
 	p.state.Step++
 }
 
 // begin begins with an order that no holder has seen, and goes on with another's.
-func (p *Planner) begin(now time.Time, fence uint64, pic Picture) {
+func (p *Planner) begin(now time.Time, fence uint64, pic Observation) {
 	if p.state.Place < p.Order.Place {
 		avoid := p.state.Avoid
 		if p.state.Place > 0 && p.state.Phase != Completed {
@@ -120,7 +120,7 @@
 		}
 	}
 
-	if p.state.Step == 0 && pic.Old == 0 && pic.New > 0 && p.state.Phase == Trial && p.state.Fence == 0 {
+	if p.state.Step == 0 && pic.OldServers == 0 && pic.NewServers > 0 && p.state.Phase == Trial && p.state.Fence == 0 {
 		// Nothing but the new version runs: the roll-out ended before anyone here began.
 		p.state.Phase, p.why = Completed, "no other version runs"
 	}
@@ -130,11 +130,11 @@
 	}
 
 	p.state.Step++
-	p.state.Elapsed = now.Sub(p.Begun)
+	p.state.Elapsed = now.Sub(p.FirstSeen)
 }
 
 // count takes in what the service and the new version have got.
-func (p *Planner) count(now time.Time, pic Picture) {
+func (p *Planner) count(now time.Time, pic Observation) {
 	reached, exposed := p.state.ReachedBefore, p.state.ExposedBefore
 
 	for _, c := range pic.Routes {
@@ -144,7 +144,7 @@
 
 	if !p.at.IsZero() && now.After(p.at) && reached >= p.reached {
 		seen := float64(reached-p.reached) / now.Sub(p.at).Seconds()
-		mean := float64(reached) / max(now.Sub(p.Begun), time.Second).Seconds()
+		mean := float64(reached) / max(now.Sub(p.FirstSeen), time.Second).Seconds()
 		p.rate = max(seen, p.rate/2, mean)
 	}
 
@@ -159,8 +159,8 @@
 }
 
 // decide ends the trial once it is time to.
-func (p *Planner) decide(now time.Time, pic Picture) {
-	due := p.Begun.Add(p.Order.Span)
+func (p *Planner) decide(now time.Time, pic Observation) {
+	due := p.FirstSeen.Add(p.Order.Duration)
 	if now.Before(due.Add(-p.lead())) {
 		return
 	}
@@ -171,13 +171,13 @@
 	}
 
 	switch {
-	case pic.New == 0:
+	case pic.NewServers == 0:
 		if now.After(due) {
 			p.revert("no server of the version came")
 		}
-	case pic.Old == 0 || p.state.Reached < fewRequests || float64(answered) >= p.enough():
+	case pic.OldServers == 0 || p.state.Reached < fewRequests || float64(answered) >= p.enough():
 		p.completing, p.why = true, "as good as the old version"
-	case now.After(p.Begun.Add(patience * p.Order.Span)):
+	case now.After(p.FirstSeen.Add(patience * p.Order.Duration)):
 		p.revert("too few answers to judge it by")
 	}
 }
@@ -195,14 +195,14 @@
 // share returns the part of the requests that the new version gets. It is such that what
 // would still be sent until all instances have stopped, if the version turned bad now,
 // stays within the budget.
-func (p *Planner) share(pic Picture) float64 {
-	if pic.New == 0 {
+func (p *Planner) share(pic Observation) float64 {
+	if pic.NewServers == 0 {
 		return 0
 	}
 
 	// Of what is sent now, the counts come after Told, and a decision to stop counts at
 	// instances that hear nobody after the life of the last one.
-	ahead := surge * p.rate * (pic.Told + p.Policy.GrantLife()).Seconds()
+	ahead := surge * p.rate * (pic.CountDelay + p.Policy.GrantTTL()).Seconds()
 	left := p.budget()*trialPart - float64(p.state.Exposed)
 
 	if left <= 0 {
--- a/scheduling/backoff_test.go
+++ b/scheduling/backoff_test.go
@@ -61,8 +61,8 @@
 				a := underWay[0]
 				underWay = underWay[1:]
 				backoff := time.Duration(rapid.IntRange(1, 5000).Draw(t, "backoff")) * time.Millisecond
-				a.AskedToBackOff(at, backoff)
-				a.End(at, TurnedAway)
+				a.AnnouncedBackoff(at, backoff)
+				a.End(at, Rejected)
 
 				if end := at.Add(backoff); end.After(ends[a.Server()]) {
 					ends[a.Server()] = end
@@ -176,7 +176,7 @@
 // Guards against a server that is flooded when its backoff ends.
 func TestOneRequestAtATimeIsSentUntilAServerTakesOne(t *testing.T) {
 	s := engines(1, 64)
-	s.Return = ReturnPolicy{HalfOpen: true}
+	s.Resume = ResumePolicy{HalfOpen: true}
 	askBackoffAt(t, s, now, time.Second, "i-0")
 
 	at := now.Add(time.Second)
@@ -211,7 +211,7 @@
 func TestAFinalRequestIsNoTrialWhereOthersHaveRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(2, 64)
-		s.Return = ReturnPolicy{HalfOpen: true, Spare: time.Second}
+		s.Resume = ResumePolicy{HalfOpen: true, FinalDelay: time.Second}
 		askBackoff(t, s, time.Second, "i-0")
 		time.Sleep(time.Second)
 
@@ -244,7 +244,7 @@
 func TestARequestWaitsForATrialWithinItsObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(1, 64)
-		s.Return = ReturnPolicy{HalfOpen: true}
+		s.Resume = ResumePolicy{HalfOpen: true}
 		askBackoff(t, s, time.Second, "i-0")
 		time.Sleep(time.Second)
 
@@ -286,7 +286,7 @@
 
 	for _, id := range ids {
 		a := &Assignment{scheduler: s, server: s.servers[id]}
-		a.AskedToBackOff(at, backoff)
+		a.AnnouncedBackoff(at, backoff)
 	}
 }
 
--- a/scheduling/roles_test.go
+++ b/scheduling/roles_test.go
@@ -26,15 +26,15 @@
 // tell lets an instance tell those that it takes for relays what waits at the server.
 func (r *ring) tell(i int) {
 	r.schedulers[i].SetRelay(r.roles[i].relay)
-	news := r.schedulers[i].News(r.now, Upstream)
+	news := r.schedulers[i].TakeUpdate(r.now, Upstream)
 
 	for j, other := range r.schedulers {
 		switch {
 		case j == i:
 		case r.roles[i].relay && r.roles[j].relay:
-			other.HearNews(r.now, instanceID(i), Peer, news)
+			other.ApplyUpdate(r.now, instanceID(i), Peer, news)
 		case !r.roles[i].relay && r.roles[i].to == j:
-			other.HearNews(r.now, instanceID(i), Subscriber, news)
+			other.ApplyUpdate(r.now, instanceID(i), Subscriber, news)
 		}
 	}
 }
--- a/scheduling/starts_test.go
+++ b/scheduling/starts_test.go
@@ -18,15 +18,15 @@
 	s := &Scheduler{Domain: "a"}
 	s.Update([]register.Server{startOf(500)})
 
-	r := Request{Service: "llm", Prompt: Prompt{Tokens: 900, Parts: []Part{{ID: "p", Tokens: 600}, {ID: "q", Tokens: 300}}}}
+	r := Request{Service: "llm", Prompt: Prompt{Tokens: 900, Segments: []Segment{{ID: "p", Tokens: 600}, {ID: "q", Tokens: 300}}}}
 	first := pick(t, s, r)
 	first.Start(now)
-	first.Answering(now)
-	s.Report(now, "i-1", Load{Running: 7})
+	first.FirstEventReceived(now)
+	s.RecordLoad(now, "i-1", Load{Running: 7})
 	s.servers["i-1"].outcome(now, true)
-	s.HearNews(now, "entry-2", Peer, News{Backlogs: []Backlog{{Server: s.servers["i-1"].key, Tokens: 9000}}})
+	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: s.servers["i-1"].key, Tokens: 9000}}})
 
-	news := s.News(now, Upstream)
+	news := s.TakeUpdate(now, Upstream)
 
 	first.AnnouncedLeaving()
 	s.Update([]register.Server{startOf(900)})
@@ -36,7 +36,7 @@
 	}
 
 	// What others tell of the first start changes nothing either.
-	s.HearNews(now, "entry-2", Peer, news)
+	s.ApplyUpdate(now, "entry-2", Peer, news)
 
 	second := pick(t, s, r)
 	one := s.servers["i-1"]
@@ -57,9 +57,9 @@
 	s := &Scheduler{Domain: "a"}
 	s.Update([]register.Server{startOf(500)})
 
-	a := pick(t, s, Request{Service: "llm", Prompt: Prompt{Tokens: 100, Parts: []Part{{ID: "p", Tokens: 60}, {ID: "q", Tokens: 40}}}})
+	a := pick(t, s, Request{Service: "llm", Prompt: Prompt{Tokens: 100, Segments: []Segment{{ID: "p", Tokens: 60}, {ID: "q", Tokens: 40}}}})
 	a.Start(now)
-	a.Answering(now)
+	a.FirstEventReceived(now)
 
 	changed := startOf(500)
 	changed.Slots, changed.Domain = 2, "b"
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -45,7 +45,7 @@
 			continue
 		}
 
-		update := m.ledgers[i].News(m.now)
+		update := m.ledgers[i].PendingLosses(m.now)
 		if len(update) == 0 {
 			continue
 		}
@@ -53,7 +53,7 @@
 		peers := node.plan.Peers()
 		for _, peer := range peers {
 			m.send(node, peer.ID, func(to *modelNode) {
-				m.ledgers[m.index[to.member.ID]].Hear(m.now, update, to.plan.Relay && !to.plan.FullMesh)
+				m.ledgers[m.index[to.member.ID]].Merge(m.now, update, to.plan.Relay && !to.plan.FullMesh)
 			})
 		}
 
@@ -63,13 +63,13 @@
 
 // receiveRequest lets the harmful request come to an instance.
 func (m *lossModel) receiveRequest(i int) {
-	if _, held := m.ledgers[i].Held(m.now, crashingRequest); held || m.nodes[i].dead {
+	if _, held := m.ledgers[i].Quarantined(m.now, crashingRequest); held || m.nodes[i].dead {
 		return
 	}
 
 	server := register.Process{ID: fleet.InstanceID(fmt.Sprint("i-", len(m.crashedAt)))}
 	m.crashedAt = append(m.crashedAt, m.now)
-	m.ledgers[i].Lost(m.now, crashingRequest, server, quarantine.Strong)
+	m.ledgers[i].RecordLoss(m.now, crashingRequest, server, quarantine.Strong)
 }
 
 // lateSends returns how often the request was sent on later than contact after the third
@@ -122,7 +122,7 @@
 	n := 0
 
 	for _, l := range m.ledgers {
-		if _, held := l.Held(m.now, f); held {
+		if _, held := l.Quarantined(m.now, f); held {
 			n++
 		}
 	}
--- a/usage/ledger.go
+++ b/usage/ledger.go
@@ -11,13 +11,13 @@
 type Policy struct {
 	// Width is the width of a window.
 	Width time.Duration
-	// Settle is the time after the end of a window in which counts still come.
-	Settle time.Duration
-	// Patience is how long a report waits for a member that has told nothing since
+	// SettleDelay is the time after the end of a window in which counts still come.
+	SettleDelay time.Duration
+	// MemberTimeout is how long a report waits for a member that has told nothing since
 	// the end of the window.
-	Patience time.Duration
-	// Late is the time after the end of a window until which its report is of use.
-	Late time.Duration
+	MemberTimeout time.Duration
+	// ReportTTL is the time after the end of a window until which its report is of use.
+	ReportTTL time.Duration
 }
 
 // Report is what is sent for a window.
@@ -53,13 +53,13 @@
 		told:   make(map[fleet.InstanceID]time.Time),
 		fixed:  make(map[Window]Report),
 		sent:   make(map[Window]bool),
-		begun:  Of(now, p.Width),
+		begun:  WindowOf(now, p.Width),
 	}
 }
 
-// Count takes the counts of one instance in. They only grow: what is lower was overtaken on
+// AddCounts takes the counts of one instance in. They only grow: what is lower was overtaken on
 // its way by what the instance told later.
-func (l *Ledger) Count(
+func (l *Ledger) AddCounts(
 	now time.Time, id fleet.InstanceID, incarnation fleet.Incarnation, counts []Count,
 ) {
 	l.told[id] = now
@@ -79,20 +79,20 @@
 	}
 }
 
-// Fix takes in that a report was fixed. The first one for a window counts.
-func (l *Ledger) Fix(r Report) {
+// Finalize takes in that a report was fixed. The first one for a window counts.
+func (l *Ledger) Finalize(r Report) {
 	if _, ok := l.fixed[r.Window]; !ok {
 		l.fixed[r.Window] = r
 	}
 }
 
-// Fixed returns the reports of which an exact repeat may still be sent, for those that start
+// Finalized returns the reports of which an exact repeat may still be sent, for those that start
 // after the platform lost where they stood.
-func (l *Ledger) Fixed(now time.Time) []Report {
+func (l *Ledger) Finalized(now time.Time) []Report {
 	var reports []Report
 
 	for w, r := range l.fixed {
-		if now.Before(w.End(l.policy.Width).Add(l.policy.Late)) {
+		if now.Before(w.End(l.policy.Width).Add(l.policy.ReportTTL)) {
 			reports = append(reports, r)
 		}
 	}
@@ -102,17 +102,17 @@
 	return reports
 }
 
-// Sent takes in that the report of a window was accepted.
-func (l *Ledger) Sent(w Window) {
+// MarkSent takes in that the report of a window was accepted.
+func (l *Ledger) MarkSent(w Window) {
 	l.sent[w] = true
 }
 
-// ToSend returns the fixed reports that are not known as accepted, the oldest first.
-func (l *Ledger) ToSend(now time.Time) []Report {
+// Unsent returns the fixed reports that are not known as accepted, the oldest first.
+func (l *Ledger) Unsent(now time.Time) []Report {
 	var reports []Report
 
 	for w, r := range l.fixed {
-		if !l.sent[w] && now.Before(w.End(l.policy.Width).Add(l.policy.Late)) {
+		if !l.sent[w] && now.Before(w.End(l.policy.Width).Add(l.policy.ReportTTL)) {
 			reports = append(reports, r)
 		}
 	}
@@ -129,17 +129,17 @@
 
 	var due []Report
 
-	for w := max(l.begun, Of(now.Add(-l.policy.Late), l.policy.Width)); ; w++ {
+	for w := max(l.begun, WindowOf(now.Add(-l.policy.ReportTTL), l.policy.Width)); ; w++ {
 		end := w.End(l.policy.Width)
-		if now.Before(end.Add(l.policy.Settle)) {
+		if now.Before(end.Add(l.policy.SettleDelay)) {
 			return due
 		}
 
-		if _, ok := l.fixed[w]; ok || !now.Before(end.Add(l.policy.Late)) {
+		if _, ok := l.fixed[w]; ok || !now.Before(end.Add(l.policy.ReportTTL)) {
 			continue
 		}
 
-		if now.Before(end.Add(l.policy.Patience)) && !l.heardAll(end, members) {
+		if now.Before(end.Add(l.policy.MemberTimeout)) && !l.heardAll(end, members) {
 			continue
 		}
 
@@ -171,7 +171,7 @@
 
 // forget drops windows that can be reported no more.
 func (l *Ledger) forget(now time.Time) {
-	oldest := Of(now.Add(-2*l.policy.Late), l.policy.Width)
+	oldest := WindowOf(now.Add(-2*l.policy.ReportTTL), l.policy.Width)
 
 	for w := range l.counts {
 		if w < oldest {
