--- a/board/board.go
+++ b/board/board.go
@@ -55,8 +55,8 @@
 	Cores   float64             `msgpack:"c"`
 	// Leaving is set in the last record of an instance that stops.
 	Leaving bool `msgpack:"q,omitempty"`
-	// Consumed is what this instance has spent of the limits of client accounts.
-	Consumed []quota.Consumption `msgpack:"d,omitempty"`
+	// Consumption is what this instance has spent of the limits of client accounts.
+	Consumption []quota.Consumption `msgpack:"d,omitempty"`
 	// TotalConsumed is what all instances have spent, told by those that lead.
 	TotalConsumed []quota.GlobalConsumption `msgpack:"k,omitempty"`
 	// Work is what all instances measured of services of model engines, told by those that
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -24,7 +24,7 @@
 		Domain:        p.settings.FailureDomain,
 		Cores:         p.settings.Limits.ProcessorCores,
 		Leaving:       p.stopping.Load(),
-		Consumed:      spent,
+		Consumption:      spent,
 		TotalConsumed: known,
 		Usage:         p.counter.Recent(),
 		Losses:        p.quarantine.StoredLosses(now),
@@ -64,9 +64,9 @@
 func (p *parts) receiveSpent(now time.Time, r board.Record) {
 	switch {
 	case p.early != nil:
-		p.early.Add(r.Instance, r.Incarnation, time.Unix(0, r.Clock), r.Consumed, r.TotalConsumed)
+		p.early.Add(r.Instance, r.Incarnation, time.Unix(0, r.Clock), r.Consumption, r.TotalConsumed)
 	case r.Instance != p.self():
-		p.limits.Receive(now, r.Instance, r.Incarnation, r.Consumed)
+		p.limits.Receive(now, r.Instance, r.Incarnation, r.Consumption)
 	}
 }
 
@@ -96,7 +96,7 @@
 	spent, known := p.limits.Record(now)
 	r := board.Record{
 		Instance: p.self(), Incarnation: p.duties.incarnation, Clock: now.UnixNano(), Leaving: true, Era: p.store.Era(),
-		Consumed: spent, TotalConsumed: known, Usage: p.counter.Recent(), Losses: p.quarantine.StoredLosses(now),
+		Consumption: spent, TotalConsumed: known, Usage: p.counter.Recent(), Losses: p.quarantine.StoredLosses(now),
 	}
 	p.duties.release(now, &r)
 
