--- a/board/board.go
+++ b/board/board.go
@@ -57,8 +57,8 @@
 	Leaving bool `msgpack:"q,omitempty"`
 	// Consumption is what this instance has spent of the limits of client accounts.
 	Consumption []quota.Consumption `msgpack:"d,omitempty"`
-	// TotalConsumed is what all instances have spent, told by those that lead.
-	TotalConsumed []quota.GlobalConsumption `msgpack:"k,omitempty"`
+	// GlobalConsumption is what all instances have spent, told by those that lead.
+	GlobalConsumption []quota.GlobalConsumption `msgpack:"k,omitempty"`
 	// Work is what all instances measured of services of model engines, told by those that
 	// lead.
 	Work []scheduling.Work `msgpack:"w,omitempty"`
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -25,7 +25,7 @@
 		Cores:         p.settings.Limits.ProcessorCores,
 		Leaving:       p.stopping.Load(),
 		Consumption:      spent,
-		TotalConsumed: known,
+		GlobalConsumption: known,
 		Usage:         p.counter.Recent(),
 		Losses:        p.quarantine.StoredLosses(now),
 	}
@@ -64,7 +64,7 @@
 func (p *parts) receiveSpent(now time.Time, r board.Record) {
 	switch {
 	case p.early != nil:
-		p.early.Add(r.Instance, r.Incarnation, time.Unix(0, r.Clock), r.Consumption, r.TotalConsumed)
+		p.early.Add(r.Instance, r.Incarnation, time.Unix(0, r.Clock), r.Consumption, r.GlobalConsumption)
 	case r.Instance != p.self():
 		p.limits.Receive(now, r.Instance, r.Incarnation, r.Consumption)
 	}
@@ -96,7 +96,7 @@
 	spent, known := p.limits.Record(now)
 	r := board.Record{
 		Instance: p.self(), Incarnation: p.duties.incarnation, Clock: now.UnixNano(), Leaving: true, Era: p.store.Era(),
-		Consumption: spent, TotalConsumed: known, Usage: p.counter.Recent(), Losses: p.quarantine.StoredLosses(now),
+		Consumption: spent, GlobalConsumption: known, Usage: p.counter.Recent(), Losses: p.quarantine.StoredLosses(now),
 	}
 	p.duties.release(now, &r)
 
