--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -16,18 +16,18 @@
 func (p *parts) writeRecord(now time.Time) board.Record {
 	spent, known := p.limits.Record(now)
 	r := board.Record{
-		Instance:      p.self(),
-		Incarnation:   p.duties.incarnation,
-		Era:           p.store.Era(),
-		Clock:         now.UnixNano(),
-		Address:       p.settings.Listen.Peers,
-		Domain:        p.settings.FailureDomain,
-		Cores:         p.settings.Limits.ProcessorCores,
-		Leaving:       p.stopping.Load(),
-		Consumption:      spent,
+		Instance:          p.self(),
+		Incarnation:       p.duties.incarnation,
+		Era:               p.store.Era(),
+		Clock:             now.UnixNano(),
+		Address:           p.settings.Listen.Peers,
+		Domain:            p.settings.FailureDomain,
+		Cores:             p.settings.Limits.ProcessorCores,
+		Leaving:           p.stopping.Load(),
+		Consumption:       spent,
 		GlobalConsumption: known,
-		Usage:         p.counter.Recent(),
-		Losses:        p.quarantine.StoredLosses(now),
+		Usage:             p.counter.Recent(),
+		Losses:            p.quarantine.StoredLosses(now),
 	}
 
 	if p.leads() {
