--- a/entry/parts.go
+++ b/entry/parts.go
@@ -398,7 +398,7 @@
 
 	klog.InfoS("request", "id", r.ID, "outcome", o.Reason.String(), "route", o.Route, "account", o.Account, "content", o.Fingerprint,
 		"rules", o.RulesVersion, "rulesAge", o.RulesAge, "notRun", o.NotRun, "servers", o.Servers, "events", o.Events,
-		"held", o.Held, "took", o.Duration, "cause", o.Cause)
+		"held", o.Queued, "took", o.Duration, "cause", o.Cause)
 }
 
 // self is this instance.
--- a/forward/counters.go
+++ b/forward/counters.go
@@ -40,8 +40,8 @@
 	c.outcomes[o.Reason].Inc()
 	c.took.Update(o.Duration.Seconds())
 
-	if o.Held >= leastHeld {
-		c.held.Update(o.Held.Seconds())
+	if o.Queued >= leastHeld {
+		c.held.Update(o.Queued.Seconds())
 	}
 
 	if len(o.Servers) > 1 {
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -146,7 +146,7 @@
 	outcome := Outcome{Reason: Answered, Duration: f.Clock.Now().Sub(r.Arrived)}
 	if j != nil {
 		outcome.Route, outcome.Account, outcome.Servers = j.route.Name, j.accountName(), j.servers
-		outcome.Events, outcome.RulesVersion, outcome.Held = j.stream.count, j.rules.Version(), j.held
+		outcome.Events, outcome.RulesVersion, outcome.Queued = j.stream.count, j.rules.Version(), j.held
 		outcome.Fingerprint = j.content
 	}
 
--- a/forward/guards_test.go
+++ b/forward/guards_test.go
@@ -217,8 +217,8 @@
 	}
 
 	outcome := s.await(done)
-	if outcome.Held <= 0 {
-		t.Errorf("held: got %v, want some time", outcome.Held)
+	if outcome.Queued <= 0 {
+		t.Errorf("held: got %v, want some time", outcome.Queued)
 	}
 
 	if outcome.Reason != StaleRules || !outcome.NotRun || len(s.arrivals()) != 0 {
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -83,7 +83,7 @@
 	Servers []string
 	// Events is the number of events that were relayed.
 	Events int
-	// Held is how long it was held back while servers were busy.
-	Held     time.Duration
+	// Queued is how long it was held back while servers were busy.
+	Queued   time.Duration
 	Duration time.Duration
 }
