--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -16,13 +16,13 @@
 
 // Errors of attempts.
 var (
-	errUnsigned    = merry.Sentinel("answer is not signed by a backend server")
-	errFailed      = merry.Sentinel("backend server failed the request")
-	errCallerWrite = merry.Sentinel("answer could not be written to the caller")
+	errUnsignedResponse = merry.Sentinel("answer is not signed by a backend server")
+	errServerFailed     = merry.Sentinel("backend server failed the request")
+	errCallerWrite      = merry.Sentinel("answer could not be written to the caller")
 )
 
-// wholeAnswer is an answer that is not a stream.
-type wholeAnswer struct {
+// bufferedResponse is an answer that is not a stream.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -31,8 +31,8 @@
 // attempt sends the request to one server and relays what comes.
 func (f *Forwarder) attempt(ctx context.Context, j *job, sink Sink) error {
 	began := f.Clock.Now()
-	assignment, err := f.Scheduler.Place(ctx, f.Clock, j.placing())
-	j.held += f.Clock.Now().Sub(began)
+	assignment, err := f.Scheduler.Place(ctx, f.Clock, j.schedulingRequest())
+	j.queued += f.Clock.Now().Sub(began)
 
 	if err != nil {
 		return err
@@ -41,26 +41,26 @@
 	j.excluded = append(j.excluded, assignment.ID())
 
 	if !assignment.Start(f.Clock.Now()) {
-		return merry.Wrap(backend.ErrNotSent, merry.WithCause(errBlocked))
+		return merry.Wrap(backend.ErrNotSent, merry.WithCause(errServerBlocked))
 	}
 
 	server := upstream.Server{ID: assignment.ID(), Address: assignment.Address()}
-	j.beginTrial(assignment)
+	j.startTrial(assignment)
 
-	answer, err := f.Pool.Send(ctx, server, j.message(assignment))
+	answer, err := f.Pool.Send(ctx, server, j.upstreamRequest(assignment))
 	if err != nil {
 		f.endAttempt(ctx, j, assignment, err)
-		f.lostWith(ctx, j, assignment, false, err)
+		f.recordLoss(ctx, j, assignment, false, err)
 
-		return j.sendFailed(server, err)
+		return j.recordSendFailure(server, err)
 	}
 	defer answer.Close()
 
 	j.sent++
-	j.servers = append(j.servers, string(server.ID))
-	err = f.receive(ctx, j, assignment, answer, sink)
+	j.sentTo = append(j.sentTo, string(server.ID))
+	err = f.relayResponse(ctx, j, assignment, answer, sink)
 	f.endAttempt(ctx, j, assignment, err)
-	f.lostWith(ctx, j, assignment, true, err)
+	f.recordLoss(ctx, j, assignment, true, err)
 
 	return err
 }
@@ -72,28 +72,28 @@
 	j.trial.end(now, result, err)
 }
 
-func (j *job) sendFailed(server upstream.Server, err error) error {
+func (j *job) recordSendFailure(server upstream.Server, err error) error {
 	if errors.Is(err, backend.ErrNotSent) {
 		return err
 	}
 
 	j.sent++
-	j.servers = append(j.servers, string(server.ID))
+	j.sentTo = append(j.sentTo, string(server.ID))
 	j.mayHaveRun = true
 
 	if !j.route.Generative {
 		// A plain service begins at once. An engine begins with the first token, and
 		// says so with the header of its answer, which has not come.
-		j.countBegin()
+		j.countUsage()
 	}
 
 	return err
 }
 
-// countBegin counts the request as begun for the account's usage, once.
-func (j *job) countBegin() {
-	if !j.began && j.account != nil {
-		j.began = true
+// countUsage counts the request as begun for the account's usage, once.
+func (j *job) countUsage() {
+	if !j.usageCounted && j.account != nil {
+		j.usageCounted = true
 		j.forwarder.Usage.RequestStarted(j.account.Name)
 	}
 }
@@ -105,7 +105,7 @@
 	case errors.Is(err, backend.ErrRefused):
 		return scheduling.Rejected
 	case errors.Is(err, errCallerWrite), errors.Is(err, errRevoked), errors.Is(err, errQuarantined),
-		errors.Is(err, errBlocked), errors.Is(err, scheduling.ErrNoServer):
+		errors.Is(err, errServerBlocked), errors.Is(err, scheduling.ErrNoServer):
 		return scheduling.Cancelled
 	case errors.Is(err, unix.ECONNREFUSED):
 		return scheduling.Terminated
@@ -118,8 +118,8 @@
 	}
 }
 
-// receive reads an answer whose header has come.
-func (f *Forwarder) receive(
+// relayResponse reads an answer whose header has come.
+func (f *Forwarder) relayResponse(
 	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Response, sink Sink,
 ) error {
 	reading := f.Protocol.Inspect(answer.Status(), answer.Header())
@@ -152,17 +152,17 @@
 	}
 
 	j.mayHaveRun = true
-	j.countBegin()
+	j.countUsage()
 
 	if j.route.Kind == ruleset.Streaming && answer.Status() == http.StatusOK && reading.Signed {
 		return f.relayStream(ctx, j, assignment, answer, sink)
 	}
 
-	return f.relayWhole(j, answer, reading, sink)
+	return f.relayBuffered(j, answer, reading, sink)
 }
 
-// relayWhole passes an answer on that is not a stream, once it is whole.
-func (f *Forwarder) relayWhole(j *job, answer *upstream.Response, reading Reading, sink Sink) error {
+// relayBuffered passes an answer on that is not a stream, once it is whole.
+func (f *Forwarder) relayBuffered(j *job, answer *upstream.Response, reading Reading, sink Sink) error {
 	body, err := answer.ReadAll(f.MaxResponseBytes)
 	if err != nil {
 		return err
@@ -172,17 +172,17 @@
 	answer.Close()
 
 	if !reading.Signed {
-		return merry.Prependf(errUnsigned, "status %d", answer.Status())
+		return merry.Prependf(errUnsignedResponse, "status %d", answer.Status())
 	}
 
-	if answer.Status() >= http.StatusInternalServerError && j.stream.count == 0 {
-		j.last = &wholeAnswer{status: answer.Status(), header: answer.Header(), body: body}
+	if answer.Status() >= http.StatusInternalServerError && j.stream.events == 0 {
+		j.lastFailure = &bufferedResponse{status: answer.Status(), header: answer.Header(), body: body}
 
-		return merry.Prependf(errFailed, "status %d", answer.Status())
+		return merry.Prependf(errServerFailed, "status %d", answer.Status())
 	}
 
 	if j.stream.begun {
-		return merry.Prependf(errFailed, "status %d instead of the rest of a stream", answer.Status())
+		return merry.Prependf(errServerFailed, "status %d instead of the rest of a stream", answer.Status())
 	}
 
 	if err := sink.WriteResponse(answer.Status(), answer.Header(), body); err != nil {
--- a/forward/counters.go
+++ b/forward/counters.go
@@ -6,23 +6,23 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// leastHeld keeps requests that went on at once out of the times of those that did not.
-const leastHeld = 10 * time.Millisecond
+// minQueued keeps requests that went on at once out of the times of those that did not.
+const minQueued = 10 * time.Millisecond
 
 // Counters count outcomes. A nil pointer counts nothing.
 type Counters struct {
-	outcomes [reasons]*metrics.Counter
-	resumed  *metrics.Counter
-	took     *metrics.Histogram
-	held     *metrics.Histogram
+	outcomes    [reasons]*metrics.Counter
+	secondSends *metrics.Counter
+	duration    *metrics.Histogram
+	queued      *metrics.Histogram
 }
 
 // NewCounters registers counters in a set.
 func NewCounters(set *metrics.Set) *Counters {
 	c := &Counters{
-		resumed: set.NewCounter("monsoonlever_forward_second_sends_total"),
-		took:    set.NewHistogram("monsoonlever_forward_request_seconds"),
-		held:    set.NewHistogram("monsoonlever_forward_held_seconds"),
+		secondSends: set.NewCounter("monsoonlever_forward_second_sends_total"),
+		duration:    set.NewHistogram("monsoonlever_forward_request_seconds"),
+		queued:      set.NewHistogram("monsoonlever_forward_held_seconds"),
 	}
 
 	for reason := range reasons {
@@ -32,19 +32,19 @@
 	return c
 }
 
-func (c *Counters) served(o Outcome) {
+func (c *Counters) record(o Outcome) {
 	if c == nil {
 		return
 	}
 
 	c.outcomes[o.Reason].Inc()
-	c.took.Update(o.Duration.Seconds())
+	c.duration.Update(o.Duration.Seconds())
 
-	if o.Queued >= leastHeld {
-		c.held.Update(o.Queued.Seconds())
+	if o.Queued >= minQueued {
+		c.queued.Update(o.Queued.Seconds())
 	}
 
 	if len(o.Servers) > 1 {
-		c.resumed.Add(len(o.Servers) - 1)
+		c.secondSends.Add(len(o.Servers) - 1)
 	}
 }
--- a/forward/events.go
+++ b/forward/events.go
@@ -46,7 +46,7 @@
 		}
 
 		if err != nil {
-			return nil, "", e.broken(err)
+			return nil, "", e.readError(err)
 		}
 
 		text := bytes.TrimRight(line, "\r\n")
@@ -60,7 +60,7 @@
 	}
 }
 
-func (e *eventReader) broken(err error) error {
+func (e *eventReader) readError(err error) error {
 	if errors.Is(err, io.EOF) {
 		if len(bytes.TrimSpace(e.event)) == 0 {
 			return io.EOF
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -114,8 +114,8 @@
 	// Observe is told each outcome; it may be nil.
 	Observe func(*Request, Outcome)
 
-	// endings are the servers that are being looked at, by their ids.
-	endings singleflight.Group
+	// terminationChecks are the servers that are being looked at, by their ids.
+	terminationChecks singleflight.Group
 }
 
 const (
@@ -125,29 +125,29 @@
 	answerMargin = 20 * time.Millisecond
 	// maxPriority is the least urgent priority of an engine.
 	maxPriority = 9
-	// accountRank is how many priorities of routes fit into one of accounts.
-	accountRank = 3
-	// retryStart is told to callers of an instance that has no rules yet: it reads them,
+	// routePriorities is how many priorities of routes fit into one of accounts.
+	routePriorities = 3
+	// startupRetryAfter is told to callers of an instance that has no rules yet: it reads them,
 	// and then what the others have spent, in about a second.
-	retryStart = time.Second
-	// retryLater is told to callers who are refused for what may last: the store is
+	startupRetryAfter = time.Second
+	// unavailableRetryAfter is told to callers who are refused for what may last: the store is
 	// away, no server is there.
-	retryLater = 500 * time.Millisecond
+	unavailableRetryAfter = 500 * time.Millisecond
 )
 
 // Serve runs a request to its final answer, which the sink has got when Serve
 // returns. ctx ends when the caller is gone.
 func (f *Forwarder) Serve(ctx context.Context, r *Request, sink Sink) Outcome {
-	j, refusal := f.open(ctx, r)
+	j, refusal := f.prepare(ctx, r)
 	if refusal == nil {
 		refusal = f.run(ctx, j, sink)
 	}
 
 	outcome := Outcome{Reason: Answered, Duration: f.Clock.Now().Sub(r.Arrived)}
 	if j != nil {
-		outcome.Route, outcome.Account, outcome.Servers = j.route.Name, j.accountName(), j.servers
-		outcome.Events, outcome.RulesVersion, outcome.Queued = j.stream.count, j.rules.Version(), j.held
-		outcome.Fingerprint = j.content
+		outcome.Route, outcome.Account, outcome.Servers = j.route.Name, j.accountName(), j.sentTo
+		outcome.Events, outcome.RulesVersion, outcome.Queued = j.stream.events, j.rules.Version(), j.queued
+		outcome.Fingerprint = j.fingerprint
 	}
 
 	outcome.RulesAge, _ = f.Currency.Age()
@@ -157,7 +157,7 @@
 		sink.Refuse(*refusal)
 	}
 
-	f.Counters.served(outcome)
+	f.Counters.record(outcome)
 
 	if f.Observe != nil {
 		f.Observe(r, outcome)
@@ -166,18 +166,18 @@
 	return outcome
 }
 
-// open checks what needs no backend server: rules, key, limit.
-func (f *Forwarder) open(ctx context.Context, r *Request) (*job, *Refusal) {
+// prepare checks what needs no backend server: rules, key, limit.
+func (f *Forwarder) prepare(ctx context.Context, r *Request) (*job, *Refusal) {
 	rules := f.Rules.Load()
 	if rules == nil {
-		return nil, notRun(NoRules, retryStart)
+		return nil, notRunRefusal(NoRules, startupRetryAfter)
 	}
 
 	route, ok := rules.Match(r.Host, r.Path)
 	if !ok {
 		if !f.Currency.Current() {
 			// The route may have been added since.
-			return nil, notRun(StaleRules, retryLater)
+			return nil, notRunRefusal(StaleRules, unavailableRetryAfter)
 		}
 
 		return nil, &Refusal{Reason: NoRoute, NotRun: true}
@@ -190,16 +190,16 @@
 		return j, refusal
 	}
 
-	j.content = quarantine.FingerprintOf(fleet.Account(j.accountName()), r.Method, r.Host, r.Target, r.Body)
+	j.fingerprint = quarantine.FingerprintOf(fleet.Account(j.accountName()), r.Method, r.Host, r.Target, r.Body)
 
-	if refusal := f.quarantined(j); refusal != nil {
+	if refusal := f.checkQuarantine(j); refusal != nil {
 		return j, refusal
 	}
 
 	j.service = route.Target(rand.Float64())
 	f.Retries.Of(retry.NewScope(j.service, "")).CountRequest(f.Clock.Now())
 
-	return j, f.admit(ctx, j)
+	return j, f.takeLimit(ctx, j)
 }
 
 func (f *Forwarder) authorize(j *job) *Refusal {
@@ -208,7 +208,7 @@
 	}
 
 	if !f.Currency.Current() {
-		return notRun(StaleRules, retryLater)
+		return notRunRefusal(StaleRules, unavailableRetryAfter)
 	}
 
 	account, ok := j.rules.AccountOf(j.request.APIKey)
@@ -221,18 +221,18 @@
 	return nil
 }
 
-// quarantined refuses a request that is held off. It is not sent, and says when it may be
+// checkQuarantine refuses a request that is held off. It is not sent, and says when it may be
 // tried again.
-func (f *Forwarder) quarantined(j *job) *Refusal {
-	if left, held := f.Quarantine.Quarantined(f.Clock.Now(), j.content); held {
-		return notRun(Quarantined, left)
+func (f *Forwarder) checkQuarantine(j *job) *Refusal {
+	if left, held := f.Quarantine.Quarantined(f.Clock.Now(), j.fingerprint); held {
+		return notRunRefusal(Quarantined, left)
 	}
 
 	return nil
 }
 
-// admit spends the account's limit.
-func (f *Forwarder) admit(ctx context.Context, j *job) *Refusal {
+// takeLimit spends the account's limit.
+func (f *Forwarder) takeLimit(ctx context.Context, j *job) *Refusal {
 	if j.account == nil || j.account.Rate <= 0 {
 		return nil
 	}
--- a/forward/guards_test.go
+++ b/forward/guards_test.go
@@ -100,22 +100,22 @@
 		reason      Reason
 		notRun      bool
 	}{
-		{"an unsafe call whose answer is lost", "once", func(*http.Request) string { return cut }, 1, Lost, false},
+		{"an unsafe call whose answer is lost", "once", func(*http.Request) string { return cut }, 1, ResponseLost, false},
 		{"an unsafe call that a server did not run", "once", func(r *http.Request) string {
 			return whole(r, http.StatusServiceUnavailable, notRunHeader+": yes\r\n")
 		}, 2, Overloaded, true},
-		{"a safe call whose answer is lost", "safe", func(*http.Request) string { return cut }, 2, Lost, false},
-		{"a stream that may not be resumed and is lost", "tell", func(*http.Request) string { return cut }, 1, Lost, false},
+		{"a safe call whose answer is lost", "safe", func(*http.Request) string { return cut }, 2, ResponseLost, false},
+		{"a stream that may not be resumed and is lost", "tell", func(*http.Request) string { return cut }, 1, ResponseLost, false},
 		{"a stream that may not be resumed and is cut", "tell", func(r *http.Request) string {
 			return stream(r, 1, 2, true)
-		}, 1, Broken, false},
+		}, 1, StreamBroken, false},
 		{"an answer that nobody signed", "once", func(r *http.Request) string {
 			return "HTTP/1.1 200 OK\r\n" + idHeader + ": " + r.Header.Get(idHeader) + "\r\nContent-Length: 0\r\n\r\n"
-		}, 1, Lost, false},
+		}, 1, ResponseLost, false},
 		{"an answer to another request", "once", func(*http.Request) string {
 			return "HTTP/1.1 200 OK\r\n" + idHeader + ": other\r\n" + signHeader +
 				": yes\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-		}, 1, Lost, false},
+		}, 1, ResponseLost, false},
 	}
 
 	for _, test := range tests {
@@ -183,7 +183,7 @@
 		}
 
 		outcome, got := s.call("talk", "r-1")
-		if outcome.Reason != Broken || len(got.events) != 2 || len(got.refusals) != 1 {
+		if outcome.Reason != StreamBroken || len(got.events) != 2 || len(got.refusals) != 1 {
 			t.Errorf("a server that %s: got %v with %d events, want it broken off after 2", name, outcome.Reason, len(got.events))
 		}
 	}
--- a/forward/job.go
+++ b/forward/job.go
@@ -18,31 +18,31 @@
 
 // job is the life of one request.
 type job struct {
-	forwarder *Forwarder
-	request   *Request
-	rules     *ruleset.Ruleset
-	route     *ruleset.Route
-	account   *ruleset.Account
-	service   fleet.Service
-	content   quarantine.Fingerprint
-	deadline  time.Time
+	forwarder   *Forwarder
+	request     *Request
+	rules       *ruleset.Ruleset
+	route       *ruleset.Route
+	account     *ruleset.Account
+	service     fleet.Service
+	fingerprint quarantine.Fingerprint
+	deadline    time.Time
 
 	// sent counts the servers that got the request.
 	sent int
 	// mayHaveRun is set once a server may have run it.
-	mayHaveRun bool
-	began      bool
-	excluded   []fleet.InstanceID
-	servers    []string
-	stream     relay
-	// tried tells that a server was chosen before, and trial is what the attempt counts for.
-	tried bool
-	trial trial
-	// held is how long it was held back while servers were busy.
-	held time.Duration
-	// last is the newest answer of a server that failed, kept in case no other is
+	mayHaveRun   bool
+	usageCounted bool
+	excluded     []fleet.InstanceID
+	sentTo       []string
+	stream       streamProgress
+	// placed tells that a server was chosen before, and trial is what the attempt counts for.
+	placed bool
+	trial  trial
+	// queued is how long it was queued back while servers were busy.
+	queued time.Duration
+	// lastFailure is the newest answer of a server that failed, kept in case no other is
 	// better.
-	last *wholeAnswer
+	lastFailure *bufferedResponse
 }
 
 // errRevoked means that the rules stopped being known as current, or changed so
@@ -52,8 +52,8 @@
 // errQuarantined means that servers have ended under the request while it waited.
 var errQuarantined = merry.Sentinel("backend servers end under the request")
 
-// errBlocked means that the server announced after it was picked that it takes no requests.
-var errBlocked = merry.Sentinel("server takes no requests any more")
+// errServerBlocked means that the server announced after it was picked that it takes no requests.
+var errServerBlocked = merry.Sentinel("server takes no requests any more")
 
 func (j *job) timeout() time.Duration {
 	timeout := j.route.Timeout
@@ -85,7 +85,7 @@
 	for {
 		err := f.attempt(limited, j, sink)
 		if err == nil {
-			f.Quarantine.RecordAnswer(f.Clock.Now(), j.content)
+			f.Quarantine.RecordAnswer(f.Clock.Now(), j.fingerprint)
 
 			return nil
 		}
@@ -98,8 +98,8 @@
 			return &Refusal{Reason: TimedOut, NotRun: !j.mayHaveRun, Cause: err.Error()}
 		}
 
-		if !j.again(err) {
-			return j.giveUp(err, sink)
+		if !j.shouldRetry(err) {
+			return j.finalAnswer(err, sink)
 		}
 	}
 }
@@ -117,8 +117,8 @@
 	return float64(j.account.DefaultTokens)
 }
 
-// again decides whether another server is tried after an attempt that failed.
-func (j *job) again(err error) bool {
+// shouldRetry decides whether another server is tried after an attempt that failed.
+func (j *job) shouldRetry(err error) bool {
 	if errors.Is(err, errRevoked) || errors.Is(err, scheduling.ErrNoServer) || errors.Is(err, errCallerWrite) ||
 		errors.Is(err, errQuarantined) {
 		return false
@@ -136,7 +136,7 @@
 		// A server that took no connection has run nothing. Another one is tried for as
 		// long as there is one and the caller waits: entries of servers that ended
 		// together stay in the register for seconds.
-		return j.forwarder.Clock.Now().Before(j.waitsUntil())
+		return j.forwarder.Clock.Now().Before(j.abandonDeadline())
 	}
 
 	if j.sent >= j.route.Attempts() {
@@ -152,10 +152,10 @@
 	return j.forwarder.Retries.Of(scope).Take(j.forwarder.Clock.Now())
 }
 
-// giveUp makes the final answer after the last attempt.
-func (j *job) giveUp(err error, sink Sink) *Refusal {
-	if j.last != nil && j.stream.count == 0 {
-		if writeErr := sink.WriteResponse(j.last.status, j.last.header, j.last.body); writeErr == nil {
+// finalAnswer makes the final answer after the last attempt.
+func (j *job) finalAnswer(err error, sink Sink) *Refusal {
+	if j.lastFailure != nil && j.stream.events == 0 {
+		if writeErr := sink.WriteResponse(j.lastFailure.status, j.lastFailure.header, j.lastFailure.body); writeErr == nil {
 			return nil
 		}
 
@@ -169,42 +169,42 @@
 
 	switch {
 	case j.stream.begun:
-		return &Refusal{Reason: Broken, Cause: err.Error()}
+		return &Refusal{Reason: StreamBroken, Cause: err.Error()}
 	case j.mayHaveRun:
-		return &Refusal{Reason: Lost, Cause: err.Error()}
+		return &Refusal{Reason: ResponseLost, Cause: err.Error()}
 	case errors.Is(err, errRevoked):
-		return &Refusal{Reason: StaleRules, NotRun: true, RetryAfter: retryLater, Cause: err.Error()}
+		return &Refusal{Reason: StaleRules, NotRun: true, RetryAfter: unavailableRetryAfter, Cause: err.Error()}
 	case errors.Is(err, errQuarantined):
-		left, _ := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.content)
+		left, _ := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.fingerprint)
 
-		return notRun(Quarantined, left)
+		return notRunRefusal(Quarantined, left)
 	case errors.As(err, &overload):
 		return &Refusal{Reason: Overloaded, NotRun: true, RetryAfter: overload.RetryAfter, Cause: err.Error()}
 	case errors.As(err, &noRoom):
 		return &Refusal{Reason: Overloaded, NotRun: true, RetryAfter: noRoom.RetryAfter, Cause: err.Error()}
 	case errors.Is(err, scheduling.ErrNoServer):
-		return &Refusal{Reason: NoServer, NotRun: true, RetryAfter: retryLater, Cause: err.Error()}
+		return &Refusal{Reason: NoServer, NotRun: true, RetryAfter: unavailableRetryAfter, Cause: err.Error()}
 	default:
-		return &Refusal{Reason: Overloaded, NotRun: true, RetryAfter: j.comeBack(), Cause: err.Error()}
+		return &Refusal{Reason: Overloaded, NotRun: true, RetryAfter: j.retryAfter(), Cause: err.Error()}
 	}
 }
 
-// comeBack returns when a caller that servers turned away should come back.
-func (j *job) comeBack() time.Duration {
+// retryAfter returns when a caller that servers turned away should come back.
+func (j *job) retryAfter() time.Duration {
 	if wait, full := j.forwarder.Scheduler.RetryAfter(j.forwarder.Clock.Now(), j.service); full {
 		return wait
 	}
 
-	return retryLater
+	return unavailableRetryAfter
 }
 
-// permit is asked right before the request leaves, after every wait.
-func (j *job) permit(a *scheduling.Assignment) error {
+// checkBeforeSend is asked right before the request leaves, after every wait.
+func (j *job) checkBeforeSend(a *scheduling.Assignment) error {
 	if a.Blocked(j.forwarder.Clock.Now()) {
-		return errBlocked
+		return errServerBlocked
 	}
 
-	if _, held := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.content); held {
+	if _, held := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.fingerprint); held {
 		return errQuarantined
 	}
 
@@ -232,39 +232,39 @@
 func (j *job) priority() int {
 	rank := j.route.Priority
 	if j.account != nil {
-		rank = accountRank*j.account.Priority + min(rank, accountRank-1)
+		rank = routePriorities*j.account.Priority + min(rank, routePriorities-1)
 	}
 
 	return min(max(rank, 0), maxPriority)
 }
 
 const (
-	// holdShare is the part of a request's time for which it may be held back once it
+	// holdTimeoutShare is the part of a request's time for which it may be held back once it
 	// can't begin in time: the rest is for its stream, which takes some seconds in an
 	// overload.
-	holdShare = 0.4
-	// giveUpObjectives is after how many objectives callers leave a stream that has shown
+	holdTimeoutShare = 0.4
+	// abandonObjectives is after how many objectives callers leave a stream that has shown
 	// nothing, and leastGiveUp the least of it.
-	giveUpObjectives = 4
-	leastGiveUp      = 2 * time.Second
-	// limitWait is how long a request without an objective, or the rest of a stream, waits
+	abandonObjectives = 4
+	minAbandonTimeout = 2 * time.Second
+	// rateLimitTimeout is how long a request without an objective, or the rest of a stream, waits
 	// for servers that limit their requests: callers leave a stream after two seconds.
-	limitWait = time.Second
+	rateLimitTimeout = time.Second
 )
 
-// waitsUntil returns until when the caller waits for the begin of an answer, or for the
+// abandonDeadline returns until when the caller waits for the begin of an answer, or for the
 // answer where none is expected sooner.
-func (j *job) waitsUntil() time.Time {
+func (j *job) abandonDeadline() time.Time {
 	if j.route.Objective <= 0 || j.stream.begun {
 		return j.deadline
 	}
 
-	return j.request.Arrived.Add(max(giveUpObjectives*j.route.Objective, leastGiveUp))
+	return j.request.Arrived.Add(max(abandonObjectives*j.route.Objective, minAbandonTimeout))
 }
 
-// placing returns what the scheduler needs to know. A stream that has begun is not held.
-func (j *job) placing() scheduling.Request {
-	choice := j.choose()
+// schedulingRequest returns what the scheduler needs to know. A stream that has begun is not held.
+func (j *job) schedulingRequest() scheduling.Request {
+	choice := j.chooseVersion()
 	r := scheduling.Request{
 		Service: j.service, Prompt: j.request.Prompt, Excluded: j.excluded,
 		OnlyVersion: choice.Only, VersionFraction: choice.ServerShare, AvoidVersions: choice.Avoid, Final: j.sent+1 >= j.route.Attempts(),
@@ -272,19 +272,19 @@
 
 	if j.route.Objective > 0 && !j.stream.begun {
 		arrived := j.request.Arrived
-		hold := time.Duration(holdShare * float64(j.timeout()))
-		r.Due, r.HoldUntil, r.CallerDeadline = arrived.Add(j.route.Objective), arrived.Add(hold), j.waitsUntil()
+		hold := time.Duration(holdTimeoutShare * float64(j.timeout()))
+		r.Due, r.HoldUntil, r.CallerDeadline = arrived.Add(j.route.Objective), arrived.Add(hold), j.abandonDeadline()
 	}
 
 	r.WaitUntil = r.Due
 	if r.Due.IsZero() {
-		r.WaitUntil = j.forwarder.Clock.Now().Add(limitWait)
+		r.WaitUntil = j.forwarder.Clock.Now().Add(rateLimitTimeout)
 	}
 
 	return r
 }
 
-func (j *job) message(a *scheduling.Assignment) *upstream.Request {
+func (j *job) upstreamRequest(a *scheduling.Assignment) *upstream.Request {
 	attempt := Attempt{
 		Server:      a.ID(),
 		Remaining:   j.deadline.Sub(j.forwarder.Clock.Now()),
@@ -297,13 +297,13 @@
 		attempt.Account = j.account.Name
 	}
 
-	if j.stream.last != "" {
-		attempt.ResumeAfter = j.stream.last
+	if j.stream.lastEventID != "" {
+		attempt.ResumeAfter = j.stream.lastEventID
 	}
 
 	m := j.forwarder.Protocol.Encode(j.request, attempt)
 	m.RequireFresh = !j.route.Idempotent()
-	m.BeforeSend = func() error { return j.permit(a) }
+	m.BeforeSend = func() error { return j.checkBeforeSend(a) }
 
 	return m
 }
--- a/forward/ended.go
+++ b/forward/loss.go
@@ -14,16 +14,16 @@
 	"monsoonlever/upstream"
 )
 
-// endingTime is the time from the first connection that a program which ends closes until
+// terminationDelay is the time from the first connection that a program which ends closes until
 // it takes no more.
-const endingTime = 20 * time.Millisecond
+const terminationDelay = 20 * time.Millisecond
 
-// lostWith counts against a request that its server ended under it, if it did. Nothing
+// recordLoss counts against a request that its server ended under it, if it did. Nothing
 // but the end of a server that had not said it would leave counts: servers that are
 // reclaimed or replaced, or break answers off and go on, say nothing of a request. An end
 // counts however long the request had been answered: most at the begin of its answer, where
 // few others are with it. begun tells that the answer's header had come.
-func (f *Forwarder) lostWith(ctx context.Context, j *job, a *scheduling.Assignment, begun bool, err error) {
+func (f *Forwarder) recordLoss(ctx context.Context, j *job, a *scheduling.Assignment, begun bool, err error) {
 	if !errors.Is(err, upstream.ErrGarbled) || ctx.Err() != nil || a.Leaving() {
 		return
 	}
@@ -33,11 +33,11 @@
 		evidence = quarantine.Strong
 	}
 
-	content, id := j.content, j.request.ID
+	content, id := j.fingerprint, j.request.ID
 	probe := context.WithoutCancel(ctx)
 
 	go func() {
-		if !f.ended(probe, a) {
+		if !f.terminated(probe, a) {
 			return
 		}
 
@@ -49,19 +49,19 @@
 	}()
 }
 
-// ended reports whether a server has ended without having said that it would. Requests that
+// terminated reports whether a server has terminated without having said that it would. Requests that
 // were lost together share the answer, also one that is noticed after the others have it.
-func (f *Forwarder) ended(ctx context.Context, a *scheduling.Assignment) bool {
+func (f *Forwarder) terminated(ctx context.Context, a *scheduling.Assignment) bool {
 	server := upstream.Server{ID: a.ID(), Address: a.Address()}
 
-	ended, _, _ := f.endings.Do(string(server.ID), func() (any, error) {
+	ended, _, _ := f.terminationChecks.Do(string(server.ID), func() (any, error) {
 		if a.KnownTerminated(f.Clock.Now()) {
 			return !a.Leaving(), nil
 		}
 
-		clock.Sleep(ctx, f.Clock, endingTime)
+		clock.Sleep(ctx, f.Clock, terminationDelay)
 
-		if a.Leaving() || !f.Pool.Ended(ctx, server) || a.Leaving() {
+		if a.Leaving() || !f.Pool.Terminated(ctx, server) || a.Leaving() {
 			return false, nil
 		}
 
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -29,10 +29,10 @@
 	Overloaded
 	// TimedOut means that the time of the caller or the route is over.
 	TimedOut
-	// Lost means that a backend server's answer did not come or was garbled.
-	Lost
-	// Broken means that a stream ended before its end.
-	Broken
+	// ResponseLost means that a backend server's answer did not come or was garbled.
+	ResponseLost
+	// StreamBroken means that a stream ended before its end.
+	StreamBroken
 	// Quarantined means that backend servers have ended under the request, whichever its
 	// id, and that it is held off.
 	Quarantined
@@ -61,7 +61,7 @@
 	Cause string
 }
 
-func notRun(reason Reason, retryAfter time.Duration) *Refusal {
+func notRunRefusal(reason Reason, retryAfter time.Duration) *Refusal {
 	return &Refusal{Reason: reason, NotRun: true, RetryAfter: retryAfter}
 }
 
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -76,7 +76,7 @@
 // settle lets what looks at ended servers go on for a while.
 func (s *site) settle() {
 	for range 20 {
-		s.clock.Advance(endingTime)
+		s.clock.Advance(terminationDelay)
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -175,7 +175,7 @@
 	}
 
 	outcome, _ := f.call("talk", "r")
-	if outcome.Reason != Broken || outcome.NotRun || len(f.arrivals()) != 1 {
+	if outcome.Reason != StreamBroken || outcome.NotRun || len(f.arrivals()) != 1 {
 		t.Errorf("got %+v and %d arrivals, want a broken stream after one", outcome, len(f.arrivals()))
 	}
 }
@@ -363,8 +363,8 @@
 
 		f.ended[a.Address()].Store(true)
 
-		j := &job{forwarder: f.Forwarder, request: &Request{ID: "r"}, content: 1, route: &ruleset.Route{Kind: tt.kind}}
-		f.lostWith(t.Context(), j, a, tt.begun, upstream.ErrGarbled)
+		j := &job{forwarder: f.Forwarder, request: &Request{ID: "r"}, fingerprint: 1, route: &ruleset.Route{Kind: tt.kind}}
+		f.recordLoss(t.Context(), j, a, tt.begun, upstream.ErrGarbled)
 		f.settle()
 		f.settleTo(len(tt.want))
 
@@ -417,7 +417,7 @@
 			outcome.Reason, got.refusals)
 	}
 
-	if most := max(leastGiveUp, giveUpObjectives*500*time.Millisecond) + slow; outcome.Duration > most {
+	if most := max(minAbandonTimeout, abandonObjectives*500*time.Millisecond) + slow; outcome.Duration > most {
 		t.Errorf("refused: got after %v, want within %v", outcome.Duration, most)
 	}
 }
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -13,34 +13,34 @@
 	"monsoonlever/upstream"
 )
 
-// relay is how far the stream of one request has come, over all its servers.
-type relay struct {
+// streamProgress is how far the stream of one request has come, over all its servers.
+type streamProgress struct {
 	// begun is set once the caller has the header.
 	begun bool
-	// last is the id of the newest event that the caller has.
-	last  string
-	count int
+	// lastEventID is the id of the newest event that the caller has.
+	lastEventID string
+	events      int
 }
 
 // ErrOutOfOrder means that an event is missing, repeated or has no usable id.
 var ErrOutOfOrder = merry.Sentinel("event is out of order")
 
 // accept takes an event with an id in, if it is the next one.
-func (r *relay) accept(id string) error {
+func (r *streamProgress) accept(id string) error {
 	number, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return merry.Prependf(ErrOutOfOrder, "id %q", id)
 	}
 
-	if r.last != "" {
-		last, err := strconv.ParseUint(r.last, 10, 64)
+	if r.lastEventID != "" {
+		last, err := strconv.ParseUint(r.lastEventID, 10, 64)
 		if err != nil || number != last+1 {
-			return merry.Prependf(ErrOutOfOrder, "id %q after %q", id, r.last)
+			return merry.Prependf(ErrOutOfOrder, "id %q after %q", id, r.lastEventID)
 		}
 	}
 
-	r.last = id
-	r.count++
+	r.lastEventID = id
+	r.events++
 
 	return nil
 }
@@ -63,13 +63,13 @@
 
 		now := f.Clock.Now()
 		assignment.FirstEventReceived(now)
-		j.trial.event(now)
+		j.trial.recordEvent(now)
 
 		if err := j.stream.accept(id); err != nil {
 			return err
 		}
 
-		if err := f.pass(j, answer, sink, event); err != nil {
+		if err := f.writeEvent(j, answer, sink, event); err != nil {
 			return err
 		}
 
@@ -79,8 +79,8 @@
 	}
 }
 
-// pass writes one event, after the header of the first server's answer.
-func (f *Forwarder) pass(j *job, answer *upstream.Response, sink Sink, event []byte) error {
+// writeEvent writes one event, after the header of the first server's answer.
+func (f *Forwarder) writeEvent(j *job, answer *upstream.Response, sink Sink, event []byte) error {
 	if !j.stream.begun {
 		if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
 			return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
--- a/upstream/counters.go
+++ b/upstream/counters.go
@@ -30,13 +30,13 @@
 	}
 }
 
-func (c *Counters) strayAnswer() {
+func (c *Counters) strayResponse() {
 	if c != nil {
 		c.stray.Inc()
 	}
 }
 
-func (c *Counters) garbledAnswer() {
+func (c *Counters) garbledResponse() {
 	if c != nil {
 		c.garbled.Inc()
 	}
--- a/upstream/dialer.go
+++ b/upstream/dialer.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// silence is how long sent bytes may stay without acknowledgement: a peer that
+	// unackedTimeout is how long sent bytes may stay without acknowledgement: a peer that
 	// is cut off resets nothing.
-	silence = 3 * time.Second
-	// probeEvery and probes find a connection dead that only receives.
-	probeEvery = time.Second
-	probes     = 3
+	unackedTimeout = 3 * time.Second
+	// keepAliveInterval and probes find a connection dead that only receives.
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 3
 )
 
 // Dialer returns a dialer whose connections notice within seconds that the other
@@ -22,17 +22,17 @@
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		Control:         boundSilence,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probes},
+		Control:         setUnackedTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 }
 
-// boundSilence makes the kernel give up on a peer that acknowledges nothing.
-func boundSilence(_, _ string, raw syscall.RawConn) error {
+// setUnackedTimeout makes the kernel give up on a peer that acknowledges nothing.
+func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 
 	err := raw.Control(func(fd uintptr) {
-		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -19,14 +19,14 @@
 	// DefaultDialTimeout is some hundred round trips within a region; a full queue
 	// of new connections drops the first packet, which is sent again after a second.
 	DefaultDialTimeout = 400 * time.Millisecond
-	// defaultIdle is how long a connection is kept whose server names no timeout.
-	defaultIdle = 4 * time.Second
-	// freshIdle is the idle time up to which a connection counts as in use: a shorter one
+	// defaultIdleTimeout is how long a connection is kept whose server names no timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// maxFreshIdle is the idle time up to which a connection counts as in use: a shorter one
 	// makes more connections, with a longer one more calls are lost with dead ones.
-	freshIdle = 1500 * time.Millisecond
-	// idleShare is the part of a server's idle timeout after which a connection is
+	maxFreshIdle = 1500 * time.Millisecond
+	// idleTimeoutShare is the part of a server's idle timeout after which a connection is
 	// not used any more, so that no request crosses its close.
-	idleShare = 0.5
+	idleTimeoutShare = 0.5
 	// readBuffer holds the header of an answer and several events of a stream.
 	readBuffer = 4 << 10
 )
@@ -43,28 +43,28 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	mu      sync.Mutex
-	servers map[fleet.InstanceID]*connections
+	servers map[fleet.InstanceID]*serverConnections
 }
 
-// connections are those to one start of a backend server.
-type connections struct {
+// serverConnections are those to one start of a backend server.
+type serverConnections struct {
 	idle []*connection
 	// busy carry a request.
-	busy  map[*connection]struct{}
-	open  int
-	limit int
-	gone  bool
+	busy    map[*connection]struct{}
+	open    int
+	limit   int
+	removed bool
 }
 
 // connection is used by one request at a time.
 type connection struct {
 	net.Conn
 	// owner counts it: the server may have been forgotten, or have started again, since.
-	owner  *connections
+	owner  *serverConnections
 	reader *bufio.Reader
-	// dead is when the connection must not be used any more.
-	dead time.Time
-	used time.Time
+	// reuseUntil is when the connection must not be used any more.
+	reuseUntil time.Time
+	lastUsed   time.Time
 	// kept tells that the connection carried a request before.
 	kept bool
 }
@@ -77,7 +77,7 @@
 func (p *Pool) SetLimit(id fleet.InstanceID, limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(id).limit = limit
+	p.connectionsOf(id).limit = limit
 }
 
 // RemoveServer closes the idle connections to a server that is gone and keeps no more.
@@ -85,7 +85,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.forget(id)
+	p.removeServer(id)
 }
 
 // Cut closes all connections to a server that started again, those that carry a
@@ -95,16 +95,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	if c := p.forget(id); c != nil {
+	if c := p.removeServer(id); c != nil {
 		for conn := range c.busy {
 			_ = conn.Close()
 		}
 	}
 }
 
-// forget closes the idle connections to a server. Those that carry a request are closed
+// removeServer closes the idle connections to a server. Those that carry a request are closed
 // once it has ended.
-func (p *Pool) forget(id fleet.InstanceID) *connections {
+func (p *Pool) removeServer(id fleet.InstanceID) *serverConnections {
 	c := p.servers[id]
 	if c == nil {
 		return nil
@@ -116,14 +116,14 @@
 
 	c.open -= len(c.idle)
 	c.idle = nil
-	c.gone = true
+	c.removed = true
 	delete(p.servers, id)
 
 	return c
 }
 
-// Open returns how many connections to a server are open.
-func (p *Pool) Open(id fleet.InstanceID) int {
+// OpenConnections returns how many connections to a server are open.
+func (p *Pool) OpenConnections(id fleet.InstanceID) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -134,14 +134,14 @@
 	return 0
 }
 
-func (p *Pool) of(id fleet.InstanceID) *connections {
+func (p *Pool) connectionsOf(id fleet.InstanceID) *serverConnections {
 	if p.servers == nil {
-		p.servers = make(map[fleet.InstanceID]*connections)
+		p.servers = make(map[fleet.InstanceID]*serverConnections)
 	}
 
 	c := p.servers[id]
 	if c == nil {
-		c = &connections{busy: make(map[*connection]struct{})}
+		c = &serverConnections{busy: make(map[*connection]struct{})}
 		p.servers[id] = c
 	}
 
@@ -161,11 +161,11 @@
 			return p.dial(ctx, s, conn)
 		}
 
-		if conn.quiet() {
+		if conn.alive() {
 			return conn, nil
 		}
 
-		p.drop(conn)
+		p.closeConnection(conn)
 	}
 }
 
@@ -176,12 +176,12 @@
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.of(id)
+	c := p.connectionsOf(id)
 	p.expire(c, now)
 
 	if n := len(c.idle); n > 0 {
 		conn := c.idle[n-1]
-		if !fresh || now.Sub(conn.used) <= freshIdle {
+		if !fresh || now.Sub(conn.lastUsed) <= maxFreshIdle {
 			c.idle = c.idle[:n-1]
 			c.busy[conn] = struct{}{}
 
@@ -206,11 +206,11 @@
 }
 
 // expire closes the connections whose server may close them soon.
-func (p *Pool) expire(c *connections, now time.Time) {
+func (p *Pool) expire(c *serverConnections, now time.Time) {
 	kept := c.idle[:0]
 
 	for _, conn := range c.idle {
-		if now.Before(conn.dead) {
+		if now.Before(conn.reuseUntil) {
 			kept = append(kept, conn)
 
 			continue
@@ -256,12 +256,12 @@
 	return Dialer(timeout).DialContext(ctx, "tcp4", address)
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(conn *connection, idle time.Duration) {
+// putIdle keeps a connection for the next request.
+func (p *Pool) putIdle(conn *connection, idle time.Duration) {
 	now := p.Clock.Now()
 	conn.kept = true
-	conn.used = now
-	conn.dead = now.Add(idle)
+	conn.lastUsed = now
+	conn.reuseUntil = now.Add(idle)
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -269,7 +269,7 @@
 	c := conn.owner
 	delete(c.busy, conn)
 
-	if c.gone {
+	if c.removed {
 		_ = conn.Close()
 		c.open--
 
@@ -279,7 +279,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-func (p *Pool) drop(conn *connection) {
+func (p *Pool) closeConnection(conn *connection) {
 	_ = conn.Close()
 	p.release(conn)
 }
@@ -291,9 +291,9 @@
 	conn.owner.open--
 }
 
-// quiet tells whether nothing has come on an idle connection: neither its end nor
+// alive tells whether nothing has come on an idle connection: neither its end nor
 // bytes that belong to no request.
-func (c *connection) quiet() bool {
+func (c *connection) alive() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -75,7 +75,7 @@
 }
 
 // The connections to the start before say nothing of how many the next one has.
-func TestConnectionsToTheNextStartAreCountedAnew(t *testing.T) {
+func TestConnectionLimitExcludesPreviousProcess(t *testing.T) {
 	server, _ := silent(t)
 	pool := &Pool{Clock: clock.NewSteady()}
 
@@ -87,7 +87,7 @@
 	pool.RemoveServer(server.ID)
 	pool.SetLimit(server.ID, 1)
 
-	if got := pool.Open(server.ID); got != 0 {
+	if got := pool.OpenConnections(server.ID); got != 0 {
 		t.Errorf("open to the next start: got %d, want 0", got)
 	}
 
@@ -96,10 +96,10 @@
 		t.Fatalf("first connection to the next start: got %v, want one", err)
 	}
 
-	pool.put(before, time.Second)
-	pool.put(next, time.Second)
+	pool.putIdle(before, time.Second)
+	pool.putIdle(next, time.Second)
 
-	if got := pool.Open(server.ID); got != 1 {
+	if got := pool.OpenConnections(server.ID); got != 1 {
 		t.Errorf("open to the next start: got %d, want the 1 that is kept", got)
 	}
 }
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -20,13 +20,13 @@
 var ErrGarbled = merry.Sentinel("answer is garbled")
 
 const (
-	// maxStray is how many answers to earlier requests are skipped on a connection.
-	maxStray = 2
+	// maxStrayResponses is how many answers to earlier requests are skipped on a connection.
+	maxStrayResponses = 2
 	// maxStrayBytes bounds the body of an answer that is skipped.
 	maxStrayBytes = 64 << 10
-	// inlineBody is the size up to which a request is written before its answer is
+	// maxInlineMessage is the size up to which a request is written before its answer is
 	// read; it fits into the send buffer of a connection.
-	inlineBody = 2 << 10
+	maxInlineMessage = 2 << 10
 )
 
 // Send sends a request and returns its answer once the header has come. Ending
@@ -44,7 +44,7 @@
 
 	if r.BeforeSend != nil {
 		if err := r.BeforeSend(); err != nil {
-			p.drop(conn)
+			p.closeConnection(conn)
 
 			return nil, merry.Prepend(backend.ErrNotSent, "permit", merry.WithCause(err))
 		}
@@ -75,15 +75,15 @@
 
 	response *http.Response
 	// written is set once the whole request was handed to the connection.
-	written atomic.Bool
-	whole   bool
-	once    sync.Once
+	written  atomic.Bool
+	bodyRead bool
+	once     sync.Once
 }
 
 // write hands the message to the connection. A long one is written beside the
 // reading, since a server may answer before it has read it all.
 func (a *Response) write(message []byte) {
-	if len(message) <= inlineBody {
+	if len(message) <= maxInlineMessage {
 		a.writeAll(message)
 
 		return
@@ -101,10 +101,10 @@
 func (a *Response) readHeader(r *Request) error {
 	request := &http.Request{Method: r.Method}
 
-	for range maxStray + 1 {
+	for range maxStrayResponses + 1 {
 		response, err := http.ReadResponse(a.conn.reader, request)
 		if err != nil {
-			a.pool.Counters.garbledAnswer()
+			a.pool.Counters.garbledResponse()
 
 			return merry.Prepend(ErrGarbled, "read answer", merry.WithCause(err))
 		}
@@ -119,9 +119,9 @@
 			return nil
 		}
 
-		a.pool.Counters.strayAnswer()
+		a.pool.Counters.strayResponse()
 
-		if err := skip(response); err != nil {
+		if err := discardResponse(response); err != nil {
 			return err
 		}
 	}
@@ -129,8 +129,8 @@
 	return merry.Prepend(ErrGarbled, "too many answers to other requests")
 }
 
-// skip reads an answer that belongs to an earlier request to its end.
-func skip(response *http.Response) error {
+// discardResponse reads an answer that belongs to an earlier request to its end.
+func discardResponse(response *http.Response) error {
 	defer response.Body.Close() //nolint:errcheck // it was read to its end or fails below
 
 	if response.ContentLength < 0 || response.ContentLength > maxStrayBytes {
@@ -158,7 +158,7 @@
 func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.bodyRead = true
 	}
 
 	return n, err
@@ -184,22 +184,22 @@
 	a.once.Do(func() {
 		// A stop that comes too late means that the connection is being closed.
 		if !a.stop() || !a.reusable() {
-			a.pool.drop(a.conn)
+			a.pool.closeConnection(a.conn)
 
 			return
 		}
 
-		a.pool.put(a.conn, idleTime(a.response.Header.Get("Keep-Alive")))
+		a.pool.putIdle(a.conn, idleTimeout(a.response.Header.Get("Keep-Alive")))
 	})
 }
 
 func (a *Response) reusable() bool {
-	return a.response != nil && a.whole && a.written.Load() && !a.response.Close &&
+	return a.response != nil && a.bodyRead && a.written.Load() && !a.response.Close &&
 		a.response.ProtoAtLeast(1, 1) && a.conn.reader.Buffered() == 0
 }
 
-// idleTime returns how long a connection may idle, from a Keep-Alive header.
-func idleTime(header string) time.Duration {
+// idleTimeout returns how long a connection may idle, from a Keep-Alive header.
+func idleTimeout(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -207,9 +207,9 @@
 		}
 
 		if seconds, err := strconv.Atoi(strings.TrimSpace(value)); err == nil && seconds >= 0 {
-			return time.Duration(float64(seconds) * idleShare * float64(time.Second))
+			return time.Duration(float64(seconds) * idleTimeoutShare * float64(time.Second))
 		}
 	}
 
-	return defaultIdle
+	return defaultIdleTimeout
 }
