--- a/topology/churn_model_test.go
+++ b/topology/churn_model_test.go
@@ -10,19 +10,19 @@
 	"monsoonlever/fleet"
 )
 
-// churn is a fleet some of whose instances are replaced. Each of the others learns at a time
-// of its own which members come and go.
+// churn is a fleet in which some instances are replaced. The other instances learn of joins and
+// removals at different times.
 type churn struct {
 	*model
-	// joinReadAt is when a node learns that a member is there, and removalReadAt that it is gone.
+	// joinReadAt is when a node learns that a member joined, and removalReadAt when it learns
+	// that a member was removed.
 	joinReadAt, removalReadAt map[[2]fleet.InstanceID]time.Time
-	// changes counts how often a node named other leaders than before, and last is what it
-	// named.
+	// changes counts how often a node's leaders changed, and last are its latest leaders.
 	changes map[fleet.InstanceID]int
 	last    map[fleet.InstanceID][]fleet.InstanceID
 }
 
-// maxReadDelay is how long an instance takes at most to read the record of another.
+// maxReadDelay is the longest time until an instance reads the record of another.
 const maxReadDelay = 4500 * time.Millisecond
 
 func newChurn(n, domains int, seed uint64) *churn {
@@ -44,7 +44,8 @@
 	return c
 }
 
-// replace ends an instance, and starts another. Each node reads so at a time of its own.
+// replace terminates an instance and starts another. Each node learns of both at different
+// times.
 func (c *churn) replace(i int) {
 	c.nodes[i].dead = true
 
@@ -63,7 +64,7 @@
 
 	for _, node := range c.nodes {
 		if node.dead {
-			// Records of those that ended before are gone.
+			// Records of instances that terminated before are expired.
 			c.removalReadAt[[2]fleet.InstanceID{replacement.ID, node.member.ID}] = c.now
 		}
 	}
@@ -74,7 +75,8 @@
 	}
 }
 
-// observe plays a span, counts changes of view, and returns for how long views differed.
+// observe simulates the fleet for a duration, counts the changes of leaders at each node and
+// returns for how long nodes disagreed.
 func (c *churn) observe(duration time.Duration) time.Duration {
 	disagreement := time.Duration(0)
 
@@ -114,11 +116,10 @@
 	return text
 }
 
-// Guards against instances that take opinions of who leads from each other in turn, each round
-// anew, while some know of a change and others do not. SIZES=all also prints larger fleets.
+// Guards against instances that keep adopting each other's view of the leaders in turn while
+// some know of a change and others do not. SIZES=all also prints larger fleets.
 func TestLeaderViewsChangeOncePerReplacement(t *testing.T) {
-	// maxChangesPerReplacement is how many changes of view one replaced instance may cost: it goes, and
-	// another comes.
+	// A replacement is a removal and a join, each of which may change the leaders once.
 	const maxChangesPerReplacement, replaced = 2, 3
 
 	type size struct{ instances, domains int }
@@ -160,10 +161,10 @@
 				}
 			}
 
-			t.Logf("%d instances, seed %d: at most %d changes of view at an instance, views differed for %v", size.instances, seed, most, disagreement)
+			t.Logf("%d instances, seed %d: at most %d changes of leaders at an instance, views differed for %v", size.instances, seed, most, disagreement)
 
 			if slices.Contains(checkedSizes, size) && most > maxChangesPerReplacement*replaced {
-				t.Errorf("%d instances, seed %d: got %d changes of view at an instance, want at most %d for %d that were replaced",
+				t.Errorf("%d instances, seed %d: got %d changes of leaders at an instance, want at most %d for %d replacements",
 					size.instances, seed, most, maxChangesPerReplacement*replaced, replaced)
 			}
 		}
--- a/topology/links.go
+++ b/topology/links.go
@@ -11,61 +11,64 @@
 )
 
 const (
-	// uplinkTimeout is how long one that is told waits for a word of the other before it takes
-	// it for silent: a lost word or two at the pace of words, and far less than rules may
-	// be old.
+	// uplinkTimeout is how long an instance waits for a message from a relay that it sends to
+	// before it takes the relay for silent. It allows for one or two lost messages, and is far
+	// shorter than the age that rules may reach.
 	uplinkTimeout = 700 * time.Millisecond
-	// relayTimeout is the same between relays, which tell more others at a slower pace: a
-	// relay that is replaced for one lost word moves what leaders keep.
+	// relayTimeout is the same between relays, which send to more peers at a slower pace.
+	// Replacing a relay after one lost message would move the state that leaders hold.
 	relayTimeout = 1500 * time.Millisecond
-	// subscriptionTTL is how long a member that said nothing more is still told.
+	// subscriptionTTL is how long this instance keeps sending to a member after the member's
+	// last message.
 	subscriptionTTL = 1500 * time.Millisecond
-	// maxUplinkCandidates is how many relays a member turns to while none has answered.
+	// maxUplinkCandidates is how many relays a member tries at the same time while none has
+	// responded.
 	maxUplinkCandidates = 3
-	// silentRelayRetryDelay is how long an assigned relay that did not answer is passed over.
+	// silentRelayRetryDelay is how long an assigned relay that did not respond is skipped.
 	silentRelayRetryDelay = 3 * time.Second
-	// stallThreshold is a pause between two rounds of words after which this instance itself may
-	// have been the silent one.
+	// stallThreshold is the pause between two calls of Plan after which missing messages may be
+	// due to this instance, which sent none itself.
 	stallThreshold = 500 * time.Millisecond
-	// minKnownShare is the part of the instances known here that another has to know to be
-	// believed who leads.
+	// minKnownShare is the share of the instances known here that another instance has to know
+	// before its view of the leaders is accepted.
 	minKnownShare = 0.8
-	// maxEntriesPerMember is how much is remembered of one member at most: when it was
-	// heard, and that it is silent.
+	// maxEntriesPerMember bounds the stored entries per member: the time of its last message,
+	// and its mark as silent.
 	maxEntriesPerMember = 2
-	// viewTTL is how long it counts who leads as another names it: that is said several
-	// times a second, and all that lead may be lost at once.
+	// viewTTL is how long another instance's view of the leaders stays valid. Views are sent
+	// several times a second, and all leaders may be lost at the same time.
 	viewTTL = 3 * time.Second
 )
 
-// Relation is what two instances are to each other in a message.
+// Relation is the relation between sender and receiver that a message is sent under.
 type Relation int
 
 const (
-	// FromRelay messages are those of a relay to one that turned to it.
+	// FromRelay messages go from a relay to one of its subscribers.
 	FromRelay Relation = iota
-	// BetweenRelays messages are those of a relay to another.
+	// BetweenRelays messages go from one relay to another.
 	BetweenRelays
-	// ToRelay messages are those of an instance to the relay that it turned to.
+	// ToRelay messages go from an instance to a relay that it uses or tries as its uplink.
 	ToRelay
 )
 
-// Plan says whom an instance tells, as far as it knows now.
+// Plan is the set of peers that an instance sends to, and the leaders as it currently knows
+// them.
 type Plan struct {
-	// Relay tells that this instance is a relay, and FullMesh that all are.
+	// Relay reports that this instance is a relay, and FullMesh that all instances are.
 	Relay, FullMesh bool
-	// Relays are the other relays where this one is one. Else they are the relays that it
-	// turned to, the first of which counts what it tells.
+	// Relays are the other relays if this instance is a relay. Otherwise they are its uplink,
+	// or the relays that it tries as uplink; state updates go to the first of them.
 	Relays []Member
-	// Subscribers are the members that turned to this instance.
+	// Subscribers are the members that use this instance as their relay.
 	Subscribers []Member
-	// Leaders lead, in the order in which they are asked.
+	// Leaders are the leaders in the order in which requests are sent to them.
 	Leaders []fleet.InstanceID
-	// InstanceCount is how many instances there are.
+	// InstanceCount is the estimated number of instances, including this one.
 	InstanceCount int
 }
 
-// Relation returns what a message of this instance to another is.
+// Relation returns the relation that messages of this instance to another are sent under.
 func (p *Plan) Relation(to fleet.InstanceID) Relation {
 	switch {
 	case !p.Relay:
@@ -77,72 +80,76 @@
 	}
 }
 
-// Peers returns all that this instance tells.
+// Peers returns all members that this instance sends to.
 func (p *Plan) Peers() []Member {
 	return slices.Concat(p.Relays, p.Subscribers)
 }
 
-// IsLeader tells whether an instance leads.
+// IsLeader reports whether an instance is a leader.
 func (p *Plan) IsLeader(id fleet.InstanceID) bool { return slices.Contains(p.Leaders, id) }
 
-// LeaderRank returns the place of an instance among those that lead, or -1.
+// LeaderRank returns the index of an instance among the leaders, or -1.
 func (p *Plan) LeaderRank(id fleet.InstanceID) int { return slices.Index(p.Leaders, id) }
 
-// IsFirstLeader tells whether an instance is the first of those that lead.
+// IsFirstLeader reports whether an instance is the first of the leaders.
 func (p *Plan) IsFirstLeader(id fleet.InstanceID) bool {
 	return len(p.Leaders) > 0 && p.Leaders[0] == id
 }
 
-// Links remembers who was heard directly. Its exported fields are set before its first
-// use; it is safe for concurrent use.
+// Links tracks which instances messages were received from and chooses relays and leaders
+// accordingly. Its exported fields are set before its first use; it is safe for concurrent use.
 type Links struct {
 	Self Member
 
 	mu sync.Mutex
-	// lastReceived is when each was last lastReceived, and awaitedSince since when it has been told without
-	// being lastReceived.
+	// lastReceived is when the last message of each instance was received. awaitedSince is when
+	// this instance began to send to an instance of which no message has been received since.
 	lastReceived, awaitedSince map[fleet.InstanceID]time.Time
-	// silentSince are those that did not answer, and since when. gone are those that have announced
-	// their stop.
+	// silentSince is when each instance that did not respond was marked as silent. stopped are
+	// the instances that announced their stop.
 	silentSince map[fleet.InstanceID]time.Time
 	stopped     map[fleet.InstanceID]bool
-	// subscribers are the members that turned to this instance, and otherRelays those that told
-	// it as one relay tells another, with when they last did.
+	// subscribers are the senders of ToRelay messages and otherRelays those of BetweenRelays
+	// messages, each with the time of the last message.
 	subscribers, otherRelays map[fleet.InstanceID]seenMember
-	// uplink is the relay that answers this instance where it is none, and uplinkCount how
-	// many instances it knows of.
+	// uplink is the relay that this instance is subscribed to, empty if there is none.
+	// uplinkInstanceCount is the number of instances that the uplink reported.
 	uplink              fleet.InstanceID
 	uplinkInstanceCount int
-	// views are the leaders as those that lead, and the uplink, name them. leading are those
-	// of the last plan, and count the instances that it knew.
+	// views are the leaders as reported by each leader and by the uplink. lastLeaders and
+	// instanceCount are those of the last plan.
 	views         map[fleet.InstanceID]view
 	lastLeaders   []fleet.InstanceID
 	instanceCount int
-	// assignedRelays are the relays as a directory names them; nil means that they follow from the
-	// members.
+	// assignedRelays are the relays that a directory names; nil means that they are computed
+	// from the members.
 	assignedRelays []Member
-	// groupSizes are how many instances other relays stand for, themselves included.
+	// groupSizes is the number of instances in the group of each other relay: the relay and its
+	// subscribers.
 	groupSizes map[fleet.InstanceID]int
-	// stopping tells that this instance neither relays nor leads any more.
+	// stopping is set once this instance should be neither relay nor leader.
 	stopping bool
-	// addressedAsRelayAt is when another relay last told this instance as a relay.
+	// addressedAsRelayAt is when a BetweenRelays message was last received.
 	addressedAsRelayAt time.Time
-	// lastPlanAt is when Plan was last called, and anyReceivedAt when any other was heard.
+	// lastPlanAt is when Plan was last called, and anyReceivedAt when the last message of any
+	// instance was received.
 	lastPlanAt, anyReceivedAt time.Time
 }
 
+// seenMember is a member with the time of its last message.
 type seenMember struct {
 	member Member
 	at     time.Time
 }
 
-// view is who leads as another instance knew it at a time.
+// view is the set of leaders that another instance reported, with the time of the report.
 type view struct {
 	leaders []fleet.InstanceID
 	at      time.Time
 }
 
-// MessageReceived takes in that a member was heard directly, and what it takes this instance for.
+// MessageReceived records a message that came directly from a member, and the relation that the
+// member sent it under.
 func (l *Links) MessageReceived(now time.Time, m Member, as Relation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,7 +172,8 @@
 	}
 }
 
-// RecordRead takes in that a member has written a record lately: it may answer again.
+// RecordRead clears the marks of a member as silent or stopped after a recent record of it was
+// read: it may respond again.
 func (l *Links) RecordRead(id fleet.InstanceID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,7 +181,7 @@
 	delete(l.stopped, id)
 }
 
-// PeerStopped takes in that a member stops.
+// PeerStopped records that a member announced its stop.
 func (l *Links) PeerStopped(id fleet.InstanceID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,22 +195,24 @@
 	delete(l.groupSizes, id)
 }
 
-// StepDown makes this instance neither relay nor lead, so that others take its place while it
-// can still answer.
+// StepDown makes this instance neither relay nor leader, so that others take over while it can
+// still respond. In a full mesh it remains a relay.
 func (l *Links) StepDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopping = true
 }
 
-// AssignRelays sets the relays that a directory names. Without any, they follow from the members.
+// AssignRelays sets the relays that a directory names. With nil they are computed from the
+// members.
 func (l *Links) AssignRelays(relays []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.assignedRelays = relays
 }
 
-// GroupSizeReported takes in how many instances another relay stands for, itself included.
+// GroupSizeReported records the number of instances in the group of another relay, the relay
+// included.
 func (l *Links) GroupSizeReported(from fleet.InstanceID, size int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,9 +220,11 @@
 	l.groupSizes[from] = size
 }
 
-// LeadersReported takes in which instances lead as another one knows it, of count that it knows: one
-// that leads itself, or the relay that this one turned to. One that has just started knows
-// few and names itself; it is passed over.
+// LeadersReported records the leaders that another instance reported, and the number of
+// instances that it knows. It accepts the view of the uplink, and of an instance that is a
+// leader in its own view. It rejects the view of an instance that knows too few others, because
+// an instance that has just started names itself. A rejected report also discards the sender's
+// earlier view.
 func (l *Links) LeadersReported(now time.Time, from fleet.InstanceID, leaders []fleet.InstanceID, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -232,8 +244,7 @@
 	l.views[from] = view{leaders: leaders, at: now}
 }
 
-// Reachable reports whether a message of an instance was received within the patience between
-// relays.
+// Reachable reports whether a message of an instance was received within relayTimeout.
 func (l *Links) Reachable(now time.Time, id fleet.InstanceID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -243,7 +254,7 @@
 	return ok && now.Sub(at) <= relayTimeout
 }
 
-// Connected tells whether this instance hears what others tell.
+// Connected reports whether a message of any instance was received within relayTimeout.
 func (l *Links) Connected(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -251,8 +262,9 @@
 	return now.Sub(l.anyReceivedAt) <= relayTimeout
 }
 
-// Plan returns whom to tell now, of the members that are known. What it returns is told
-// until the next call: who does not answer is silent.
+// Plan returns the peers to send to, given the known members. The caller sends to them until
+// the next call: Plan marks a peer as silent that does not respond within the timeout of its
+// link.
 func (l *Links) Plan(now time.Time, members []Member) *Plan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -278,12 +290,13 @@
 
 	relays := responding
 	if fullMesh {
-		// Few instances go on sharing limits while one of them stops.
+		// In a full mesh an instance that stops keeps its share of the limits until it has
+		// stopped.
 		relays = l.ranked(members, true, func(fleet.InstanceID) bool { return true })
 	}
 
 	plan := &Plan{FullMesh: fullMesh, InstanceCount: count}
-	// Others may have found sooner that this instance takes the place of a silent relay.
+	// Other relays may have detected before this instance that it replaces a silent relay.
 	plan.Relay = fullMesh || slices.ContainsFunc(relays, l.isSelf) || !l.stopping && now.Sub(l.addressedAsRelayAt) <= subscriptionTTL
 	plan.Leaders = l.chooseLeaders(now, members, responding, func() []Member {
 		return l.ranked(members, eligible, func(id fleet.InstanceID) bool {
@@ -297,7 +310,8 @@
 	return plan
 }
 
-// chooseRelays returns the relays that this instance sends to: the others where it is one.
+// chooseRelays returns the relays that this instance sends to: all other relays if it is a
+// relay, otherwise its uplink or the relays that it tries as uplink.
 func (l *Links) chooseRelays(now time.Time, plan *Plan, relays []Member) []Member {
 	if !plan.Relay {
 		return l.chooseUplink(now, PreferredRelays(l.Self, relays))
@@ -314,8 +328,9 @@
 	return append(others, l.activeMembers(now, l.otherRelays, others)...)
 }
 
-// countInstances returns how many instances there are: those that are known where an instance knows
-// them all, and otherwise what the relays stand for.
+// countInstances returns the number of instances. Without assigned relays all members are known
+// and counted. With assigned relays it is the number that the uplink reported or, without an
+// uplink, the sum of the group sizes of the relays that respond.
 func (l *Links) countInstances(members []Member) int {
 	count := 1
 
@@ -340,7 +355,7 @@
 	return count
 }
 
-// relaysAmong returns the relays among ranked members.
+// relaysAmong returns the relays among ranked members. Assigned relays are relays already.
 func (l *Links) relaysAmong(ranked []Member) []Member {
 	if l.assignedRelays != nil {
 		return ranked
@@ -349,8 +364,8 @@
 	return RelaysOf(ranked)
 }
 
-// GroupSizes returns how many instances this one stands for as a relay, by failure domain, and
-// those among them that turned to it.
+// GroupSizes returns the number of instances in the group of this instance as a relay, itself
+// included, by failure domain, and its subscribers.
 func (l *Links) GroupSizes(now time.Time) (map[fleet.FailureDomain]int, []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -365,8 +380,9 @@
 	return sizes, subscribers
 }
 
-// resetAfterStall forgives all who did not answer where this instance itself told nobody for a
-// while, as after it stood still.
+// resetAfterStall restarts the wait for all awaited messages if Plan was not called for longer
+// than stallThreshold, as after a pause of the process: this instance sent nothing that others
+// could have responded to.
 func (l *Links) resetAfterStall(now time.Time) {
 	if now.Sub(l.lastPlanAt) > stallThreshold {
 		clear(l.awaitedSince)
@@ -375,8 +391,9 @@
 	l.lastPlanAt = now
 }
 
-// retrySilentRelays has relays asked again that did not answer for a while, or all of them where none
-// answers: no record of an assigned relay shows that it may answer again.
+// retrySilentRelays clears the silent mark of assigned relays after silentRelayRetryDelay, or
+// of all relays if none responds. No record of an assigned relay is read that could clear the
+// mark.
 func (l *Links) retrySilentRelays(now time.Time) {
 	noneResponds := !slices.ContainsFunc(l.assignedRelays, func(m Member) bool {
 		return !l.isSelf(m) && l.silentSince[m.ID].IsZero() && !l.stopped[m.ID]
@@ -387,8 +404,8 @@
 	})
 }
 
-// evictNonMembers drops what is remembered of instances that are no members, once that is more
-// than of those that are: instances are replaced for as long as this one runs.
+// evictNonMembers deletes the entries of instances that are no members once there are more than
+// maxEntriesPerMember for each member. Instances are replaced for as long as this one runs.
 func (l *Links) evictNonMembers(members []Member) {
 	if len(l.lastReceived)+len(l.silentSince)+len(l.stopped) <= maxEntriesPerMember*(len(members)+1) {
 		return
@@ -407,7 +424,8 @@
 	maps.DeleteFunc(l.groupSizes, func(id fleet.InstanceID, _ int) bool { return !known[id] })
 }
 
-// ranked returns the members that fit, and this one if it takes part, in their rank.
+// ranked returns the members for which include returns true, and this instance if includeSelf
+// is set, in rank order.
 func (l *Links) ranked(members []Member, includeSelf bool, include func(fleet.InstanceID) bool) []Member {
 	ranked := make([]Member, 0, len(members)+1)
 
@@ -426,10 +444,11 @@
 
 func (l *Links) isSelf(m Member) bool { return m.ID == l.Self.ID }
 
-// chooseLeaders returns who leads, as the first in rank of those that lead names them: instances
-// learn at different times which members come and go, and by the newest view alone each would
-// take those of two chooseLeaders in turn. One that turned to a relay goes by that alone. Without any
-// view the relays that answer lead.
+// chooseLeaders returns the leaders. A subscriber uses the view of its uplink, unless the view
+// names the subscriber itself. Otherwise the view of the leader that is first in rank counts:
+// instances learn of joining and leaving members at different times, and an instance that
+// followed the newest view would alternate between the views of two leaders. Without any view
+// the leaders are chosen among the responding relays.
 func (l *Links) chooseLeaders(now time.Time, members, responding []Member, knownMembers func() []Member) []fleet.InstanceID {
 	maps.DeleteFunc(l.views, func(_ fleet.InstanceID, v view) bool { return now.Sub(v.at) > viewTTL })
 
@@ -461,10 +480,11 @@
 	return leadersOf(responding)
 }
 
-// ownView returns who leads by what this instance knows, where it leads itself. One that was
-// heard before and is silent now is dropped only once it writes no records either, since what
-// it keeps must not be kept twice. An instance leads once others name it, and gives way where
-// one of those that lead with it names others.
+// ownView returns the leaders that this instance computes from the members that it knows, or
+// nil if it is no leader. Outside a full mesh, an instance that was reachable before and is
+// silent now stays a candidate until it writes no records either, because the state that a
+// leader holds must not be held twice. This instance becomes a leader once another view names
+// it, and yields if one of its co-leaders has a view without it.
 func (l *Links) ownView(knownMembers func() []Member) []fleet.InstanceID {
 	named := slices.Contains(l.lastLeaders, l.Self.ID)
 	for _, v := range l.views {
@@ -502,16 +522,16 @@
 	}
 }
 
-// chooseUplink keeps to a relay that answers while it is preferred, and turns to the
-// next ones that are not known to be silent otherwise.
+// chooseUplink returns the current uplink while it responds. Otherwise it chooses the most
+// preferred relay that responds or, if none does, returns the first maxUplinkCandidates relays
+// to try.
 func (l *Links) chooseUplink(now time.Time, relays []Member) []Member {
 	for _, m := range relays {
 		if now.Sub(l.lastReceived[m.ID]) > uplinkTimeout {
 			continue
 		}
 
-		// One of the domain's relays answers. It is kept to, also if another that is
-		// preferred comes back.
+		// Keep the uplink while it responds, even if a more preferred relay responds again.
 		if m.ID == l.uplink || l.uplink == "" || !l.uplinkResponds(now, relays) {
 			l.uplink = m.ID
 			l.await(now, m.ID, uplinkTimeout)
@@ -527,7 +547,7 @@
 	return slices.Clone(chosen)
 }
 
-// uplinkResponds tells whether the uplink is one of some relays and uplinkResponds.
+// uplinkResponds reports whether the uplink is one of the given relays and responds.
 func (l *Links) uplinkResponds(now time.Time, relays []Member) bool {
 	return now.Sub(l.lastReceived[l.uplink]) <= uplinkTimeout &&
 		slices.ContainsFunc(relays, func(m Member) bool { return m.ID == l.uplink })
@@ -539,7 +559,8 @@
 	}
 }
 
-// await notes that a member is told, and that it is silent if it has not been heard since.
+// await records that this instance sends to a member, and marks the member as silent if no
+// message of it was received within timeout.
 func (l *Links) await(now time.Time, id fleet.InstanceID, timeout time.Duration) {
 	since, ok := l.awaitedSince[id]
 
@@ -553,7 +574,8 @@
 	}
 }
 
-// activeMembers returns those that were heard of late and are not told already.
+// activeMembers returns the members seen within subscriptionTTL that are not in exclude, sorted
+// by ID, and deletes expired entries.
 func (l *Links) activeMembers(now time.Time, seen map[fleet.InstanceID]seenMember, exclude []Member) []Member {
 	var members []Member
 
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -13,16 +13,18 @@
 // crashingRequest is the request that ends each server which begins it, and propagationLimit the time in
 // which operators want all instances to know.
 const (
-	crashingRequest  = quarantine.Fingerprint(1)
+	// crashingRequest terminates each server that begins it.
+	crashingRequest = quarantine.Fingerprint(1)
+	// propagationLimit is the time within which all instances have to quarantine the request.
 	propagationLimit = time.Second
 )
 
-// lossModel is a fleet whose instances tell each other of servers that ended.
+// lossModel is a fleet whose instances send each other updates of servers that crashed.
 type lossModel struct {
 	*model
 	ledgers    []*quarantine.Ledger
 	nextSendAt []time.Time
-	// crashedAt is when each server crashedAt under the harmful request.
+	// crashedAt is when each server crashed under crashingRequest.
 	crashedAt []time.Time
 }
 
@@ -36,7 +38,7 @@
 	return m
 }
 
-// step plays one step of the fleet, and tells what is to be told.
+// step simulates one tick of the fleet and sends pending updates.
 func (m *lossModel) step() {
 	m.run(tick)
 
@@ -61,7 +63,8 @@
 	}
 }
 
-// receiveRequest lets the harmful request come to an instance.
+// receiveRequest has an instance receive crashingRequest and send it to a server unless the
+// request is quarantined.
 func (m *lossModel) receiveRequest(i int) {
 	if _, held := m.ledgers[i].Quarantined(m.now, crashingRequest); held || m.nodes[i].dead {
 		return
@@ -72,8 +75,8 @@
 	m.ledgers[i].RecordLoss(m.now, crashingRequest, server, quarantine.Strong)
 }
 
-// lateSends returns how often the request was sent on later than contact after the third
-// server had ended under it.
+// lateSends returns how often the request was sent later than propagationLimit after the third
+// server had crashed under it.
 func (m *lossModel) lateSends() int {
 	n := 0
 
@@ -86,8 +89,9 @@
 	return n
 }
 
-// A request that ends its servers may come at any instance, however many they are: once it
-// has ended three, all know within a second, with two in a hundred messages lost.
+// A request that crashes its servers may arrive at any instance. Once it has crashed three
+// servers, all instances quarantine it within a second at any fleet size, with 2 % of the
+// messages lost.
 func TestCrashingRequestIsKnownEverywhere(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{9, 4}, {80, 4}, {195, 6}, {410, 5}} {
 		for seed := range 5 {
@@ -107,17 +111,17 @@
 			}
 
 			if seed == 0 {
-				t.Logf("%d instances: all know after %v", size.instances, m.now.Sub(thirdCrashAt))
+				t.Logf("%d instances: all quarantine after %v", size.instances, m.now.Sub(thirdCrashAt))
 			}
 
 			if got := m.now.Sub(thirdCrashAt); got > propagationLimit {
-				t.Errorf("%d instances, seed %d: got %v until all know, want at most %v", size.instances, seed, got, propagationLimit)
+				t.Errorf("%d instances, seed %d: got %v until all quarantine, want at most %v", size.instances, seed, got, propagationLimit)
 			}
 		}
 	}
 }
 
-// countQuarantining returns how many instances hold a request off.
+// countQuarantining returns how many instances quarantine a request.
 func (m *lossModel) countQuarantining(f quarantine.Fingerprint) int {
 	n := 0
 
@@ -130,9 +134,9 @@
 	return n
 }
 
-// While instances, and a whole failure domain with its relays, are lost, a request that
-// comes ten times a second reaches servers at most three times once it has ended three and
-// a second has passed.
+// A failure domain with its relays is lost while a request that crashes its servers arrives ten
+// times a second. Later than a second after the third crash, at most three more sends reach
+// servers.
 func TestCrashingRequestStaysQuarantinedDuringRelayLoss(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{9, 4}, {80, 4}, {195, 6}} {
 		m := newLossModel(size.instances, size.domains)
@@ -154,10 +158,10 @@
 			m.step()
 		}
 
-		t.Logf("%d instances: %d servers ended, %d later than %v", size.instances, len(m.crashedAt), m.lateSends(), propagationLimit)
+		t.Logf("%d instances: %d servers crashed, %d later than %v", size.instances, len(m.crashedAt), m.lateSends(), propagationLimit)
 
 		if got := m.lateSends(); got > 3 {
-			t.Errorf("%d instances: got %d sends, want at most 3", size.instances, got)
+			t.Errorf("%d instances: got %d late sends, want at most 3", size.instances, got)
 		}
 	}
 }
--- a/topology/model_test.go
+++ b/topology/model_test.go
@@ -13,34 +13,36 @@
 var begin = time.Unix(1000, 0)
 
 const (
-	// tick is the step of the model, and the others the pace of words and news as they are
-	// sent: at least so much time between two, and so much for each peer.
+	// tick is the step of the simulation. The intervals are the pace of messages and state
+	// updates: a least interval between two, and an interval for each peer.
 	tick                   = 10 * time.Millisecond
 	messageInterval        = 150 * time.Millisecond
 	messageIntervalPerPeer = 6 * time.Millisecond
 	updateInterval         = 20 * time.Millisecond
 	updateIntervalPerPeer  = 4 * time.Millisecond
-	// lossPercent is how many of a hundred messages are lossPercent.
+	// lossPercent is the percentage of messages that are lost.
 	lossPercent = 2
 )
 
-// modelNode is one instance: it tells its peers words, and news of what it knows.
+// modelNode is one instance, which sends messages and updates of its known state to its peers.
 type modelNode struct {
 	member Member
 	links  Links
 	dead   bool
 	plan   *Plan
-	// nextMessageAt and nextUpAt and nextDownAt are when it tells next.
+	// nextMessageAt, nextUpAt and nextDownAt are when the node next sends messages, updates to
+	// relays and updates to subscribers.
 	nextMessageAt, nextUpAt, nextDownAt time.Time
-	// known is the step of the newest state of each instance that has come here. Own and
-	// subscribers' states go up, all go down.
+	// known is the step of the newest received state of each instance, which goes down to the
+	// subscribers. group is the same for the node itself and its subscribers, which goes up to
+	// the relays.
 	known []int32
 	group map[int]int32
 	// sent counts messages.
 	sent int
 }
 
-// model is a fleet on which every instance's state changes all the time.
+// model is a fleet in which the state of every instance changes in every step.
 type model struct {
 	nodes   []*modelNode
 	members []Member
@@ -48,7 +50,7 @@
 	random  *rand.Rand
 	now     time.Time
 	step    int32
-	// cut tells whether a message between two is cut off.
+	// cut reports whether messages from one node to another are dropped.
 	cut func(from, to *modelNode) bool
 	// view returns the members that a node knows.
 	view func(node *modelNode) []Member
@@ -138,7 +140,7 @@
 
 func (n *modelNode) learn(i int, at int32) { n.known[i] = max(n.known[i], at) }
 
-// run plays a span.
+// run simulates the fleet for a duration.
 func (m *model) run(duration time.Duration) {
 	for end := m.now.Add(duration); m.now.Before(end); m.now, m.step = m.now.Add(tick), m.step+1 {
 		for i, node := range m.nodes {
@@ -163,7 +165,8 @@
 	}
 }
 
-// ageQuantile returns how old what the living know of each other is, at a share of all pairs.
+// ageQuantile returns a quantile of the age of the state that each live node knows of each
+// other live node.
 func (m *model) ageQuantile(share float64) time.Duration {
 	var ages []time.Duration
 
@@ -184,7 +187,8 @@
 	return ages[int(share*float64(len(ages)-1))]
 }
 
-// maxSentPerSecond returns the most messages that instances of a kind have maxSentPerSecond in a second.
+// maxSentPerSecond returns the largest number of messages a second that any relay, or any node
+// that is no relay, has sent.
 func (m *model) maxSentPerSecond(relays bool, duration time.Duration) int {
 	most := 0
 
@@ -203,9 +207,9 @@
 	}
 }
 
-// With all telling each other, an instance of 195 has a word of each other in 1.2 s and one
-// of 410 in 2.5 s. With relays what instances know of each other is younger than 300 ms for
-// 99 in 100 pairs, with two in a hundred messages lost, at any size.
+// In a full mesh each instance would receive a message of each other every 1.2 s in a fleet of
+// 195 instances and every 2.5 s in one of 410. With relays the known state is younger than 300
+// ms for 99 of 100 pairs at any fleet size, with 2 % of the messages lost.
 func TestStateAgeIsBoundedAtAnyFleetSize(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{13, 4}, {80, 4}, {195, 6}, {410, 5}} {
 		m := newModel(size.instances, size.domains)
@@ -217,10 +221,10 @@
 			worst = max(worst, m.ageQuantile(0.99))
 		}
 
-		t.Logf("%d instances: age at 99 in 100 %v", size.instances, worst)
+		t.Logf("%d instances: 99th percentile of the state age %v", size.instances, worst)
 
 		if worst > 300*time.Millisecond {
-			t.Errorf("%d instances: got an age of %v at 99 in 100, want at most 300 ms", size.instances, worst)
+			t.Errorf("%d instances: got a 99th percentile of the state age of %v, want at most 300 ms", size.instances, worst)
 		}
 	}
 }
@@ -237,20 +241,21 @@
 		m.run(duration)
 
 		sent[size.instances] = [2]int{m.maxSentPerSecond(false, duration), m.maxSentPerSecond(true, duration)}
-		t.Logf("%d instances: %d messages a second of one that is no relay, %d of a relay",
+		t.Logf("%d instances: %d messages a second of an instance that is no relay, %d of a relay",
 			size.instances, sent[size.instances][0], sent[size.instances][1])
 	}
 
 	// Five times the instances may cost 1.4 times as much: the power 0.2.
 	for kind, name := range []string{"no relay", "a relay"} {
+		// Five times the instances may cost 1.4 times as many messages: the power 0.2.
 		if few, many := sent[80][kind], sent[410][kind]; float64(many) > 1.4*float64(few)+1 {
-			t.Errorf("messages a second of %s: got %d of 410 instances and %d of 80, want at most 1.4 times as many", name, many, few)
+			t.Errorf("messages a second of %s: got %d in a fleet of 410 and %d in a fleet of 80, want at most 1.4 times as many", name, many, few)
 		}
 	}
 }
 
-// When a failure domain is lost, its relays with it, or more than half of all instances, or
-// just all relays, the others know each other again in seconds.
+// After the loss of a failure domain with its relays, of more than half of all instances, or of
+// all relays, the remaining instances receive recent state of each other again within seconds.
 func TestLostRelaysAreReplaced(t *testing.T) {
 	for name, tt := range map[string]struct {
 		killed      func(m *model, node *modelNode) bool
@@ -285,18 +290,19 @@
 				}
 			}
 
-			t.Logf("news at 99 in 100 is older than 400 ms for %v, and %v old at most", recovered, worst)
+			t.Logf("99th percentile of the state age above 400 ms for %v, at most %v", recovered, worst)
 
 			if recovered > tt.maxRecovery {
-				t.Errorf("news is old for %v, want %v at most", recovered, tt.maxRecovery)
+				t.Errorf("state is outdated for %v, want at most %v", recovered, tt.maxRecovery)
 			}
 		})
 	}
 }
 
-// After a start of all, each instance knows only itself until it has read the records, and
-// many believe in some that have ended: the larger ones, which would lead. Within seconds
-// five lead, all know the same ones, and that stays so.
+// After a restart of the whole fleet each instance knows only itself until it has read the
+// records. Many also know members that have terminated, which are larger and would be leaders.
+// Within seconds there are three to five leaders, every instance knows at least three of them,
+// and that stays so.
 func TestLeadersConvergeAfterFleetRestart(t *testing.T) {
 	for seed := range uint64(4) {
 		m := newModel(80, 5)
@@ -322,7 +328,7 @@
 			}
 
 			if node.plan != nil && node.plan.IsLeader(node.member.ID) && m.now.Sub(begin) > 7*time.Second {
-				// Those that lead follow the records.
+				// Leaders keep reading the records.
 				return m.members
 			}
 
@@ -350,7 +356,7 @@
 	}
 
 	if leading < 3 || leading > maxLeading {
-		t.Fatalf("seed %d, %v after the start: got %d that lead, want 3 to %d", seed, m.now.Sub(begin), leading, maxLeading)
+		t.Fatalf("seed %d, %v after the start: got %d leaders, want 3 to %d", seed, m.now.Sub(begin), leading, maxLeading)
 	}
 
 	for _, node := range m.nodes {
@@ -362,21 +368,22 @@
 			}
 		}
 
-		// While they change, one that answers is enough.
+		// During a change one leader that responds is enough.
 		minKnown := 3
 		if maxLeading > maxLeaders {
 			minKnown = 1
 		}
 
 		if known < minKnown {
-			t.Fatalf("seed %d, %v after the start: %s knows %d of %d that lead, want %d",
+			t.Fatalf("seed %d, %v after the start: %s knows %d of %d leaders, want %d",
 				seed, m.now.Sub(begin), node.member.ID, known, leading, minKnown)
 		}
 	}
 }
 
-// While instances stop and start again in turn, ten at a time, those that lead among them,
-// three of those that lead are there at any time, and all know them.
+// Ten instances at a time stop and start again, leaders among them. At any time at least three
+// leaders are running, and every instance knows one of them, or three once the change of leaders
+// is over.
 func TestLeadersPersistDuringRollingRestart(t *testing.T) {
 	m := newModel(80, 5)
 	m.run(2 * time.Second)
@@ -387,7 +394,7 @@
 		return slices.DeleteFunc(slices.Clone(m.members), func(member Member) bool {
 			at, ok := stopped[m.index[member.ID]]
 
-			// One that stops says so to all that it tells.
+			// An instance that stops announces it to all its peers.
 			return ok && m.now.Sub(at) > 300*time.Millisecond && node.member.ID != member.ID
 		})
 	}
@@ -401,7 +408,7 @@
 		for i := range 20 {
 			m.run(100 * time.Millisecond)
 
-			// Those that give way and those that take their place may lead together at first.
+			// Leaders that step down and their replacements may overlap at first.
 			most := 2 * maxLeaders
 			if i >= 10 {
 				most = maxLeaders
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -1,29 +1,31 @@
-// Package topology decides which entry instances tell each other what.
+// Package topology decides which entry instances exchange messages directly.
 //
-// A few instances are all relays: each tells each. Of many, each failure domain has a
-// few relays, which tell each other, and every other instance tells one relay and is
-// told by it. So what one instance sends and reads hardly grows with their number: with
-// 410 instances in five domains, one that is no relay exchanges messages with one other,
-// and a relay with 40 (TestMessagesHardlyGrowWithTheFleet). Any instance may be a relay:
-// all that know the same members name the same ones, and one that falls silent is
-// replaced by the next. A member whose relay is silent turns to another at once.
+// Up to FullMeshMax instances form a full mesh: each instance sends to every other. In larger
+// fleets each failure domain has a few relays, the relays form a mesh, and every other instance
+// subscribes to one relay, which it sends to and receives from. The number of messages that one
+// instance sends and receives therefore hardly grows with the fleet: of 410 instances in five
+// failure domains, an instance that is no relay exchanges messages with one peer, and a relay
+// with 40 (TestMessageRateGrowsSublinearly). Any instance can be a relay: all instances that
+// know the same members choose the same relays, and a relay that falls silent is replaced by
+// the next in rank. A member whose relay is silent immediately tries other relays.
 //
-// The relays follow from the members where an instance knows them all, or are assigned to
-// it by a directory.
+// An instance that knows all members computes the relays from them. Otherwise a directory
+// assigns the relays.
 //
-// Five of the relays lead: they read the platform's store for all, hold the duties and
-// keep the limits of client accounts.
+// Five of the relays are leaders: they read the platform's store on behalf of all instances,
+// hold the duties and coordinate the limits of client accounts.
 //
-// Links is a step: members and messages with their times go in, a Plan comes out.
+// Links is a deterministic state machine: members and received messages with their times are its input,
+// a Plan is its output.
 //
 // # Usage
 //
-//	links := &topology.Links{Self: "entry-1"}
+//	links := &topology.Links{Self: self}
 //	plan := links.Plan(now, members)
 //	for _, peer := range plan.Peers() {
 //		send(peer.Address, message)
 //	}
-//	links.Heard(now, from, topology.ToRelay)
+//	links.MessageReceived(now, from, topology.ToRelay)
 package topology
 
 import (
@@ -37,37 +39,39 @@
 )
 
 const (
-	// FullMeshMax is the number of instances up to which each tells each: 12 of them send no
-	// more messages than a relay does.
+	// FullMeshMax is the largest number of instances that form a full mesh: 12 instances in a
+	// full mesh send no more messages than a relay does.
 	FullMeshMax = 12
-	// minRelaysPerDomain is the least number of relays of a failure domain: while one is
-	// lost its members turn to the other.
+	// minRelaysPerDomain lets the members of a failure domain switch to the second relay while
+	// the first is lost.
 	minRelaysPerDomain = 2
-	// membersPerRelay bounds how many members a relay tells: the more they are, the older
-	// is their news (TestNewsIsYoungHoweverManyInstances).
+	// membersPerRelay bounds the members per relay: the more members a relay sends to, the
+	// older is the state that they receive (TestStateAgeIsBoundedAtAnyFleetSize).
 	membersPerRelay = 20
-	// maxLeaders is how many instances lead: some may be frozen, cut off from the store or
-	// killed at once.
+	// maxLeaders leaves working leaders when several of them hang, lose the store or are killed
+	// at the same time.
 	maxLeaders = 5
 )
 
-// Member is an entry instance as others know it.
+// Member describes an entry instance to other instances.
 type Member struct {
 	ID     fleet.InstanceID
 	Domain fleet.FailureDomain
-	// Address is where it hears others; the zero value is not known.
+	// Address is where the instance receives messages; the zero value is unknown.
 	Address netip.AddrPort
-	// Cores is its share of processor cores. Larger instances relay and lead first.
+	// Cores is the instance's share of processor cores. Larger instances are preferred as
+	// relays and leaders.
 	Cores float64
 }
 
-// hashedMember is a member with the hash of its id.
+// hashedMember is a member with the hash of its ID.
 type hashedMember struct {
 	Member
 	hash uint64
 }
 
-// Rank orders members alike for all that know them: the larger first, then by hash.
+// Rank sorts members by decreasing cores, then by the hash of their ID, so that all instances
+// that know the same members get the same order.
 func Rank(members []Member) []Member {
 	ranked := make([]hashedMember, 0, len(members))
 	for _, m := range members {
@@ -86,13 +90,14 @@
 	return ordered
 }
 
-// TargetRelays is how many relays a failure domain of some instances should have, one of a
-// number of domains.
+// TargetRelays returns how many relays a failure domain with the given number of instances
+// should have, in a fleet of the given number of domains.
 func TargetRelays(instances, domains int) int {
 	return max(minRelaysPerDomain, ceilDiv(instances, membersPerRelay), ceilDiv(maxLeaders, max(domains, 1)))
 }
 
-// RelaysOf returns the relays of ranked members, in their order.
+// RelaysOf chooses the relays among ranked members and returns them in rank order. In a full
+// mesh every member is a relay.
 func RelaysOf(ranked []Member) []Member {
 	if len(ranked) <= FullMeshMax {
 		return ranked
@@ -117,11 +122,11 @@
 	return relays
 }
 
-// ceilDiv divides and rounds up.
+// ceilDiv returns a divided by b, rounded up.
 func ceilDiv(a, b int) int { return (a + b - 1) / b }
 
-// leadersOf returns those of the relays that lead: one of each failure domain in turn,
-// since a domain may be lost as a whole.
+// leadersOf chooses the leaders among relays in rank order. It takes one relay of each failure
+// domain in turn, because a whole domain may be lost.
 func leadersOf(relays []Member) []fleet.InstanceID {
 	var ids []fleet.InstanceID
 
@@ -148,8 +153,9 @@
 	return ids
 }
 
-// PreferredRelays orders relays for a member that is none: those of its own domain first,
-// each member in an order of its own, so that they spread over the relays.
+// PreferredRelays orders relays by the preference of a member that is no relay: relays of its
+// own failure domain first, then by a hash that differs from member to member and so spreads
+// the members over the relays.
 func PreferredRelays(self Member, relays []Member) []Member {
 	ordered := slices.Clone(relays)
 	slices.SortStableFunc(ordered, func(a, b Member) int {
@@ -167,8 +173,9 @@
 	return ordered
 }
 
-// PairWeight is the weight of one instance for another: of several instances each other one
-// prefers that of the greatest weight, so that they spread.
+// PairWeight returns the rendezvous hash of an instance and another instance: an instance that
+// chooses among several others prefers the one with the greatest weight, which spreads the
+// choices.
 func PairWeight(self, other fleet.InstanceID) uint64 {
 	return xxhash.Sum64String(string(self) + "\x00" + string(other))
 }
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -12,7 +12,7 @@
 
 func instanceID(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("entry-", i)) }
 
-// fleetOf returns n members in some failure domains, in any order.
+// fleetOf returns n members that are distributed over the failure domains in turn.
 func fleetOf(n, domains int) []Member {
 	members := make([]Member, 0, n)
 
@@ -32,21 +32,21 @@
 
 func TestAllInstancesComputeSameLeaders(t *testing.T) {
 	if plan := planOf(Member{ID: "entry-3"}, nil); !plan.IsLeader("entry-3") {
-		t.Error("nobody is known: got no lead, want one")
+		t.Error("no members known: got not leader, want leader")
 	}
 
 	members := fleetOf(40, 4)
 	want := planOf(members[0], members).Leaders
 
 	if len(want) != maxLeaders {
-		t.Errorf("leading: got %d, want %d", len(want), maxLeaders)
+		t.Errorf("leaders: got %d, want %d", len(want), maxLeaders)
 	}
 
 	slices.Reverse(members)
 
 	for _, self := range members {
 		if got := planOf(self, members).Leaders; !slices.Equal(got, want) {
-			t.Errorf("leaders by %s: got %v, want %v", self.ID, got, want)
+			t.Errorf("leaders computed by %s: got %v, want %v", self.ID, got, want)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	}
 
 	if len(domains) != maxLeaders {
-		t.Errorf("failure domains with leaders: got %v, want %d with one each", domains, maxLeaders)
+		t.Errorf("failure domains with leaders: got %v, want %d with one leader each", domains, maxLeaders)
 	}
 }
 
@@ -71,7 +71,7 @@
 	members[17].Cores = 0.8
 
 	if got := planOf(members[3], members).Leaders; got[0] != members[17].ID {
-		t.Errorf("leaders: got %v, want the larger %s first", got, members[17].ID)
+		t.Errorf("leaders: got %v, want the largest instance %s first", got, members[17].ID)
 	}
 }
 
@@ -79,7 +79,7 @@
 	for domains := range 8 {
 		members := fleetOf(40, domains+1)
 		if got := len(planOf(members[0], members).Leaders); got != maxLeaders {
-			t.Errorf("%d failure domains: got %d that lead, want %d", domains+1, got, maxLeaders)
+			t.Errorf("%d failure domains: got %d leaders, want %d", domains+1, got, maxLeaders)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	for _, self := range members {
 		plan := planOf(self, members)
 		if !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
-			t.Errorf("%s: got relay %t with %d others, want all to tell each other", self.ID, plan.Relay, len(plan.Relays))
+			t.Errorf("%s: got relay %t with %d peers, want a full mesh", self.ID, plan.Relay, len(plan.Relays))
 		}
 	}
 }
@@ -105,7 +105,7 @@
 			if plan.Relay {
 				relays++
 			} else if got := plan.Relays[0]; got.Domain != self.Domain {
-				t.Errorf("%s in %s: got a relay in %s, want one of its own domain", self.ID, self.Domain, got.Domain)
+				t.Errorf("%s in %s: got a relay in %s, want a relay in its own domain", self.ID, self.Domain, got.Domain)
 			}
 		}
 
@@ -115,8 +115,8 @@
 	}
 }
 
-// One of many that stops neither relays nor leads, while it can still answer; few go on
-// telling each other.
+// In a large fleet an instance that stops is neither relay nor leader while it can still
+// respond. In a full mesh it stays a relay.
 func TestStoppingLeaderIsReplacedImmediately(t *testing.T) {
 	members := fleetOf(80, 4)
 	leader := planOf(members[0], members).Leaders[0]
@@ -126,12 +126,12 @@
 	l.StepDown()
 
 	if plan := l.Plan(begin, members); plan.Relay || plan.IsLeader(leader) || len(plan.Leaders) != maxLeaders {
-		t.Errorf("while it stops: got relay %t, leaders %v, want others to lead", plan.Relay, plan.Leaders)
+		t.Errorf("plan of the stopping leader: got relay %t, leaders %v, want others as leaders", plan.Relay, plan.Leaders)
 	}
 
 	others := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.ID == leader })
 	if got := planOf(others[0], others).Leaders; slices.Contains(got, leader) || len(got) != maxLeaders {
-		t.Errorf("by others: got %v, want five without %s", got, leader)
+		t.Errorf("plan of another instance: got %v, want five leaders without %s", got, leader)
 	}
 
 	few := fleetOf(FullMeshMax, 4)
@@ -139,11 +139,12 @@
 	l.StepDown()
 
 	if plan := l.Plan(begin, few); !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
-		t.Errorf("one of few that stops: got relay %t with %d others, want all", plan.Relay, len(plan.Relays))
+		t.Errorf("stopping instance of a full mesh: got relay %t with %d peers, want all", plan.Relay, len(plan.Relays))
 	}
 }
 
-// Among few instances one that stops still shares limits, and must neither lead nor grant.
+// In a full mesh an instance that stops still shares the limits, but must neither lead nor
+// grant.
 func TestStoppedPeerInFullMeshIsNoLeader(t *testing.T) {
 	few := fleetOf(4, 2)
 	leading := planOf(few[0], few).Leaders[0]
@@ -155,12 +156,12 @@
 
 	plan := l.Plan(begin, few)
 	if plan.IsLeader(leading) || len(plan.Relays) != len(few)-1 {
-		t.Errorf("got leaders %v and %d others, want %s to share and not to lead", plan.Leaders, len(plan.Relays), leading)
+		t.Errorf("got leaders %v and %d relays, want %s as relay but not as leader", plan.Leaders, len(plan.Relays), leading)
 	}
 }
 
-// Instances are replaced for as long as one runs: what it remembers of those that are gone
-// does not grow.
+// Guards against entries of removed instances that accumulate: instances are replaced for as
+// long as one runs.
 func TestLinksEvictRemovedMembers(t *testing.T) {
 	members := fleetOf(80, 4)
 	l := &Links{Self: members[0]}
@@ -177,11 +178,11 @@
 	}
 
 	if got, most := len(l.lastReceived)+len(l.silentSince), maxEntriesPerMember*(len(members)+1); got > most {
-		t.Errorf("remembered: got %d times and marks, want at most %d", got, most)
+		t.Errorf("entries: got %d, want at most %d", got, most)
 	}
 }
 
-// One that has just started knows itself and names itself; nobody believes it.
+// An instance that has just started knows only itself and names itself as leader.
 func TestViewOfStartingInstanceIsIgnored(t *testing.T) {
 	members := fleetOf(80, 4)
 	want := planOf(members[0], members).Leaders
@@ -193,17 +194,17 @@
 	l.LeadersReported(begin, members[79].ID, starting, 1)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, want) {
-		t.Errorf("leaders after one that knows itself has spoken: got %v, want %v", got, want)
+		t.Errorf("leaders after a view of an instance that knows only itself: got %v, want %v", got, want)
 	}
 
 	l.LeadersReported(begin, members[79].ID, starting, 80)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, starting) {
-		t.Errorf("leaders after one that knows all has spoken: got %v, want %v", got, starting)
+		t.Errorf("leaders after a view of an instance that knows all: got %v, want %v", got, starting)
 	}
 }
 
-// Guards against an instance that takes the views of two that lead in turn.
+// Guards against an instance that alternates between the views of two leaders.
 func TestConflictingViewsResolveByRank(t *testing.T) {
 	members := fleetOf(9, 4)
 	all := planOf(members[0], members).Leaders
@@ -217,7 +218,7 @@
 		l.LeadersReported(begin, from, views[round%2], len(members))
 
 		if got := l.Plan(begin, members).Leaders; !slices.Equal(got, all) {
-			t.Fatalf("after %s spoke: got %v, want the view of the first in rank, %v", from, got, all)
+			t.Fatalf("after a view of %s: got %v, want the view of the highest-ranked leader, %v", from, got, all)
 		}
 	}
 
@@ -225,11 +226,11 @@
 	l.LeadersReported(later, all[1], views[1], len(members))
 
 	if got := l.Plan(later, members).Leaders; !slices.Equal(got, views[1]) {
-		t.Errorf("after the first is not heard any more: got %v, want %v", got, views[1])
+		t.Errorf("after the view of the highest-ranked leader expired: got %v, want %v", got, views[1])
 	}
 }
 
-// Two sets of leaders that made each other give way would leave none.
+// Two sets of leaders that made each other yield would leave no leader.
 func TestLeaderYieldsOnlyToCoLeaders(t *testing.T) {
 	members := fleetOf(80, 4)
 	leaders := planOf(members[0], members).Leaders
@@ -241,13 +242,13 @@
 	l.LeadersReported(begin, outsider, []fleet.InstanceID{outsider}, 80)
 
 	if !l.Plan(begin, members).IsLeader(self.ID) {
-		t.Error("after one that does not lead with it has named others: got no lead, want one")
+		t.Error("after a view of an outsider without it: got not leader, want leader")
 	}
 
 	others := append(slices.Clone(leaders[1:]), outsider)
 	l.LeadersReported(begin, leaders[1], others, 80)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, others) {
-		t.Errorf("after one that leads with it has named others: got %v, want %v", got, others)
+		t.Errorf("after a view of a co-leader without it: got %v, want %v", got, others)
 	}
 }
