--- a/scheduling/announcements.go
+++ b/scheduling/announcements.go
@@ -15,14 +15,14 @@
 	backoff atomic.Pointer[backoff]
 
 	mu sync.Mutex
-	// limited is nil until the server announces a limit. It is replaced under mu.
-	limited atomic.Pointer[limited]
+	// limit is nil until the server announces a limit. It is replaced under mu.
+	limit atomic.Pointer[limitState]
 }
 
-// askBackoff takes in that the server wants no requests for some time. The latest end counts:
+// setBackoff takes in that the server wants no requests for some time. The latest end counts:
 // each answer binds by itself. It reports whether no earlier one was still in force.
-func (a *announcements) askBackoff(now time.Time, length time.Duration, policy ResumePolicy) bool {
-	next := newBackoff(now.Add(length), length, policy)
+func (a *announcements) setBackoff(now time.Time, duration time.Duration, policy ResumePolicy) bool {
+	next := newBackoff(now.Add(duration), duration, policy)
 
 	for {
 		known := a.backoff.Load()
@@ -39,11 +39,11 @@
 // inBackoff reports whether the server wants no requests now.
 func (a *announcements) inBackoff(now time.Time) bool { return a.backoff.Load().active(now) }
 
-// returns is when requests are sent to the server again; zero where it never asked for
+// resumeAt is when requests are sent to the server again; zero where it never asked for
 // backoff, or has taken a request since.
-func (a *announcements) returns() time.Time {
+func (a *announcements) resumeAt() time.Time {
 	if b := a.backoff.Load(); b != nil {
-		return b.returns
+		return b.resumeAt
 	}
 
 	return time.Time{}
@@ -61,7 +61,7 @@
 // the server wants no further requests from this instance.
 func (a *Assignment) AnnouncedBackoff(now time.Time, backoff time.Duration) {
 	s := a.scheduler
-	if a.server.announcements.askBackoff(now, backoff, s.Resume) && s.OnBackoff != nil {
+	if a.server.announcements.setBackoff(now, backoff, s.Resume) && s.OnBackoff != nil {
 		s.OnBackoff(a.Server(), backoff)
 	}
 }
@@ -102,8 +102,8 @@
 	return s.countServers(func(one *server) bool { return one.announcements.inBackoff(now) })
 }
 
-// noteSend counts a send that the server announced it does not want.
-func (s *Scheduler) noteSend(now time.Time, one *server) {
+// countSend counts a send that the server announced it does not want.
+func (s *Scheduler) countSend(now time.Time, one *server) {
 	if one.announcements.leaving.Load() {
 		s.Counters.sentToLeaving()
 	}
--- a/scheduling/announcements_test.go
+++ b/scheduling/announcements_test.go
@@ -59,14 +59,14 @@
 	s.Update([]register.Server{startOf(500)})
 
 	one := s.servers["i-1"]
-	if got := one.announced().Rate; got != 1.5 || !one.announcements.inBackoff(now) {
+	if got := one.announcedLimit().Rate; got != 1.5 || !one.announcements.inBackoff(now) {
 		t.Errorf("after the entry came back: got limit %v and backoff %t, want 1.5 and true", got, one.announcements.inBackoff(now))
 	}
 
 	s.Update([]register.Server{startOf(900)})
 
 	one = s.servers["i-1"]
-	if got := one.announced().Rate; got != ratelimit.Unlimited || one.announcements.inBackoff(now) {
+	if got := one.announcedLimit().Rate; got != ratelimit.Unlimited || one.announcements.inBackoff(now) {
 		t.Errorf("another start: got limit %v and backoff %t, want neither", got, one.announcements.inBackoff(now))
 	}
 }
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -28,11 +28,11 @@
 )
 
 const (
-	// avoidUnreachable keeps requests off a server that takes no connection, for
+	// unreachableAvoidance keeps requests off a server that takes no connection, for
 	// about as long as a lost one stays in the register.
-	avoidUnreachable = 1500 * time.Millisecond
-	// avoidFull lets a full server work off its queue.
-	avoidFull = 250 * time.Millisecond
+	unreachableAvoidance = 1500 * time.Millisecond
+	// fullAvoidance lets a full server work off its queue.
+	fullAvoidance = 250 * time.Millisecond
 )
 
 // Assignment is one attempt at a server. One goroutine uses it.
@@ -41,8 +41,8 @@
 	scheduler *Scheduler
 	prompt    Prompt
 	// keys are those of the prompt's parts.
-	keys   []Key
-	unread int
+	keys           []Key
+	uncachedTokens int
 	// backlog are the tokens that waited at the server when it was picked.
 	backlog int64
 	// meter is nil for requests without a prompt.
@@ -51,10 +51,10 @@
 	// trial is the backoff whose end this attempt shows, or nil.
 	trial *backoff
 
-	startedAt time.Time
-	started   bool
-	answering bool
-	ended     atomic.Bool
+	startedAt   time.Time
+	started     bool
+	answerBegun bool
+	ended       atomic.Bool
 }
 
 // ID returns the server's instance.
@@ -69,46 +69,48 @@
 // Blocked reports whether the server takes no requests now, by what it announced since it was
 // picked.
 func (a *Assignment) Blocked(now time.Time) bool {
-	return a.server.leaves() || a.server.announcements.inBackoff(now)
+	return a.server.isLeaving() || a.server.announcements.inBackoff(now)
 }
 
 // Leaving tells whether the server is known to leave by now.
-func (a *Assignment) Leaving() bool { return a.server.leaves() }
+func (a *Assignment) Leaving() bool { return a.server.isLeaving() }
 
 // ReportTerminated takes in that the server's program was found to have ended, and has others told.
-func (a *Assignment) ReportTerminated(now time.Time) { a.scheduler.ended(now, a.server, true) }
+func (a *Assignment) ReportTerminated(now time.Time) {
+	a.scheduler.publishTerminated(now, a.server, true)
+}
 
 // KnownTerminated reports whether the server's program was found to have ended a moment ago.
-func (a *Assignment) KnownTerminated(now time.Time) bool { return a.server.hasEnded(now) }
+func (a *Assignment) KnownTerminated(now time.Time) bool { return a.server.isTerminated(now) }
 
 // Server returns the start of the server that the attempt is at.
 func (a *Assignment) Server() register.Process { return a.server.entry().Process() }
 
 // AnswerBegun tells whether the first event has come.
-func (a *Assignment) AnswerBegun() bool { return a.answering }
+func (a *Assignment) AnswerBegun() bool { return a.answerBegun }
 
 // Start counts the attempt, unless the server takes no requests by now.
 func (a *Assignment) Start(now time.Time) bool {
 	b := a.server.announcements.backoff.Load()
-	if a.server.leaves() || !b.begin(now) {
+	if a.server.isLeaving() || !b.begin(now) {
 		return false
 	}
 
 	a.trial = b
 
-	a.scheduler.noteSend(now, a.server)
+	a.scheduler.countSend(now, a.server)
 	a.server.running.Add(1)
-	a.server.pending.Add(int64(a.unread))
+	a.server.pendingTokens.Add(int64(a.uncachedTokens))
 	a.started, a.startedAt = true, now
 
-	if a.unread > 0 {
+	if a.uncachedTokens > 0 {
 		// The common part is read before what comes after this request.
-		a.scheduler.changed(a.server, nil, true)
-		a.scheduler.holds(now, a.server, a.keys[:max(len(a.keys)-1, 0)], true)
+		a.scheduler.publishBacklog(a.server, nil, true)
+		a.scheduler.publishSegments(now, a.server, a.keys[:max(len(a.keys)-1, 0)], true)
 	}
 
 	if a.meter != nil {
-		a.meter.arrived(now, a.prompt.own())
+		a.meter.addArrival(now, a.prompt.ownTokens())
 	}
 
 	return true
@@ -116,21 +118,21 @@
 
 // FirstEventReceived takes in that the server has read the prompt.
 func (a *Assignment) FirstEventReceived(now time.Time) {
-	if !a.started || a.answering {
+	if !a.started || a.answerBegun {
 		return
 	}
 
-	a.answering = true
-	a.server.pending.Add(-int64(a.unread))
+	a.answerBegun = true
+	a.server.pendingTokens.Add(-int64(a.uncachedTokens))
 
-	if a.unread > 0 {
-		a.scheduler.changed(a.server, nil, true)
-		a.scheduler.holds(now, a.server, a.keys, true)
+	if a.uncachedTokens > 0 {
+		a.scheduler.publishBacklog(a.server, nil, true)
+		a.scheduler.publishSegments(now, a.server, a.keys, true)
 	}
 
 	if a.meter != nil {
-		a.meter.read(a.prompt.own(), now.Sub(a.startedAt))
-		a.meter.readAll(a.backlog+int64(a.unread), now.Sub(a.startedAt))
+		a.meter.recordSpeed(a.prompt.ownTokens(), now.Sub(a.startedAt))
+		a.meter.recordReadRate(a.backlog+int64(a.uncachedTokens), now.Sub(a.startedAt))
 	}
 }
 
@@ -146,24 +148,24 @@
 		a.trial.trial.Store(false)
 	}
 
-	if !a.answering && a.unread > 0 {
-		a.server.pending.Add(-int64(a.unread))
-		a.scheduler.changed(a.server, nil, true)
+	if !a.answerBegun && a.uncachedTokens > 0 {
+		a.server.pendingTokens.Add(-int64(a.uncachedTokens))
+		a.scheduler.publishBacklog(a.server, nil, true)
 	}
 
 	switch r {
 	case Served:
-		a.server.outcome(now, false)
+		a.server.recordOutcome(now, false)
 	case Failed:
-		a.server.outcome(now, true)
+		a.server.recordOutcome(now, true)
 	case Unreachable:
-		a.server.outcome(now, true)
-		a.server.avoid(now.Add(avoidUnreachable))
+		a.server.recordOutcome(now, true)
+		a.server.avoid(now.Add(unreachableAvoidance))
 	case Terminated:
-		a.server.outcome(now, true)
-		a.scheduler.ended(now, a.server, true)
+		a.server.recordOutcome(now, true)
+		a.scheduler.publishTerminated(now, a.server, true)
 	case Rejected:
-		a.server.avoid(now.Add(avoidFull))
+		a.server.avoid(now.Add(fullAvoidance))
 	case Cancelled:
 	}
 }
--- a/scheduling/backoff.go
+++ b/scheduling/backoff.go
@@ -25,24 +25,24 @@
 // backoff is the newest time for which a server asked for no requests. It is half-open from
 // returns on, until the server has taken a request.
 type backoff struct {
-	until   time.Time
-	returns time.Time
-	policy  ResumePolicy
+	until    time.Time
+	resumeAt time.Time
+	policy   ResumePolicy
 	// trial is set while a request is under way that shows whether the server takes some.
 	trial atomic.Bool
 }
 
-func newBackoff(until time.Time, length time.Duration, policy ResumePolicy) *backoff {
-	b := &backoff{until: until, returns: until, policy: policy}
-	if spread := time.Duration(policy.Jitter * float64(length)); spread > 0 {
-		b.returns = until.Add(rand.N(spread))
+func newBackoff(until time.Time, duration time.Duration, policy ResumePolicy) *backoff {
+	b := &backoff{until: until, resumeAt: until, policy: policy}
+	if jitter := time.Duration(policy.Jitter * float64(duration)); jitter > 0 {
+		b.resumeAt = until.Add(rand.N(jitter))
 	}
 
 	return b
 }
 
 // active reports whether no request is sent now.
-func (b *backoff) active(now time.Time) bool { return b != nil && now.Before(b.returns) }
+func (b *backoff) active(now time.Time) bool { return b != nil && now.Before(b.resumeAt) }
 
 // blocks reports whether a request that may be sent to other servers waits for a trial, or
 // for the end of the backoff.
@@ -55,7 +55,7 @@
 		return true
 	}
 
-	return r.Final && !r.mayTest && now.Before(b.returns.Add(b.policy.FinalDelay))
+	return r.Final && !r.allowTrial && now.Before(b.resumeAt.Add(b.policy.FinalDelay))
 }
 
 // begin counts a request that is sent, and reports whether it may be.
--- a/scheduling/candidates.go
+++ b/scheduling/candidates.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// allCandidates is the size up to which all servers of a pool are compared.
-	allCandidates = 24
-	// drawn is how many servers of a larger pool are drawn beside the homes of the
+	// maxFullComparison is the size up to which all servers of a pool are compared.
+	maxFullComparison = 24
+	// sampledServers is how many servers of a larger pool are sampledServers beside the homes of the
 	// prompt. All instances know the same loads some hundred milliseconds late; if each
 	// took the best of all servers, all would take the same one until it tells so.
-	drawn = 3
-	// attempts bounds the draws for a pool of which many servers are excluded.
-	attempts = 2 * drawn
+	sampledServers = 3
+	// maxDraws bounds the draws for a pool of which many servers are excluded.
+	maxDraws = 2 * sampledServers
 )
 
 // candidates returns the servers that a request is compared over.
-func candidates(now time.Time, pool []*server, preferred [homes]*server, r *Request) []*server {
-	if len(pool) <= allCandidates {
+func candidates(now time.Time, pool []*server, preferred [homeCount]*server, r *Request) []*server {
+	if len(pool) <= maxFullComparison {
 		return pool
 	}
 
-	chosen := make([]*server, 0, homes+drawn)
+	chosen := make([]*server, 0, homeCount+sampledServers)
 
 	for _, one := range preferred {
 		if one != nil {
@@ -33,21 +33,21 @@
 		}
 	}
 
-	most := len(chosen) + drawn
+	maxChosen := len(chosen) + sampledServers
 
-	for range attempts {
+	for range maxDraws {
 		one := pool[rand.IntN(len(pool))]
-		if !one.fits(now, r) || one.avoided(now) {
+		if !one.eligible(now, r) || one.isAvoided(now) {
 			continue
 		}
 
 		chosen = append(chosen, one)
-		if len(chosen) == most {
+		if len(chosen) == maxChosen {
 			break
 		}
 	}
 
-	if !slices.ContainsFunc(chosen, func(one *server) bool { return one.fits(now, r) && !one.avoided(now) }) {
+	if !slices.ContainsFunc(chosen, func(one *server) bool { return one.eligible(now, r) && !one.isAvoided(now) }) {
 		// Many servers are gone. Nothing is refused that any server could take.
 		return pool
 	}
@@ -55,16 +55,16 @@
 	return chosen
 }
 
-// fits reports whether a request may be sent to a server now.
-func (s *server) fits(now time.Time, r *Request) bool {
+// eligible reports whether a request may be sent to a server now.
+func (s *server) eligible(now time.Time, r *Request) bool {
 	return s.allowed(r) && !s.full(now) && !s.announcements.backoff.Load().blocks(now, r)
 }
 
 // allowed reports whether a request may be sent to a server once that has room.
 func (s *server) allowed(r *Request) bool {
-	if r.withoutLimit && s.announced().Rate != ratelimit.Unlimited {
+	if r.onlyUnlimited && s.announcedLimit().Rate != ratelimit.Unlimited {
 		return false
 	}
 
-	return !s.leaves() && !excluded(r.Excluded, s.entry().ID)
+	return !s.isLeaving() && !excluded(r.Excluded, s.entry().ID)
 }
--- a/scheduling/departed.go
+++ b/scheduling/departed.go
@@ -6,33 +6,33 @@
 	"monsoonlever/register"
 )
 
-// maxDeparted bounds how many servers are remembered whose entry is not there.
-const maxDeparted = 1024
+// maxRemovedServers bounds how many servers are remembered whose entry is not there.
+const maxRemovedServers = 1024
 
-// departed is what servers announced whose entry is not there. Entries lapse while the
+// removedServers is what servers announced whose entry is not there. Entries lapse while the
 // platform's store is away, and come back with it: what the same start announced before holds
 // then. The zero value is empty.
-type departed struct {
-	known *simplelru.LRU[register.Process, *announcements]
+type removedServers struct {
+	announcements *simplelru.LRU[register.Process, *announcements]
 }
 
-func (d *departed) add(start register.Process, a *announcements) {
-	if d.known == nil {
+func (d *removedServers) add(start register.Process, a *announcements) {
+	if d.announcements == nil {
 		// It fails for a size that is not positive only.
-		d.known, _ = simplelru.NewLRU[register.Process, *announcements](maxDeparted, nil)
+		d.announcements, _ = simplelru.NewLRU[register.Process, *announcements](maxRemovedServers, nil)
 	}
 
-	d.known.Add(start, a)
+	d.announcements.Add(start, a)
 }
 
 // take returns what a start announced before, or nil, and forgets it.
-func (d *departed) take(start register.Process) *announcements {
-	if d.known == nil {
+func (d *removedServers) take(start register.Process) *announcements {
+	if d.announcements == nil {
 		return nil
 	}
 
-	a, _ := d.known.Peek(start)
-	d.known.Remove(start)
+	a, _ := d.announcements.Peek(start)
+	d.announcements.Remove(start)
 
 	return a
 }
--- a/scheduling/home.go
+++ b/scheduling/home.go
@@ -2,20 +2,20 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// shared returns the tokens of the parts that other requests may have brought:
+// sharedTokens returns the tokens of the parts that other requests may have brought:
 // all but the last, which belongs to the request itself.
-func (p Prompt) shared() int {
+func (p Prompt) sharedTokens() int {
 	sum := 0
 
-	for _, part := range p.Segments[:max(len(p.Segments)-1, 0)] {
-		sum += part.Tokens
+	for _, segment := range p.Segments[:max(len(p.Segments)-1, 0)] {
+		sum += segment.Tokens
 	}
 
 	return sum
 }
 
-// own returns the tokens of the last part, which belongs to the request itself.
-func (p Prompt) own() int {
+// ownTokens returns the tokens of the last part, which belongs to the request itself.
+func (p Prompt) ownTokens() int {
 	if len(p.Segments) == 0 {
 		return p.Tokens
 	}
@@ -26,25 +26,25 @@
 // keys returns the keys of all parts.
 func (p Prompt) keys() []Key {
 	keys := make([]Key, len(p.Segments))
-	for i, part := range p.Segments {
-		keys[i] = keyOf(part.ID)
+	for i, segment := range p.Segments {
+		keys[i] = keyOf(segment.ID)
 	}
 
 	return keys
 }
 
-// unread returns the tokens that a server has to read which holds some. home tells that
+// uncachedTokens returns the tokens that a server has to read which holds some. home tells that
 // it is the home of the common part, and that no server is known to hold that.
-func (p Prompt) unread(held int, home bool) int {
+func (p Prompt) uncachedTokens(cached int, isHome bool) int {
 	if p.Tokens == 0 {
 		return 0
 	}
 
-	if home {
-		held = max(held, int(homeTrust*float64(p.shared())))
+	if isHome {
+		cached = max(cached, int(homeCachedFraction*float64(p.sharedTokens())))
 	}
 
-	return max(p.Tokens-held, 1)
+	return max(p.Tokens-cached, 1)
 }
 
 // affinity names what requests with the same home have in common.
@@ -59,23 +59,23 @@
 	}
 }
 
-// homes is how many servers a common part has that take it in their order, so that what
+// homeCount is how many servers a common part has that take it in their order, so that what
 // overflows from one home is found again at the next.
-const homes = 3
+const homeCount = 3
 
 // homesOf returns the servers that every instance prefers for the common part of a
 // prompt, the first one most: those with the highest hashes of the two. A server that
 // comes or goes moves only the parts that it has. Where there are fewer, or no common
 // part, the rest is nil.
-func homesOf(pool []*server, p Prompt) [homes]*server {
+func homesOf(pool []*server, p Prompt) [homeCount]*server {
 	var (
-		top     [homes]*server
-		weights [homes]uint64
+		homes   [homeCount]*server
+		weights [homeCount]uint64
 	)
 
 	affinity := p.affinity()
 	if affinity == "" {
-		return top
+		return homes
 	}
 
 	key := xxhash.Sum64String(affinity)
@@ -83,20 +83,20 @@
 	for _, one := range pool {
 		weight := mix(key ^ one.hash)
 
-		for i := range top {
-			if top[i] != nil && weight <= weights[i] {
+		for i := range homes {
+			if homes[i] != nil && weight <= weights[i] {
 				continue
 			}
 
-			copy(top[i+1:], top[i:homes-1])
-			copy(weights[i+1:], weights[i:homes-1])
-			top[i], weights[i] = one, weight
+			copy(homes[i+1:], homes[i:homeCount-1])
+			copy(weights[i+1:], weights[i:homeCount-1])
+			homes[i], weights[i] = one, weight
 
 			break
 		}
 	}
 
-	return top
+	return homes
 }
 
 // mix spreads the bits of a number; the constants are those of the finalizer of
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -16,33 +16,33 @@
 // Permits grants requests to servers that announce a limit, over all instances.
 type Permits interface {
 	// Ask asks for one request that can wait for some time.
-	Ask(ctx context.Context, server register.Process, limit ratelimit.Announcement, patience time.Duration) ratelimit.Permit
+	Ask(ctx context.Context, server register.Process, limit ratelimit.Announcement, maxWait time.Duration) ratelimit.Permit
 }
 
 const (
-	// leastComeBack keeps callers that are refused from coming back for the same token.
-	leastComeBack = 300 * time.Millisecond
-	// askedServers bounds how many servers a request asks for room: each takes a round
+	// minRetryAfter keeps callers that are refused from coming back for the same token.
+	minRetryAfter = 300 * time.Millisecond
+	// maxPermitRequests bounds how many servers a request asks for room: each takes a round
 	// trip.
-	askedServers = 3
+	maxPermitRequests = 3
 )
 
-// permitted reports whether a server that was picked may get the request now. One without
+// acquirePermit reports whether a server that was picked may get the request now. One without
 // room is passed over until it may have some.
-func (s *Scheduler) permitted(ctx context.Context, clk clock.Clock, a *Assignment) bool {
-	if s.Permits == nil || a.server.announced().Rate == ratelimit.Unlimited {
+func (s *Scheduler) acquirePermit(ctx context.Context, clk clock.Clock, a *Assignment) bool {
+	if s.Permits == nil || a.server.announcedLimit().Rate == ratelimit.Unlimited {
 		return true
 	}
 
-	return s.ask(ctx, clk, a.server, 0).Granted
+	return s.requestPermit(ctx, clk, a.server, 0).Granted
 }
 
-// ask asks for a permit and notes until when a server has no room. A caller that left
+// requestPermit asks for a permit and notes until when a server has no room. A caller that left
 // before the reply came says nothing of that.
-func (s *Scheduler) ask(ctx context.Context, clk clock.Clock, one *server, patience time.Duration) ratelimit.Permit {
-	permit := s.Permits.Ask(ctx, one.entry().Process(), one.announced(), max(patience, 0))
+func (s *Scheduler) requestPermit(ctx context.Context, clk clock.Clock, one *server, maxWait time.Duration) ratelimit.Permit {
+	permit := s.Permits.Ask(ctx, one.entry().Process(), one.announcedLimit(), max(maxWait, 0))
 	if !permit.Granted && ctx.Err() == nil {
-		one.fill(clk.Now().Add(permit.Wait))
+		one.markFull(clk.Now().Add(permit.Wait))
 	}
 
 	return permit
@@ -52,15 +52,15 @@
 // none for now, the first that may have some. It is refused at once if none has room in time.
 // Without an assignment and an error there may be room by now.
 func (s *Scheduler) awaitRoom(ctx context.Context, clk clock.Clock, r Request) (*Assignment, error) {
-	blocked := s.blockedFor(clk.Now(), &r)
+	blocked := s.blockedServers(clk.Now(), &r)
 	if len(blocked) == 0 {
-		return nil, s.noServer(clk.Now(), &r)
+		return nil, s.noServerError(clk.Now(), &r)
 	}
 
-	for _, one := range blocked[:min(len(blocked), askedServers)] {
+	for _, one := range blocked[:min(len(blocked), maxPermitRequests)] {
 		now := clk.Now()
 		if one.announcements.backoff.Load().blocks(now, &r) {
-			wait := max(one.roomAt().Sub(now), holdEvery)
+			wait := max(one.roomAt().Sub(now), holdInterval)
 			if now.Add(wait).After(r.WaitUntil) {
 				break
 			}
@@ -74,7 +74,7 @@
 			break
 		}
 
-		permit := s.ask(ctx, clk, one, r.WaitUntil.Sub(now))
+		permit := s.requestPermit(ctx, clk, one, r.WaitUntil.Sub(now))
 		if permit.Granted {
 			clock.Sleep(ctx, clk, permit.Wait)
 
@@ -86,14 +86,14 @@
 		}
 	}
 
-	return nil, &NoRoomError{RetryAfter: comeBackAt(clk.Now(), blocked)}
+	return nil, &NoRoomError{RetryAfter: retryAfter(clk.Now(), blocked)}
 }
 
-// blockedFor returns the servers that could take a request if they had room by what they
+// blockedServers returns the servers that could take a request if they had room by what they
 // announced, those first that may have it soonest.
-func (s *Scheduler) blockedFor(now time.Time, r *Request) []*server {
+func (s *Scheduler) blockedServers(now time.Time, r *Request) []*server {
 	blocked := s.serversFor(r, func(one *server) bool {
-		limited := s.Permits != nil && one.announced().Rate != ratelimit.Unlimited
+		limited := s.Permits != nil && one.announcedLimit().Rate != ratelimit.Unlimited
 
 		return one.allowed(r) && (limited || one.announcements.backoff.Load().blocks(now, r))
 	})
@@ -106,16 +106,16 @@
 }
 
 // serversFor returns the servers whose version may take a request and that fit.
-func (s *Scheduler) serversFor(r *Request, fits func(*server) bool) []*server {
-	pools := s.current.Load()
+func (s *Scheduler) serversFor(r *Request, match func(*server) bool) []*server {
+	pools := s.pools.Load()
 	if pools == nil {
 		return nil
 	}
 
 	var servers []*server
 
-	for _, one := range r.versions((*pools)[r.Service]) {
-		if fits(one) {
+	for _, one := range r.matchVersions((*pools)[r.Service]) {
+		if match(one) {
 			servers = append(servers, one)
 		}
 	}
@@ -123,38 +123,38 @@
 	return servers
 }
 
-// noServer returns the error of a request that no server is left for. Where servers that had
+// noServerError returns the error of a request that no server is left for. Where servers that had
 // it asked for backoff, it says when the first of them takes requests again; it is nil where
 // one takes them by now.
-func (s *Scheduler) noServer(now time.Time, r *Request) error {
-	if len(s.serversFor(r, func(one *server) bool { return one.fits(now, r) })) > 0 {
+func (s *Scheduler) noServerError(now time.Time, r *Request) error {
+	if len(s.serversFor(r, func(one *server) bool { return one.eligible(now, r) })) > 0 {
 		return nil
 	}
 
-	backoff := s.serversFor(r, func(one *server) bool { return !one.leaves() && one.announcements.backoff.Load().blocks(now, r) })
+	backoff := s.serversFor(r, func(one *server) bool { return !one.isLeaving() && one.announcements.backoff.Load().blocks(now, r) })
 	if len(backoff) == 0 {
 		return ErrNoServer
 	}
 
-	return &NoRoomError{RetryAfter: comeBackAt(now, backoff)}
+	return &NoRoomError{RetryAfter: retryAfter(now, backoff)}
 }
 
 // RetryAfter returns when a caller of a service should come back if none of its servers takes a
 // request now by what they announced, and whether that is so.
 func (s *Scheduler) RetryAfter(now time.Time, service fleet.Service) (time.Duration, bool) {
-	servers := s.serversFor(&Request{Service: service}, func(one *server) bool { return !one.leaves() })
+	servers := s.serversFor(&Request{Service: service}, func(one *server) bool { return !one.isLeaving() })
 	if len(servers) == 0 || slices.ContainsFunc(servers, func(one *server) bool { return !one.full(now) }) {
 		return 0, false
 	}
 
-	return comeBackAt(now, servers), true
+	return retryAfter(now, servers), true
 }
 
-// comeBackAt returns when a caller that is refused should come back: once the first of
+// retryAfter returns when a caller that is refused should come back: once the first of
 // some servers may have room. Those that are refused together come back apart.
-func comeBackAt(now time.Time, blocked []*server) time.Duration {
+func retryAfter(now time.Time, blocked []*server) time.Duration {
 	first := slices.MinFunc(blocked, func(a, b *server) int { return a.roomAt().Compare(b.roomAt()) })
-	wait := max(first.roomAt().Sub(now), leastComeBack)
+	wait := max(first.roomAt().Sub(now), minRetryAfter)
 
 	return wait + rand.N(wait)
 }
@@ -163,8 +163,8 @@
 func (s *Scheduler) assign(now time.Time, one *server, r Request) *Assignment {
 	keys := r.Prompt.keys()
 	a := &Assignment{scheduler: s, server: one, prompt: r.Prompt, keys: keys}
-	a.unread = r.Prompt.unread(one.held(now, keys, r.Prompt), false)
-	s.measure(now, a, r)
+	a.uncachedTokens = r.Prompt.uncachedTokens(one.cachedTokens(now, keys, r.Prompt), false)
+	s.attachMeter(now, a, r)
 
 	return a
 }
@@ -177,12 +177,12 @@
 
 // AnnouncedLimit takes in which limit, or none, an answer to this attempt announced.
 func (a *Assignment) AnnouncedLimit(now time.Time, rate ratelimit.Rate) {
-	if rate == ratelimit.Unlimited && a.server.announcements.limited.Load() == nil {
+	if rate == ratelimit.Unlimited && a.server.announcements.limit.Load() == nil {
 		return
 	}
 
-	known := a.server.announced()
-	a.scheduler.announce(a.server, known.Observed(rate, a.startedAt, now), true)
+	known := a.server.announcedLimit()
+	a.scheduler.applyLimit(a.server, known.Observed(rate, a.startedAt, now), true)
 }
 
 // Merge takes in what another instance knows of a server, and returns the newest. Of a
@@ -193,35 +193,35 @@
 		return other
 	}
 
-	one := (*byKey)[keyOfStart(start)]
+	one := (*byKey)[keyOfProcess(start)]
 	if one == nil {
 		return other
 	}
 
-	s.announce(one, one.announced().Received(other), true)
+	s.applyLimit(one, one.announcedLimit().Received(other), true)
 
-	return one.announced()
+	return one.announcedLimit()
 }
 
 // receiveLimit takes in what another instance passed on.
-func (s *Scheduler) receiveLimit(now time.Time, one *server, l ServerLimit, up bool) {
+func (s *Scheduler) receiveLimit(now time.Time, one *server, l ServerLimit, upstream bool) {
 	at := now.Add(-time.Duration(l.AgeMs) * time.Millisecond)
 	other := ratelimit.Announcement{Rate: l.Rate, At: at}
-	s.announce(one, one.announced().Received(other), up)
+	s.applyLimit(one, one.announcedLimit().Received(other), upstream)
 }
 
-// limitFor returns what others are sent of a server's announcement.
-func (s *server) limitFor(now time.Time) ServerLimit {
-	known := s.announced()
+// limitUpdate returns what others are sent of a server's announcement.
+func (s *server) limitUpdate(now time.Time) ServerLimit {
+	known := s.announcedLimit()
 	age := min(max(now.Sub(known.At), 0).Milliseconds(), math.MaxUint32)
 
 	return ServerLimit{Server: s.key, Rate: known.Rate, AgeMs: uint32(age)}
 }
 
-// announce takes an announcement in, if it is newer than what is known, and notes it for
+// applyLimit takes an announcement in, if it is newer than what is known, and notes it for
 // others.
-func (s *Scheduler) announce(one *server, next ratelimit.Announcement, up bool) {
-	before, newer := one.announce(next)
+func (s *Scheduler) applyLimit(one *server, next ratelimit.Announcement, upstream bool) {
+	before, newer := one.updateLimit(next)
 	if !newer || before.Rate == ratelimit.Unlimited && next.Rate == ratelimit.Unlimited {
 		return
 	}
@@ -231,62 +231,62 @@
 		s.OnLimitChange(LimitChange{Server: one.entry().Process(), Before: before.Rate, After: next.Rate})
 	}
 
-	s.outboxes[Downstream].limited(one, changed)
+	s.outboxes[Downstream].addLimit(one, changed)
 
-	if up {
-		s.outboxes[Upstream].limited(one, changed)
+	if upstream {
+		s.outboxes[Upstream].addLimit(one, changed)
 	}
 }
 
-// limited is what is known of the limit of one server.
-type limited struct {
-	announced ratelimit.Announcement
+// limitState is what is known of the limit of one server.
+type limitState struct {
+	announcement ratelimit.Announcement
 	// fullUntil is until when it has no room for a request.
 	fullUntil time.Time
 }
 
-// limit returns what is known of the server's limit.
-func (s *server) limit() limited {
-	if known := s.announcements.limited.Load(); known != nil {
+// limitState returns what is known of the server's limitState.
+func (s *server) limitState() limitState {
+	if known := s.announcements.limit.Load(); known != nil {
 		return *known
 	}
 
-	return limited{}
+	return limitState{}
 }
 
-// announce returns the announcement before, and whether the next one is newer.
-func (s *server) announce(next ratelimit.Announcement) (ratelimit.Announcement, bool) {
+// updateLimit returns the announcement before, and whether the next one is newer.
+func (s *server) updateLimit(next ratelimit.Announcement) (ratelimit.Announcement, bool) {
 	s.announcements.mu.Lock()
 	defer s.announcements.mu.Unlock()
 
-	before := s.limit()
-	after := limited{announced: before.announced.Newest(next), fullUntil: before.fullUntil}
+	before := s.limitState()
+	after := limitState{announcement: before.announcement.Newest(next), fullUntil: before.fullUntil}
 
-	if after.announced == before.announced {
-		return before.announced, false
+	if after.announcement == before.announcement {
+		return before.announcement, false
 	}
 
-	if after.announced.Rate == ratelimit.Unlimited {
+	if after.announcement.Rate == ratelimit.Unlimited {
 		after.fullUntil = time.Time{}
 	}
 
-	s.announcements.limited.Store(&after)
+	s.announcements.limit.Store(&after)
 
-	return before.announced, true
+	return before.announcement, true
 }
 
-// announced returns the newest announcement.
-func (s *server) announced() ratelimit.Announcement { return s.limit().announced }
+// announcedLimit returns the newest announcement.
+func (s *server) announcedLimit() ratelimit.Announcement { return s.limitState().announcement }
 
-// fill notes that a server has no room until a time.
-func (s *server) fill(until time.Time) {
+// markFull notes that a server has no room until a time.
+func (s *server) markFull(until time.Time) {
 	s.announcements.mu.Lock()
 	defer s.announcements.mu.Unlock()
 
-	known := s.limit()
-	if known.announced.Rate != ratelimit.Unlimited {
+	known := s.limitState()
+	if known.announcement.Rate != ratelimit.Unlimited {
 		known.fullUntil = until
-		s.announcements.limited.Store(&known)
+		s.announcements.limit.Store(&known)
 	}
 }
 
@@ -295,17 +295,17 @@
 
 // roomAt returns when a server may have room.
 func (s *server) roomAt() time.Time {
-	full, backoff := s.limit().fullUntil, s.announcements.returns()
-	if backoff.After(full) {
-		return backoff
+	fullUntil, resumeAt := s.limitState().fullUntil, s.announcements.resumeAt()
+	if resumeAt.After(fullUntil) {
+		return resumeAt
 	}
 
-	return full
+	return fullUntil
 }
 
 // LimitedServers returns how many servers announce a limit.
 func (s *Scheduler) LimitedServers() int {
 	return s.countServers(func(one *server) bool {
-		return !one.leaves() && one.announced().Rate != ratelimit.Unlimited
+		return !one.isLeaving() && one.announcedLimit().Rate != ratelimit.Unlimited
 	})
 }
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -36,7 +36,7 @@
 	s.Permits = p
 
 	for _, id := range ids {
-		s.announce(s.servers[id], ratelimit.Announcement{Rate: 1, At: time.Now()}, true)
+		s.applyLimit(s.servers[id], ratelimit.Announcement{Rate: 1, At: time.Now()}, true)
 	}
 
 	return s
@@ -134,14 +134,14 @@
 
 		for id, one := range s.servers {
 			p.rooms[id] = time.Now().Add(time.Minute)
-			s.announce(one, ratelimit.Announcement{Rate: 1, At: time.Now()}, true)
+			s.applyLimit(one, ratelimit.Announcement{Rate: 1, At: time.Now()}, true)
 		}
 
 		if _, err := place(t, s, Request{Service: "llm", WaitUntil: time.Now().Add(time.Second)}); err == nil {
 			t.Error("got a server, want none")
 		}
 
-		if got, most := len(p.asked), 2*askedServers; got > most {
+		if got, most := len(p.asked), 2*maxPermitRequests; got > most {
 			t.Errorf("servers asked: got %d, want at most %d", got, most)
 		}
 	})
@@ -198,7 +198,7 @@
 		}
 
 		for i, s := range all {
-			if got := s.servers["i-0"].announced().Rate; got != want {
+			if got := s.servers["i-0"].announcedLimit().Rate; got != want {
 				t.Errorf("instance %d: got a limit of %v, want %v", i, got, want)
 			}
 		}
@@ -213,7 +213,7 @@
 	check(now.Add(2*time.Second), ratelimit.Unlimited)
 
 	// The answer to an earlier request that comes now says nothing of what holds now.
-	r.members["a-2"].announce(r.members["a-2"].servers["i-0"], ratelimit.Announcement{Rate: 1.5, At: now}, true)
+	r.members["a-2"].applyLimit(r.members["a-2"].servers["i-0"], ratelimit.Announcement{Rate: 1.5, At: now}, true)
 	check(now.Add(2*time.Second), ratelimit.Unlimited)
 }
 
@@ -230,7 +230,7 @@
 	b.OnLimitChange = a.OnLimitChange
 
 	// The rate is none that a number of fewer bits holds.
-	a.announce(a.servers["i-0"], ratelimit.Announcement{Rate: 1.4, At: at}, true)
+	a.applyLimit(a.servers["i-0"], ratelimit.Announcement{Rate: 1.4, At: at}, true)
 
 	for range 200 {
 		news := a.TakeUpdate(at, Upstream)
@@ -248,7 +248,7 @@
 		t.Errorf("changes of the limit: got %d, want one at each of 2 instances", changes)
 	}
 
-	if got, most := a.servers["i-0"].announced().At.Sub(now), 50*time.Millisecond; got > most {
+	if got, most := a.servers["i-0"].announcedLimit().At.Sub(now), 50*time.Millisecond; got > most {
 		t.Errorf("after 200 exchanges: got an announcement %v younger, want at most %v", got, most)
 	}
 }
@@ -256,7 +256,7 @@
 // A limit is that of one start of a server.
 func TestALimitEndsWithItsServer(t *testing.T) {
 	s := engines(1, 64)
-	s.announce(s.servers["i-0"], ratelimit.Announcement{Rate: 1.5, At: now}, true)
+	s.applyLimit(s.servers["i-0"], ratelimit.Announcement{Rate: 1.5, At: now}, true)
 
 	if got := s.LimitedServers(); got != 1 {
 		t.Errorf("limited servers: got %d, want 1", got)
--- a/scheduling/meter.go
+++ b/scheduling/meter.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// meterSpan is the time over which arriving work is averaged.
-	meterSpan = 4 * time.Second
+	// arrivalWindow is the time over which arriving work is averaged.
+	arrivalWindow = 4 * time.Second
 	// speedSamples is how many answers the speed of servers is read from.
 	speedSamples = 48
-	// speedRank is the part of the samples that are slower than the speed that
+	// speedQuantile is the part of the samples that are slower than the speed that
 	// counts: most prompts wait for others, and only those that do not show it.
-	speedRank = 0.8
+	speedQuantile = 0.8
 	// speedHalfLife is the time in which a speed that is not seen again counts half.
 	speedHalfLife = 90 * time.Second
-	// minSample is the least work that shows a speed; below it fixed times count, and
+	// minSpeedTokens is the least work that shows a speed; below it fixed times count, and
 	// the few samples that make the first speed.
-	minSample = 1500
-	// minRead is the least work, all that waited included, that shows a rate of reading.
-	minRead    = 6000
-	minSamples = 4
+	minSpeedTokens = 1500
+	// minReadTokens is the least work, all that waited included, that shows a rate of reading.
+	minReadTokens = 6000
+	minSamples    = 4
 )
 
 // Work is what arrives at a service and what its servers can do, in tokens of
@@ -54,51 +54,51 @@
 	s.next = (s.next + 1) % speedSamples
 }
 
-// rank returns the number below which a part of the others lies, and whether there are
+// quantile returns the number below which a part of the others lies, and whether there are
 // enough of them.
-func (s *samples) rank(part float64) (float64, bool) {
+func (s *samples) quantile(q float64) (float64, bool) {
 	n := len(s.values)
 	if n < minSamples {
 		return 0, false
 	}
 
-	return slices.Sorted(slices.Values(s.values))[min(int(float64(n)*part), n-1)], true
+	return slices.Sorted(slices.Values(s.values))[min(int(float64(n)*q), n-1)], true
 }
 
 // meter measures one service.
 type meter struct {
-	mu   sync.Mutex
-	rate float64
-	at   time.Time
+	mu          sync.Mutex
+	arrivalRate float64
+	decayedAt   time.Time
 	// speeds are those at which servers read prompts of some size, waiting included, and
-	// reads those at which they read what waited there; both in tokens a second.
-	speeds, reads samples
-	// speed is the highest speed of late.
-	speed   float64
-	speedAt time.Time
+	// readRates those at which they read what waited there; both in tokens a second.
+	speeds, readRates samples
+	// maxSpeed is the highest maxSpeed of late.
+	maxSpeed   float64
+	maxSpeedAt time.Time
 }
 
-// arrived counts work.
-func (m *meter) arrived(now time.Time, tokens int) {
+// addArrival counts work.
+func (m *meter) addArrival(now time.Time, tokens int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fade(now)
-	m.rate += float64(tokens) / meterSpan.Seconds()
+	m.decayArrivals(now)
+	m.arrivalRate += float64(tokens) / arrivalWindow.Seconds()
 }
 
-func (m *meter) fade(now time.Time) {
-	if !m.at.IsZero() {
-		m.rate *= math.Exp(-float64(now.Sub(m.at)) / float64(meterSpan))
+func (m *meter) decayArrivals(now time.Time) {
+	if !m.decayedAt.IsZero() {
+		m.arrivalRate *= math.Exp(-float64(now.Sub(m.decayedAt)) / float64(arrivalWindow))
 	}
 
-	m.at = now
+	m.decayedAt = now
 }
 
-// read takes in how long a server took to read a prompt, waiting included. tokens are
-// those that no server can have read before: what other instances sent there is not
+// recordSpeed takes in how long a server took to recordSpeed a prompt, waiting included. tokens are
+// those that no server can have recordSpeed before: what other instances sent there is not
 // known here, and counting it would make a server with a good cache look fast.
-func (m *meter) read(tokens int, took time.Duration) {
-	if tokens < minSample || took <= 0 {
+func (m *meter) recordSpeed(tokens int, took time.Duration) {
+	if tokens < minSpeedTokens || took <= 0 {
 		return
 	}
 
@@ -108,55 +108,55 @@
 	m.speeds.add(float64(tokens) / took.Seconds())
 }
 
-// readAll takes in how long a server took to read a prompt and what waited before it.
-func (m *meter) readAll(tokens int64, took time.Duration) {
-	if tokens < minRead || took <= 0 {
+// recordReadRate takes in how long a server took to read a prompt and what waited before it.
+func (m *meter) recordReadRate(tokens int64, took time.Duration) {
+	if tokens < minReadTokens || took <= 0 {
 		return
 	}
 
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	m.reads.add(float64(tokens) / took.Seconds())
+	m.readRates.add(float64(tokens) / took.Seconds())
 }
 
-// readRate returns the rate at which servers read, as the middle one of late, or zero
+// medianReadRate returns the rate at which servers read, as the middle one of late, or zero
 // while it is not known.
-func (m *meter) readRate() float64 {
+func (m *meter) medianReadRate() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	middle, _ := m.reads.rank(0.5)
+	median, _ := m.readRates.quantile(0.5)
 
-	return middle
+	return median
 }
 
 func (m *meter) work(now time.Time, service fleet.Service) Work {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fade(now)
+	m.decayArrivals(now)
 
-	w := Work{Service: service, Arriving: m.rate}
+	work := Work{Service: service, Arriving: m.arrivalRate}
 
-	w.Speed = m.newSpeed(now)
+	work.Speed = m.idleSpeed(now)
 
-	return w
+	return work
 }
 
-// newSpeed returns the speed of an idle server. It fades slowly: servers that are
+// idleSpeed returns the speed of an idle server. It fades slowly: servers that are
 // overloaded show less, and must not be taken for slow ones.
-func (m *meter) newSpeed(now time.Time) float64 {
-	if !m.speedAt.IsZero() {
-		m.speed *= math.Exp2(-float64(now.Sub(m.speedAt)) / float64(speedHalfLife))
+func (m *meter) idleSpeed(now time.Time) float64 {
+	if !m.maxSpeedAt.IsZero() {
+		m.maxSpeed *= math.Exp2(-float64(now.Sub(m.maxSpeedAt)) / float64(speedHalfLife))
 	}
 
-	m.speedAt = now
+	m.maxSpeedAt = now
 
-	if speed, ok := m.speeds.rank(speedRank); ok {
-		m.speed = max(m.speed, speed)
+	if speed, ok := m.speeds.quantile(speedQuantile); ok {
+		m.maxSpeed = max(m.maxSpeed, speed)
 	}
 
-	return m.speed
+	return m.maxSpeed
 }
 
 // Work returns what this instance measured of each service.
--- a/scheduling/news.go
+++ b/scheduling/news.go
@@ -48,7 +48,7 @@
 	// what all have sent, themselves included.
 	Downstream
 
-	audiences
+	audienceCount
 )
 
 // SenderRole is whom news comes from.
@@ -102,35 +102,35 @@
 
 func keyOf(id string) Key { return Key(xxhash.Sum64String(id)) }
 
-// keyOfStart differs between the starts of a server, so that news of one is not taken
+// keyOfProcess differs between the starts of a server, so that news of one is not taken
 // for news of the next.
-func keyOfStart(s register.Process) Key { return keyOf(s.String()) }
+func keyOfProcess(s register.Process) Key { return keyOf(s.String()) }
 
 const (
-	// backlogLife is how long the news of a backlog counts that is not told anew: the
+	// backlogTTL is how long the news of a backlog counts that is not told anew: the
 	// longest prompts are read within it, and the instance may have ended.
-	backlogLife = 1500 * time.Millisecond
-	// maxHoldings bounds what is kept for the others until it is told.
-	maxHoldings = 256
-	// holdingLife is how long after it was told that a server holds a part that is not
+	backlogTTL = 1500 * time.Millisecond
+	// maxQueuedSegments bounds what is kept for the others until it is told.
+	maxQueuedSegments = 256
+	// segmentUpdateInterval is how long after it was told that a server holds a part that is not
 	// told again: well within the time for which the others believe it.
-	holdingLife = partLife / 3
+	segmentUpdateInterval = segmentTTL / 3
 )
 
 // outbox collects what is to be told to one audience. The zero value is empty.
 type outbox struct {
-	mu       sync.Mutex
-	backlogs map[*server]bool
-	loads    map[*server]bool
-	gone     map[*server]bool
-	limits   map[*server]bool
-	holdings []CachedSegments
+	mu         sync.Mutex
+	backlogs   map[*server]bool
+	loads      map[*server]bool
+	terminated map[*server]bool
+	limits     map[*server]bool
+	segments   []CachedSegments
 	// wake tells that there is something.
 	wake feed.Signal
 }
 
-// changed notes that the backlog of a server changed, and parts that it now holds.
-func (o *outbox) changed(s *server, parts []Key) {
+// addBacklog notes that the backlog of a server addBacklog, and parts that it now holds.
+func (o *outbox) addBacklog(s *server, segments []Key) {
 	o.mu.Lock()
 
 	if o.backlogs == nil {
@@ -139,16 +139,16 @@
 
 	o.backlogs[s] = true
 
-	if len(parts) > 0 && len(o.holdings) < maxHoldings {
-		o.holdings = append(o.holdings, CachedSegments{Server: s.key, Parts: parts})
+	if len(segments) > 0 && len(o.segments) < maxQueuedSegments {
+		o.segments = append(o.segments, CachedSegments{Server: s.key, Parts: segments})
 	}
 
 	o.mu.Unlock()
 	o.wake.Send()
 }
 
-// loaded notes that a server told its load. That alone is no reason to tell at once.
-func (o *outbox) loaded(s *server) {
+// addLoad notes that a server told its load. That alone is no reason to tell at once.
+func (o *outbox) addLoad(s *server) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
@@ -159,23 +159,23 @@
 	o.loads[s] = true
 }
 
-// ended notes that the program of a server has ended.
-func (o *outbox) ended(s *server) {
+// addTerminated notes that the program of a server has addTerminated.
+func (o *outbox) addTerminated(s *server) {
 	o.mu.Lock()
 
-	if o.gone == nil {
-		o.gone = make(map[*server]bool)
+	if o.terminated == nil {
+		o.terminated = make(map[*server]bool)
 	}
 
-	o.gone[s] = true
+	o.terminated[s] = true
 
 	o.mu.Unlock()
 	o.wake.Send()
 }
 
-// limited notes that a server announced a limit. One that changes nothing is no reason to
+// addLimit notes that a server announced a limit. One that changes nothing is no reason to
 // send a message at once.
-func (o *outbox) limited(s *server, changed bool) {
+func (o *outbox) addLimit(s *server, changed bool) {
 	o.mu.Lock()
 
 	if o.limits == nil {
@@ -191,196 +191,196 @@
 	}
 }
 
-// noted is what an outbox held.
-type noted struct {
-	backlogs, loads, ended, limits []*server
-	holdings                       []CachedSegments
+// outboxContent is what an outbox held.
+type outboxContent struct {
+	backlogs, loads, terminated, limits []*server
+	segments                            []CachedSegments
 }
 
 // take empties the outbox.
-func (o *outbox) take() noted {
+func (o *outbox) take() outboxContent {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	all := noted{
+	content := outboxContent{
 		backlogs: slices.Collect(maps.Keys(o.backlogs)), loads: slices.Collect(maps.Keys(o.loads)),
-		ended: slices.Collect(maps.Keys(o.gone)), limits: slices.Collect(maps.Keys(o.limits)), holdings: o.holdings,
+		terminated: slices.Collect(maps.Keys(o.terminated)), limits: slices.Collect(maps.Keys(o.limits)), segments: o.segments,
 	}
 
 	clear(o.backlogs)
 	clear(o.loads)
-	clear(o.gone)
+	clear(o.terminated)
 	clear(o.limits)
 
-	o.holdings = nil
+	o.segments = nil
 
-	return all
+	return content
 }
 
 // TakeUpdate returns what has changed for an audience since the last call.
 func (s *Scheduler) TakeUpdate(now time.Time, to Audience) ServerUpdate {
-	all := s.outboxes[to].take()
-	news := ServerUpdate{Holdings: all.holdings}
+	content := s.outboxes[to].take()
+	update := ServerUpdate{Holdings: content.segments}
 
-	for _, one := range all.ended {
-		news.Ended = append(news.Ended, one.key)
+	for _, one := range content.terminated {
+		update.Ended = append(update.Ended, one.key)
 	}
 
-	for _, one := range all.limits {
-		news.Limits = append(news.Limits, one.limitFor(now))
+	for _, one := range content.limits {
+		update.Limits = append(update.Limits, one.limitUpdate(now))
 	}
 
-	for _, one := range all.backlogs {
-		news.Backlogs = append(news.Backlogs, Backlog{Server: one.key, Tokens: tokens(one.backlogFor(now, to, s.relay.Load()))})
+	for _, one := range content.backlogs {
+		update.Backlogs = append(update.Backlogs, Backlog{Server: one.key, Tokens: clampTokens(one.backlogFor(now, to, s.isRelay.Load()))})
 	}
 
-	for _, one := range all.loads {
-		if requests, age, ok := one.newest(now); ok {
-			news.Loads = append(news.Loads, ServerLoad{
+	for _, one := range content.loads {
+		if requests, age, ok := one.lastLoad(now); ok {
+			update.Loads = append(update.Loads, ServerLoad{
 				Server: one.key, Requests: uint16(min(requests, math.MaxUint16)), AgeMs: uint16(age.Milliseconds()),
 			})
 		}
 	}
 
-	return news
+	return update
 }
 
 // SetRelay says whether this instance is a relay: one that is none tells relays of itself
 // alone.
-func (s *Scheduler) SetRelay(relay bool) { s.relay.Store(relay) }
+func (s *Scheduler) SetRelay(relay bool) { s.isRelay.Store(relay) }
 
 // UpdateReady returns a channel that is told when there is news for an audience.
 func (s *Scheduler) UpdateReady(to Audience) <-chan struct{} { return s.outboxes[to].wake.C() }
 
-func tokens(n int64) uint32 { return uint32(min(max(n, 0), math.MaxUint32)) }
+func clampTokens(n int64) uint32 { return uint32(min(max(n, 0), math.MaxUint32)) }
 
 // ApplyUpdate takes another instance's news in, and notes what of it is to be passed on.
 // Servers that are not known here are passed over.
-func (s *Scheduler) ApplyUpdate(now time.Time, from fleet.InstanceID, as SenderRole, n ServerUpdate) {
+func (s *Scheduler) ApplyUpdate(now time.Time, from fleet.InstanceID, role SenderRole, update ServerUpdate) {
 	byKey := s.byKey.Load()
 	if byKey == nil {
 		return
 	}
 
-	for _, b := range n.Backlogs {
+	for _, b := range update.Backlogs {
 		if one := (*byKey)[b.Server]; one != nil {
-			one.hearBacklog(now, from, as, int64(b.Tokens))
-			s.changed(one, nil, as == Subscriber)
+			one.recordBacklog(now, from, role, int64(b.Tokens))
+			s.publishBacklog(one, nil, role == Subscriber)
 		}
 	}
 
-	for _, h := range n.Holdings {
+	for _, h := range update.Holdings {
 		if one := (*byKey)[h.Server]; one != nil {
-			s.holds(now, one, h.Parts, as == Subscriber)
+			s.publishSegments(now, one, h.Parts, role == Subscriber)
 		}
 	}
 
-	for _, key := range n.Ended {
+	for _, key := range update.Ended {
 		if one := (*byKey)[key]; one != nil {
-			s.ended(now, one, as == Subscriber)
+			s.publishTerminated(now, one, role == Subscriber)
 		}
 	}
 
-	for _, l := range n.Limits {
+	for _, l := range update.Limits {
 		if one := (*byKey)[l.Server]; one != nil && l.Rate.Usable() {
-			s.receiveLimit(now, one, l, as == Subscriber)
+			s.receiveLimit(now, one, l, role == Subscriber)
 		}
 	}
 
-	for _, l := range n.Loads {
+	for _, l := range update.Loads {
 		if one := (*byKey)[l.Server]; one != nil {
-			one.hear(now.Add(-time.Duration(l.AgeMs)*time.Millisecond), int(l.Requests))
-			s.loaded(one, as == Subscriber)
+			one.recordLoad(now.Add(-time.Duration(l.AgeMs)*time.Millisecond), int(l.Requests))
+			s.publishLoad(one, role == Subscriber)
 		}
 	}
 }
 
-// changed notes for others that a server's backlog changed, or parts that it holds. What
+// publishBacklog notes for others that a server's backlog publishBacklog, or parts that it holds. What
 // relays tell goes no further up.
-func (s *Scheduler) changed(one *server, parts []Key, up bool) {
-	s.outboxes[Downstream].changed(one, parts)
+func (s *Scheduler) publishBacklog(one *server, segments []Key, upstream bool) {
+	s.outboxes[Downstream].addBacklog(one, segments)
 
-	if up {
-		s.outboxes[Upstream].changed(one, parts)
+	if upstream {
+		s.outboxes[Upstream].addBacklog(one, segments)
 	}
 }
 
-// holds takes in that a server holds parts, and notes it for others that have not been
+// publishSegments takes in that a server publishSegments parts, and notes it for others that have not been
 // told of late.
-func (s *Scheduler) holds(now time.Time, one *server, parts []Key, up bool) {
-	if one.holdNew(now, parts) {
-		s.changed(one, parts, up)
+func (s *Scheduler) publishSegments(now time.Time, one *server, segments []Key, upstream bool) {
+	if one.addSegments(now, segments) {
+		s.publishBacklog(one, segments, upstream)
 	}
 }
 
-// ended keeps requests off a server whose program has ended, and notes that for others
+// publishTerminated keeps requests off a server whose program has publishTerminated, and notes that for others
 // that have not been told of late.
-func (s *Scheduler) ended(now time.Time, one *server, up bool) {
-	if !one.end(now) {
+func (s *Scheduler) publishTerminated(now time.Time, one *server, upstream bool) {
+	if !one.markTerminated(now) {
 		return
 	}
 
-	s.outboxes[Downstream].ended(one)
+	s.outboxes[Downstream].addTerminated(one)
 
-	if up {
-		s.outboxes[Upstream].ended(one)
+	if upstream {
+		s.outboxes[Upstream].addTerminated(one)
 	}
 }
 
-func (s *Scheduler) loaded(one *server, up bool) {
-	s.outboxes[Downstream].loaded(one)
+func (s *Scheduler) publishLoad(one *server, upstream bool) {
+	s.outboxes[Downstream].addLoad(one)
 
-	if up {
-		s.outboxes[Upstream].loaded(one)
+	if upstream {
+		s.outboxes[Upstream].addLoad(one)
 	}
 }
 
 // backlogs are those of other instances at one server.
 type backlogs struct {
-	of map[fleet.InstanceID]heardBacklog
+	bySender map[fleet.InstanceID]senderBacklog
 }
 
-type heardBacklog struct {
-	tokens int64
-	at     time.Time
-	as     SenderRole
+type senderBacklog struct {
+	tokens     int64
+	receivedAt time.Time
+	role       SenderRole
 }
 
-func (b *backlogs) hear(now time.Time, from fleet.InstanceID, as SenderRole, tokens int64) {
-	if b.of == nil {
-		b.of = make(map[fleet.InstanceID]heardBacklog)
+func (b *backlogs) record(now time.Time, from fleet.InstanceID, role SenderRole, tokens int64) {
+	if b.bySender == nil {
+		b.bySender = make(map[fleet.InstanceID]senderBacklog)
 	}
 
 	if tokens == 0 {
-		delete(b.of, from)
+		delete(b.bySender, from)
 
 		return
 	}
 
-	b.of[from] = heardBacklog{tokens: tokens, at: now, as: as}
+	b.bySender[from] = senderBacklog{tokens: tokens, receivedAt: now, role: role}
 }
 
 // sum returns the tokens that senders of some kinds have waiting, as far as it was told
 // lately.
-func (b *backlogs) sum(now time.Time, fits func(SenderRole) bool) int64 {
+func (b *backlogs) sum(now time.Time, include func(SenderRole) bool) int64 {
 	sum := int64(0)
 
-	for from, one := range b.of {
-		if now.Sub(one.at) > backlogLife {
-			delete(b.of, from)
+	for from, backlog := range b.bySender {
+		if now.Sub(backlog.receivedAt) > backlogTTL {
+			delete(b.bySender, from)
 
 			continue
 		}
 
-		if fits(one.as) {
-			sum += one.tokens
+		if include(backlog.role) {
+			sum += backlog.tokens
 		}
 	}
 
 	return sum
 }
 
-// ofSubscribers and ofOthers are the senders whose backlogs an audience is told.
-func ofSubscribers(s SenderRole) bool { return s == Subscriber }
-func ofOthers(s SenderRole) bool      { return s != Relay }
-func ofRelay(s SenderRole) bool       { return s == Relay }
+// isSubscriber and ofOthers are the senders whose backlogs an audience is told.
+func isSubscriber(s SenderRole) bool { return s == Subscriber }
+func isNotRelay(s SenderRole) bool   { return s != Relay }
+func ofRelay(s SenderRole) bool      { return s == Relay }
--- a/scheduling/news_test.go
+++ b/scheduling/news_test.go
@@ -50,22 +50,22 @@
 
 	server, idle := here.servers[a.ID()], here.servers[other]
 
-	if got, want := server.waiting(now), int64(a.unread); got != want {
+	if got, want := server.remotePending(now), int64(a.uncachedTokens); got != want {
 		t.Errorf("waiting there: got %d, want %d", got, want)
 	}
 
-	if got, want := server.held(now, r.Prompt.keys(), r.Prompt), r.Prompt.shared(); got != want {
+	if got, want := server.cachedTokens(now, r.Prompt.keys(), r.Prompt), r.Prompt.sharedTokens(); got != want {
 		t.Errorf("held there while it is being read: got %d, want the common %d", got, want)
 	}
 
-	if got := idle.waiting(now) + int64(idle.held(now, r.Prompt.keys(), r.Prompt)); got != 0 {
+	if got := idle.remotePending(now) + int64(idle.cachedTokens(now, r.Prompt.keys(), r.Prompt)); got != 0 {
 		t.Errorf("at the other server: got %d tokens waiting and held, want 0", got)
 	}
 
 	a.FirstEventReceived(now)
 	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
-	if got := server.waiting(now); got != 0 {
+	if got := server.remotePending(now); got != 0 {
 		t.Errorf("waiting after it was read: got %d, want 0", got)
 	}
 
@@ -80,11 +80,11 @@
 	server := s.servers["i-0"]
 	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: server.key, Tokens: 9000}}})
 
-	if got := server.waiting(now.Add(backlogLife)); got != 9000 {
+	if got := server.remotePending(now.Add(backlogTTL)); got != 9000 {
 		t.Errorf("waiting at the end of its life: got %d, want 9000", got)
 	}
 
-	if got := server.waiting(now.Add(backlogLife + time.Millisecond)); got != 0 {
+	if got := server.remotePending(now.Add(backlogTTL + time.Millisecond)); got != 0 {
 		t.Errorf("waiting after its life: got %d, want 0", got)
 	}
 }
@@ -98,7 +98,7 @@
 	a.End(now, Failed)
 	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
-	if got := here.servers["i-0"].waiting(now); got != 0 {
+	if got := here.servers["i-0"].remotePending(now); got != 0 {
 		t.Errorf("waiting after the attempt failed: got %d, want 0", got)
 	}
 }
@@ -107,14 +107,14 @@
 func TestNewsThatIsNotTakenIsBounded(t *testing.T) {
 	s := engines(1, 64)
 
-	for i := range 4 * maxHoldings {
+	for i := range 4 * maxQueuedSegments {
 		a := pick(t, s, prompt(fmt.Sprint("session-", i)))
 		a.Start(now)
 		a.FirstEventReceived(now)
 		a.End(now, Served)
 	}
 
-	if got := len(s.TakeUpdate(now, Upstream).Holdings); got > maxHoldings {
-		t.Errorf("holdings: got %d, want at most %d", got, maxHoldings)
+	if got := len(s.TakeUpdate(now, Upstream).Holdings); got > maxQueuedSegments {
+		t.Errorf("holdings: got %d, want at most %d", got, maxQueuedSegments)
 	}
 }
--- a/scheduling/place.go
+++ b/scheduling/place.go
@@ -13,20 +13,20 @@
 	// shortBacklog is the backlog, as the time in which a server reads it, up to which any
 	// prompt is sent there: the server is not idle while news of it is on its way.
 	shortBacklog = 100 * time.Millisecond
-	// giveUpMargin is how long before its caller would leave a prompt that was held is
+	// refuseMargin is how long before its caller would leave a prompt that was held is
 	// expected to begin: a rate of reading is off by a tenth.
-	giveUpMargin = 300 * time.Millisecond
-	// holdEvery is how often a prompt that is held is looked at again: half of the pace
+	refuseMargin = 300 * time.Millisecond
+	// holdInterval is how often a prompt that is held is looked at again: half of the pace
 	// at which few instances tell each other of their backlogs.
-	holdEvery = 20 * time.Millisecond
+	holdInterval = 20 * time.Millisecond
 )
 
-// verdict is what becomes of a prompt.
-type verdict int
+// decision is what becomes of a prompt.
+type decision int
 
 const (
 	// send sends the prompt on now.
-	send verdict = iota
+	send decision = iota
 	// hold lets it wait here.
 	hold
 	// refuse tells the caller to come back.
@@ -51,14 +51,14 @@
 // server is left the request waits for one, or gets a NoRoomError. Place waits until ctx
 // ends at most.
 func (s *Scheduler) Place(ctx context.Context, clk clock.Clock, r Request) (*Assignment, error) {
-	asked := 0
+	permitRequests := 0
 
 	for {
 		now := clk.Now()
 
 		a, err := s.Pick(now, r)
 		if errors.Is(err, ErrNoServer) {
-			if a, err := s.placeLast(ctx, clk, &r); a != nil || err != nil {
+			if a, err := s.placeWithoutServer(ctx, clk, &r); a != nil || err != nil {
 				return a, err
 			}
 
@@ -69,9 +69,9 @@
 			return nil, err
 		}
 
-		switch a.judge(now, r) {
+		switch a.decide(now, r) {
 		case send:
-			if s.permitted(ctx, clk, a) {
+			if s.acquirePermit(ctx, clk, a) {
 				return a, nil
 			}
 
@@ -79,69 +79,69 @@
 				return nil, ctx.Err()
 			}
 
-			asked++
-			r.withoutLimit = asked >= askedServers
+			permitRequests++
+			r.onlyUnlimited = permitRequests >= maxPermitRequests
 
 			continue
 		case refuse:
-			return nil, &OverloadError{RetryAfter: a.comeBack()}
+			return nil, &OverloadError{RetryAfter: a.retryAfter()}
 		case hold:
 		}
 
 		select {
-		case <-clk.After(holdEvery + rand.N(holdEvery)):
+		case <-clk.After(holdInterval + rand.N(holdInterval)):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// placeLast places a request that no server is left for at first: at one that it was to spare,
+// placeWithoutServer places a request that no server is left for at first: at one that it was to spare,
 // or at one that may have room in time. Without an assignment and an error the request is to
 // be placed anew.
-func (s *Scheduler) placeLast(ctx context.Context, clk clock.Clock, r *Request) (*Assignment, error) {
-	if r.Final && !r.mayTest {
-		r.mayTest = true
+func (s *Scheduler) placeWithoutServer(ctx context.Context, clk clock.Clock, r *Request) (*Assignment, error) {
+	if r.Final && !r.allowTrial {
+		r.allowTrial = true
 
 		return nil, nil
 	}
 
-	r.withoutLimit = false
+	r.onlyUnlimited = false
 
 	return s.awaitRoom(ctx, clk, *r)
 }
 
-// judge decides what becomes of a prompt whose best server is that of the assignment. It
+// decide decides what becomes of a prompt whose best server is that of the assignment. It
 // answers an overload, in which an engine that reads prompts in the order in which they
 // come lets each wait behind all others, and none begins in time. One that is late
 // already loses nothing by letting those go first that are not; if that takes until its
 // caller leaves, it is refused: sent on it would only make others late.
-func (a *Assignment) judge(now time.Time, r Request) verdict {
+func (a *Assignment) decide(now time.Time, r Request) decision {
 	if a.meter == nil || r.Due.IsZero() {
 		return send
 	}
 
-	rate := a.meter.readRate()
+	rate := a.meter.medianReadRate()
 	if rate == 0 || readTime(a.backlog, rate) <= shortBacklog {
 		return send
 	}
 
-	begin := now.Add(readTime(a.backlog+int64(a.unread), rate))
+	begin := now.Add(readTime(a.backlog+int64(a.uncachedTokens), rate))
 
 	switch {
 	case !begin.After(r.Due):
 		return send
-	case now.After(r.HoldUntil) || begin.Add(giveUpMargin).After(r.CallerDeadline):
+	case now.After(r.HoldUntil) || begin.Add(refuseMargin).After(r.CallerDeadline):
 		return refuse
 	default:
 		return hold
 	}
 }
 
-// comeBack returns when a caller that is refused should come back: half of what waits now
+// retryAfter returns when a caller that is refused should come back: half of what waits now
 // is read by then, and those that are refused together come back apart.
-func (a *Assignment) comeBack() time.Duration {
-	backlog := max(readTime(a.backlog, a.meter.readRate()), shortBacklog)
+func (a *Assignment) retryAfter() time.Duration {
+	backlog := max(readTime(a.backlog, a.meter.medianReadRate()), shortBacklog)
 
 	return backlog/2 + rand.N(backlog)
 }
--- a/scheduling/place_test.go
+++ b/scheduling/place_test.go
@@ -53,7 +53,7 @@
 	s := engines(1, 64)
 
 	for range minSamples {
-		s.meter("llm").readAll(40_000, time.Second)
+		s.meter("llm").recordReadRate(40_000, time.Second)
 	}
 
 	tokens := uint32(backlog.Seconds() * 40_000)
@@ -68,7 +68,7 @@
 		backlog time.Duration
 		due     time.Duration
 		until   time.Duration
-		want    verdict
+		want    decision
 	}{
 		{"begins in time", 400 * time.Millisecond, time.Second, 4 * time.Second, send},
 		{"can't begin in time", 900 * time.Millisecond, time.Second, 4 * time.Second, hold},
@@ -82,7 +82,7 @@
 		r := prompt("session")
 		r.Due, r.HoldUntil, r.CallerDeadline = now.Add(test.due), now.Add(test.until), now.Add(2400*time.Millisecond)
 
-		if got := pick(t, busy(test.backlog), r).judge(now, r); got != test.want {
+		if got := pick(t, busy(test.backlog), r).decide(now, r); got != test.want {
 			t.Errorf("verdict, where a prompt %s: got %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -97,7 +97,7 @@
 	least, most := time.Hour, time.Duration(0)
 
 	for range 200 {
-		after := a.comeBack()
+		after := a.retryAfter()
 		least, most = min(least, after), max(most, after)
 	}
 
@@ -113,7 +113,7 @@
 	r := prompt("session")
 	r.Due, r.HoldUntil, r.CallerDeadline = now.Add(time.Second), now.Add(4*time.Second), now.Add(4*time.Second)
 
-	if got := pick(t, s, r).judge(now, r); got != send {
+	if got := pick(t, s, r).decide(now, r); got != send {
 		t.Errorf("verdict without a rate: got %v, want %v", got, send)
 	}
 }
@@ -150,7 +150,7 @@
 
 			return
 		default:
-			clk.Advance(holdEvery)
+			clk.Advance(holdInterval)
 		}
 	}
 }
--- a/scheduling/play_test.go
+++ b/scheduling/play_test.go
@@ -166,7 +166,7 @@
 			t.Fatalf("place: got %v, want a server", err)
 		}
 
-		if p.holds && a.judge(now, r) == refuse {
+		if p.holds && a.decide(now, r) == refuse {
 			if arrived.Sub(begin) >= warmUp {
 				out.refused++
 			}
@@ -174,8 +174,8 @@
 			return
 		}
 
-		if p.holds && a.judge(now, r) == hold {
-			again := holdEvery + time.Duration(random.Int64N(int64(holdEvery)))
+		if p.holds && a.decide(now, r) == hold {
+			again := holdInterval + time.Duration(random.Int64N(int64(holdInterval)))
 			heap.Push(&steps, playStep{at: now.Add(again), do: func(now time.Time) { place(now, from, arrived, r) }})
 
 			return
--- a/scheduling/relayed_test.go
+++ b/scheduling/relayed_test.go
@@ -75,7 +75,7 @@
 
 	for i, s := range all {
 		server := s.servers["i-0"]
-		if got := server.pending.Load() + server.waiting(now); got != sum {
+		if got := server.pendingTokens.Load() + server.remotePending(now); got != sum {
 			t.Errorf("instance %d: got %d tokens waiting, want %d", i, got, sum)
 		}
 	}
@@ -91,7 +91,7 @@
 	r.exchange(now)
 
 	for i, s := range all {
-		if got := s.servers["i-0"].waiting(now); got != 0 {
+		if got := s.servers["i-0"].remotePending(now); got != 0 {
 			t.Errorf("instance %d after all were read: got %d tokens waiting, want none", i, got)
 		}
 	}
@@ -109,7 +109,7 @@
 		a.End(now, Served)
 	}
 
-	if got := len(r.members["a-1"].outboxes[Upstream].holdings); got != 2 {
+	if got := len(r.members["a-1"].outboxes[Upstream].segments); got != 2 {
 		t.Errorf("holdings to tell: got %d, want that of the common parts and that of all", got)
 	}
 
@@ -118,7 +118,7 @@
 	keys := p.Prompt.keys()
 
 	for id, s := range r.members {
-		if got := s.servers["i-0"].held(now, keys, p.Prompt); got != p.Prompt.Tokens {
+		if got := s.servers["i-0"].cachedTokens(now, keys, p.Prompt); got != p.Prompt.Tokens {
 			t.Errorf("%s: got %d tokens held, want %d", id, got, p.Prompt.Tokens)
 		}
 	}
--- a/scheduling/return_model_test.go
+++ b/scheduling/return_model_test.go
@@ -139,7 +139,7 @@
 				return
 			}
 
-			send(at, from, Request{Service: "api", Excluded: []fleet.InstanceID{a.ID()}, Final: true, mayTest: r.mayTest})
+			send(at, from, Request{Service: "api", Excluded: []fleet.InstanceID{a.ID()}, Final: true, allowTrial: r.allowTrial})
 		}})
 	}
 
--- a/scheduling/roles_test.go
+++ b/scheduling/roles_test.go
@@ -76,7 +76,7 @@
 
 			for j, s := range r.schedulers {
 				one := s.servers["s-0"]
-				if got, most := one.waiting(r.now), int64(n*n*prompt); got > most {
+				if got, most := one.remotePending(r.now), int64(n*n*prompt); got > most {
 					t.Fatalf("at instance %d: got %d tokens, want at most %d of %d instances", j, got, most, n)
 				}
 			}
@@ -108,7 +108,7 @@
 	}
 
 	for i, s := range r.schedulers {
-		if got, want := s.servers["s-0"].waiting(r.now), int64(prompt); got != want {
+		if got, want := s.servers["s-0"].remotePending(r.now), int64(prompt); got != want {
 			t.Errorf("at instance %d: got %d tokens of others, want %d", i, got, want)
 		}
 	}
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -76,12 +76,12 @@
 	// Final requests are sent to no other server if this one turns them away.
 	Final bool
 
-	// mayTest is set once no other server is left: a final request may be the one that shows
+	// allowTrial is set once no other server is left: a final request may be the one that shows
 	// whether a server takes requests again.
-	mayTest bool
-	// withoutLimit is set once a few servers without room were asked: only others are
+	allowTrial bool
+	// onlyUnlimited is set once a few servers without room were asked: only others are
 	// picked from then on.
-	withoutLimit bool
+	onlyUnlimited bool
 }
 
 // Scheduler places the requests of one entry instance. Its exported fields are
@@ -103,20 +103,20 @@
 	// Counters may be nil.
 	Counters *Counters
 
-	current atomic.Pointer[map[fleet.Service][]*server]
+	pools atomic.Pointer[map[fleet.Service][]*server]
 
 	// byKey has the servers that other instances tell of.
 	byKey atomic.Pointer[map[Key]*server]
 
-	outboxes [audiences]outbox
-	// relay tells that this instance is a relay.
-	relay atomic.Bool
+	outboxes [audienceCount]outbox
+	// isRelay tells that this instance is a isRelay.
+	isRelay atomic.Bool
 
 	mu      sync.Mutex
 	servers map[fleet.InstanceID]*server
-	// departed is what servers announced whose entry is not there.
-	departed departed
-	meters   map[fleet.Service]*meter
+	// removed is what servers announced whose entry is not there.
+	removed removedServers
+	meters  map[fleet.Service]*meter
 }
 
 // Update takes in which servers there are. What was learnt of those that stay is
@@ -125,18 +125,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	known := make(map[fleet.InstanceID]*server, len(servers))
+	byID := make(map[fleet.InstanceID]*server, len(servers))
 	pools := make(map[fleet.Service][]*server)
 
 	for _, entry := range servers {
 		one := s.servers[entry.ID]
-		if known := one != nil; !known || !one.stays(entry) {
-			if known {
-				s.departed.add(one.entry().Process(), one.announcements)
+		if existed := one != nil; !existed || !one.sameProcess(entry) {
+			if existed {
+				s.removed.add(one.entry().Process(), one.announcements)
 			}
 
-			one = newServer(entry, s.departed.take(entry.Process()))
-			one.again = known
+			one = newServer(entry, s.removed.take(entry.Process()))
+			one.restarted = existed
 		}
 
 		one.registered.Store(&entry)
@@ -145,38 +145,38 @@
 			one.announcements.leaving.Store(true)
 		}
 
-		known[entry.ID] = one
+		byID[entry.ID] = one
 
-		if !one.leaves() {
+		if !one.isLeaving() {
 			pools[entry.Service] = append(pools[entry.Service], one)
 		}
 	}
 
 	for id, one := range s.servers {
-		if known[id] == one {
+		if byID[id] == one {
 			continue
 		}
 
-		one.gone.Store(true)
+		one.removed.Store(true)
 
-		if known[id] == nil {
-			s.departed.add(one.entry().Process(), one.announcements)
+		if byID[id] == nil {
+			s.removed.add(one.entry().Process(), one.announcements)
 		}
 	}
 
-	byKey := make(map[Key]*server, len(known))
-	for _, one := range known {
+	byKey := make(map[Key]*server, len(byID))
+	for _, one := range byID {
 		byKey[one.key] = one
 	}
 
-	s.servers = known
+	s.servers = byID
 	s.byKey.Store(&byKey)
-	s.current.Store(&pools)
+	s.pools.Store(&pools)
 }
 
 // Initialized tells whether Update was called: requests can be placed.
 func (s *Scheduler) Initialized() bool {
-	return s.current.Load() != nil
+	return s.pools.Load() != nil
 }
 
 // RecordLoad takes in what a server said of its load.
@@ -186,30 +186,30 @@
 	s.mu.Unlock()
 
 	if one != nil {
-		one.hear(now, load.Running+load.Waiting)
-		s.loaded(one, true)
+		one.recordLoad(now, load.Running+load.Waiting)
+		s.publishLoad(one, true)
 	}
 }
 
 // Pick chooses the server that is expected to begin its answer first.
 func (s *Scheduler) Pick(now time.Time, r Request) (*Assignment, error) {
-	pools := s.current.Load()
+	pools := s.pools.Load()
 	if pools == nil {
 		return nil, ErrNoServer
 	}
 
-	pool := r.versions((*pools)[r.Service])
+	pool := r.matchVersions((*pools)[r.Service])
 	preferred := homesOf(pool, r.Prompt)
-	typical := typicalFailures(now, pool)
-	considered := candidates(now, pool, preferred, &r)
+	poolFailureRate := meanFailureRate(now, pool)
+	compared := candidates(now, pool, preferred, &r)
 	keys := r.Prompt.keys()
-	held := heldBy(now, considered, keys, r.Prompt)
+	cached := cachedBy(now, compared, keys, r.Prompt)
 	home := preferred[0]
-	if home != nil && home.again {
+	if home != nil && home.restarted {
 		home = nil
 	}
 
-	if shared := r.Prompt.shared(); shared > 0 && slices.ContainsFunc(held, func(n int) bool { return n >= shared }) {
+	if shared := r.Prompt.sharedTokens(); shared > 0 && slices.ContainsFunc(cached, func(n int) bool { return n >= shared }) {
 		// The home that does not hold the common part is known not to.
 		home = nil
 	}
@@ -218,16 +218,16 @@
 
 	var bestCost float64
 
-	for i, one := range considered {
-		if !one.fits(now, &r) {
+	for i, one := range compared {
+		if !one.eligible(now, &r) {
 			continue
 		}
 
-		unread := r.Prompt.unread(held[i], one == home)
+		uncached := r.Prompt.uncachedTokens(cached[i], one == home)
 
-		cost := one.cost(now, unread, s.Domain, typical)
+		cost := one.cost(now, uncached, s.Domain, poolFailureRate)
 		if a.server == nil || cost < bestCost {
-			a.server, a.unread, bestCost = one, unread, cost
+			a.server, a.uncachedTokens, bestCost = one, uncached, cost
 		}
 	}
 
@@ -235,27 +235,27 @@
 		return nil, ErrNoServer
 	}
 
-	s.measure(now, a, r)
+	s.attachMeter(now, a, r)
 
 	return a, nil
 }
 
-// measure notes what an assignment is judged by.
-func (s *Scheduler) measure(now time.Time, a *Assignment, r Request) {
+// attachMeter notes what an assignment is judged by.
+func (s *Scheduler) attachMeter(now time.Time, a *Assignment, r Request) {
 	if r.Prompt.Tokens > 0 {
 		a.meter = s.meter(r.Service)
-		a.backlog = a.server.pending.Load() + a.server.waiting(now)
+		a.backlog = a.server.pendingTokens.Load() + a.server.remotePending(now)
 	}
 }
 
-// heldBy returns the tokens of a prompt that each of some servers is known to have read.
-func heldBy(now time.Time, servers []*server, keys []Key, p Prompt) []int {
-	held := make([]int, len(servers))
+// cachedBy returns the tokens of a prompt that each of some servers is known to have read.
+func cachedBy(now time.Time, servers []*server, keys []Key, p Prompt) []int {
+	cached := make([]int, len(servers))
 	for i, one := range servers {
-		held[i] = one.held(now, keys, p)
+		cached[i] = one.cachedTokens(now, keys, p)
 	}
 
-	return held
+	return cached
 }
 
 func excluded(ids []fleet.InstanceID, id fleet.InstanceID) bool {
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -112,7 +112,7 @@
 
 	for range 20 {
 		for _, one := range s.servers {
-			one.outcome(now, one.entry().ID == bad)
+			one.recordOutcome(now, one.entry().ID == bad)
 		}
 	}
 
@@ -126,7 +126,7 @@
 
 	for range 20 {
 		for _, one := range s.servers {
-			one.outcome(now, true)
+			one.recordOutcome(now, true)
 		}
 	}
 
@@ -165,8 +165,8 @@
 	}
 
 	one := s.servers["i-0"]
-	if one.running.Load() != 0 || one.pending.Load() != 0 {
-		t.Errorf("after all ends: got %d running and %d pending, want 0", one.running.Load(), one.pending.Load())
+	if one.running.Load() != 0 || one.pendingTokens.Load() != 0 {
+		t.Errorf("after all ends: got %d running and %d pending, want 0", one.running.Load(), one.pendingTokens.Load())
 	}
 }
 
@@ -273,7 +273,7 @@
 func TestHomesAreAlwaysCompared(t *testing.T) {
 	s := engines(90, 16)
 	r := prompt("session")
-	want := homesOf((*s.current.Load())["llm"], r.Prompt)[0].entry().ID
+	want := homesOf((*s.pools.Load())["llm"], r.Prompt)[0].entry().ID
 
 	for range 50 {
 		if got := pick(t, s, r).ID(); got != want {
--- a/scheduling/starts_test.go
+++ b/scheduling/starts_test.go
@@ -23,7 +23,7 @@
 	first.Start(now)
 	first.FirstEventReceived(now)
 	s.RecordLoad(now, "i-1", Load{Running: 7})
-	s.servers["i-1"].outcome(now, true)
+	s.servers["i-1"].recordOutcome(now, true)
 	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: s.servers["i-1"].key, Tokens: 9000}}})
 
 	news := s.TakeUpdate(now, Upstream)
@@ -41,9 +41,9 @@
 	second := pick(t, s, r)
 	one := s.servers["i-1"]
 
-	if second.unread != 900 || second.backlog != 0 || one.load(now) != 0 || one.failureRate(now) != 0 {
+	if second.uncachedTokens != 900 || second.backlog != 0 || one.load(now) != 0 || one.failureRate(now) != 0 {
 		t.Errorf("second start: got %d unread, backlog %d, load %v, failures %v, want 900 and nothing else",
-			second.unread, second.backlog, one.load(now), one.failureRate(now))
+			second.uncachedTokens, second.backlog, one.load(now), one.failureRate(now))
 	}
 
 	if !second.Start(now.Add(time.Second)) {
@@ -70,7 +70,7 @@
 		t.Errorf("got %d places in %s, want 2 in b", got.Slots, got.Domain)
 	}
 
-	if len(one.parts) != 2 {
-		t.Errorf("parts: got %d, want the 2 that it has read", len(one.parts))
+	if len(one.segments) != 2 {
+		t.Errorf("parts: got %d, want the 2 that it has read", len(one.segments))
 	}
 }
--- a/scheduling/taken.go
+++ b/scheduling/taken.go
@@ -6,14 +6,14 @@
 	"monsoonlever/fleet"
 )
 
-// knownShare is the part of a service's servers that have to have told their load of late
+// minReportingShare is the part of a service's servers that have to have told their load of late
 // for all to be judged by it.
-const knownShare = 0.5
+const minReportingShare = 0.5
 
 // Utilization returns the part of the places of a service's servers that is in use or waited for,
 // and whether most of them have told their load of late.
 func (s *Scheduler) Utilization(now time.Time, service fleet.Service) (float64, bool) {
-	pools := s.current.Load()
+	pools := s.pools.Load()
 	if pools == nil {
 		return 0, false
 	}
@@ -22,13 +22,13 @@
 	requests, places, known := 0, 0, 0
 
 	for _, one := range pool {
-		told, _, young := one.newest(now)
-		if slots := one.entry().Slots; young && slots > 0 {
-			requests, places, known = requests+told, places+slots, known+1
+		reported, _, recent := one.lastLoad(now)
+		if serverSlots := one.entry().Slots; recent && serverSlots > 0 {
+			requests, places, known = requests+reported, places+serverSlots, known+1
 		}
 	}
 
-	if known == 0 || float64(known) < knownShare*float64(len(pool)) {
+	if known == 0 || float64(known) < minReportingShare*float64(len(pool)) {
 		return 0, false
 	}
 
--- a/scheduling/taken_test.go
+++ b/scheduling/taken_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("two of four told: got %v and %t, want 0.5", got, known)
 	}
 
-	if _, known := s.Utilization(now.Add(reportLife), "llm"); known {
+	if _, known := s.Utilization(now.Add(loadReportTTL), "llm"); known {
 		t.Error("after the life of reports: got it known, want it not")
 	}
 }
--- a/scheduling/versions.go
+++ b/scheduling/versions.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// versions returns the servers of a pool whose version may take a request. Of a version
+// matchVersions returns the servers of a pool whose version may take a request. Of a version
 // that is tried with a part of the requests, such a part of the servers takes them: each
 // then carries what it would if all were sent there.
-func (r *Request) versions(pool []*server) []*server {
+func (r *Request) matchVersions(pool []*server) []*server {
 	if r.OnlyVersion == "" && len(r.AvoidVersions) == 0 {
 		return pool
 	}
 
-	fit := make([]*server, 0, len(pool))
+	matching := make([]*server, 0, len(pool))
 
 	for _, one := range pool {
 		version := one.entry().Version
@@ -22,14 +22,14 @@
 			continue
 		}
 
-		fit = append(fit, one)
+		matching = append(matching, one)
 	}
 
-	if r.OnlyVersion == "" || r.VersionFraction >= 1 || len(fit) == 0 {
-		return fit
+	if r.OnlyVersion == "" || r.VersionFraction >= 1 || len(matching) == 0 {
+		return matching
 	}
 
-	slices.SortFunc(fit, func(a, b *server) int { return cmp.Compare(a.hash, b.hash) })
+	slices.SortFunc(matching, func(a, b *server) int { return cmp.Compare(a.hash, b.hash) })
 
-	return fit[:min(max(int(math.Ceil(r.VersionFraction*float64(len(fit)))), 1), len(fit))]
+	return matching[:min(max(int(math.Ceil(r.VersionFraction*float64(len(matching)))), 1), len(matching))]
 }
