--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -53,13 +53,13 @@
 	return n
 }
 
-func (m *market) state(now time.Time, arriving float64) State {
-	s := State{Service: service, Least: 1, Most: 6, Boot: m.boot, Arriving: arriving, Speed: 50_000}
+func (m *market) state(now time.Time, arriving float64) ServiceState {
+	s := ServiceState{Service: service, MinPerDomain: 1, MaxPerDomain: 6, BootTime: m.boot, ArrivalRate: arriving, ServerRate: 50_000}
 
 	for i, d := range domains {
-		s.Places = append(s.Places, Place{
+		s.Domains = append(s.Domains, DomainState{
 			Domain: d, Price: 1 + float64(i)/10,
-			Lasting: m.ready(now, key{service, d, false}), Reclaimable: m.ready(now, key{service, d, true}),
+			OnDemand: m.ready(now, key{service, d, false}), Reclaimable: m.ready(now, key{service, d, true}),
 		})
 	}
 
@@ -100,7 +100,7 @@
 func play(m *market, p *Planner, from time.Time, span time.Duration, arriving float64, each func(time.Time)) time.Time {
 	for now := from; now.Before(from.Add(span)); now = now.Add(tick) {
 		for _, o := range p.Plan(now, m.state(now, arriving)) {
-			p.Answered(now, o, true, m.obey(now, o))
+			p.RecordResult(now, o, true, m.obey(now, o))
 		}
 
 		lasting, reclaimable := m.all(now)
@@ -189,7 +189,7 @@
 				m.obey(now, o)
 			}
 
-			p.Answered(now, o, true, false)
+			p.RecordResult(now, o, true, false)
 		}
 	}
 
@@ -201,7 +201,7 @@
 func TestNothingIsOrderedBeforeServersAreKnown(t *testing.T) {
 	m := &market{servers: make(map[key][]time.Time)}
 	s := m.state(begin, 0)
-	s.Speed = 0
+	s.ServerRate = 0
 
 	if got := (&Planner{}).Plan(begin, s); len(got) != 0 {
 		t.Errorf("without servers: got %v, want no orders", got)
@@ -249,7 +249,7 @@
 	m.dry = true
 
 	next := &Planner{}
-	next.Follow(now, last.Plans(now))
+	next.Restore(now, last.Plans(now))
 
 	for _, o := range next.Plan(now, m.state(now, 0)) {
 		if present := m.ready(now, key{service, o.Domain, o.Reclaimable}); o.Reclaimable && o.Servers < present {
@@ -290,9 +290,9 @@
 	before := 0
 
 	for _, n := range []int{1, 2, 4, 5, 6, 12} {
-		s := State{Service: service, Least: 1, Most: 26, Arriving: arriving, Speed: 50_000}
+		s := ServiceState{Service: service, MinPerDomain: 1, MaxPerDomain: 26, ArrivalRate: arriving, ServerRate: 50_000}
 		for i := range n {
-			s.Places = append(s.Places, Place{Domain: fleet.FailureDomain(fmt.Sprint("domain-", i)), Price: 1})
+			s.Domains = append(s.Domains, DomainState{Domain: fleet.FailureDomain(fmt.Sprint("domain-", i)), Price: 1})
 		}
 
 		wanted := (&Planner{}).wanted(begin, s)
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -10,23 +10,23 @@
 )
 
 // wanted returns the number of servers for the highest load of late.
-func (p *Planner) wanted(now time.Time, s State) int {
+func (p *Planner) wanted(now time.Time, s ServiceState) int {
 	lasting, reclaimable := 0, 0
-	for _, place := range s.Places {
-		lasting += place.Lasting
+	for _, place := range s.Domains {
+		lasting += place.OnDemand
 		reclaimable += place.Reclaimable
 	}
 
-	if lasting+reclaimable == 0 && s.Speed == 0 {
+	if lasting+reclaimable == 0 && s.ServerRate == 0 {
 		// The servers that are there at the start have not registered yet.
 		return 0
 	}
 
-	n := len(s.Places) * max(s.Least, 1)
+	n := len(s.Domains) * max(s.MinPerDomain, 1)
 
 	switch {
-	case s.Speed > 0 && s.Arriving > 0:
-		n = max(n, int(math.Ceil(s.Arriving/(s.Speed*target(len(s.Places))))))
+	case s.ServerRate > 0 && s.ArrivalRate > 0:
+		n = max(n, int(math.Ceil(s.ArrivalRate/(s.ServerRate*target(len(s.Domains))))))
 	default:
 		// Nothing is known of the load yet: what is there was meant for it. One kind
 		// takes the place of the other, so that their sum is no measure.
@@ -44,9 +44,9 @@
 		n = max(n, lasting, reclaimable)
 	}
 
-	peaks.add(now, min(n, len(s.Places)*s.Most))
+	peaks.add(now, min(n, len(s.Domains)*s.MaxPerDomain))
 
-	return min(peaks.highest(now, memory), len(s.Places)*s.Most)
+	return min(peaks.highest(now, memory), len(s.Domains)*s.MaxPerDomain)
 }
 
 // target returns the part of a server's speed that is used at the usual load. The more
@@ -93,9 +93,9 @@
 	return plans
 }
 
-// Follow takes in what another planner wanted. One that takes over after all
+// Restore takes in what another planner wanted. One that takes over after all
 // instances have started anew would else know only the load since then.
-func (p *Planner) Follow(now time.Time, plans []Plan) {
+func (p *Planner) Restore(now time.Time, plans []Plan) {
 	for _, plan := range plans {
 		p.peaksOf(plan.Service).add(now, plan.Wanted)
 	}
--- a/entry/losses_test.go
+++ b/entry/losses_test.go
@@ -18,10 +18,10 @@
 	var l quarantine.Ledger
 
 	for i := range 3 {
-		l.Lost(now, 1, register.Process{ID: "i-1", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
+		l.RecordLoss(now, 1, register.Process{ID: "i-1", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
 	}
 
-	return l.News(now)
+	return l.PendingLosses(now)
 }
 
 // Relays tell others what they hear; where all tell all, nobody does.
@@ -39,11 +39,11 @@
 		p.plan.Store(&tt.plan)
 		p.receiveLosses(clk.Now(), seen(clk.Now()))
 
-		if got := len(p.quarantine.News(clk.Now())); got != tt.want {
+		if got := len(p.quarantine.PendingLosses(clk.Now())); got != tt.want {
 			t.Errorf("%s: got %d losses to pass on, want %d", name, got, tt.want)
 		}
 
-		if _, held := p.quarantine.Held(clk.Now(), 1); !held {
+		if _, held := p.quarantine.Quarantined(clk.Now(), 1); !held {
 			t.Errorf("%s: got the request served, want it held off", name)
 		}
 	}
@@ -57,7 +57,7 @@
 	writer.receiveLosses(clk.Now(), seen(clk.Now()))
 	reader.receiveRecord(clk.Now(), writer.writeRecord(clk.Now()))
 
-	if _, held := reader.quarantine.Held(clk.Now(), 1); !held {
+	if _, held := reader.quarantine.Quarantined(clk.Now(), 1); !held {
 		t.Error("one that reads the records: got the request served, want it held off")
 	}
 }
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -29,10 +29,10 @@
 	Overloaded
 	// TimedOut means that the time of the caller or the route is over.
 	TimedOut
-	// Lost means that a backend server's answer did not come or was garbled.
-	Lost
-	// Broken means that a stream ended before its end.
-	Broken
+	// ResponseLost means that a backend server's answer did not come or was garbled.
+	ResponseLost
+	// StreamBroken means that a stream ended before its end.
+	StreamBroken
 	// Quarantined means that backend servers have ended under the request, whichever its
 	// id, and that it is held off.
 	Quarantined
@@ -61,7 +61,7 @@
 	Cause string
 }
 
-func notRun(reason Reason, retryAfter time.Duration) *Refusal {
+func notRunRefusal(reason Reason, retryAfter time.Duration) *Refusal {
 	return &Refusal{Reason: reason, NotRun: true, RetryAfter: retryAfter}
 }
 
@@ -72,18 +72,18 @@
 	Cause   string
 	Route   string
 	Account string
-	// Content is what the request asks for, alike for all attempts of its caller; zero
+	// Fingerprint is what the request asks for, alike for all attempts of its caller; zero
 	// where the account was not found.
-	Content quarantine.Fingerprint
-	// Rules is the version that the request was judged by, and RulesAge how long ago it
+	Fingerprint quarantine.Fingerprint
+	// RulesVersion is the version that the request was judged by, and RulesAge how long ago it
 	// was confirmed at the end.
-	Rules    uint64
-	RulesAge time.Duration
+	RulesVersion uint64
+	RulesAge     time.Duration
 	// Servers are the backend servers it was sent to, in order.
 	Servers []string
 	// Events is the number of events that were relayed.
 	Events int
-	// Held is how long it was held back while servers were busy.
-	Held time.Duration
-	Took time.Duration
+	// Queued is how long it was held back while servers were busy.
+	Queued   time.Duration
+	Duration time.Duration
 }
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -76,7 +76,7 @@
 // settle lets what looks at ended servers go on for a while.
 func (s *site) settle() {
 	for range 20 {
-		s.clock.Advance(endingTime)
+		s.clock.Advance(terminationDelay)
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -85,15 +85,15 @@
 func (s *site) settleTo(ends int) {
 	s.t.Helper()
 
-	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.Record(s.clock.Now())) < ends; s.settle() {
+	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.StoredLosses(s.clock.Now())) < ends; s.settle() {
 		if time.Now().After(limit) {
-			s.t.Fatalf("ends that count: got %d, want %d", len(s.Quarantine.Record(s.clock.Now())), ends)
+			s.t.Fatalf("ends that count: got %d, want %d", len(s.Quarantine.StoredLosses(s.clock.Now())), ends)
 		}
 	}
 }
 
 func (s *site) held(route string) bool {
-	_, held := s.Quarantine.Held(s.clock.Now(), content(route))
+	_, held := s.Quarantine.Quarantined(s.clock.Now(), content(route))
 
 	return held
 }
@@ -160,7 +160,7 @@
 
 func (s *site) loseWithThree(route string) {
 	for i := range ends {
-		s.Quarantine.Lost(s.clock.Now(), content(route), register.Process{ID: "i", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
+		s.Quarantine.RecordLoss(s.clock.Now(), content(route), register.Process{ID: "i", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
 	}
 }
 
@@ -175,7 +175,7 @@
 	}
 
 	outcome, _ := f.call("talk", "r")
-	if outcome.Reason != Broken || outcome.NotRun || len(f.arrivals()) != 1 {
+	if outcome.Reason != StreamBroken || outcome.NotRun || len(f.arrivals()) != 1 {
 		t.Errorf("got %+v and %d arrivals, want a broken stream after one", outcome, len(f.arrivals()))
 	}
 }
@@ -196,7 +196,7 @@
 		t.Fatalf("got %+v, want it answered", outcome)
 	}
 
-	f.Quarantine.Lost(f.clock.Now(), content("tell"), register.Process{ID: "another"}, quarantine.Strong)
+	f.Quarantine.RecordLoss(f.clock.Now(), content("tell"), register.Process{ID: "another"}, quarantine.Strong)
 
 	if f.held("tell") {
 		t.Error("a request that was answered since: got it held off, want it served")
@@ -363,13 +363,13 @@
 
 		f.ended[a.Address()].Store(true)
 
-		j := &job{forwarder: f.Forwarder, request: &Request{ID: "r"}, content: 1, route: &ruleset.Route{Kind: tt.kind}}
-		f.lostWith(t.Context(), j, a, tt.begun, upstream.ErrGarbled)
+		j := &job{forwarder: f.Forwarder, request: &Request{ID: "r"}, fingerprint: 1, route: &ruleset.Route{Kind: tt.kind}}
+		f.recordLoss(t.Context(), j, a, tt.begun, upstream.ErrGarbled)
 		f.settle()
 		f.settleTo(len(tt.want))
 
 		var got []quarantine.Evidence
-		for _, loss := range f.Quarantine.Record(f.clock.Now()) {
+		for _, loss := range f.Quarantine.StoredLosses(f.clock.Now()) {
 			got = append(got, loss.Evidence)
 		}
 
@@ -417,7 +417,7 @@
 			outcome.Reason, got.refusals)
 	}
 
-	if most := max(leastGiveUp, giveUpObjectives*500*time.Millisecond) + slow; outcome.Took > most {
-		t.Errorf("refused: got after %v, want within %v", outcome.Took, most)
+	if most := max(minAbandonTimeout, abandonObjectives*500*time.Millisecond) + slow; outcome.Duration > most {
+		t.Errorf("refused: got after %v, want within %v", outcome.Duration, most)
 	}
 }
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -63,7 +63,7 @@
 
 // send sends a stream to a server drawn at random, unless it is held off.
 func (p *play) send(s *stream) bool {
-	if _, held := p.ledger.Held(p.now, s.content); held {
+	if _, held := p.ledger.Quarantined(p.now, s.content); held {
 		if !s.harmful {
 			p.refused++
 		}
@@ -104,7 +104,7 @@
 				evidence = Strong
 			}
 
-			p.ledger.Lost(p.now, s.content, p.start(server), evidence)
+			p.ledger.RecordLoss(p.now, s.content, p.start(server), evidence)
 		}
 
 		lost = append(lost, s)
@@ -144,7 +144,7 @@
 		case s.harmful && age >= p.harmfulAt:
 			harmful = append(harmful, s)
 		case age >= reading+streaming:
-			p.ledger.Answered(p.now, s.content)
+			p.ledger.RecordAnswer(p.now, s.content)
 
 			continue
 		}
--- a/quota/keepers_test.go
+++ b/quota/keepers_test.go
@@ -46,7 +46,7 @@
 
 type keeperRecord struct {
 	from  int
-	spent []Spent
+	spent []Consumption
 }
 
 func newFleetOfKeepers(n int, seed uint64) *fleetOfKeepers {
@@ -55,8 +55,8 @@
 	for i := range n {
 		id := fleet.InstanceID(fmt.Sprint("entry-", i))
 		q := New(Policy{
-			Self: id, Window: 8 * time.Second, Spread: 4500 * time.Millisecond,
-			Quick: func(int) time.Duration { return 600 * time.Millisecond },
+			Self: id, Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
+			DirectDelay: func(int) time.Duration { return 600 * time.Millisecond },
 		})
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 
@@ -93,8 +93,8 @@
 			}
 
 			to.heard[i], to.echo[i] = now, now
-			to.quota.Hear(now, from.id, 1, from.quota.Spent(now))
-			to.quota.Heard(from.echo[j], from.id)
+			to.quota.Receive(now, from.id, 1, from.quota.Consumption(now))
+			to.quota.Acknowledged(from.echo[j], from.id)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 		node.heard[r.from] = now
 
 		if r.from != self {
-			node.quota.Hear(now, f.nodes[r.from].id, 1, r.spent)
+			node.quota.Receive(now, f.nodes[r.from].id, 1, r.spent)
 		}
 	}
 
@@ -135,8 +135,8 @@
 		}
 	}
 
-	node.quota.Keepers(now, node.keepers)
-	node.quota.Reached(now)
+	node.quota.SetCoordinators(now, node.keepers)
+	node.quota.MarkSynced(now)
 }
 
 func (f *fleetOfKeepers) step(now time.Time, tick int) {
@@ -162,7 +162,7 @@
 		return true
 	}
 
-	for _, id := range node.quota.Holders("a") {
+	for _, id := range node.quota.Lenders("a") {
 		j := slices.IndexFunc(f.nodes, func(n *keeperNode) bool { return n.id == id })
 		lender := f.nodes[j]
 
@@ -271,20 +271,20 @@
 	got := refused(kept.step, kept.take)
 
 	shared := newLendingGroup(instances, Policy{
-		Window: 8 * time.Second, Spread: 4500 * time.Millisecond,
-		Quick: func(int) time.Duration { return 3500 * time.Millisecond },
+		Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
+		DirectDelay: func(int) time.Duration { return 3500 * time.Millisecond },
 	})
 	slow := func(now time.Time, tick int) {
 		for i, from := range shared.quotas {
 			if tick%12 == i%12 {
-				shared.say(now, i, from.Spent(now))
+				shared.say(now, i, from.Consumption(now))
 			}
 
 			if tick%49 == i%49 {
 				from.Record(now)
 			}
 
-			from.Reached(now)
+			from.MarkSynced(now)
 		}
 	}
 	before := refused(slow, func(now time.Time, i int, cost float64) bool { return shared.take(now, i, cost).Granted })
@@ -304,10 +304,10 @@
 // nothing.
 func TestAKeeperWithoutTheOthersGrantsNothing(t *testing.T) {
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
-	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, Spread: 2 * time.Second})
+	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, PropagationDelay: 2 * time.Second})
 	q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
-	q.Reached(start)
-	q.Keepers(start.Add(time.Second), ids)
+	q.MarkSynced(start)
+	q.SetCoordinators(start.Add(time.Second), ids)
 
 	now := start.Add(2 * time.Second)
 
@@ -315,14 +315,14 @@
 		return q.Take(now, "a", 100).Granted || q.LendTo(now, "entry-9", "a", 100).Granted
 	}
 
-	q.Heard(now, "entry-2")
-	q.Heard(now, "entry-3")
+	q.Acknowledged(now, "entry-2")
+	q.Acknowledged(now, "entry-3")
 
 	if granted() {
 		t.Error("before it has read what was recorded: got a grant, want none")
 	}
 
-	q.Reached(now)
+	q.MarkSynced(now)
 
 	if !granted() {
 		t.Error("with two others that hear it: got no grant, want one")
@@ -334,7 +334,7 @@
 		t.Error("without news of the others: got a grant, want none")
 	}
 
-	q.Heard(now, "entry-4")
+	q.Acknowledged(now, "entry-4")
 
 	if granted() {
 		t.Error("heard by one other: got a grant, want none")
--- a/quota/loans.go
+++ b/quota/loans.go
@@ -20,8 +20,8 @@
 	refusedLoan = 200 * time.Millisecond
 )
 
-// Ask is the question for a loan.
-type Ask struct {
+// LoanRequest is the question for a loan.
+type LoanRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	From     fleet.InstanceID
 	Number   uint64
@@ -29,23 +29,23 @@
 	Cost     float64
 }
 
-// Reply is the answer to an Ask.
-type Reply struct {
+// LoanResponse is the answer to an Ask.
+type LoanResponse struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Number   uint64
 	Granted  bool
 }
 
-// Loans takes from a Quota, and borrows from the holders of reserves what the part of
+// Limiter takes from a Quota, and borrows from the holders of reserves what the part of
 // this instance does not cover. A question or answer that is lost costs the lender
 // what it lent until the window is over; nothing is ever spent twice. Its exported
 // fields are set before its first use.
-type Loans struct {
+type Limiter struct {
 	Quota *Quota
 	Clock clock.Clock
 	Self  fleet.InstanceID
 	// Send sends a question to another instance.
-	Send func(to fleet.InstanceID, ask Ask)
+	Send func(to fleet.InstanceID, ask LoanRequest)
 	// Current tells whether this instance still takes requests: one that is cut off lends
 	// nothing, since others take its place. Nil is always.
 	Current func() bool
@@ -67,7 +67,7 @@
 }
 
 // Take spends cost of an account's allowance here or at a holder of its reserve.
-func (l *Loans) Take(ctx context.Context, name fleet.Account, cost float64) Decision {
+func (l *Limiter) Take(ctx context.Context, name fleet.Account, cost float64) Decision {
 	l.awaitRead(ctx)
 
 	decision := l.Quota.Take(l.Clock.Now(), name, cost)
@@ -75,9 +75,9 @@
 		return decision
 	}
 
-	for _, holder := range l.Quota.Holders(name) {
+	for _, holder := range l.Quota.Lenders(name) {
 		if l.borrow(ctx, holder, name, cost) {
-			return Decision{Granted: true, Rest: decision.Rest, Part: decision.Part, Lender: holder}
+			return Decision{Granted: true, Remaining: decision.Remaining, Share: decision.Share, Lender: holder}
 		}
 	}
 
@@ -86,33 +86,33 @@
 
 // awaitRead waits for a moment at an instance that has just started and has not read yet
 // what the others have spent.
-func (l *Loans) awaitRead(ctx context.Context) {
+func (l *Limiter) awaitRead(ctx context.Context) {
 	select {
-	case <-l.Quota.Read():
+	case <-l.Quota.Synced():
 		return
 	default:
 	}
 
 	select {
-	case <-l.Quota.Read():
+	case <-l.Quota.Synced():
 	case <-l.Clock.After(readPatience):
 	case <-ctx.Done():
 	}
 }
 
-// Lend answers another instance's question.
-func (l *Loans) Lend(ask Ask) Reply {
+// HandleRequest answers another instance's question.
+func (l *Limiter) HandleRequest(ask LoanRequest) LoanResponse {
 	if l.Current != nil && !l.Current() {
-		return Reply{Number: ask.Number}
+		return LoanResponse{Number: ask.Number}
 	}
 
-	return Reply{Number: ask.Number, Granted: l.Quota.LendTo(l.Clock.Now(), ask.From, ask.Account, ask.Cost).Granted}
+	return LoanResponse{Number: ask.Number, Granted: l.Quota.LendTo(l.Clock.Now(), ask.From, ask.Account, ask.Cost).Granted}
 }
 
-// Answered takes an answer in. One that comes too late is dropped.
-func (l *Loans) Answered(r Reply) { l.questions.Reply(r.Number, r.Granted) }
+// HandleResponse takes an answer in. One that comes too late is dropped.
+func (l *Limiter) HandleResponse(r LoanResponse) { l.questions.Reply(r.Number, r.Granted) }
 
-func (l *Loans) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
+func (l *Limiter) borrow(ctx context.Context, holder fleet.InstanceID, name fleet.Account, cost float64) bool {
 	if holder == l.Self {
 		return l.Quota.Lend(l.Clock.Now(), name, cost).Granted
 	}
@@ -123,7 +123,7 @@
 	}
 
 	granted, answered := l.questions.Do(ctx, l.Clock, holder, func(number uint64) {
-		l.Send(holder, Ask{From: l.Self, Number: number, Account: name, Cost: cost})
+		l.Send(holder, LoanRequest{From: l.Self, Number: number, Account: name, Cost: cost})
 	})
 	if answered {
 		l.remember(key, cost, granted)
@@ -133,7 +133,7 @@
 }
 
 // refusedRecently reports whether a holder had too little for as much a moment ago.
-func (l *Loans) refusedRecently(key loanKey, cost float64) bool {
+func (l *Limiter) refusedRecently(key loanKey, cost float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -142,7 +142,7 @@
 	return ok && cost >= last.cost && l.Clock.Now().Sub(last.at) < refusedLoan
 }
 
-func (l *Loans) remember(key loanKey, cost float64, granted bool) {
+func (l *Limiter) remember(key loanKey, cost float64, granted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/quota/past.go
+++ b/quota/past.go
@@ -6,7 +6,7 @@
 	"monsoonlever/fleet"
 )
 
-// Past collects what was recorded before an instance started, in the order of the
+// EarlierRecords collects what was recorded before an instance started, in the order of the
 // records. Of each run of an instance the newest record counts; one run does not
 // replace the one before, whose spending still counts in the window. The zero value is
 // empty.
@@ -15,12 +15,12 @@
 // between two of its own. Times of day may jump and differ. Where no run has a record
 // on both sides of a gap, the gap counts as no time, which keeps spending in the window
 // for longer than it is.
-type Past struct {
+type EarlierRecords struct {
 	runs []run
 	// elapsed is the time from the first record to the newest.
 	elapsed time.Duration
 	// known is the newest record of what all have spent, and knownAt when that was.
-	known   []Known
+	known   []GlobalConsumption
 	knownAt time.Duration
 }
 
@@ -35,12 +35,12 @@
 	// clock is the run's own clock at its newest record, and elapsed when that was.
 	clock   time.Time
 	elapsed time.Duration
-	spent   []Spent
+	spent   []Consumption
 }
 
 // Add takes a record in that a run made when its clock said at.
-func (p *Past) Add(
-	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent, known []Known,
+func (p *EarlierRecords) Add(
+	id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption, known []GlobalConsumption,
 ) {
 	p.addRun(id, incarnation, at, spent)
 
@@ -49,7 +49,7 @@
 	}
 }
 
-func (p *Past) addRun(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent) {
+func (p *EarlierRecords) addRun(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption) {
 	for i := range p.runs {
 		r := &p.runs[i]
 		if r.instance != id || r.incarnation != incarnation {
@@ -65,9 +65,9 @@
 	p.runs = append(p.runs, run{instance: id, incarnation: incarnation, clock: at, elapsed: p.elapsed, spent: spent})
 }
 
-// InheritAll takes in what was recorded before this instance started. All instances
+// Restore takes in what was recorded before this instance started. All instances
 // may have ended since, each with its part of what is spent before it is recorded.
-func (q *Quota) InheritAll(now time.Time, p *Past) {
+func (q *Quota) Restore(now time.Time, p *EarlierRecords) {
 	if len(p.known) > 0 && p.elapsed-p.knownAt <= knownLife {
 		q.inheritKnown(now, now.Add(p.knownAt-p.elapsed), p.known, p.runs)
 
@@ -80,14 +80,14 @@
 	}
 
 	for _, r := range p.runs {
-		q.Inherit(r.instance, r.incarnation, now.Add(r.elapsed-p.elapsed), r.spent, Untold/float64(len(instances)))
+		q.RestoreInstance(r.instance, r.incarnation, now.Add(r.elapsed-p.elapsed), r.spent, UnrecordedFraction/float64(len(instances)))
 	}
 }
 
-// Inherit takes in what an instance had recorded at a time before this one started. It
+// RestoreInstance takes in what an instance had recorded at a time before this one started. It
 // may have ended since; untold is the part of each allowance that it may have spent
 // after that without telling anybody.
-func (q *Quota) Inherit(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Spent, untold float64) {
+func (q *Quota) RestoreInstance(id fleet.InstanceID, incarnation fleet.Incarnation, at time.Time, spent []Consumption, untold float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -12,12 +12,12 @@
 	"monsoonlever/fleet"
 )
 
-var policy = Policy{Window: 8 * time.Second, Spread: 2500 * time.Millisecond}
+var policy = Policy{Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond}
 
 // quickPolicy is that of instances which hear each other directly.
 var quickPolicy = Policy{
-	Window: 8 * time.Second, Spread: 2500 * time.Millisecond,
-	Quick: func(int) time.Duration { return 450 * time.Millisecond },
+	Window: 8 * time.Second, PropagationDelay: 2500 * time.Millisecond,
+	DirectDelay: func(int) time.Duration { return 450 * time.Millisecond },
 }
 
 var start = time.Unix(1000, 0)
@@ -39,11 +39,11 @@
 }
 
 // say passes one word to all others, but for one in ten that is lost.
-func (g *group) say(now time.Time, from int, spent []Spent) {
+func (g *group) say(now time.Time, from int, spent []Consumption) {
 	for i, q := range g.quotas {
 		if i != from && g.random.IntN(10) > 0 {
-			q.Hear(now, g.ids[from], g.incarnation, spent)
-			q.Heard(now, g.ids[from])
+			q.Receive(now, g.ids[from], g.incarnation, spent)
+			q.Acknowledged(now, g.ids[from])
 		}
 	}
 }
@@ -51,7 +51,7 @@
 // take asks one instance, and then the holders of the reserve if there are any.
 func (g *group) take(now time.Time, i int, cost float64) Decision {
 	d := g.quotas[i].Take(now, "a", cost)
-	for _, holder := range g.quotas[i].Holders("a") {
+	for _, holder := range g.quotas[i].Lenders("a") {
 		if d.Granted {
 			break
 		}
@@ -65,7 +65,7 @@
 type news struct {
 	at    time.Time
 	from  int
-	spent []Spent
+	spent []Consumption
 }
 
 // newGroup returns n instances without reserves.
@@ -83,8 +83,8 @@
 	})
 
 	for i, q := range g.quotas {
-		q.Members(g.ids, g.ids[:min(5, n)])
-		q.policy.Tell = func() { g.asked[i] = true }
+		q.SetMembers(g.ids, g.ids[:min(5, n)])
+		q.policy.RequestRecord = func() { g.asked[i] = true }
 	}
 
 	return g
@@ -98,15 +98,15 @@
 		p := policyOf(id)
 		q := New(p)
 		q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
-		g.quick = p.Quick != nil
+		g.quick = p.DirectDelay != nil
 		g.quotas = append(g.quotas, q)
 		g.ids = append(g.ids, id)
 		g.asked = append(g.asked, false)
 	}
 
 	for _, q := range g.quotas {
-		q.Members(g.ids, nil)
-		q.Reached(start)
+		q.SetMembers(g.ids, nil)
+		q.MarkSynced(start)
 	}
 
 	return g
@@ -117,7 +117,7 @@
 func (g *group) exchange(now time.Time, tick int) {
 	if g.quick {
 		for i, from := range g.quotas {
-			g.say(now, i, from.Spent(now))
+			g.say(now, i, from.Consumption(now))
 		}
 	}
 
@@ -136,11 +136,11 @@
 
 		for _, n := range g.pending {
 			if n.from != i && now.Sub(n.at) < 2*time.Second {
-				q.Hear(now, g.ids[n.from], g.incarnation, n.spent)
+				q.Receive(now, g.ids[n.from], g.incarnation, n.spent)
 			}
 		}
 
-		q.Reached(now)
+		q.MarkSynced(now)
 	}
 }
 
@@ -293,18 +293,18 @@
 func TestAnInstanceThatStartsCountsOnlyWhatIsRecent(t *testing.T) {
 	old := New(policy)
 	old.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
-	old.Members([]fleet.InstanceID{"old"}, nil)
+	old.SetMembers([]fleet.InstanceID{"old"}, nil)
 
 	now := start
 	for range 60 {
-		old.Reached(now)
+		old.MarkSynced(now)
 		old.Take(now, "a", 30_000)
 		now = now.Add(time.Second)
 	}
 
 	q := newGroup(1, policy).quotas[0]
-	q.Reached(now)
-	q.Hear(now, "old", 1, old.Spent(now))
+	q.MarkSynced(now)
+	q.Receive(now, "old", 1, old.Consumption(now))
 
 	granted := 0.0
 	for q.Take(now, "a", 10_000).Granted {
@@ -322,7 +322,7 @@
 	q := New(policy)
 	q.Configure([]Allowance{{Account: "a", Amount: amount, Rate: 36_000}})
 
-	if q.Known() {
+	if q.HasSynced() {
 		t.Error("before anything was read: got known, want not")
 	}
 
@@ -370,12 +370,12 @@
 
 		now := start
 
-		var past Past
+		var past EarlierRecords
 
 		// Records are written every two seconds, and soon after one is asked for.
 		asked := make([]bool, n)
 		for i, q := range g.quotas {
-			q.policy.Tell = func() { asked[i] = true }
+			q.policy.RequestRecord = func() { asked[i] = true }
 		}
 
 		for tick := range 130 {
@@ -404,8 +404,8 @@
 				past.Add(id, 2, now, nil, nil)
 			}
 
-			q.InheritAll(now, &past)
-			q.Reached(now)
+			q.Restore(now, &past)
+			q.MarkSynced(now)
 		}
 
 		next.incarnation = 2
@@ -441,16 +441,16 @@
 func TestWhatIsInheritedIsAsOldAsItWas(t *testing.T) {
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-	spent := func(total float64, ages ...uint32) []Spent {
+	spent := func(total float64, ages ...uint32) []Consumption {
 		recent := 0.0
 		for _, part := range ages {
 			recent += float64(part)
 		}
 
-		return []Spent{{Account: "a", Total: total, Recent: recent, Asked: total, Ages: ages}}
+		return []Consumption{{Account: "a", Total: total, Recent: recent, Asked: total, Ages: ages}}
 	}
 
-	var past Past
+	var past EarlierRecords
 	// One run ended early, another goes on and shows how long ago that was. Its clock
 	// began at another time.
 	past.Add("entry-2", 1, at(0), spent(900_000, 0, 0, 0, 0, 0, 0, 0, 80_000), nil)
@@ -458,8 +458,8 @@
 	past.Add("entry-3", 1, at(5004), spent(200_000, 100_000, 0, 0, 0, 0, 0, 0, 100_000), nil)
 
 	q := newGroup(1, policy).quotas[0]
-	q.InheritAll(at(10), &past)
-	q.Reached(at(10))
+	q.Restore(at(10), &past)
+	q.MarkSynced(at(10))
 
 	for _, tt := range []struct {
 		after float64
@@ -473,7 +473,7 @@
 		}
 
 		// Two instances may each have spent their part of what is not recorded.
-		most := tt.want + Untold*amount
+		most := tt.want + UnrecordedFraction*amount
 		if known < tt.want || known > most {
 			t.Errorf("known %.1f s later: got %.0f, want %.0f to %.0f", tt.after, known, tt.want, most)
 		}
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -15,8 +15,8 @@
 type Choice struct {
 	// Only is the new version, if the request is one of its share; Part is the part of its
 	// servers that take that share, so that each carries what it would carry in the end.
-	Only fleet.Version
-	Part float64
+	Only        fleet.Version
+	ServerShare float64
 	// Avoid are versions that it may not be sent to.
 	Avoid []fleet.Version
 }
@@ -24,9 +24,9 @@
 // Gate says at one instance which versions requests are sent to. The zero value knows no
 // order; it is safe for concurrent use, and Choose takes no lock.
 type Gate struct {
-	// Life is how long a decision to send to a new version counts; it is set before the first
+	// GrantTTL is how long a decision to send to a new version counts; it is set before the first
 	// use.
-	Life time.Duration
+	GrantTTL time.Duration
 	// Random draws from [0, 1) which requests are tried at the new version; nil draws from the
 	// default source.
 	Random func() float64
@@ -142,8 +142,8 @@
 		return Choice{}
 	}
 
-	if !k.undecided() && k.state.Phase == Trial && now.Sub(k.at) < g.Life && g.draw() < k.state.Share {
-		return Choice{Only: k.state.Target, Part: k.state.Share}
+	if !k.undecided() && k.state.Phase == Trial && now.Sub(k.at) < g.GrantTTL && g.draw() < k.state.Share {
+		return Choice{Only: k.state.Target, ServerShare: k.state.Share}
 	}
 
 	return k.rest()
@@ -157,9 +157,9 @@
 	return rand.Float64()
 }
 
-// Further returns which versions a further send of a request may go to: a request that was
+// ChooseRetry returns which versions a further send of a request may go to: a request that was
 // tried once is not tried at the new version again.
-func (g *Gate) Further(service fleet.Service) Choice {
+func (g *Gate) ChooseRetry(service fleet.Service) Choice {
 	k, ok := g.of(service)
 	if !ok {
 		return Choice{}
@@ -246,9 +246,9 @@
 // Task is the newest order of a service, when it was first seen, and the newest state of the
 // service, which may be one of an earlier order.
 type Task struct {
-	Order Order
-	Begun time.Time
-	State State
+	Order     Order
+	FirstSeen time.Time
+	State     State
 }
 
 // Tasks returns the newest orders of all services.
@@ -262,7 +262,7 @@
 
 	for _, service := range slices.Sorted(maps.Keys(*all)) {
 		if k := (*all)[service]; k.order.Place > 0 {
-			tasks = append(tasks, Task{Order: k.order, Begun: k.begun, State: k.state})
+			tasks = append(tasks, Task{Order: k.order, FirstSeen: k.begun, State: k.state})
 		}
 	}
 
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -25,7 +25,7 @@
 
 var (
 	begin  = time.Unix(1000, 0)
-	policy = Policy{Share: 0.1, Slack: 50, Stop: 5 * time.Second}
+	policy = Policy{Share: 0.1, Slack: 50, StopTimeout: 5 * time.Second}
 )
 
 // flaw is what is wrong with a version: the part of its answers that fail or are slow, from
@@ -87,23 +87,23 @@
 func newWorld(seed uint64, n int, rate float64, span time.Duration, f flaw) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, 1)), now: begin, flaw: f, rate: rate, cutOff: make(map[int]bool),
-		order: Order{Service: service, Target: target, Span: span, Place: 7}, fence: 1,
+		order: Order{Service: service, Target: target, Duration: span, Place: 7}, fence: 1,
 		told: max(time.Duration(n)*6*time.Millisecond, 150*time.Millisecond),
 	}
 
 	for range n {
-		g := &Gate{Life: policy.GrantLife(), Random: w.random.Float64}
+		g := &Gate{GrantTTL: policy.GrantTTL(), Random: w.random.Float64}
 		g.AddOrder(begin, w.order)
 		w.gates = append(w.gates, g)
 		w.counters = append(w.counters, &Counter{})
 	}
 
-	w.planner = &Planner{Policy: policy, Order: w.order, Begun: begin}
+	w.planner = &Planner{Policy: policy, Order: w.order, FirstSeen: begin}
 
 	return w
 }
 
-func (w *world) due() time.Time { return begin.Add(w.order.Span) }
+func (w *world) due() time.Time { return begin.Add(w.order.Duration) }
 
 // step plays one step of the day.
 func (w *world) step(t fataler) {
@@ -141,7 +141,7 @@
 			tried++
 		}
 
-		w.counters[i].Sent(service, w.order.Place, route, isNew)
+		w.counters[i].CountSent(service, w.order.Place, route, isNew)
 		w.serve(i, route, isNew)
 	}
 
@@ -154,7 +154,7 @@
 		w.exposed += tried
 	}
 
-	if n := 50; tried > 0 && len(w.bad) >= n && w.now.Sub(w.bad[n-1]) > policy.Stop {
+	if n := 50; tried > 0 && len(w.bad) >= n && w.now.Sub(w.bad[n-1]) > policy.StopTimeout {
 		w.late += tried
 	}
 }
@@ -197,7 +197,7 @@
 			continue
 		}
 
-		w.counters[one.instance].Ended(service, w.order.Place, one.route, one.tried, one.failed, one.took)
+		w.counters[one.instance].CountAnswer(service, w.order.Place, one.route, one.tried, one.failed, one.took)
 
 		if one.bad {
 			w.bad = append(w.bad, one.at)
@@ -223,14 +223,14 @@
 		return
 	}
 
-	s, complete := w.planner.Step(w.now, w.fence, Picture{
-		Routes: w.table.Routes(w.order), Old: 30, New: 30, Told: w.told + modelStep,
+	s, complete := w.planner.Step(w.now, w.fence, Observation{
+		Routes: w.table.Routes(w.order), OldServers: 30, NewServers: 30, CountDelay: w.told + modelStep,
 	})
 
 	if complete {
-		w.planner.Completed([]fleet.Version{before})
+		w.planner.MarkCompleted([]fleet.Version{before})
 		w.completed = true
-		s, _ = w.planner.Step(w.now, w.fence, Picture{Routes: w.table.Routes(w.order), Old: 30, New: 30, Told: w.told})
+		s, _ = w.planner.Step(w.now, w.fence, Observation{Routes: w.table.Routes(w.order), OldServers: 30, NewServers: 30, CountDelay: w.told})
 	}
 
 	for i := range w.gates {
@@ -263,7 +263,7 @@
 	w.fence++
 	w.orphaned = w.now.Add(after)
 	recorded := w.planner.state
-	w.planner = &Planner{Policy: policy, Order: w.order, Begun: begin}
+	w.planner = &Planner{Policy: policy, Order: w.order, FirstSeen: begin}
 	w.planner.Resume(recorded)
 }
 
@@ -318,7 +318,7 @@
 
 			if w.late > 0 {
 				t.Fatalf("%v after the order: got %d requests later than %v after the fiftieth bad answer, want none",
-					w.now.Sub(begin), w.late, policy.Stop)
+					w.now.Sub(begin), w.late, policy.StopTimeout)
 			}
 		}
 	})
@@ -358,7 +358,7 @@
 				}
 
 				if got := w.planner.state.Phase; got != tt.want {
-					t.Errorf("%s, %d instances, seed %d: got %v (%s), want %v", name, n, seed, got, w.planner.Why(), tt.want)
+					t.Errorf("%s, %d instances, seed %d: got %v (%s), want %v", name, n, seed, got, w.planner.Reason(), tt.want)
 				}
 			}
 		}
@@ -376,7 +376,7 @@
 		}
 
 		if got := w.planner.state.Phase; got != Reverted {
-			t.Errorf("seed %d: got %v (%s), want %v", seed, got, w.planner.Why(), Reverted)
+			t.Errorf("seed %d: got %v (%s), want %v", seed, got, w.planner.Reason(), Reverted)
 		}
 	}
 }
--- a/topology/losses_model_test.go
+++ b/topology/losses_model_test.go
@@ -45,7 +45,7 @@
 			continue
 		}
 
-		news := m.ledgers[i].News(m.now)
+		news := m.ledgers[i].PendingLosses(m.now)
 		if len(news) == 0 {
 			continue
 		}
@@ -53,7 +53,7 @@
 		peers := node.plan.Peers()
 		for _, peer := range peers {
 			m.send(node, peer.ID, func(to *modelNode) {
-				m.ledgers[m.index[to.member.ID]].Hear(m.now, news, to.plan.Relay && !to.plan.FullMesh)
+				m.ledgers[m.index[to.member.ID]].Merge(m.now, news, to.plan.Relay && !to.plan.FullMesh)
 			})
 		}
 
@@ -63,13 +63,13 @@
 
 // arrive lets the harmful request come to an instance.
 func (m *lossModel) arrive(i int) {
-	if _, held := m.ledgers[i].Held(m.now, harmful); held || m.nodes[i].dead {
+	if _, held := m.ledgers[i].Quarantined(m.now, harmful); held || m.nodes[i].dead {
 		return
 	}
 
 	server := register.Process{ID: fleet.InstanceID(fmt.Sprint("i-", len(m.ended)))}
 	m.ended = append(m.ended, m.now)
-	m.ledgers[i].Lost(m.now, harmful, server, quarantine.Strong)
+	m.ledgers[i].RecordLoss(m.now, harmful, server, quarantine.Strong)
 }
 
 // sentAfter returns how often the request was sent on later than contact after the third
@@ -122,7 +122,7 @@
 	n := 0
 
 	for _, l := range m.ledgers {
-		if _, held := l.Held(m.now, f); held {
+		if _, held := l.Quarantined(m.now, f); held {
 			n++
 		}
 	}
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -20,37 +20,37 @@
 var ErrGarbled = merry.Sentinel("answer is garbled")
 
 const (
-	// maxStray is how many answers to earlier requests are skipped on a connection.
-	maxStray = 2
+	// maxStrayResponses is how many answers to earlier requests are skipped on a connection.
+	maxStrayResponses = 2
 	// maxStrayBytes bounds the body of an answer that is skipped.
 	maxStrayBytes = 64 << 10
-	// inlineBody is the size up to which a request is written before its answer is
+	// maxInlineMessage is the size up to which a request is written before its answer is
 	// read; it fits into the send buffer of a connection.
-	inlineBody = 2 << 10
+	maxInlineMessage = 2 << 10
 )
 
 // Send sends a request and returns its answer once the header has come. Ending
 // ctx closes the connection, so that the backend server stops its work.
-func (p *Pool) Send(ctx context.Context, s Server, r *Request) (*Answer, error) {
+func (p *Pool) Send(ctx context.Context, s Server, r *Request) (*Response, error) {
 	message, err := r.encode()
 	if err != nil {
 		return nil, merry.Prepend(backend.ErrNotSent, "encode request", merry.WithCause(err))
 	}
 
-	conn, err := p.get(ctx, s, r.Fresh)
+	conn, err := p.get(ctx, s, r.RequireFresh)
 	if err != nil {
 		return nil, err
 	}
 
-	if r.Permit != nil {
-		if err := r.Permit(); err != nil {
-			p.drop(conn)
+	if r.BeforeSend != nil {
+		if err := r.BeforeSend(); err != nil {
+			p.closeConnection(conn)
 
 			return nil, merry.Prepend(backend.ErrNotSent, "permit", merry.WithCause(err))
 		}
 	}
 
-	a := &Answer{pool: p, conn: conn}
+	a := &Response{pool: p, conn: conn}
 	a.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	a.write(message)
 
@@ -67,23 +67,23 @@
 	return a, nil
 }
 
-// Answer is an answer whose header has come.
-type Answer struct {
+// Response is an answer whose header has come.
+type Response struct {
 	pool *Pool
 	conn *connection
 	stop func() bool
 
 	response *http.Response
 	// written is set once the whole request was handed to the connection.
-	written atomic.Bool
-	whole   bool
-	once    sync.Once
+	written  atomic.Bool
+	bodyRead bool
+	once     sync.Once
 }
 
 // write hands the message to the connection. A long one is written beside the
 // reading, since a server may answer before it has read it all.
-func (a *Answer) write(message []byte) {
-	if len(message) <= inlineBody {
+func (a *Response) write(message []byte) {
+	if len(message) <= maxInlineMessage {
 		a.writeAll(message)
 
 		return
@@ -92,19 +92,19 @@
 	go a.writeAll(message)
 }
 
-func (a *Answer) writeAll(message []byte) {
+func (a *Response) writeAll(message []byte) {
 	if _, err := a.conn.Write(message); err == nil {
 		a.written.Store(true)
 	}
 }
 
-func (a *Answer) readHeader(r *Request) error {
+func (a *Response) readHeader(r *Request) error {
 	request := &http.Request{Method: r.Method}
 
-	for range maxStray + 1 {
+	for range maxStrayResponses + 1 {
 		response, err := http.ReadResponse(a.conn.reader, request)
 		if err != nil {
-			a.pool.Counters.garbledAnswer()
+			a.pool.Counters.garbledResponse()
 
 			return merry.Prepend(ErrGarbled, "read answer", merry.WithCause(err))
 		}
@@ -119,9 +119,9 @@
 			return nil
 		}
 
-		a.pool.Counters.strayAnswer()
+		a.pool.Counters.strayResponse()
 
-		if err := skip(response); err != nil {
+		if err := discardResponse(response); err != nil {
 			return err
 		}
 	}
@@ -129,8 +129,8 @@
 	return merry.Prepend(ErrGarbled, "too many answers to other requests")
 }
 
-// skip reads an answer that belongs to an earlier request to its end.
-func skip(response *http.Response) error {
+// discardResponse reads an answer that belongs to an earlier request to its end.
+func discardResponse(response *http.Response) error {
 	defer response.Body.Close() //nolint:errcheck // it was read to its end or fails below
 
 	if response.ContentLength < 0 || response.ContentLength > maxStrayBytes {
@@ -145,27 +145,27 @@
 }
 
 // Status returns the status code.
-func (a *Answer) Status() int { return a.response.StatusCode }
+func (a *Response) Status() int { return a.response.StatusCode }
 
 // Header returns the header fields.
-func (a *Answer) Header() http.Header { return a.response.Header }
+func (a *Response) Header() http.Header { return a.response.Header }
 
 // ContentLength returns the length of the body, or -1 where it is not known.
-func (a *Answer) ContentLength() int64 { return a.response.ContentLength }
+func (a *Response) ContentLength() int64 { return a.response.ContentLength }
 
 // Read reads the body. It returns io.EOF only after the last byte of a body that
 // is whole.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.bodyRead = true
 	}
 
 	return n, err
 }
 
 // ReadAll reads the whole body, of at most limit bytes.
-func (a *Answer) ReadAll(limit int64) ([]byte, error) {
+func (a *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err != nil {
 		return nil, merry.Prepend(ErrGarbled, "read body", merry.WithCause(err))
@@ -180,26 +180,26 @@
 
 // Close ends the answer. Its connection is kept if the body was read to its end
 // and nothing else came; else it is closed, and the backend server stops.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.once.Do(func() {
 		// A stop that comes too late means that the connection is being closed.
 		if !a.stop() || !a.reusable() {
-			a.pool.drop(a.conn)
+			a.pool.closeConnection(a.conn)
 
 			return
 		}
 
-		a.pool.put(a.conn, idleTime(a.response.Header.Get("Keep-Alive")))
+		a.pool.putIdle(a.conn, idleTimeout(a.response.Header.Get("Keep-Alive")))
 	})
 }
 
-func (a *Answer) reusable() bool {
-	return a.response != nil && a.whole && a.written.Load() && !a.response.Close &&
+func (a *Response) reusable() bool {
+	return a.response != nil && a.bodyRead && a.written.Load() && !a.response.Close &&
 		a.response.ProtoAtLeast(1, 1) && a.conn.reader.Buffered() == 0
 }
 
-// idleTime returns how long a connection may idle, from a Keep-Alive header.
-func idleTime(header string) time.Duration {
+// idleTimeout returns how long a connection may idle, from a Keep-Alive header.
+func idleTimeout(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -207,9 +207,9 @@
 		}
 
 		if seconds, err := strconv.Atoi(strings.TrimSpace(value)); err == nil && seconds >= 0 {
-			return time.Duration(float64(seconds) * idleShare * float64(time.Second))
+			return time.Duration(float64(seconds) * idleTimeoutShare * float64(time.Second))
 		}
 	}
 
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -26,8 +26,8 @@
 // Window is the number of a window of time, counted from 1970.
 type Window int64
 
-// Of returns the window that a time lies in.
-func Of(t time.Time, width time.Duration) Window {
+// WindowOf returns the window that a time lies in.
+func WindowOf(t time.Time, width time.Duration) Window {
 	return Window(t.UnixNano() / int64(width))
 }
 
@@ -48,9 +48,9 @@
 type Counter struct {
 	// Width is the width of a window.
 	Width time.Duration
-	// Keep is how long after its end a window is told to others: a count must survive
+	// Retention is how long after its end a window is told to others: a count must survive
 	// messages that are lost.
-	Keep time.Duration
+	Retention time.Duration
 	// Now is the time of day, which windows follow.
 	Now func() time.Time
 
@@ -59,8 +59,8 @@
 }
 
 // Began counts a request that began to run now.
-func (c *Counter) Began(account fleet.Account) {
-	w := Of(c.Now(), c.Width)
+func (c *Counter) RequestStarted(account fleet.Account) {
+	w := WindowOf(c.Now(), c.Width)
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +78,7 @@
 
 // Recent returns the counts of the newest windows and forgets older ones.
 func (c *Counter) Recent() []Count {
-	oldest := Of(c.Now().Add(-c.Keep), c.Width)
+	oldest := WindowOf(c.Now().Add(-c.Retention), c.Width)
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
