--- a/scheduling/announcements.go
+++ b/scheduling/announcements.go
@@ -83,8 +83,8 @@
 
 	n := 0
 
-	for _, one := range *servers {
-		if has(one) {
+	for _, srv := range *servers {
+		if has(srv) {
 			n++
 		}
 	}
@@ -94,21 +94,21 @@
 
 // LeavingServers returns how many known servers announced in an answer that they leave.
 func (s *Scheduler) LeavingServers() int {
-	return s.countServers(func(one *server) bool { return one.announcements.leaving.Load() })
+	return s.countServers(func(srv *server) bool { return srv.announcements.leaving.Load() })
 }
 
 // BackoffServers returns how many known servers want no requests of this instance now.
 func (s *Scheduler) BackoffServers(now time.Time) int {
-	return s.countServers(func(one *server) bool { return one.announcements.inBackoff(now) })
+	return s.countServers(func(srv *server) bool { return srv.announcements.inBackoff(now) })
 }
 
 // countSend counts a send that the server announced it does not want.
-func (s *Scheduler) countSend(now time.Time, one *server) {
-	if one.announcements.leaving.Load() {
+func (s *Scheduler) countSend(now time.Time, srv *server) {
+	if srv.announcements.leaving.Load() {
 		s.Counters.sentToLeaving()
 	}
 
-	if one.announcements.inBackoff(now) {
+	if srv.announcements.inBackoff(now) {
 		s.Counters.sentInBackoff()
 	}
 }
--- a/scheduling/announcements_test.go
+++ b/scheduling/announcements_test.go
@@ -11,9 +11,9 @@
 
 // Guards against sends to a server that announced that it leaves, once its entry has lapsed
 // and come back as ready.
-func TestAnAnnouncedLeaveOutlivesTheEntry(t *testing.T) {
+func TestAnnouncedLeaveOutlivesLapsedEntry(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
-	s.Update([]register.Server{startOf(500)})
+	s.Update([]register.Server{processEntry(500)})
 
 	before := pick(t, s, Request{Service: "llm"})
 	waiting := pick(t, s, Request{Service: "llm"})
@@ -28,9 +28,9 @@
 		desc    string
 		servers []register.Server
 	}{
-		{desc: "its entry says ready", servers: []register.Server{startOf(500)}},
+		{desc: "its entry says ready", servers: []register.Server{processEntry(500)}},
 		{desc: "its entry lapsed"},
-		{desc: "its entry is back", servers: []register.Server{startOf(500)}},
+		{desc: "its entry is back", servers: []register.Server{processEntry(500)}},
 	} {
 		s.Update(step.servers)
 
@@ -39,15 +39,15 @@
 		}
 	}
 
-	s.Update([]register.Server{startOf(900)})
+	s.Update([]register.Server{processEntry(900)})
 	pick(t, s, Request{Service: "llm"})
 }
 
 // Guards against a limit, and a backoff, that are forgotten while the entry of their server
 // lapses.
-func TestALimitAndABackoffOutliveTheEntry(t *testing.T) {
+func TestLimitAndBackoffOutliveLapsedEntry(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
-	s.Update([]register.Server{startOf(500)})
+	s.Update([]register.Server{processEntry(500)})
 
 	a := pick(t, s, Request{Service: "llm"})
 	a.Start(now)
@@ -56,32 +56,32 @@
 	a.End(now, Rejected)
 
 	s.Update(nil)
-	s.Update([]register.Server{startOf(500)})
+	s.Update([]register.Server{processEntry(500)})
 
-	one := s.servers["i-1"]
-	if got := one.announcedLimit().Rate; got != 1.5 || !one.announcements.inBackoff(now) {
-		t.Errorf("after the entry came back: got limit %v and backoff %t, want 1.5 and true", got, one.announcements.inBackoff(now))
+	srv := s.servers["i-1"]
+	if got := srv.announcedLimit().Rate; got != 1.5 || !srv.announcements.inBackoff(now) {
+		t.Errorf("after the entry came back: got limit %v and backoff %t, want 1.5 and true", got, srv.announcements.inBackoff(now))
 	}
 
-	s.Update([]register.Server{startOf(900)})
+	s.Update([]register.Server{processEntry(900)})
 
-	one = s.servers["i-1"]
-	if got := one.announcedLimit().Rate; got != ratelimit.Unlimited || one.announcements.inBackoff(now) {
-		t.Errorf("another start: got limit %v and backoff %t, want neither", got, one.announcements.inBackoff(now))
+	srv = s.servers["i-1"]
+	if got := srv.announcedLimit().Rate; got != ratelimit.Unlimited || srv.announcements.inBackoff(now) {
+		t.Errorf("another start: got limit %v and backoff %t, want neither", got, srv.announcements.inBackoff(now))
 	}
 }
 
 // Guards against what a server announced being forgotten where its entry names another address.
-func TestAnnouncementsOutliveAnotherAddress(t *testing.T) {
+func TestBackoffOutlivesAddressChange(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
-	s.Update([]register.Server{startOf(500)})
+	s.Update([]register.Server{processEntry(500)})
 
 	a := pick(t, s, Request{Service: "llm"})
 	a.Start(now)
 	a.AnnouncedBackoff(now, 3*time.Second)
 	a.End(now, Rejected)
 
-	moved := startOf(500)
+	moved := processEntry(500)
 	moved.Address = "10.0.0.9:1"
 	s.Update([]register.Server{moved})
 
@@ -91,17 +91,17 @@
 }
 
 // Guards against a log line and a change of the register for each answer of a server that leaves.
-func TestALeaveIsNotedOnce(t *testing.T) {
+func TestLeaveIsReportedOnce(t *testing.T) {
 	var got []register.Process
 
 	s := &Scheduler{Domain: "a", OnLeaving: func(start register.Process) { got = append(got, start) }}
-	s.Update([]register.Server{startOf(500)})
+	s.Update([]register.Server{processEntry(500)})
 
 	first, second := pick(t, s, Request{Service: "llm"}), pick(t, s, Request{Service: "llm"})
 	first.AnnouncedLeaving()
 	second.AnnouncedLeaving()
 
-	if len(got) != 1 || got[0] != startOf(500).Process() {
+	if len(got) != 1 || got[0] != processEntry(500).Process() {
 		t.Errorf("noted: got %v, want the server once", got)
 	}
 }
--- a/scheduling/backoff_test.go
+++ b/scheduling/backoff_test.go
@@ -20,15 +20,15 @@
 		at := now
 		s := &Scheduler{Domain: "a"}
 		ids := []fleet.InstanceID{"i-1", "i-2", "i-3"}
-		starts := map[fleet.InstanceID]fleet.Incarnation{"i-1": 1, "i-2": 1, "i-3": 1}
-		ends := make(map[register.Process]time.Time)
+		incarnations := map[fleet.InstanceID]fleet.Incarnation{"i-1": 1, "i-2": 1, "i-3": 1}
+		backoffEnds := make(map[register.Process]time.Time)
 
 		update := func(without fleet.InstanceID) {
 			var servers []register.Server
 
 			for _, id := range ids {
 				if id != without {
-					servers = append(servers, register.Server{ID: id, Incarnation: starts[id], Service: "llm", Domain: "a", Slots: 8})
+					servers = append(servers, register.Server{ID: id, Incarnation: incarnations[id], Service: "llm", Domain: "a", Slots: 8})
 				}
 			}
 
@@ -36,40 +36,40 @@
 		}
 		update("")
 
-		send := func(t *rapid.T) *Assignment {
+		pickServer := func(t *rapid.T) *Assignment {
 			a, err := s.Pick(at, Request{Service: "llm"})
 			if err != nil {
 				return nil
 			}
 
-			if ends[a.Server()].After(at) {
-				t.Errorf("%v: got it picked %v before its backoff ends, want it left alone", a.Server(), ends[a.Server()].Sub(at))
+			if backoffEnds[a.Server()].After(at) {
+				t.Errorf("%v: got it picked %v before its backoff ends, want it left alone", a.Server(), backoffEnds[a.Server()].Sub(at))
 			}
 
 			return a
 		}
 
 		// waiting are placed and not sent, underWay are sent and not answered.
-		var waiting, underWay []*Assignment
+		var waiting, inFlight []*Assignment
 
 		t.Repeat(map[string]func(*rapid.T){
 			"refused": func(t *rapid.T) {
-				if len(underWay) == 0 {
+				if len(inFlight) == 0 {
 					return
 				}
 
-				a := underWay[0]
-				underWay = underWay[1:]
+				a := inFlight[0]
+				inFlight = inFlight[1:]
 				backoff := time.Duration(rapid.IntRange(1, 5000).Draw(t, "backoff")) * time.Millisecond
 				a.AnnouncedBackoff(at, backoff)
 				a.End(at, Rejected)
 
-				if end := at.Add(backoff); end.After(ends[a.Server()]) {
-					ends[a.Server()] = end
+				if end := at.Add(backoff); end.After(backoffEnds[a.Server()]) {
+					backoffEnds[a.Server()] = end
 				}
 			},
 			"placed": func(t *rapid.T) {
-				if a := send(t); a != nil {
+				if a := pickServer(t); a != nil {
 					waiting = append(waiting, a)
 				}
 			},
@@ -82,20 +82,20 @@
 				waiting = waiting[1:]
 
 				if a.Start(at) {
-					if ends[a.Server()].After(at) {
+					if backoffEnds[a.Server()].After(at) {
 						t.Errorf("%v: got a request sent that was placed before, want it placed anew", a.Server())
 					}
 
-					underWay = append(underWay, a)
+					inFlight = append(inFlight, a)
 				}
 			},
 			"accepted": func(*rapid.T) {
-				if len(underWay) == 0 {
+				if len(inFlight) == 0 {
 					return
 				}
 
-				a := underWay[0]
-				underWay = underWay[1:]
+				a := inFlight[0]
+				inFlight = inFlight[1:]
 				a.Accepted()
 				a.End(at, Served)
 			},
@@ -103,7 +103,7 @@
 			"lapsed":    func(t *rapid.T) { update(rapid.SampledFrom(ids).Draw(t, "id")) },
 			"all there": func(*rapid.T) { update("") },
 			"started again": func(t *rapid.T) {
-				starts[rapid.SampledFrom(ids).Draw(t, "id")]++
+				incarnations[rapid.SampledFrom(ids).Draw(t, "id")]++
 				update("")
 			},
 			"": func(*rapid.T) {},
@@ -112,7 +112,7 @@
 }
 
 // Guards against an answer that asks for less ending what one before it asked for.
-func TestAShorterBackoffDoesNotEndALongerOne(t *testing.T) {
+func TestShorterBackoffDoesNotEndLongerOne(t *testing.T) {
 	s := engines(1, 64)
 	askBackoffAt(t, s, now, 3*time.Second, "i-0")
 	askBackoffAt(t, s, now, time.Second, "i-0")
@@ -128,7 +128,7 @@
 
 // Guards against callers that wait in vain, or come back too soon, where all servers asked
 // for backoff.
-func TestARequestIsRefusedAtOnceWhereAllServersAskedForBackoff(t *testing.T) {
+func TestRequestRefusedWhenAllServersInBackoff(t *testing.T) {
 	const backoff = 3 * time.Second
 
 	for name, excluded := range map[string][]fleet.InstanceID{
@@ -152,7 +152,7 @@
 }
 
 // Guards against refusals where the first server takes requests again in time.
-func TestARequestWaitsForAShortBackoff(t *testing.T) {
+func TestRequestWaitsForShortBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(2, 64)
 		askBackoff(t, s, 3*time.Second, "i-0")
@@ -174,7 +174,7 @@
 }
 
 // Guards against a server that is flooded when its backoff ends.
-func TestOneRequestAtATimeIsSentUntilAServerTakesOne(t *testing.T) {
+func TestHalfOpenSendsOneRequestAtATime(t *testing.T) {
 	s := engines(1, 64)
 	s.Resume = ResumePolicy{HalfOpen: true}
 	askBackoffAt(t, s, now, time.Second, "i-0")
@@ -208,7 +208,7 @@
 
 // Guards against callers whose requests go to one server only being refused to find out
 // whether a server takes requests again.
-func TestAFinalRequestIsNoTrialWhereOthersHaveRoom(t *testing.T) {
+func TestFinalRequestIsNotTrialWhileOthersHaveRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(2, 64)
 		s.Resume = ResumePolicy{HalfOpen: true, FinalDelay: time.Second}
@@ -241,7 +241,7 @@
 }
 
 // Guards against waits for a trial that are longer than their request's objective.
-func TestARequestWaitsForATrialWithinItsObjective(t *testing.T) {
+func TestWaitForTrialEndsAtWaitUntil(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(1, 64)
 		s.Resume = ResumePolicy{HalfOpen: true}
@@ -291,7 +291,7 @@
 }
 
 // Guards against a refusal where a backoff ends between two looks at the servers.
-func TestARequestIsPlacedAnewWhereAServerTakesRequestsAgain(t *testing.T) {
+func TestAwaitRoomRetriesAfterBackoffEnds(t *testing.T) {
 	s := engines(1, 64)
 
 	if a, err := s.awaitRoom(t.Context(), clock.System{}, Request{Service: "llm"}); a != nil || err != nil {
--- a/scheduling/candidates.go
+++ b/scheduling/candidates.go
@@ -27,27 +27,27 @@
 
 	chosen := make([]*server, 0, homeCount+sampledServers)
 
-	for _, one := range preferred {
-		if one != nil {
-			chosen = append(chosen, one)
+	for _, srv := range preferred {
+		if srv != nil {
+			chosen = append(chosen, srv)
 		}
 	}
 
 	maxChosen := len(chosen) + sampledServers
 
 	for range maxDraws {
-		one := pool[rand.IntN(len(pool))]
-		if !one.eligible(now, r) || one.isAvoided(now) {
+		srv := pool[rand.IntN(len(pool))]
+		if !srv.eligible(now, r) || srv.isAvoided(now) {
 			continue
 		}
 
-		chosen = append(chosen, one)
+		chosen = append(chosen, srv)
 		if len(chosen) == maxChosen {
 			break
 		}
 	}
 
-	if !slices.ContainsFunc(chosen, func(one *server) bool { return one.eligible(now, r) && !one.isAvoided(now) }) {
+	if !slices.ContainsFunc(chosen, func(srv *server) bool { return srv.eligible(now, r) && !srv.isAvoided(now) }) {
 		// Many servers are gone. Nothing is refused that any server could take.
 		return pool
 	}
--- a/scheduling/home.go
+++ b/scheduling/home.go
@@ -80,8 +80,8 @@
 
 	key := xxhash.Sum64String(affinity)
 
-	for _, one := range pool {
-		weight := mix(key ^ one.hash)
+	for _, srv := range pool {
+		weight := mix(key ^ srv.hash)
 
 		for i := range homes {
 			if homes[i] != nil && weight <= weights[i] {
@@ -90,7 +90,7 @@
 
 			copy(homes[i+1:], homes[i:homeCount-1])
 			copy(weights[i+1:], weights[i:homeCount-1])
-			homes[i], weights[i] = one, weight
+			homes[i], weights[i] = srv, weight
 
 			break
 		}
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -39,10 +39,10 @@
 
 // requestPermit asks for a permit and notes until when a server has no room. A caller that left
 // before the reply came says nothing of that.
-func (s *Scheduler) requestPermit(ctx context.Context, clk clock.Clock, one *server, maxWait time.Duration) ratelimit.Permit {
-	permit := s.Permits.Acquire(ctx, one.entry().Process(), one.announcedLimit(), max(maxWait, 0))
+func (s *Scheduler) requestPermit(ctx context.Context, clk clock.Clock, srv *server, maxWait time.Duration) ratelimit.Permit {
+	permit := s.Permits.Acquire(ctx, srv.entry().Process(), srv.announcedLimit(), max(maxWait, 0))
 	if !permit.Granted && ctx.Err() == nil {
-		one.markFull(clk.Now().Add(permit.Wait))
+		srv.markFull(clk.Now().Add(permit.Wait))
 	}
 
 	return permit
@@ -57,10 +57,10 @@
 		return nil, s.noServerError(clk.Now(), &r)
 	}
 
-	for _, one := range blocked[:min(len(blocked), maxPermitRequests)] {
+	for _, srv := range blocked[:min(len(blocked), maxPermitRequests)] {
 		now := clk.Now()
-		if one.announcements.backoff.Load().blocks(now, &r) {
-			wait := max(one.roomAt().Sub(now), holdInterval)
+		if srv.announcements.backoff.Load().blocks(now, &r) {
+			wait := max(srv.roomAt().Sub(now), holdInterval)
 			if now.Add(wait).After(r.WaitUntil) {
 				break
 			}
@@ -70,15 +70,15 @@
 			return nil, ctx.Err()
 		}
 
-		if one.roomAt().After(r.WaitUntil) {
+		if srv.roomAt().After(r.WaitUntil) {
 			break
 		}
 
-		permit := s.requestPermit(ctx, clk, one, r.WaitUntil.Sub(now))
+		permit := s.requestPermit(ctx, clk, srv, r.WaitUntil.Sub(now))
 		if permit.Granted {
 			clock.Sleep(ctx, clk, permit.Wait)
 
-			return s.assign(clk.Now(), one, r), ctx.Err()
+			return s.assign(clk.Now(), srv, r), ctx.Err()
 		}
 
 		if ctx.Err() != nil {
@@ -92,10 +92,10 @@
 // blockedServers returns the servers that could take a request if they had room by what they
 // announced, those first that may have it soonest.
 func (s *Scheduler) blockedServers(now time.Time, r *Request) []*server {
-	blocked := s.serversFor(r, func(one *server) bool {
-		limited := s.Permits != nil && one.announcedLimit().Rate != ratelimit.Unlimited
+	blocked := s.serversFor(r, func(srv *server) bool {
+		limited := s.Permits != nil && srv.announcedLimit().Rate != ratelimit.Unlimited
 
-		return one.allowed(r) && (limited || one.announcements.backoff.Load().blocks(now, r))
+		return srv.allowed(r) && (limited || srv.announcements.backoff.Load().blocks(now, r))
 	})
 
 	// Instances that know of no difference spread over the servers.
@@ -114,9 +114,9 @@
 
 	var servers []*server
 
-	for _, one := range r.matchVersions((*pools)[r.Service]) {
-		if match(one) {
-			servers = append(servers, one)
+	for _, srv := range r.matchVersions((*pools)[r.Service]) {
+		if match(srv) {
+			servers = append(servers, srv)
 		}
 	}
 
@@ -127,11 +127,11 @@
 // it asked for backoff, it says when the first of them takes requests again; it is nil where
 // one takes them by now.
 func (s *Scheduler) noServerError(now time.Time, r *Request) error {
-	if len(s.serversFor(r, func(one *server) bool { return one.eligible(now, r) })) > 0 {
+	if len(s.serversFor(r, func(srv *server) bool { return srv.eligible(now, r) })) > 0 {
 		return nil
 	}
 
-	backoff := s.serversFor(r, func(one *server) bool { return !one.isLeaving() && one.announcements.backoff.Load().blocks(now, r) })
+	backoff := s.serversFor(r, func(srv *server) bool { return !srv.isLeaving() && srv.announcements.backoff.Load().blocks(now, r) })
 	if len(backoff) == 0 {
 		return ErrNoServer
 	}
@@ -142,8 +142,8 @@
 // RetryAfter returns when a caller of a service should come back if none of its servers takes a
 // request now by what they announced, and whether that is so.
 func (s *Scheduler) RetryAfter(now time.Time, service fleet.Service) (time.Duration, bool) {
-	servers := s.serversFor(&Request{Service: service}, func(one *server) bool { return !one.isLeaving() })
-	if len(servers) == 0 || slices.ContainsFunc(servers, func(one *server) bool { return !one.full(now) }) {
+	servers := s.serversFor(&Request{Service: service}, func(srv *server) bool { return !srv.isLeaving() })
+	if len(servers) == 0 || slices.ContainsFunc(servers, func(srv *server) bool { return !srv.full(now) }) {
 		return 0, false
 	}
 
@@ -160,10 +160,10 @@
 }
 
 // assign returns the assignment of a request to a server.
-func (s *Scheduler) assign(now time.Time, one *server, r Request) *Assignment {
+func (s *Scheduler) assign(now time.Time, srv *server, r Request) *Assignment {
 	keys := r.Prompt.keys()
-	a := &Assignment{scheduler: s, server: one, prompt: r.Prompt, keys: keys}
-	a.uncachedTokens = r.Prompt.uncachedTokens(one.cachedTokens(now, keys, r.Prompt), false)
+	a := &Assignment{scheduler: s, server: srv, prompt: r.Prompt, keys: keys}
+	a.uncachedTokens = r.Prompt.uncachedTokens(srv.cachedTokens(now, keys, r.Prompt), false)
 	s.attachMeter(now, a, r)
 
 	return a
@@ -193,21 +193,21 @@
 		return other
 	}
 
-	one := (*byKey)[keyOfProcess(start)]
-	if one == nil {
+	srv := (*byKey)[keyOfProcess(start)]
+	if srv == nil {
 		return other
 	}
 
-	s.applyLimit(one, one.announcedLimit().Received(other), true)
+	s.applyLimit(srv, srv.announcedLimit().Received(other), true)
 
-	return one.announcedLimit()
+	return srv.announcedLimit()
 }
 
 // receiveLimit takes in what another instance passed on.
-func (s *Scheduler) receiveLimit(now time.Time, one *server, l ServerLimit, upstream bool) {
+func (s *Scheduler) receiveLimit(now time.Time, srv *server, l ServerLimit, upstream bool) {
 	at := now.Add(-time.Duration(l.AgeMs) * time.Millisecond)
 	other := ratelimit.Announcement{Rate: l.Rate, At: at}
-	s.applyLimit(one, one.announcedLimit().Received(other), upstream)
+	s.applyLimit(srv, srv.announcedLimit().Received(other), upstream)
 }
 
 // limitUpdate returns what others are sent of a server's announcement.
@@ -220,21 +220,21 @@
 
 // applyLimit takes an announcement in, if it is newer than what is known, and notes it for
 // others.
-func (s *Scheduler) applyLimit(one *server, next ratelimit.Announcement, upstream bool) {
-	before, newer := one.updateLimit(next)
+func (s *Scheduler) applyLimit(srv *server, next ratelimit.Announcement, upstream bool) {
+	before, newer := srv.updateLimit(next)
 	if !newer || before.Rate == ratelimit.Unlimited && next.Rate == ratelimit.Unlimited {
 		return
 	}
 
 	changed := before.Rate != next.Rate
 	if changed && s.OnLimitChange != nil {
-		s.OnLimitChange(LimitChange{Server: one.entry().Process(), Before: before.Rate, After: next.Rate})
+		s.OnLimitChange(LimitChange{Server: srv.entry().Process(), Before: before.Rate, After: next.Rate})
 	}
 
-	s.outboxes[Downstream].addLimit(one, changed)
+	s.outboxes[Downstream].addLimit(srv, changed)
 
 	if upstream {
-		s.outboxes[Upstream].addLimit(one, changed)
+		s.outboxes[Upstream].addLimit(srv, changed)
 	}
 }
 
@@ -305,7 +305,7 @@
 
 // LimitedServers returns how many servers announce a limit.
 func (s *Scheduler) LimitedServers() int {
-	return s.countServers(func(one *server) bool {
-		return !one.isLeaving() && one.announcedLimit().Rate != ratelimit.Unlimited
+	return s.countServers(func(srv *server) bool {
+		return !srv.isLeaving() && srv.announcedLimit().Rate != ratelimit.Unlimited
 	})
 }
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -17,17 +17,17 @@
 // scriptedPermits answers questions for permits.
 type scriptedPermits struct {
 	// rooms is when each server has room for the next request.
-	rooms map[fleet.InstanceID]time.Time
-	asked []fleet.InstanceID
+	roomAt map[fleet.InstanceID]time.Time
+	asked  []fleet.InstanceID
 }
 
 func (p *scriptedPermits) Acquire(
-	_ context.Context, server register.Process, _ ratelimit.Announcement, patience time.Duration,
+	_ context.Context, server register.Process, _ ratelimit.Announcement, maxWait time.Duration,
 ) ratelimit.Permit {
 	p.asked = append(p.asked, server.ID)
-	wait := max(time.Until(p.rooms[server.ID]), 0)
+	wait := max(time.Until(p.roomAt[server.ID]), 0)
 
-	return ratelimit.Permit{Granted: wait <= patience, Wait: wait}
+	return ratelimit.Permit{Granted: wait <= maxWait, Wait: wait}
 }
 
 // limitedEngines returns a scheduler with n servers, some of which announce a limit.
@@ -50,9 +50,9 @@
 
 // A server that has had what it announced is left to others; where one without a limit is
 // left nothing waits and nothing is refused.
-func TestServersWithoutRoomArePassedOver(t *testing.T) {
+func TestServersWithoutRoomAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &scriptedPermits{rooms: map[fleet.InstanceID]time.Time{"i-0": time.Now().Add(time.Second)}}
+		p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": time.Now().Add(time.Second)}}
 		s := limitedEngines(2, p, "i-0")
 
 		for range 4 {
@@ -84,7 +84,7 @@
 
 // Where all servers limit their requests, one that can begin in time waits, and one that
 // can't is refused at once and knows when to come back.
-func TestARequestWaitsForRoomOrIsRefusedAtOnce(t *testing.T) {
+func TestRequestWaitsForRoomOrIsRefused(t *testing.T) {
 	const room = 200 * time.Millisecond
 
 	for name, tt := range map[string]struct {
@@ -99,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
-				p := &scriptedPermits{rooms: map[fleet.InstanceID]time.Time{"i-0": began.Add(room), "i-1": began.Add(2 * room)}}
+				p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": began.Add(room), "i-1": began.Add(2 * room)}}
 				s := limitedEngines(2, p, "i-0", "i-1")
 
 				a, err := place(t, s, Request{Service: "llm", WaitUntil: began.Add(tt.wait)})
@@ -127,14 +127,14 @@
 }
 
 // Of many servers without room few are asked: each question takes a round trip.
-func TestFewServersAreAskedForRoom(t *testing.T) {
+func TestPermitRequestsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &scriptedPermits{rooms: make(map[fleet.InstanceID]time.Time)}
+		p := &scriptedPermits{roomAt: make(map[fleet.InstanceID]time.Time)}
 		s := limitedEngines(20, p)
 
-		for id, one := range s.servers {
-			p.rooms[id] = time.Now().Add(time.Minute)
-			s.applyLimit(one, ratelimit.Announcement{Rate: 1, At: time.Now()}, true)
+		for id, srv := range s.servers {
+			p.roomAt[id] = time.Now().Add(time.Minute)
+			s.applyLimit(srv, ratelimit.Announcement{Rate: 1, At: time.Now()}, true)
 		}
 
 		if _, err := place(t, s, Request{Service: "llm", WaitUntil: time.Now().Add(time.Second)}); err == nil {
@@ -148,10 +148,10 @@
 }
 
 // A caller that leaves while its request waits for room ends the wait.
-func TestAWaitForRoomEndsWithItsCaller(t *testing.T) {
+func TestWaitForRoomEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		p := &scriptedPermits{rooms: map[fleet.InstanceID]time.Time{"i-0": began.Add(time.Minute)}}
+		p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": began.Add(time.Minute)}}
 		s := limitedEngines(1, p, "i-0")
 		ctx, leave := context.WithTimeout(t.Context(), time.Second)
 
@@ -165,9 +165,9 @@
 }
 
 // A caller that leaves while its instance asks for room says nothing of the server.
-func TestACallerThatLeavesFillsNoServer(t *testing.T) {
+func TestCancelledPermitRequestMarksNoServerFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &scriptedPermits{rooms: map[fleet.InstanceID]time.Time{"i-0": time.Now().Add(time.Minute)}}
+		p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": time.Now().Add(time.Minute)}}
 		s := limitedEngines(1, p, "i-0")
 		gone, leave := context.WithCancel(t.Context())
 
@@ -184,8 +184,8 @@
 }
 
 // All instances learn of a limit and of its end from one of them, through relays.
-func TestLimitsSpreadOverInstances(t *testing.T) {
-	r := newRelayed()
+func TestLimitsReachAllInstances(t *testing.T) {
+	r := newRelayTopology()
 	all := []*Scheduler{r.members["a-1"], r.members["a-2"], r.members["b-1"], r.relays["relay-a"], r.relays["relay-b"]}
 	a := pick(t, all[0], Request{Service: "llm"})
 	a.Start(now)
@@ -219,8 +219,8 @@
 
 // Instances that pass an announcement on to each other, again and again, don't take it for
 // a newer one: its end would never be believed.
-func TestAnAnnouncementGrowsNoYoungerOnItsWay(t *testing.T) {
-	const way = 5 * time.Millisecond
+func TestForwardedAnnouncementKeepsItsAge(t *testing.T) {
+	const networkDelay = 5 * time.Millisecond
 
 	a, b := engines(1, 64), engines(1, 64)
 	at := now
@@ -234,13 +234,13 @@
 
 	for range 200 {
 		news := a.TakeUpdate(at, Upstream)
-		at = at.Add(way)
+		at = at.Add(networkDelay)
 		b.ApplyUpdate(at, "a", Peer, news)
 
 		start := register.Process{ID: "i-0"}
 		known := b.Merge(start, ratelimit.Announcement{})
 		age := at.Sub(known.At)
-		at = at.Add(way)
+		at = at.Add(networkDelay)
 		a.Merge(start, ratelimit.Announcement{Rate: known.Rate, At: at.Add(-age)})
 	}
 
@@ -254,7 +254,7 @@
 }
 
 // A limit is that of one start of a server.
-func TestALimitEndsWithItsServer(t *testing.T) {
+func TestLimitEndsWithServerProcess(t *testing.T) {
 	s := engines(1, 64)
 	s.applyLimit(s.servers["i-0"], ratelimit.Announcement{Rate: 1.5, At: now}, true)
 
--- a/scheduling/place_test.go
+++ b/scheduling/place_test.go
@@ -13,43 +13,43 @@
 // Twice the usual prompts come for five seconds, more than the engines read. Sent on as
 // they come, 31 in 100 begin late; with those held back that are late in any case, and
 // refused in the end, 15 begin late or are refused.
-func TestHoldingLatePromptsKeepsOthersInTime(t *testing.T) {
-	var sent, held outcome
+func TestHoldingLatePromptsReducesLateStarts(t *testing.T) {
+	var immediate, held simulationResult
 
 	for seed := range uint64(5) {
-		p := play{
-			instances: 8, engines: 7, every: 25 * time.Millisecond, span: 30 * time.Second,
-			told: true, delay: 50 * time.Millisecond, burst: 2, seed: seed,
+		p := simulation{
+			instances: 8, engines: 7, interval: 25 * time.Millisecond, duration: 30 * time.Second,
+			updates: true, delay: 50 * time.Millisecond, burst: 2, seed: seed,
 		}
-		sent.waits = append(sent.waits, p.run(t).waits...)
+		immediate.waits = append(immediate.waits, p.run(t).waits...)
 
-		p.holds = true
-		one := p.run(t)
-		held.waits = append(held.waits, one.waits...)
-		held.refused += one.refused
+		p.holding = true
+		result := p.run(t)
+		held.waits = append(held.waits, result.waits...)
+		held.refused += result.refused
 	}
 
-	slices.Sort(sent.waits)
+	slices.Sort(immediate.waits)
 	slices.Sort(held.waits)
 
-	if got, before := held.late(), sent.late(); got > 0.7*before {
+	if got, before := held.late(), immediate.late(); got > 0.7*before {
 		t.Errorf("prompts that begin late: got %.3f held and %.3f sent on as they come, want 0.7 of that at most", got, before)
 	}
 
-	if got, want := len(held.waits)+held.refused, len(sent.waits); got != want {
+	if got, want := len(held.waits)+held.refused, len(immediate.waits); got != want {
 		t.Errorf("prompts that were read or refused: got %d, want all %d", got, want)
 	}
 
 	// A caller that is shown nothing leaves: what is read after that is read in vain. The
 	// largest prompts take two seconds by themselves.
-	if got, want := held.waits[len(held.waits)-1], patience+2*time.Second; got > want {
+	if got, want := held.waits[len(held.waits)-1], callerTimeout+2*time.Second; got > want {
 		t.Errorf("longest wait of a prompt that was read: got %v, want at most %v", got, want)
 	}
 }
 
 // busy returns a scheduler whose only engine has a backlog that takes a time to read,
 // at the rate that the scheduler has measured.
-func busy(backlog time.Duration) *Scheduler {
+func busyEngine(backlog time.Duration) *Scheduler {
 	s := engines(1, 64)
 
 	for range minSamples {
@@ -62,7 +62,7 @@
 	return s
 }
 
-func TestWhatBecomesOfPrompts(t *testing.T) {
+func TestDecide(t *testing.T) {
 	tests := []struct {
 		name    string
 		backlog time.Duration
@@ -79,10 +79,10 @@
 	}
 
 	for _, test := range tests {
-		r := prompt("session")
+		r := promptRequest("session")
 		r.Due, r.HoldUntil, r.CallerDeadline = now.Add(test.due), now.Add(test.until), now.Add(2400*time.Millisecond)
 
-		if got := pick(t, busy(test.backlog), r).decide(now, r); got != test.want {
+		if got := pick(t, busyEngine(test.backlog), r).decide(now, r); got != test.want {
 			t.Errorf("verdict, where a prompt %s: got %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -90,10 +90,10 @@
 
 // Half of what waits is read when the first come back that were refused, and they do not
 // come back together.
-func TestThoseThatAreRefusedComeBackApart(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	const backlog = 4 * time.Second
 
-	a := pick(t, busy(backlog), prompt("session"))
+	a := pick(t, busyEngine(backlog), promptRequest("session"))
 	least, most := time.Hour, time.Duration(0)
 
 	for range 200 {
@@ -106,11 +106,11 @@
 	}
 }
 
-func TestNothingIsHeldBeforeARateIsKnown(t *testing.T) {
+func TestPromptsAreSentWhileReadRateUnknown(t *testing.T) {
 	s := engines(1, 64)
 	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: s.servers["i-0"].key, Tokens: 1 << 20}}})
 
-	r := prompt("session")
+	r := promptRequest("session")
 	r.Due, r.HoldUntil, r.CallerDeadline = now.Add(time.Second), now.Add(4*time.Second), now.Add(4*time.Second)
 
 	if got := pick(t, s, r).decide(now, r); got != send {
@@ -119,10 +119,10 @@
 }
 
 // A caller that leaves is not waited for, and one that is held goes on once there is room.
-func TestHoldingEndsWithTheCallerOrTheBacklog(t *testing.T) {
-	s := busy(10 * time.Second)
+func TestHoldingEndsWithContextOrBacklog(t *testing.T) {
+	s := busyEngine(10 * time.Second)
 	clk := clock.NewManual(now)
-	r := prompt("session")
+	r := promptRequest("session")
 	r.Due, r.HoldUntil, r.CallerDeadline = now.Add(time.Second), now.Add(time.Minute), now.Add(time.Minute)
 
 	ctx, leave := context.WithCancel(t.Context())
--- a/scheduling/starts_test.go
+++ b/scheduling/processes_test.go
@@ -8,15 +8,15 @@
 	"monsoonlever/register"
 )
 
-func startOf(incarnation fleet.Incarnation) register.Server {
+func processEntry(incarnation fleet.Incarnation) register.Server {
 	return register.Server{ID: "i-1", Incarnation: incarnation, Service: "llm", Address: "10.0.0.1:1", Domain: "a", Slots: 8}
 }
 
 // A server that started again holds no parts, has no backlog, no failures and no load of
 // the start before, and does not leave because that one did.
-func TestAServerThatStartedAgainIsTakenForANewOne(t *testing.T) {
+func TestRestartedServerStartsWithoutState(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
-	s.Update([]register.Server{startOf(500)})
+	s.Update([]register.Server{processEntry(500)})
 
 	r := Request{Service: "llm", Prompt: Prompt{Tokens: 900, Segments: []Segment{{ID: "p", Tokens: 600}, {ID: "q", Tokens: 300}}}}
 	first := pick(t, s, r)
@@ -29,7 +29,7 @@
 	news := s.TakeUpdate(now, Upstream)
 
 	first.AnnouncedLeaving()
-	s.Update([]register.Server{startOf(900)})
+	s.Update([]register.Server{processEntry(900)})
 
 	if !first.Leaving() {
 		t.Error("an attempt at the first start: got a server that stays, want one that leaves")
@@ -39,11 +39,11 @@
 	s.ApplyUpdate(now, "entry-2", Peer, news)
 
 	second := pick(t, s, r)
-	one := s.servers["i-1"]
+	srv := s.servers["i-1"]
 
-	if second.uncachedTokens != 900 || second.backlog != 0 || one.load(now) != 0 || one.failureRate(now) != 0 {
+	if second.uncachedTokens != 900 || second.backlog != 0 || srv.load(now) != 0 || srv.failureRate(now) != 0 {
 		t.Errorf("second start: got %d unread, backlog %d, load %v, failures %v, want 900 and nothing else",
-			second.uncachedTokens, second.backlog, one.load(now), one.failureRate(now))
+			second.uncachedTokens, second.backlog, srv.load(now), srv.failureRate(now))
 	}
 
 	if !second.Start(now.Add(time.Second)) {
@@ -53,24 +53,24 @@
 
 // An entry that changes places or failure domain of the same start is in force, and what
 // was learnt stays.
-func TestANewEntryOfTheSameStartIsInForce(t *testing.T) {
+func TestNewEntryOfSameProcessKeepsState(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
-	s.Update([]register.Server{startOf(500)})
+	s.Update([]register.Server{processEntry(500)})
 
 	a := pick(t, s, Request{Service: "llm", Prompt: Prompt{Tokens: 100, Segments: []Segment{{ID: "p", Tokens: 60}, {ID: "q", Tokens: 40}}}})
 	a.Start(now)
 	a.FirstEventReceived(now)
 
-	changed := startOf(500)
+	changed := processEntry(500)
 	changed.Slots, changed.Domain = 2, "b"
 	s.Update([]register.Server{changed})
 
-	one := s.servers["i-1"]
-	if got := one.entry(); got.Slots != 2 || got.Domain != "b" {
+	srv := s.servers["i-1"]
+	if got := srv.entry(); got.Slots != 2 || got.Domain != "b" {
 		t.Errorf("got %d places in %s, want 2 in b", got.Slots, got.Domain)
 	}
 
-	if len(one.segments) != 2 {
-		t.Errorf("parts: got %d, want the 2 that it has read", len(one.segments))
+	if len(srv.segments) != 2 {
+		t.Errorf("parts: got %d, want the 2 that it has read", len(srv.segments))
 	}
 }
--- a/scheduling/relayed_test.go
+++ b/scheduling/relays_test.go
@@ -9,15 +9,15 @@
 )
 
 // relayed are schedulers of which two relays tell each other, and members a relay each.
-type relayed struct {
+type relayTopology struct {
 	relays  map[fleet.InstanceID]*Scheduler
 	members map[fleet.InstanceID]*Scheduler
 	// relayOf is the relay of each member.
 	relayOf map[fleet.InstanceID]fleet.InstanceID
 }
 
-func newRelayed() *relayed {
-	r := &relayed{
+func newRelayTopology() *relayTopology {
+	r := &relayTopology{
 		relays: make(map[fleet.InstanceID]*Scheduler), members: make(map[fleet.InstanceID]*Scheduler),
 		relayOf: map[fleet.InstanceID]fleet.InstanceID{"a-1": "relay-a", "a-2": "relay-a", "b-1": "relay-b"},
 	}
@@ -31,7 +31,7 @@
 }
 
 // exchange passes all news on.
-func (r *relayed) exchange(now time.Time) {
+func (r *relayTopology) exchange(now time.Time) {
 	for id, member := range r.members {
 		r.relays[r.relayOf[id]].ApplyUpdate(now, id, Subscriber, member.TakeUpdate(now, Upstream))
 	}
@@ -58,8 +58,8 @@
 }
 
 // Told in sums, each instance knows what all others have waiting, and counts its own once.
-func TestBacklogsToldInSumsCountOnce(t *testing.T) {
-	r := newRelayed()
+func TestRelayedBacklogsAreCountedOnce(t *testing.T) {
+	r := newRelayTopology()
 	all := []*Scheduler{r.members["a-1"], r.members["a-2"], r.members["b-1"], r.relays["relay-a"], r.relays["relay-b"]}
 	assignments := make([]*Assignment, 0, len(all))
 	sum := int64(0)
@@ -98,9 +98,9 @@
 }
 
 // What a server holds reaches all instances once, and is not told again for a while.
-func TestHoldingsAreToldOnce(t *testing.T) {
-	r := newRelayed()
-	p := prompt("session")
+func TestCachedSegmentsArePublishedOnce(t *testing.T) {
+	r := newRelayTopology()
+	p := promptRequest("session")
 
 	for range 3 {
 		a := pick(t, r.members["a-1"], p)
@@ -133,8 +133,8 @@
 }
 
 // The load that a server told one instance reaches all.
-func TestLoadsReachAllThroughRelays(t *testing.T) {
-	r := newRelayed()
+func TestLoadsReachAllInstancesThroughRelays(t *testing.T) {
+	r := newRelayTopology()
 	r.members["b-1"].RecordLoad(now, "i-0", Load{Running: 5, Waiting: 2})
 	r.exchange(now)
 
--- a/scheduling/roles_test.go
+++ b/scheduling/roles_test.go
@@ -12,19 +12,19 @@
 
 // role is what an instance takes itself for: a relay, or one that turned to another.
 type role struct {
-	relay bool
-	to    int
+	relay  bool
+	uplink int
 }
 
 // ring are instances that hold any views of who is a relay, as after losses and starts.
-type ring struct {
+type instanceGroup struct {
 	now        time.Time
 	schedulers []*Scheduler
 	roles      []role
 }
 
 // tell lets an instance tell those that it takes for relays what waits at the server.
-func (r *ring) tell(i int) {
+func (r *instanceGroup) sendUpdate(i int) {
 	r.schedulers[i].SetRelay(r.roles[i].relay)
 	news := r.schedulers[i].TakeUpdate(r.now, Upstream)
 
@@ -33,7 +33,7 @@
 		case j == i:
 		case r.roles[i].relay && r.roles[j].relay:
 			other.ApplyUpdate(r.now, instanceID(i), Peer, news)
-		case !r.roles[i].relay && r.roles[i].to == j:
+		case !r.roles[i].relay && r.roles[i].uplink == j:
 			other.ApplyUpdate(r.now, instanceID(i), Subscriber, news)
 		}
 	}
@@ -44,12 +44,12 @@
 // Whatever instances take each other for, and however that changes, what one of them counts
 // of the others stays bounded: each tells its own, and a relay that of those that turned to
 // it once more. Rings of instances that take each other for relays let nothing grow.
-func TestHoldsBacklogsBoundedWhateverTheRoles(t *testing.T) {
+func TestHoldsBacklogsBoundedForAnyRoles(t *testing.T) {
 	const prompt = 1000
 
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "instances")
-		r := &ring{now: time.Unix(1000, 0), roles: make([]role, n)}
+		r := &instanceGroup{now: time.Unix(1000, 0), roles: make([]role, n)}
 
 		for range n {
 			s := poolOf(1)
@@ -69,14 +69,14 @@
 
 			if rapid.IntRange(0, 5).Draw(t, "change") == 0 {
 				to := (i + rapid.IntRange(1, n-1).Draw(t, "to")) % n
-				r.roles[i] = role{relay: rapid.Bool().Draw(t, "relay"), to: to}
+				r.roles[i] = role{relay: rapid.Bool().Draw(t, "relay"), uplink: to}
 			}
 
-			r.tell(i)
+			r.sendUpdate(i)
 
 			for j, s := range r.schedulers {
-				one := s.servers["s-0"]
-				if got, most := one.remotePending(r.now), int64(n*n*prompt); got > most {
+				srv := s.servers["s-0"]
+				if got, most := srv.remotePending(r.now), int64(n*n*prompt); got > most {
 					t.Fatalf("at instance %d: got %d tokens, want at most %d of %d instances", j, got, most, n)
 				}
 			}
@@ -85,10 +85,10 @@
 }
 
 // Three that each take the next for their relay tell their own alone.
-func TestARingOfRelaysAddsNothingUp(t *testing.T) {
+func TestUplinkRingDoesNotAccumulateBacklogs(t *testing.T) {
 	const prompt = 1000
 
-	r := &ring{now: time.Unix(1000, 0), roles: []role{{to: 1}, {to: 2}, {to: 0}}}
+	r := &instanceGroup{now: time.Unix(1000, 0), roles: []role{{uplink: 1}, {uplink: 2}, {uplink: 0}}}
 
 	for range r.roles {
 		s := poolOf(1)
@@ -104,7 +104,7 @@
 
 	for step := range 30 {
 		r.now = r.now.Add(20 * time.Millisecond)
-		r.tell(step % len(r.roles))
+		r.sendUpdate(step % len(r.roles))
 	}
 
 	for i, s := range r.schedulers {
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -129,44 +129,44 @@
 	pools := make(map[fleet.Service][]*server)
 
 	for _, entry := range servers {
-		one := s.servers[entry.ID]
-		if existed := one != nil; !existed || !one.sameProcess(entry) {
+		srv := s.servers[entry.ID]
+		if existed := srv != nil; !existed || !srv.sameProcess(entry) {
 			if existed {
-				s.removed.add(one.entry().Process(), one.announcements)
+				s.removed.add(srv.entry().Process(), srv.announcements)
 			}
 
-			one = newServer(entry, s.removed.take(entry.Process()))
-			one.restarted = existed
+			srv = newServer(entry, s.removed.take(entry.Process()))
+			srv.restarted = existed
 		}
 
-		one.registered.Store(&entry)
+		srv.registered.Store(&entry)
 
 		if entry.Leaving {
-			one.announcements.leaving.Store(true)
+			srv.announcements.leaving.Store(true)
 		}
 
-		byID[entry.ID] = one
+		byID[entry.ID] = srv
 
-		if !one.isLeaving() {
-			pools[entry.Service] = append(pools[entry.Service], one)
+		if !srv.isLeaving() {
+			pools[entry.Service] = append(pools[entry.Service], srv)
 		}
 	}
 
-	for id, one := range s.servers {
-		if byID[id] == one {
+	for id, srv := range s.servers {
+		if byID[id] == srv {
 			continue
 		}
 
-		one.removed.Store(true)
+		srv.removed.Store(true)
 
 		if byID[id] == nil {
-			s.removed.add(one.entry().Process(), one.announcements)
+			s.removed.add(srv.entry().Process(), srv.announcements)
 		}
 	}
 
 	byKey := make(map[Key]*server, len(byID))
-	for _, one := range byID {
-		byKey[one.key] = one
+	for _, srv := range byID {
+		byKey[srv.key] = srv
 	}
 
 	s.servers = byID
@@ -182,12 +182,12 @@
 // RecordLoad takes in what a server said of its load.
 func (s *Scheduler) RecordLoad(now time.Time, id fleet.InstanceID, load Load) {
 	s.mu.Lock()
-	one := s.servers[id]
+	srv := s.servers[id]
 	s.mu.Unlock()
 
-	if one != nil {
-		one.recordLoad(now, load.Running+load.Waiting)
-		s.publishLoad(one, true)
+	if srv != nil {
+		srv.recordLoad(now, load.Running+load.Waiting)
+		s.publishLoad(srv, true)
 	}
 }
 
@@ -218,16 +218,16 @@
 
 	var bestCost float64
 
-	for i, one := range compared {
-		if !one.eligible(now, &r) {
+	for i, srv := range compared {
+		if !srv.eligible(now, &r) {
 			continue
 		}
 
-		uncached := r.Prompt.uncachedTokens(cached[i], one == home)
+		uncached := r.Prompt.uncachedTokens(cached[i], srv == home)
 
-		cost := one.cost(now, uncached, s.Domain, poolFailureRate)
+		cost := srv.cost(now, uncached, s.Domain, poolFailureRate)
 		if a.server == nil || cost < bestCost {
-			a.server, a.uncachedTokens, bestCost = one, uncached, cost
+			a.server, a.uncachedTokens, bestCost = srv, uncached, cost
 		}
 	}
 
@@ -251,16 +251,16 @@
 // cachedBy returns the tokens of a prompt that each of some servers is known to have read.
 func cachedBy(now time.Time, servers []*server, keys []Key, p Prompt) []int {
 	cached := make([]int, len(servers))
-	for i, one := range servers {
-		cached[i] = one.cachedTokens(now, keys, p)
+	for i, srv := range servers {
+		cached[i] = srv.cachedTokens(now, keys, p)
 	}
 
 	return cached
 }
 
 func excluded(ids []fleet.InstanceID, id fleet.InstanceID) bool {
-	for _, one := range ids {
-		if one == id {
+	for _, other := range ids {
+		if other == id {
 			return true
 		}
 	}
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-func prompt(session string) Request {
+func promptRequest(session string) Request {
 	return Request{Service: "llm", Prompt: Prompt{Tokens: 12_000, Segments: []Segment{
 		{ID: "system", Tokens: 512}, {ID: session, Tokens: 4870}, {ID: session + "-own", Tokens: 6618},
 	}}}
@@ -46,14 +46,14 @@
 }
 
 // All instances prefer the same server for a session, without a word between them.
-func TestInstancesAgreeOnTheHomeOfASession(t *testing.T) {
-	one, other := engines(12, 64), engines(12, 64)
+func TestInstancesAgreeOnHomeOfSession(t *testing.T) {
+	here, there := engines(12, 64), engines(12, 64)
 	used := map[fleet.InstanceID]bool{}
 
 	for i := range 56 {
-		r := prompt(fmt.Sprint("session-", i))
+		r := promptRequest(fmt.Sprint("session-", i))
 
-		got, want := pick(t, one, r).ID(), pick(t, other, r).ID()
+		got, want := pick(t, here, r).ID(), pick(t, there, r).ID()
 		if got != want {
 			t.Errorf("session %d: got %s and %s, want one home", i, got, want)
 		}
@@ -67,12 +67,12 @@
 }
 
 // A hot session leaves its home once the wait there costs more than reading again.
-func TestAHotSessionSpreads(t *testing.T) {
+func TestHotSessionSpreads(t *testing.T) {
 	s := engines(6, 64)
 	used := map[fleet.InstanceID]int{}
 
 	for range 60 {
-		a := pick(t, s, prompt("hot"))
+		a := pick(t, s, promptRequest("hot"))
 		a.Start(now)
 		used[a.ID()]++
 	}
@@ -88,12 +88,12 @@
 	}
 }
 
-func TestAServerWithoutAFreePlaceIsLeftAlone(t *testing.T) {
+func TestPickSkipsServerWithoutFreeSlot(t *testing.T) {
 	s := engines(4, 2)
 	used := map[fleet.InstanceID]int{}
 
 	for i := range 8 {
-		a := pick(t, s, prompt(fmt.Sprint("session-", i)))
+		a := pick(t, s, promptRequest(fmt.Sprint("session-", i)))
 		a.Start(now)
 		a.FirstEventReceived(now)
 		used[a.ID()]++
@@ -106,54 +106,54 @@
 	}
 }
 
-func TestAServerThatFailsMoreThanOthersIsAvoided(t *testing.T) {
+func TestPickAvoidsServerWithHighFailureRate(t *testing.T) {
 	s := engines(3, 64)
-	bad := pick(t, s, prompt("x")).ID()
+	bad := pick(t, s, promptRequest("x")).ID()
 
 	for range 20 {
-		for _, one := range s.servers {
-			one.recordOutcome(now, one.entry().ID == bad)
+		for _, srv := range s.servers {
+			srv.recordOutcome(now, srv.entry().ID == bad)
 		}
 	}
 
-	if got := pick(t, s, prompt("x")).ID(); got == bad {
+	if got := pick(t, s, promptRequest("x")).ID(); got == bad {
 		t.Errorf("got %s, which fails all, want another", got)
 	}
 
 	// If all of them fail alike, that is the service's own doing.
 	s = engines(3, 64)
-	home := pick(t, s, prompt("x")).ID()
+	home := pick(t, s, promptRequest("x")).ID()
 
 	for range 20 {
-		for _, one := range s.servers {
-			one.recordOutcome(now, true)
+		for _, srv := range s.servers {
+			srv.recordOutcome(now, true)
 		}
 	}
 
-	if got := pick(t, s, prompt("x")).ID(); got != home {
+	if got := pick(t, s, promptRequest("x")).ID(); got != home {
 		t.Errorf("got %s, want the home %s", got, home)
 	}
 }
 
-func TestAServerThatLeavesIsNotPickedNorStarted(t *testing.T) {
+func TestLeavingServerIsNotPickedOrStarted(t *testing.T) {
 	s := engines(2, 64)
-	first := pick(t, s, prompt("x"))
+	first := pick(t, s, promptRequest("x"))
 	first.AnnouncedLeaving()
 
 	if first.Start(now) {
 		t.Error("start at a server that leaves: got true, want false")
 	}
 
-	if got := pick(t, s, prompt("x")).ID(); got == first.ID() {
+	if got := pick(t, s, promptRequest("x")).ID(); got == first.ID() {
 		t.Errorf("got %s, which leaves", got)
 	}
 }
 
-func TestEndsLeaveNothingBehind(t *testing.T) {
+func TestEndClearsRunningAndPending(t *testing.T) {
 	s := engines(1, 64)
 
 	for i, result := range []Result{Served, Failed, Unreachable, Rejected, Cancelled} {
-		a := pick(t, s, prompt("x"))
+		a := pick(t, s, promptRequest("x"))
 		a.Start(now)
 
 		if i%2 == 0 {
@@ -164,13 +164,13 @@
 		a.End(now, result)
 	}
 
-	one := s.servers["i-0"]
-	if one.running.Load() != 0 || one.pendingTokens.Load() != 0 {
-		t.Errorf("after all ends: got %d running and %d pending, want 0", one.running.Load(), one.pendingTokens.Load())
+	srv := s.servers["i-0"]
+	if srv.running.Load() != 0 || srv.pendingTokens.Load() != 0 {
+		t.Errorf("after all ends: got %d running and %d pending, want 0", srv.running.Load(), srv.pendingTokens.Load())
 	}
 }
 
-func TestACacheThatIsNotKnownDoesNotMakeServersLookFast(t *testing.T) {
+func TestUnknownCacheDoesNotRaiseMeasuredSpeed(t *testing.T) {
 	s := engines(1, 64)
 	now := time.Unix(1000, 0)
 
@@ -206,7 +206,7 @@
 }
 
 // What a server told one instance keeps another one from sending more there.
-func TestLoadsAreHeardOfOtherInstances(t *testing.T) {
+func TestLoadsOfOtherInstancesAreUsed(t *testing.T) {
 	here, there := engines(2, 4), engines(2, 4)
 	r := Request{Service: "llm", Prompt: Prompt{Tokens: 500}}
 
@@ -247,7 +247,7 @@
 func TestInstancesDoNotHerd(t *testing.T) {
 	// Eight servers have no request; each of them is among three drawn ones for some
 	// 20 instances, with a deviation of 4.4.
-	const instances, servers, most = 600, 90, 50
+	const instances, servers, maxPerServer = 600, 90, 50
 
 	var loads []ServerLoad
 	for i := range servers {
@@ -263,8 +263,8 @@
 	}
 
 	for id, n := range used {
-		if n > most {
-			t.Errorf("%s: got %d of %d requests at once, want at most %d", id, n, instances, most)
+		if n > maxPerServer {
+			t.Errorf("%s: got %d of %d requests at once, want at most %d", id, n, instances, maxPerServer)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 // The homes of a common part stay among the few servers that are compared.
 func TestHomesAreAlwaysCompared(t *testing.T) {
 	s := engines(90, 16)
-	r := prompt("session")
+	r := promptRequest("session")
 	want := homesOf((*s.pools.Load())["llm"], r.Prompt)[0].entry().ID
 
 	for range 50 {
@@ -283,10 +283,10 @@
 }
 
 // While a service has no server, a prompt with a common part is told so.
-func TestAPromptWithoutServersIsToldSo(t *testing.T) {
+func TestPickFailsWithoutServers(t *testing.T) {
 	s := engines(0, 64)
 
-	if _, err := s.Pick(now, prompt("x")); !errors.Is(err, ErrNoServer) {
+	if _, err := s.Pick(now, promptRequest("x")); !errors.Is(err, ErrNoServer) {
 		t.Errorf("pick: got %v, want %v", err, ErrNoServer)
 	}
 }
--- a/scheduling/server.go
+++ b/scheduling/server.go
@@ -205,9 +205,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	others := s.remoteBacklogs.sum(now, isNotRelay)
+	others := s.remoteBacklogs.sum(now, notFromRelay)
 	// A relay's sum holds what it was told by this instance.
-	viaRelay := s.remoteBacklogs.sum(now, ofRelay) - s.sentUpstream
+	viaRelay := s.remoteBacklogs.sum(now, fromRelay) - s.sentUpstream
 
 	return max(others, viaRelay)
 }
@@ -222,13 +222,13 @@
 	own := s.pendingTokens.Load()
 
 	if to == Downstream {
-		return max(own+s.remoteBacklogs.sum(now, isNotRelay), s.remoteBacklogs.sum(now, ofRelay))
+		return max(own+s.remoteBacklogs.sum(now, notFromRelay), s.remoteBacklogs.sum(now, fromRelay))
 	}
 
 	s.sentUpstream = own
 
 	if isRelay {
-		s.sentUpstream += s.remoteBacklogs.sum(now, isSubscriber)
+		s.sentUpstream += s.remoteBacklogs.sum(now, fromSubscriber)
 	}
 
 	return s.sentUpstream
--- a/scheduling/play_test.go
+++ b/scheduling/simulation_test.go
@@ -15,16 +15,16 @@
 
 // play is a load of prompts on engines that several instances place without asking each
 // other. Engines read prompts one after the other and keep what they have read.
-type play struct {
+type simulation struct {
 	instances, engines int
 	// every is the mean time between two prompts.
-	every time.Duration
-	span  time.Duration
+	interval time.Duration
+	duration time.Duration
 	// told tells instances what the others do, late by delay.
-	told  bool
-	delay time.Duration
+	updates bool
+	delay   time.Duration
 	// holds lets prompts be held back that can't begin in time.
-	holds bool
+	holding bool
 	// burst has prompts come this many times as often from burstFrom on, for burstFor.
 	burst float64
 	seed  uint64
@@ -36,22 +36,22 @@
 	// objective is the time to the first event that callers are promised.
 	objective = 800 * time.Millisecond
 	// patience is the time after which callers leave that were shown nothing.
-	patience = 4 * time.Second
+	callerTimeout = 4 * time.Second
 )
 
 // outcome is what callers and engines saw of a play.
-type outcome struct {
+type simulationResult struct {
 	// waits are the times from placing a prompt to its first event, in order of size.
 	waits []time.Duration
 	// refused counts prompts that were sent away; they have no wait.
 	refused int
 	// again are the tokens of common parts that some engine had read before.
-	again int
+	reread int
 }
 
 // late returns the share of prompts that waited for longer than the objective, or were
 // refused.
-func (o outcome) late() float64 {
+func (o simulationResult) late() float64 {
 	n, _ := slices.BinarySearch(o.waits, objective)
 
 	return 1 - float64(n)/float64(len(o.waits)+o.refused)
@@ -60,7 +60,7 @@
 // engine reads 40 tokens in a millisecond.
 type engine struct {
 	busyUntil time.Time
-	held      map[string]bool
+	cached    map[string]bool
 }
 
 const tokensPerMillisecond = 40
@@ -74,7 +74,7 @@
 	shared, unread := 0, 0
 
 	for i, part := range p.Segments {
-		if i == len(p.Segments)-1 || !e.held[part.ID] {
+		if i == len(p.Segments)-1 || !e.cached[part.ID] {
 			unread += part.Tokens
 
 			if i < len(p.Segments)-1 {
@@ -82,7 +82,7 @@
 			}
 		}
 
-		e.held[part.ID] = true
+		e.cached[part.ID] = true
 	}
 
 	begin := now
@@ -96,19 +96,19 @@
 }
 
 // step is something that happens in a play.
-type playStep struct {
+type event struct {
 	at time.Time
 	do func(now time.Time)
 }
 
-type playSteps []playStep
+type eventQueue []event
 
-func (s playSteps) Len() int           { return len(s) }
-func (s playSteps) Less(i, j int) bool { return s[i].at.Before(s[j].at) }
-func (s playSteps) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
-func (s *playSteps) Push(x any)        { *s = append(*s, x.(playStep)) }
+func (s eventQueue) Len() int           { return len(s) }
+func (s eventQueue) Less(i, j int) bool { return s[i].at.Before(s[j].at) }
+func (s eventQueue) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
+func (s *eventQueue) Push(x any)        { *s = append(*s, x.(event)) }
 
-func (s *playSteps) Pop() any {
+func (s *eventQueue) Pop() any {
 	last := (*s)[len(*s)-1]
 	*s = (*s)[:len(*s)-1]
 
@@ -116,7 +116,7 @@
 }
 
 // run plays the load to its end.
-func (p play) run(t *testing.T) outcome {
+func (p simulation) run(t *testing.T) simulationResult {
 	t.Helper()
 
 	random := rand.New(rand.NewPCG(p.seed, 1))
@@ -127,7 +127,7 @@
 
 	for i := range p.engines {
 		id := fleet.InstanceID(fmt.Sprint("i-", i))
-		engines[id] = &engine{held: make(map[string]bool)}
+		engines[id] = &engine{cached: make(map[string]bool)}
 		servers = append(servers, register.Server{ID: id, Service: "llm", Domain: "a", Slots: 64})
 	}
 
@@ -137,19 +137,19 @@
 	}
 
 	var (
-		steps playSteps
-		out   outcome
+		events eventQueue
+		result simulationResult
 	)
 
 	begin := now
 
-	tell := func(now time.Time, from int) {
+	sendUpdate := func(now time.Time, from int) {
 		news := schedulers[from].TakeUpdate(now, Upstream)
-		if !p.told {
+		if !p.updates {
 			return
 		}
 
-		heap.Push(&steps, playStep{at: now.Add(p.delay), do: func(now time.Time) {
+		heap.Push(&events, event{at: now.Add(p.delay), do: func(now time.Time) {
 			for i, other := range schedulers {
 				if i != from {
 					other.ApplyUpdate(now, fleet.InstanceID(fmt.Sprint("entry-", from)), Peer, news)
@@ -166,17 +166,17 @@
 			t.Fatalf("place: got %v, want a server", err)
 		}
 
-		if p.holds && a.decide(now, r) == refuse {
+		if p.holding && a.decide(now, r) == refuse {
 			if arrived.Sub(begin) >= warmUp {
-				out.refused++
+				result.refused++
 			}
 
 			return
 		}
 
-		if p.holds && a.decide(now, r) == hold {
-			again := holdInterval + time.Duration(random.Int64N(int64(holdInterval)))
-			heap.Push(&steps, playStep{at: now.Add(again), do: func(now time.Time) { place(now, from, arrived, r) }})
+		if p.holding && a.decide(now, r) == hold {
+			delay := holdInterval + time.Duration(random.Int64N(int64(holdInterval)))
+			heap.Push(&events, event{at: now.Add(delay), do: func(now time.Time) { place(now, from, arrived, r) }})
 
 			return
 		}
@@ -185,46 +185,46 @@
 
 		read, shared := engines[a.ID()].read(now, r.Prompt)
 		if arrived.Sub(begin) >= warmUp {
-			out.again += shared
-			out.waits = append(out.waits, read.Sub(arrived))
+			result.reread += shared
+			result.waits = append(result.waits, read.Sub(arrived))
 		}
 
-		tell(now, from)
+		sendUpdate(now, from)
 
-		heap.Push(&steps, playStep{at: read, do: func(now time.Time) {
+		heap.Push(&events, event{at: read, do: func(now time.Time) {
 			a.FirstEventReceived(now)
 			a.End(now, Served)
-			tell(now, from)
+			sendUpdate(now, from)
 		}})
 	}
 
 	at := begin
-	for number := 0; at.Before(begin.Add(p.span)); number++ {
-		heap.Push(&steps, playStep{at: at, do: func(now time.Time) {
+	for number := 0; at.Before(begin.Add(p.duration)); number++ {
+		heap.Push(&events, event{at: at, do: func(now time.Time) {
 			from := random.IntN(p.instances)
 			r := Request{
-				Service: "llm", Prompt: drawPrompt(random, number), Due: now.Add(objective), HoldUntil: now.Add(patience),
-				CallerDeadline: now.Add(patience),
+				Service: "llm", Prompt: drawPrompt(random, number), Due: now.Add(objective), HoldUntil: now.Add(callerTimeout),
+				CallerDeadline: now.Add(callerTimeout),
 			}
 			place(now, from, now, r)
 		}})
 
-		every := float64(p.every)
+		interval := float64(p.interval)
 		if since := at.Sub(begin); p.burst > 0 && since >= burstFrom && since < burstFrom+burstFor {
-			every /= p.burst
+			interval /= p.burst
 		}
 
-		at = at.Add(time.Duration(random.ExpFloat64() * every))
+		at = at.Add(time.Duration(random.ExpFloat64() * interval))
 	}
 
-	for steps.Len() > 0 {
-		next := heap.Pop(&steps).(playStep)
+	for events.Len() > 0 {
+		next := heap.Pop(&events).(event)
 		next.do(next.at)
 	}
 
-	slices.Sort(out.waits)
+	slices.Sort(result.waits)
 
-	return out
+	return result
 }
 
 // drawPrompt draws one of 63 conversations with a long common part, and a part of its
--- a/scheduling/ended_test.go
+++ b/scheduling/terminated_test.go
@@ -23,17 +23,17 @@
 }
 
 // While any server of a pool fits, a request is placed, whatever is drawn.
-func TestARequestIsPlacedWhileAnyServerFits(t *testing.T) {
+func TestRequestPlacedWhileAnyServerEligible(t *testing.T) {
 	const servers = 200
 
 	s := poolOf(servers)
 	now := time.Unix(1000, 0)
 
-	for try := range 50 {
-		r := Request{Service: "llm", Prompt: Prompt{Tokens: 10, Segments: []Segment{{ID: fmt.Sprint("p", try), Tokens: 10}}}}
+	for target := range 50 {
+		r := Request{Service: "llm", Prompt: Prompt{Tokens: 10, Segments: []Segment{{ID: fmt.Sprint("p", target), Tokens: 10}}}}
 
 		for i := range servers {
-			if i != try {
+			if i != target {
 				r.Excluded = append(r.Excluded, fleet.InstanceID(fmt.Sprint("s-", i)))
 			}
 		}
@@ -43,7 +43,7 @@
 			t.Fatalf("one of %d servers fits: got %v, want it", servers, err)
 		}
 
-		if want := fleet.InstanceID(fmt.Sprint("s-", try)); a.ID() != want {
+		if want := fleet.InstanceID(fmt.Sprint("s-", target)); a.ID() != want {
 			t.Errorf("got %v, want %v", a.ID(), want)
 		}
 	}
@@ -51,14 +51,14 @@
 
 // A server that was found to have ended is passed over by every attempt, here and at
 // those that are told, until its entry should be gone. Where no other is left it is tried.
-func TestServersThatEndedArePassedOver(t *testing.T) {
+func TestTerminatedServersAreAvoided(t *testing.T) {
 	const servers = 60
 
 	now := time.Unix(1000, 0)
-	seer, relay, told := poolOf(servers), poolOf(servers), poolOf(servers)
+	observer, relay, subscriber := poolOf(servers), poolOf(servers), poolOf(servers)
 
 	for range servers - 1 {
-		a, err := seer.Pick(now, Request{Service: "llm"})
+		a, err := observer.Pick(now, Request{Service: "llm"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,28 +67,28 @@
 		a.End(now, Terminated)
 	}
 
-	relay.ApplyUpdate(now, "seer", Subscriber, seer.TakeUpdate(now, Upstream))
-	told.ApplyUpdate(now, "relay", Relay, relay.TakeUpdate(now, Downstream))
+	relay.ApplyUpdate(now, "seer", Subscriber, observer.TakeUpdate(now, Upstream))
+	subscriber.ApplyUpdate(now, "relay", Relay, relay.TakeUpdate(now, Downstream))
 
-	left := map[fleet.InstanceID]bool{}
+	picked := map[fleet.InstanceID]bool{}
 
-	for name, s := range map[string]*Scheduler{"one that found it": seer, "relay": relay, "one that is told": told} {
+	for name, s := range map[string]*Scheduler{"one that found it": observer, "relay": relay, "one that is told": subscriber} {
 		for range 100 {
 			a, err := s.Pick(now, Request{Service: "llm"})
 			if err != nil {
 				t.Fatalf("%s: got %v, want a server", name, err)
 			}
 
-			left[a.ID()] = true
+			picked[a.ID()] = true
 		}
 	}
 
-	if len(left) != 1 {
-		t.Errorf("picked: got %d servers, want the one that is left", len(left))
+	if len(picked) != 1 {
+		t.Errorf("picked: got %d servers, want the one that is left", len(picked))
 	}
 
-	for id := range left {
-		if _, err := told.Pick(now, Request{Service: "llm", Excluded: []fleet.InstanceID{id}}); err != nil {
+	for id := range picked {
+		if _, err := subscriber.Pick(now, Request{Service: "llm", Excluded: []fleet.InstanceID{id}}); err != nil {
 			t.Errorf("all others have ended: got %v, want one tried", err)
 		}
 	}
@@ -96,11 +96,11 @@
 
 // What was told once is not told again and again: a relay that hears it anew passes on
 // nothing.
-func TestAnEndIsToldOnce(t *testing.T) {
+func TestTerminationIsPublishedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	seer, relay := poolOf(3), poolOf(3)
+	observer, relay := poolOf(3), poolOf(3)
 
-	a, err := seer.Pick(now, Request{Service: "llm"})
+	a, err := observer.Pick(now, Request{Service: "llm"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	a.Start(now)
 	a.End(now, Terminated)
 
-	news := seer.TakeUpdate(now, Upstream)
+	news := observer.TakeUpdate(now, Upstream)
 	relay.ApplyUpdate(now, "seer", Peer, news)
 	relay.ApplyUpdate(now, "seer", Peer, news)
 
--- a/scheduling/news.go
+++ b/scheduling/updates.go
@@ -222,22 +222,22 @@
 	content := s.outboxes[to].take()
 	update := ServerUpdate{Holdings: content.segments}
 
-	for _, one := range content.terminated {
-		update.Ended = append(update.Ended, one.key)
+	for _, srv := range content.terminated {
+		update.Ended = append(update.Ended, srv.key)
 	}
 
-	for _, one := range content.limits {
-		update.Limits = append(update.Limits, one.limitUpdate(now))
+	for _, srv := range content.limits {
+		update.Limits = append(update.Limits, srv.limitUpdate(now))
 	}
 
-	for _, one := range content.backlogs {
-		update.Backlogs = append(update.Backlogs, Backlog{Server: one.key, Tokens: clampTokens(one.backlogFor(now, to, s.isRelay.Load()))})
+	for _, srv := range content.backlogs {
+		update.Backlogs = append(update.Backlogs, Backlog{Server: srv.key, Tokens: clampTokens(srv.backlogFor(now, to, s.isRelay.Load()))})
 	}
 
-	for _, one := range content.loads {
-		if requests, age, ok := one.lastLoad(now); ok {
+	for _, srv := range content.loads {
+		if requests, age, ok := srv.lastLoad(now); ok {
 			update.Loads = append(update.Loads, ServerLoad{
-				Server: one.key, Requests: uint16(min(requests, math.MaxUint16)), AgeMs: uint16(age.Milliseconds()),
+				Server: srv.key, Requests: uint16(min(requests, math.MaxUint16)), AgeMs: uint16(age.Milliseconds()),
 			})
 		}
 	}
@@ -263,75 +263,75 @@
 	}
 
 	for _, b := range update.Backlogs {
-		if one := (*byKey)[b.Server]; one != nil {
-			one.recordBacklog(now, from, role, int64(b.Tokens))
-			s.publishBacklog(one, nil, role == Subscriber)
+		if srv := (*byKey)[b.Server]; srv != nil {
+			srv.recordBacklog(now, from, role, int64(b.Tokens))
+			s.publishBacklog(srv, nil, role == Subscriber)
 		}
 	}
 
 	for _, h := range update.Holdings {
-		if one := (*byKey)[h.Server]; one != nil {
-			s.publishSegments(now, one, h.Parts, role == Subscriber)
+		if srv := (*byKey)[h.Server]; srv != nil {
+			s.publishSegments(now, srv, h.Parts, role == Subscriber)
 		}
 	}
 
 	for _, key := range update.Ended {
-		if one := (*byKey)[key]; one != nil {
-			s.publishTerminated(now, one, role == Subscriber)
+		if srv := (*byKey)[key]; srv != nil {
+			s.publishTerminated(now, srv, role == Subscriber)
 		}
 	}
 
 	for _, l := range update.Limits {
-		if one := (*byKey)[l.Server]; one != nil && l.Rate.Valid() {
-			s.receiveLimit(now, one, l, role == Subscriber)
+		if srv := (*byKey)[l.Server]; srv != nil && l.Rate.Valid() {
+			s.receiveLimit(now, srv, l, role == Subscriber)
 		}
 	}
 
 	for _, l := range update.Loads {
-		if one := (*byKey)[l.Server]; one != nil {
-			one.recordLoad(now.Add(-time.Duration(l.AgeMs)*time.Millisecond), int(l.Requests))
-			s.publishLoad(one, role == Subscriber)
+		if srv := (*byKey)[l.Server]; srv != nil {
+			srv.recordLoad(now.Add(-time.Duration(l.AgeMs)*time.Millisecond), int(l.Requests))
+			s.publishLoad(srv, role == Subscriber)
 		}
 	}
 }
 
 // publishBacklog notes for others that a server's backlog publishBacklog, or parts that it holds. What
 // relays tell goes no further up.
-func (s *Scheduler) publishBacklog(one *server, segments []Key, upstream bool) {
-	s.outboxes[Downstream].addBacklog(one, segments)
+func (s *Scheduler) publishBacklog(srv *server, segments []Key, upstream bool) {
+	s.outboxes[Downstream].addBacklog(srv, segments)
 
 	if upstream {
-		s.outboxes[Upstream].addBacklog(one, segments)
+		s.outboxes[Upstream].addBacklog(srv, segments)
 	}
 }
 
 // publishSegments takes in that a server publishSegments parts, and notes it for others that have not been
 // told of late.
-func (s *Scheduler) publishSegments(now time.Time, one *server, segments []Key, upstream bool) {
-	if one.addSegments(now, segments) {
-		s.publishBacklog(one, segments, upstream)
+func (s *Scheduler) publishSegments(now time.Time, srv *server, segments []Key, upstream bool) {
+	if srv.addSegments(now, segments) {
+		s.publishBacklog(srv, segments, upstream)
 	}
 }
 
 // publishTerminated keeps requests off a server whose program has publishTerminated, and notes that for others
 // that have not been told of late.
-func (s *Scheduler) publishTerminated(now time.Time, one *server, upstream bool) {
-	if !one.markTerminated(now) {
+func (s *Scheduler) publishTerminated(now time.Time, srv *server, upstream bool) {
+	if !srv.markTerminated(now) {
 		return
 	}
 
-	s.outboxes[Downstream].addTerminated(one)
+	s.outboxes[Downstream].addTerminated(srv)
 
 	if upstream {
-		s.outboxes[Upstream].addTerminated(one)
+		s.outboxes[Upstream].addTerminated(srv)
 	}
 }
 
-func (s *Scheduler) publishLoad(one *server, upstream bool) {
-	s.outboxes[Downstream].addLoad(one)
+func (s *Scheduler) publishLoad(srv *server, upstream bool) {
+	s.outboxes[Downstream].addLoad(srv)
 
 	if upstream {
-		s.outboxes[Upstream].addLoad(one)
+		s.outboxes[Upstream].addLoad(srv)
 	}
 }
 
@@ -381,6 +381,6 @@
 }
 
 // isSubscriber and ofOthers are the senders whose backlogs an audience is told.
-func isSubscriber(s SenderRole) bool { return s == Subscriber }
-func isNotRelay(s SenderRole) bool   { return s != Relay }
-func ofRelay(s SenderRole) bool      { return s == Relay }
+func fromSubscriber(s SenderRole) bool { return s == Subscriber }
+func notFromRelay(s SenderRole) bool   { return s != Relay }
+func fromRelay(s SenderRole) bool      { return s == Relay }
--- a/scheduling/news_test.go
+++ b/scheduling/updates_test.go
@@ -11,33 +11,33 @@
 
 // Eight instances place 40 prompts a second on nine engines. Without news of the others
 // 53 in 1,000 prompts wait for longer than 800 ms for their first event, with it 13.
-func TestNewsOfOthersKeepsPromptsFromWaiting(t *testing.T) {
-	var silent, told outcome
+func TestUpdatesShortenPromptWaits(t *testing.T) {
+	var isolated, updated simulationResult
 
 	for seed := range uint64(5) {
-		p := play{instances: 8, engines: 9, every: 25 * time.Millisecond, span: 30 * time.Second, seed: seed}
-		one := p.run(t)
-		silent.again += one.again
-		silent.waits = append(silent.waits, one.waits...)
-
-		p.told, p.delay = true, 50*time.Millisecond
-		one = p.run(t)
-		told.again += one.again
-		told.waits = append(told.waits, one.waits...)
+		p := simulation{instances: 8, engines: 9, interval: 25 * time.Millisecond, duration: 30 * time.Second, seed: seed}
+		result := p.run(t)
+		isolated.reread += result.reread
+		isolated.waits = append(isolated.waits, result.waits...)
+
+		p.updates, p.delay = true, 50*time.Millisecond
+		result = p.run(t)
+		updated.reread += result.reread
+		updated.waits = append(updated.waits, result.waits...)
 	}
 
-	slices.Sort(silent.waits)
-	slices.Sort(told.waits)
+	slices.Sort(isolated.waits)
+	slices.Sort(updated.waits)
 
-	if got, before := told.late(), silent.late(); got > 0.05 || got > before/4 {
+	if got, before := updated.late(), isolated.late(); got > 0.05 || got > before/4 {
 		t.Errorf("prompts that wait for longer than %v: got %.3f with news and %.3f without, want a quarter and 0.05 at most",
 			objective, got, before)
 	}
 }
 
-func TestNewsTellsWhatWaitsAndWhatIsHeld(t *testing.T) {
+func TestUpdatesCarryBacklogsAndCachedSegments(t *testing.T) {
 	here, there := engines(2, 64), engines(2, 64)
-	r := prompt("session")
+	r := promptRequest("session")
 
 	a := pick(t, there, r)
 	a.Start(now)
@@ -75,7 +75,7 @@
 }
 
 // An instance that ended tells no more that its prompts were read.
-func TestABacklogThatIsNotToldAnewIsForgotten(t *testing.T) {
+func TestBacklogExpiresWithoutUpdates(t *testing.T) {
 	s := engines(1, 64)
 	server := s.servers["i-0"]
 	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: server.key, Tokens: 9000}}})
@@ -89,10 +89,10 @@
 	}
 }
 
-func TestAnAttemptThatEndsUnreadLeavesNoBacklogElsewhere(t *testing.T) {
+func TestFailedAttemptClearsRemoteBacklog(t *testing.T) {
 	here, there := engines(1, 64), engines(1, 64)
 
-	a := pick(t, there, prompt("session"))
+	a := pick(t, there, promptRequest("session"))
 	a.Start(now)
 	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 	a.End(now, Failed)
@@ -104,11 +104,11 @@
 }
 
 // What nobody takes must not grow without bound.
-func TestNewsThatIsNotTakenIsBounded(t *testing.T) {
+func TestUnsentUpdatesAreBounded(t *testing.T) {
 	s := engines(1, 64)
 
 	for i := range 4 * maxQueuedSegments {
-		a := pick(t, s, prompt(fmt.Sprint("session-", i)))
+		a := pick(t, s, promptRequest(fmt.Sprint("session-", i)))
 		a.Start(now)
 		a.FirstEventReceived(now)
 		a.End(now, Served)
--- a/scheduling/taken.go
+++ b/scheduling/utilization.go
@@ -19,18 +19,18 @@
 	}
 
 	pool := (*pools)[service]
-	requests, places, known := 0, 0, 0
+	requests, totalSlots, reporting := 0, 0, 0
 
-	for _, one := range pool {
-		reported, _, recent := one.lastLoad(now)
-		if serverSlots := one.entry().Slots; recent && serverSlots > 0 {
-			requests, places, known = requests+reported, places+serverSlots, known+1
+	for _, srv := range pool {
+		reported, _, recent := srv.lastLoad(now)
+		if serverSlots := srv.entry().Slots; recent && serverSlots > 0 {
+			requests, totalSlots, reporting = requests+reported, totalSlots+serverSlots, reporting+1
 		}
 	}
 
-	if known == 0 || float64(known) < minReportingShare*float64(len(pool)) {
+	if reporting == 0 || float64(reporting) < minReportingShare*float64(len(pool)) {
 		return 0, false
 	}
 
-	return float64(requests) / float64(places), true
+	return float64(requests) / float64(totalSlots), true
 }
--- a/scheduling/taken_test.go
+++ b/scheduling/utilization_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTakenIsKnownOnceMostServersToldTheirLoad(t *testing.T) {
+func TestUtilizationNeedsReportsOfMostServers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := poolOf(4)
 
--- a/scheduling/versions.go
+++ b/scheduling/versions.go
@@ -16,13 +16,13 @@
 
 	matching := make([]*server, 0, len(pool))
 
-	for _, one := range pool {
-		version := one.entry().Version
+	for _, srv := range pool {
+		version := srv.entry().Version
 		if r.OnlyVersion != "" && version != r.OnlyVersion || slices.Contains(r.AvoidVersions, version) {
 			continue
 		}
 
-		matching = append(matching, one)
+		matching = append(matching, srv)
 	}
 
 	if r.OnlyVersion == "" || r.VersionFraction >= 1 || len(matching) == 0 {
--- a/scheduling/versions_test.go
+++ b/scheduling/versions_test.go
@@ -11,15 +11,15 @@
 
 // Requests go to the versions that may take them, those of a share to a like part of the
 // new version's servers.
-func TestRequestsKeepToTheirVersions(t *testing.T) {
-	const each = 40
+func TestRequestsUseAllowedVersions(t *testing.T) {
+	const perVersion = 40
 
 	now := time.Unix(1000, 0)
 	s := &Scheduler{}
 
 	var servers []register.Server
 
-	for i := range each {
+	for i := range perVersion {
 		for _, version := range []fleet.Version{"v1", "v2"} {
 			id := fleet.InstanceID(fmt.Sprint(version, "-", i))
 			servers = append(servers, register.Server{ID: id, Service: "llm", Slots: 8, Version: version})
@@ -33,10 +33,10 @@
 		want    fleet.Version
 		most    int
 	}{
-		"all but the new one":          {request: Request{AvoidVersions: []fleet.Version{"v2"}}, want: "v1", most: each},
-		"a tenth at the new one":       {request: Request{OnlyVersion: "v2", VersionFraction: 0.1}, want: "v2", most: each / 10},
+		"all but the new one":          {request: Request{AvoidVersions: []fleet.Version{"v2"}}, want: "v1", most: perVersion},
+		"a tenth at the new one":       {request: Request{OnlyVersion: "v2", VersionFraction: 0.1}, want: "v2", most: perVersion / 10},
 		"hardly any at the new one":    {request: Request{OnlyVersion: "v2", VersionFraction: 0.001}, want: "v2", most: 1},
-		"all at the new one, in trial": {request: Request{OnlyVersion: "v2", VersionFraction: 1}, want: "v2", most: each},
+		"all at the new one, in trial": {request: Request{OnlyVersion: "v2", VersionFraction: 1}, want: "v2", most: perVersion},
 	} {
 		tt.request.Service = "llm"
 		used := make(map[fleet.InstanceID]bool)
