--- a/scheduling/announcements.go
+++ b/scheduling/announcements.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// announcements are what one start of a backend server announced in its answers. They hold
-// for that start alone, and for as long as it runs.
+// announcements are what one process of a backend server announced in its answers. They apply
+// to that process only, until it terminates.
 type announcements struct {
-	// leaving is final.
+	// leaving is never unset.
 	leaving atomic.Bool
-	// backoff is nil where the server never asked for one, or has taken a request since.
+	// backoff is nil if the server never requested one, or has accepted a request since.
 	backoff atomic.Pointer[backoff]
 
 	mu sync.Mutex
@@ -19,8 +19,8 @@
 	limit atomic.Pointer[limitState]
 }
 
-// setBackoff takes in that the server wants no requests for some time. The latest end counts:
-// each answer binds by itself. It reports whether no earlier one was still in force.
+// setBackoff records that the server requested a backoff. The latest end counts, since each
+// answer is binding by itself. It reports whether no earlier backoff was in force.
 func (a *announcements) setBackoff(now time.Time, duration time.Duration, policy ResumePolicy) bool {
 	next := newBackoff(now.Add(duration), duration, policy)
 
@@ -36,11 +36,11 @@
 	}
 }
 
-// inBackoff reports whether the server wants no requests now.
+// inBackoff reports whether the server is in backoff.
 func (a *announcements) inBackoff(now time.Time) bool { return a.backoff.Load().active(now) }
 
-// resumeAt is when requests are sent to the server again; zero where it never asked for
-// backoff, or has taken a request since.
+// resumeAt returns when requests to the server resume. It is the zero time if the server never
+// requested a backoff, or has accepted a request since.
 func (a *announcements) resumeAt() time.Time {
 	if b := a.backoff.Load(); b != nil {
 		return b.resumeAt
@@ -49,7 +49,7 @@
 	return time.Time{}
 }
 
-// AnnouncedLeaving takes in that an answer to this attempt announced that the server leaves.
+// AnnouncedLeaving records that an answer to this attempt announced that the server leaves.
 func (a *Assignment) AnnouncedLeaving() {
 	s := a.scheduler
 	if !a.server.announcements.leaving.Swap(true) && s.OnLeaving != nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// AnnouncedBackoff takes in that an answer to this attempt turned it away, and for how long
-// the server wants no further requests from this instance.
+// AnnouncedBackoff records that the server rejected this attempt and requested that this
+// instance sends it nothing for the duration of backoff.
 func (a *Assignment) AnnouncedBackoff(now time.Time, backoff time.Duration) {
 	s := a.scheduler
 	if a.server.announcements.setBackoff(now, backoff, s.Resume) && s.OnBackoff != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Accepted takes in that the server took the request: requests are no longer held back where
-// this one was to show that.
+// Accepted records that the server accepted the request. If this attempt was the trial after a
+// backoff, the backoff is over.
 func (a *Assignment) Accepted() {
 	if a.trial != nil {
 		a.server.announcements.backoff.CompareAndSwap(a.trial, nil)
@@ -97,12 +97,13 @@
 	return s.countServers(func(srv *server) bool { return srv.announcements.leaving.Load() })
 }
 
-// BackoffServers returns how many known servers want no requests of this instance now.
+// BackoffServers returns how many known servers are in backoff for this instance.
 func (s *Scheduler) BackoffServers(now time.Time) int {
 	return s.countServers(func(srv *server) bool { return srv.announcements.inBackoff(now) })
 }
 
-// countSend counts a send that the server announced it does not want.
+// countSend counts a request that is sent although its server announced that it leaves, or that
+// it is in backoff.
 func (s *Scheduler) countSend(now time.Time, srv *server) {
 	if srv.announcements.leaving.Load() {
 		s.Counters.sentToLeaving()
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -8,47 +8,49 @@
 	"monsoonlever/register"
 )
 
-// Result says how an attempt ended.
+// Result is the outcome of an attempt.
 type Result int
 
 // The results.
 const (
-	// Served attempts were answered, with whatever status.
+	// Served attempts were answered, with any status.
 	Served Result = iota
-	// Failed attempts got no answer, or one that is no answer.
+	// Failed attempts got no answer, or an invalid one.
 	Failed
-	// Unreachable servers took no connection.
+	// Unreachable attempts got no connection.
 	Unreachable
-	// Terminated servers refused a connection: their machine answers and their program has ended.
+	// Terminated attempts had their connection refused: the server's machine responds, but its
+	// process has terminated.
 	Terminated
-	// Turned away attempts were not run, because the server had no room.
+	// Rejected attempts were not run because the server had no room.
 	Rejected
-	// Cancelled attempts say nothing of the server.
+	// Cancelled attempts say nothing about the server.
 	Cancelled
 )
 
 const (
-	// unreachableAvoidance keeps requests off a server that takes no connection, for
-	// about as long as a lost one stays in the register.
+	// unreachableAvoidance is how long requests avoid an unreachable or terminated server: about
+	// as long as the entry of a lost server stays in the register.
 	unreachableAvoidance = 1500 * time.Millisecond
-	// fullAvoidance lets a full server work off its queue.
+	// fullAvoidance is how long requests avoid a server that rejected one for lack of room, so
+	// that it can work off its queue.
 	fullAvoidance = 250 * time.Millisecond
 )
 
-// Assignment is one attempt at a server. One goroutine uses it.
+// Assignment is one attempt at a server. It is used by one goroutine.
 type Assignment struct {
 	server    *server
 	scheduler *Scheduler
 	prompt    Prompt
-	// keys are those of the prompt's parts.
+	// keys are the keys of the prompt's segments.
 	keys           []Key
 	uncachedTokens int
-	// backlog are the tokens that waited at the server when it was picked.
+	// backlog is the number of tokens that waited at the server when it was picked.
 	backlog int64
 	// meter is nil for requests without a prompt.
 	meter *meter
 
-	// trial is the backoff whose end this attempt shows, or nil.
+	// trial is the backoff for which this attempt is the trial, or nil.
 	trial *backoff
 
 	startedAt   time.Time
@@ -57,39 +59,41 @@
 	ended       atomic.Bool
 }
 
-// ID returns the server's instance.
+// ID returns the instance ID of the server.
 func (a *Assignment) ID() fleet.InstanceID { return a.server.entry().ID }
 
-// Version returns the version of the server's program.
+// Version returns the version that the server runs.
 func (a *Assignment) Version() fleet.Version { return a.server.entry().Version }
 
 // Address returns the server's address.
 func (a *Assignment) Address() string { return a.server.entry().Address }
 
-// Blocked reports whether the server takes no requests now, by what it announced since it was
-// picked.
+// Blocked reports whether the server accepts no requests now, because it leaves, was removed or
+// is in backoff.
 func (a *Assignment) Blocked(now time.Time) bool {
 	return a.server.isLeaving() || a.server.announcements.inBackoff(now)
 }
 
-// Leaving tells whether the server is known to leave by now.
+// Leaving reports whether the server is known to leave or was removed.
 func (a *Assignment) Leaving() bool { return a.server.isLeaving() }
 
-// ReportTerminated takes in that the server's program was found to have ended, and has others told.
+// ReportTerminated records that the server's process was found to be terminated, and publishes
+// that to other instances.
 func (a *Assignment) ReportTerminated(now time.Time) {
 	a.scheduler.publishTerminated(now, a.server, true)
 }
 
-// KnownTerminated reports whether the server's program was found to have ended a moment ago.
+// KnownTerminated reports whether the server's process was recently found to be terminated.
 func (a *Assignment) KnownTerminated(now time.Time) bool { return a.server.isTerminated(now) }
 
-// Server returns the start of the server that the attempt is at.
+// Server returns the server process of the attempt.
 func (a *Assignment) Server() register.Process { return a.server.entry().Process() }
 
-// AnswerBegun tells whether the first event has come.
+// AnswerBegun reports whether the first event was received.
 func (a *Assignment) AnswerBegun() bool { return a.answerBegun }
 
-// Start counts the attempt, unless the server takes no requests by now.
+// Start counts the attempt as running. It returns false, and counts nothing, if the server accepts
+// no requests by now.
 func (a *Assignment) Start(now time.Time) bool {
 	b := a.server.announcements.backoff.Load()
 	if a.server.isLeaving() || !b.begin(now) {
@@ -104,7 +108,7 @@
 	a.started, a.startedAt = true, now
 
 	if a.uncachedTokens > 0 {
-		// The common part is read before what comes after this request.
+		// The shared segments are read before any prompt that arrives after this one.
 		a.scheduler.publishBacklog(a.server, nil, true)
 		a.scheduler.publishSegments(now, a.server, a.keys[:max(len(a.keys)-1, 0)], true)
 	}
@@ -116,7 +120,7 @@
 	return true
 }
 
-// FirstEventReceived takes in that the server has read the prompt.
+// FirstEventReceived records that the server has read the prompt.
 func (a *Assignment) FirstEventReceived(now time.Time) {
 	if !a.started || a.answerBegun {
 		return
@@ -136,7 +140,7 @@
 	}
 }
 
-// End ends the attempt. Only its first call counts.
+// End ends the attempt with a result. Only its first call has an effect.
 func (a *Assignment) End(now time.Time, r Result) {
 	if !a.started || !a.ended.CompareAndSwap(false, true) {
 		return
--- a/scheduling/backoff.go
+++ b/scheduling/backoff.go
@@ -6,29 +6,31 @@
 	"time"
 )
 
-// ResumePolicy says how an instance returns to a server whose backoff is over. All instances
-// that it turned away at one moment would return at one moment, and find it overloaded again.
+// ResumePolicy is how an instance resumes sending to a server whose backoff is over. Without it
+// all instances that the server rejected at the same moment would resume at the same moment, and
+// overload the server again.
 type ResumePolicy struct {
-	// Jitter is the part of a backoff over which instances return, drawn by each for itself.
+	// Jitter is the fraction of a backoff over which instances resume; each draws its own time.
 	Jitter float64
-	// HalfOpen sends one request at a time until the server has taken one.
+	// HalfOpen sends one request at a time until the server has accepted one.
 	HalfOpen bool
-	// FinalDelay keeps requests that can't be sent to another server from being that one for some
-	// time, as long as others can take them.
+	// FinalDelay is for how long after the backoff a final request is not used as the trial,
+	// unless no other server can take it.
 	FinalDelay time.Duration
 }
 
-// DefaultResumePolicy is the policy of entry instances: it spreads them over a part of the backoff
-// that callers hardly notice, and leaves a second for a request that can go elsewhere.
+// DefaultResumePolicy is the policy of entry instances. Its jitter is too short for callers to
+// notice, and its delay leaves a second in which a request that can go to another server becomes
+// the trial.
 var DefaultResumePolicy = ResumePolicy{Jitter: 0.2, HalfOpen: true, FinalDelay: time.Second}
 
-// backoff is the newest time for which a server asked for no requests. It is half-open from
-// returns on, until the server has taken a request.
+// backoff is the latest backoff that a server requested. It is half-open from resumeAt until the
+// server accepts a request.
 type backoff struct {
 	until    time.Time
 	resumeAt time.Time
 	policy   ResumePolicy
-	// trial is set while a request is under way that shows whether the server takes some.
+	// trial is set while a trial request is in flight.
 	trial atomic.Bool
 }
 
@@ -41,11 +43,11 @@
 	return b
 }
 
-// active reports whether no request is sent now.
+// active reports whether the backoff still keeps all requests away.
 func (b *backoff) active(now time.Time) bool { return b != nil && now.Before(b.resumeAt) }
 
-// blocks reports whether a request that may be sent to other servers waits for a trial, or
-// for the end of the backoff.
+// blocks reports whether a request has to wait for the end of the backoff, for a trial in flight
+// or, if it is final, for FinalDelay.
 func (b *backoff) blocks(now time.Time, r *Request) bool {
 	if b == nil {
 		return false
@@ -58,7 +60,7 @@
 	return r.Final && !r.allowTrial && now.Before(b.resumeAt.Add(b.policy.FinalDelay))
 }
 
-// begin counts a request that is sent, and reports whether it may be.
+// begin reports whether a request may be sent now, and makes it the trial of a half-open backoff.
 func (b *backoff) begin(now time.Time) bool {
 	if b == nil {
 		return true
--- a/scheduling/candidates.go
+++ b/scheduling/candidates.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// maxFullComparison is the size up to which all servers of a pool are compared.
+	// maxFullComparison is the size of a pool up to which all servers are compared.
 	maxFullComparison = 24
-	// sampledServers is how many servers of a larger pool are sampledServers beside the homes of the
-	// prompt. All instances know the same loads some hundred milliseconds late; if each
-	// took the best of all servers, all would take the same one until it tells so.
+	// sampledServers is how many servers of a larger pool are sampled in addition to the homes of
+	// the prompt. All instances know the same loads, some hundred milliseconds late: if each took
+	// the best of all servers, all would take the same one until its next report.
 	sampledServers = 3
-	// maxDraws bounds the draws for a pool of which many servers are excluded.
+	// maxDraws bounds the draws for a pool in which many servers can't be used.
 	maxDraws = 2 * sampledServers
 )
 
-// candidates returns the servers that a request is compared over.
+// candidates returns the servers among which a request is placed.
 func candidates(now time.Time, pool []*server, preferred [homeCount]*server, r *Request) []*server {
 	if len(pool) <= maxFullComparison {
 		return pool
@@ -48,19 +48,19 @@
 	}
 
 	if !slices.ContainsFunc(chosen, func(srv *server) bool { return srv.eligible(now, r) && !srv.isAvoided(now) }) {
-		// Many servers are gone. Nothing is refused that any server could take.
+		// Many servers are unavailable. No request is refused that any server could take.
 		return pool
 	}
 
 	return chosen
 }
 
-// eligible reports whether a request may be sent to a server now.
+// eligible reports whether a request may be sent to the server now.
 func (s *server) eligible(now time.Time, r *Request) bool {
 	return s.allowed(r) && !s.full(now) && !s.announcements.backoff.Load().blocks(now, r)
 }
 
-// allowed reports whether a request may be sent to a server once that has room.
+// allowed reports whether a request may be sent to the server once it has room.
 func (s *server) allowed(r *Request) bool {
 	if r.onlyUnlimited && s.announcedLimit().Rate != ratelimit.Unlimited {
 		return false
--- a/scheduling/counters.go
+++ b/scheduling/counters.go
@@ -2,7 +2,8 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Counters count decisions against what servers announced. A nil pointer counts nothing.
+// Counters count requests that were sent contrary to what their server announced. A nil pointer
+// counts nothing.
 type Counters struct {
 	toLeaving, inBackoff *metrics.Counter
 }
--- a/scheduling/home.go
+++ b/scheduling/home.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// sharedTokens returns the tokens of the parts that other requests may have brought:
-// all but the last, which belongs to the request itself.
+// sharedTokens returns the tokens of the segments that other requests may share: all
+// but the last one, which belongs to the request alone.
 func (p Prompt) sharedTokens() int {
 	sum := 0
 
@@ -14,7 +14,7 @@
 	return sum
 }
 
-// ownTokens returns the tokens of the last part, which belongs to the request itself.
+// ownTokens returns the tokens of the last segment, which belongs to the request alone.
 func (p Prompt) ownTokens() int {
 	if len(p.Segments) == 0 {
 		return p.Tokens
@@ -23,7 +23,7 @@
 	return p.Segments[len(p.Segments)-1].Tokens
 }
 
-// keys returns the keys of all parts.
+// keys returns the keys of all segments.
 func (p Prompt) keys() []Key {
 	keys := make([]Key, len(p.Segments))
 	for i, segment := range p.Segments {
@@ -33,8 +33,9 @@
 	return keys
 }
 
-// uncachedTokens returns the tokens that a server has to read which holds some. home tells that
-// it is the home of the common part, and that no server is known to hold that.
+// uncachedTokens returns the tokens that a server has to read if it has cached some of the
+// prompt. isHome is set for the home of the shared prefix while no server is known to hold
+// that prefix.
 func (p Prompt) uncachedTokens(cached int, isHome bool) int {
 	if p.Tokens == 0 {
 		return 0
@@ -47,7 +48,8 @@
 	return max(p.Tokens-cached, 1)
 }
 
-// affinity names what requests with the same home have in common.
+// affinity returns the ID of the segment by which the home is chosen: the last one that other
+// requests may share.
 func (p Prompt) affinity() string {
 	switch n := len(p.Segments); n {
 	case 0:
@@ -59,14 +61,14 @@
 	}
 }
 
-// homeCount is how many servers a common part has that take it in their order, so that what
-// overflows from one home is found again at the next.
+// homeCount is how many home servers a shared prefix has, in order of preference, so that
+// overflow of the first home always goes to the same second one and finds its cache.
 const homeCount = 3
 
-// homesOf returns the servers that every instance prefers for the common part of a
-// prompt, the first one most: those with the highest hashes of the two. A server that
-// comes or goes moves only the parts that it has. Where there are fewer, or no common
-// part, the rest is nil.
+// homesOf returns the servers that every instance prefers for the shared prefix of a prompt,
+// most preferred first: those with the highest rendezvous hash of prefix and server. A server
+// that is added or removed moves only the prefixes that are its own. If there are fewer servers,
+// or no shared prefix, the remaining elements are nil.
 func homesOf(pool []*server, p Prompt) [homeCount]*server {
 	var (
 		homes   [homeCount]*server
@@ -99,8 +101,7 @@
 	return homes
 }
 
-// mix spreads the bits of a number; the constants are those of the finalizer of
-// splitmix64.
+// mix spreads the bits of a number with the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -13,22 +13,22 @@
 	"monsoonlever/register"
 )
 
-// Permits grants requests to servers that announce a limit, over all instances.
+// Permits grants requests to servers that announce a limit, across all instances.
 type Permits interface {
-	// Acquire asks for one request that can wait for some time.
+	// Acquire requests a permit for one request that can wait for at most maxWait.
 	Acquire(ctx context.Context, server register.Process, limit ratelimit.Announcement, maxWait time.Duration) ratelimit.Permit
 }
 
 const (
-	// minRetryAfter keeps callers that are refused from coming back for the same token.
+	// minRetryAfter keeps refused callers from all retrying for the same next permit.
 	minRetryAfter = 300 * time.Millisecond
-	// maxPermitRequests bounds how many servers a request asks for room: each takes a round
-	// trip.
+	// maxPermitRequests bounds how many servers' permits are requested for one request: each
+	// takes a round trip.
 	maxPermitRequests = 3
 )
 
-// acquirePermit reports whether a server that was picked may get the request now. One without
-// room is passed over until it may have some.
+// acquirePermit reports whether the server that was picked may get the request now. A server
+// without a free permit is skipped until it may have one.
 func (s *Scheduler) acquirePermit(ctx context.Context, clk clock.Clock, a *Assignment) bool {
 	if s.Permits == nil || a.server.announcedLimit().Rate == ratelimit.Unlimited {
 		return true
@@ -37,8 +37,8 @@
 	return s.requestPermit(ctx, clk, a.server, 0).Granted
 }
 
-// requestPermit asks for a permit and notes until when a server has no room. A caller that left
-// before the reply came says nothing of that.
+// requestPermit requests a permit and, if it is refused, records until when the server has no
+// room. A refusal after ctx ended is not recorded, since it may stem from the cancellation.
 func (s *Scheduler) requestPermit(ctx context.Context, clk clock.Clock, srv *server, maxWait time.Duration) ratelimit.Permit {
 	permit := s.Permits.Acquire(ctx, srv.entry().Process(), srv.announcedLimit(), max(maxWait, 0))
 	if !permit.Granted && ctx.Err() == nil {
@@ -48,9 +48,10 @@
 	return permit
 }
 
-// awaitRoom lets a request wait for room at one of the servers that announced that they take
-// none for now, the first that may have some. It is refused at once if none has room in time.
-// Without an assignment and an error there may be room by now.
+// awaitRoom waits until one of the servers that accept nothing now has room, starting with the
+// server that may have it first. It returns a NoRoomError immediately if none will have room by
+// WaitUntil. If it returns neither an assignment nor an error, a server may have room by now and
+// the caller picks again.
 func (s *Scheduler) awaitRoom(ctx context.Context, clk clock.Clock, r Request) (*Assignment, error) {
 	blocked := s.blockedServers(clk.Now(), &r)
 	if len(blocked) == 0 {
@@ -89,8 +90,8 @@
 	return nil, &NoRoomError{RetryAfter: retryAfter(clk.Now(), blocked)}
 }
 
-// blockedServers returns the servers that could take a request if they had room by what they
-// announced, those first that may have it soonest.
+// blockedServers returns the servers that could take a request except for the limit or backoff
+// that they announced, in the order in which they may have room.
 func (s *Scheduler) blockedServers(now time.Time, r *Request) []*server {
 	blocked := s.serversFor(r, func(srv *server) bool {
 		limited := s.Permits != nil && srv.announcedLimit().Rate != ratelimit.Unlimited
@@ -98,14 +99,14 @@
 		return srv.allowed(r) && (limited || srv.announcements.backoff.Load().blocks(now, r))
 	})
 
-	// Instances that know of no difference spread over the servers.
+	// Servers with equal times are in random order, so that instances spread over them.
 	rand.Shuffle(len(blocked), func(i, j int) { blocked[i], blocked[j] = blocked[j], blocked[i] })
 	slices.SortStableFunc(blocked, func(a, b *server) int { return a.roomAt().Compare(b.roomAt()) })
 
 	return blocked
 }
 
-// serversFor returns the servers whose version may take a request and that fit.
+// serversFor returns the servers whose version may take a request and that match.
 func (s *Scheduler) serversFor(r *Request, match func(*server) bool) []*server {
 	pools := s.pools.Load()
 	if pools == nil {
@@ -123,9 +124,9 @@
 	return servers
 }
 
-// noServerError returns the error of a request that no server is left for. Where servers that had
-// it asked for backoff, it says when the first of them takes requests again; it is nil where
-// one takes them by now.
+// noServerError returns the error for a request that no server is left for. If servers requested
+// a backoff, the error says when the first of them accepts requests again. It is nil if a server
+// accepts requests by now.
 func (s *Scheduler) noServerError(now time.Time, r *Request) error {
 	if len(s.serversFor(r, func(srv *server) bool { return srv.eligible(now, r) })) > 0 {
 		return nil
@@ -139,8 +140,8 @@
 	return &NoRoomError{RetryAfter: retryAfter(now, backoff)}
 }
 
-// RetryAfter returns when a caller of a service should come back if none of its servers takes a
-// request now by what they announced, and whether that is so.
+// RetryAfter returns the time after which a caller of a service should retry, and reports whether
+// all servers of the service announced that they accept no requests now.
 func (s *Scheduler) RetryAfter(now time.Time, service fleet.Service) (time.Duration, bool) {
 	servers := s.serversFor(&Request{Service: service}, func(srv *server) bool { return !srv.isLeaving() })
 	if len(servers) == 0 || slices.ContainsFunc(servers, func(srv *server) bool { return !srv.full(now) }) {
@@ -150,8 +151,9 @@
 	return retryAfter(now, servers), true
 }
 
-// retryAfter returns when a caller that is refused should come back: once the first of
-// some servers may have room. Those that are refused together come back apart.
+// retryAfter returns the time after which a refused caller should retry: once the first of the
+// blocked servers may have room, plus a random time, so that callers that are refused together
+// don't return together.
 func retryAfter(now time.Time, blocked []*server) time.Duration {
 	first := slices.MinFunc(blocked, func(a, b *server) int { return a.roomAt().Compare(b.roomAt()) })
 	wait := max(first.roomAt().Sub(now), minRetryAfter)
@@ -169,13 +171,14 @@
 	return a
 }
 
-// LimitChange says that a server announced another limit than before.
+// LimitChange reports that a server announced a limit that differs from the one before.
 type LimitChange struct {
 	Server        register.Process
 	Before, After ratelimit.Rate
 }
 
-// AnnouncedLimit takes in which limit, or none, an answer to this attempt announced.
+// AnnouncedLimit records the limit that an answer to this attempt announced. A rate of
+// ratelimit.Unlimited means that the server has no limit.
 func (a *Assignment) AnnouncedLimit(now time.Time, rate ratelimit.Rate) {
 	if rate == ratelimit.Unlimited && a.server.announcements.limit.Load() == nil {
 		return
@@ -185,15 +188,15 @@
 	a.scheduler.applyLimit(a.server, known.Observed(rate, a.startedAt, now), true)
 }
 
-// Merge takes in what another instance knows of a server, and returns the newest. Of a
-// server that is not known here it returns what the other knows.
-func (s *Scheduler) Merge(start register.Process, other ratelimit.Announcement) ratelimit.Announcement {
+// Merge merges another instance's announcement of a server with the one known here, and returns
+// the newest. If the server is not known here, it returns the other instance's announcement.
+func (s *Scheduler) Merge(process register.Process, other ratelimit.Announcement) ratelimit.Announcement {
 	byKey := s.byKey.Load()
 	if byKey == nil {
 		return other
 	}
 
-	srv := (*byKey)[keyOfProcess(start)]
+	srv := (*byKey)[keyOfProcess(process)]
 	if srv == nil {
 		return other
 	}
@@ -203,14 +206,14 @@
 	return srv.announcedLimit()
 }
 
-// receiveLimit takes in what another instance passed on.
+// receiveLimit applies a limit from another instance's update.
 func (s *Scheduler) receiveLimit(now time.Time, srv *server, l ServerLimit, upstream bool) {
 	at := now.Add(-time.Duration(l.AgeMs) * time.Millisecond)
 	other := ratelimit.Announcement{Rate: l.Rate, At: at}
 	s.applyLimit(srv, srv.announcedLimit().Received(other), upstream)
 }
 
-// limitUpdate returns what others are sent of a server's announcement.
+// limitUpdate returns the server's limit as it is sent to other instances.
 func (s *server) limitUpdate(now time.Time) ServerLimit {
 	known := s.announcedLimit()
 	age := min(max(now.Sub(known.At), 0).Milliseconds(), math.MaxUint32)
@@ -218,8 +221,8 @@
 	return ServerLimit{Server: s.key, Rate: known.Rate, AgeMs: uint32(age)}
 }
 
-// applyLimit takes an announcement in, if it is newer than what is known, and notes it for
-// others.
+// applyLimit stores an announcement if it is newer than the known one, and queues it for other
+// instances.
 func (s *Scheduler) applyLimit(srv *server, next ratelimit.Announcement, upstream bool) {
 	before, newer := srv.updateLimit(next)
 	if !newer || before.Rate == ratelimit.Unlimited && next.Rate == ratelimit.Unlimited {
@@ -238,14 +241,14 @@
 	}
 }
 
-// limitState is what is known of the limit of one server.
+// limitState is the limit that a server announced, and whether it is used up.
 type limitState struct {
 	announcement ratelimit.Announcement
-	// fullUntil is until when it has no room for a request.
+	// fullUntil is until when the server has no free permit.
 	fullUntil time.Time
 }
 
-// limitState returns what is known of the server's limitState.
+// limitState returns the server's limit state, or the zero value if it announced no limit.
 func (s *server) limitState() limitState {
 	if known := s.announcements.limit.Load(); known != nil {
 		return *known
@@ -254,7 +257,8 @@
 	return limitState{}
 }
 
-// updateLimit returns the announcement before, and whether the next one is newer.
+// updateLimit stores the newer of the known and the next announcement. It returns the
+// announcement before, and reports whether the announcement changed.
 func (s *server) updateLimit(next ratelimit.Announcement) (ratelimit.Announcement, bool) {
 	s.announcements.mu.Lock()
 	defer s.announcements.mu.Unlock()
@@ -278,7 +282,7 @@
 // announcedLimit returns the newest announcement.
 func (s *server) announcedLimit() ratelimit.Announcement { return s.limitState().announcement }
 
-// markFull notes that a server has no room until a time.
+// markFull records until when a server with a limit has no free permit.
 func (s *server) markFull(until time.Time) {
 	s.announcements.mu.Lock()
 	defer s.announcements.mu.Unlock()
@@ -290,10 +294,11 @@
 	}
 }
 
-// full reports whether a server is known to have no room by what it announced.
+// full reports whether the server accepts no requests now, by its limit or its backoff.
 func (s *server) full(now time.Time) bool { return now.Before(s.roomAt()) }
 
-// roomAt returns when a server may have room.
+// roomAt returns when the server may have room: the later of the next free permit and the end of
+// the backoff.
 func (s *server) roomAt() time.Time {
 	fullUntil, resumeAt := s.limitState().fullUntil, s.announcements.resumeAt()
 	if resumeAt.After(fullUntil) {
--- a/scheduling/meter.go
+++ b/scheduling/meter.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// arrivalWindow is the time over which arriving work is averaged.
+	// arrivalWindow is the time over which the arrival rate is averaged.
 	arrivalWindow = 4 * time.Second
-	// speedSamples is how many answers the speed of servers is read from.
+	// speedSamples is the number of answers from which speeds and read rates are derived.
 	speedSamples = 48
-	// speedQuantile is the part of the samples that are slower than the speed that
-	// counts: most prompts wait for others, and only those that do not show it.
+	// speedQuantile is the quantile of the samples that is taken as the speed of an idle server.
+	// Most prompts wait behind others; only those that don't show the speed.
 	speedQuantile = 0.8
-	// speedHalfLife is the time in which a speed that is not seen again counts half.
+	// speedHalfLife is the time in which the maximum speed halves unless it is seen again.
 	speedHalfLife = 90 * time.Second
-	// minSpeedTokens is the least work that shows a speed; below it fixed times count, and
-	// the few samples that make the first speed.
+	// minSpeedTokens is the least prompt size that gives a speed sample; fixed delays dominate
+	// below it. minSamples is the number of samples from which a quantile is computed.
 	minSpeedTokens = 1500
-	// minReadTokens is the least work, all that waited included, that shows a rate of reading.
+	// minReadTokens is the least number of tokens, backlog included, that gives a sample of the
+	// read rate.
 	minReadTokens = 6000
 	minSamples    = 4
 )
 
-// Work is what arrives at a service and what its servers can do, in tokens of
-// prompts a second. Only the tokens of the request itself count in both: whether a
-// server has to read the shared parts is known to no single instance.
+// Work is the prompt tokens a second that arrive at a service, and the speed at which one of its
+// servers reads them. Both count only the tokens that belong to the request alone: no single
+// instance knows whether a server has to read the shared segments.
 type Work struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Service  fleet.Service
@@ -37,7 +38,7 @@
 	Speed    float64
 }
 
-// samples are the newest of some numbers.
+// samples is a ring of the newest speedSamples numbers.
 type samples struct {
 	values []float64
 	next   int
@@ -54,8 +55,7 @@
 	s.next = (s.next + 1) % speedSamples
 }
 
-// quantile returns the number below which a part of the others lies, and whether there are
-// enough of them.
+// quantile returns the q-quantile of the samples, and reports whether there are enough of them.
 func (s *samples) quantile(q float64) (float64, bool) {
 	n := len(s.values)
 	if n < minSamples {
@@ -65,20 +65,20 @@
 	return slices.Sorted(slices.Values(s.values))[min(int(float64(n)*q), n-1)], true
 }
 
-// meter measures one service.
+// meter measures the arrival rate and the speeds of one service.
 type meter struct {
 	mu          sync.Mutex
 	arrivalRate float64
 	decayedAt   time.Time
-	// speeds are those at which servers read prompts of some size, waiting included, and
-	// readRates those at which they read what waited there; both in tokens a second.
+	// speeds are the speeds at which servers read single prompts, waiting included, and readRates
+	// the rates at which they read a prompt and the backlog before it; both in tokens a second.
 	speeds, readRates samples
-	// maxSpeed is the highest maxSpeed of late.
+	// maxSpeed is the highest recent speed. It halves in each speedHalfLife.
 	maxSpeed   float64
 	maxSpeedAt time.Time
 }
 
-// addArrival counts work.
+// addArrival counts prompt tokens that arrived.
 func (m *meter) addArrival(now time.Time, tokens int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,9 +94,10 @@
 	m.decayedAt = now
 }
 
-// recordSpeed takes in how long a server took to recordSpeed a prompt, waiting included. tokens are
-// those that no server can have recordSpeed before: what other instances sent there is not
-// known here, and counting it would make a server with a good cache look fast.
+// recordSpeed records how long a server took to read a prompt, waiting included. tokens are
+// those that no server can have cached: this instance doesn't know which shared segments were
+// cached on behalf of other instances, and counting them would make a server with a good cache
+// look fast.
 func (m *meter) recordSpeed(tokens int, took time.Duration) {
 	if tokens < minSpeedTokens || took <= 0 {
 		return
@@ -108,7 +109,7 @@
 	m.speeds.add(float64(tokens) / took.Seconds())
 }
 
-// recordReadRate takes in how long a server took to read a prompt and what waited before it.
+// recordReadRate records how long a server took to read a prompt and the backlog before it.
 func (m *meter) recordReadRate(tokens int64, took time.Duration) {
 	if tokens < minReadTokens || took <= 0 {
 		return
@@ -120,8 +121,8 @@
 	m.readRates.add(float64(tokens) / took.Seconds())
 }
 
-// medianReadRate returns the rate at which servers read, as the middle one of late, or zero
-// while it is not known.
+// medianReadRate returns the median of the recent read rates in tokens a second, or zero while it
+// is unknown.
 func (m *meter) medianReadRate() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -143,8 +144,8 @@
 	return work
 }
 
-// idleSpeed returns the speed of an idle server. It fades slowly: servers that are
-// overloaded show less, and must not be taken for slow ones.
+// idleSpeed returns the speed of an idle server. It decays slowly, because overloaded servers
+// show a lower speed and must not be taken for slow ones.
 func (m *meter) idleSpeed(now time.Time) float64 {
 	if !m.maxSpeedAt.IsZero() {
 		m.maxSpeed *= math.Exp2(-float64(now.Sub(m.maxSpeedAt)) / float64(speedHalfLife))
@@ -159,7 +160,7 @@
 	return m.maxSpeed
 }
 
-// Work returns what this instance measured of each service.
+// Work returns the measurements of this instance for each service.
 func (s *Scheduler) Work(now time.Time) []Work {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +173,7 @@
 	return work
 }
 
-// meter returns the meter of a service.
+// meter returns the meter of a service, and creates it on first use.
 func (s *Scheduler) meter(service fleet.Service) *meter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduling/place.go
+++ b/scheduling/place.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	// shortBacklog is the backlog, as the time in which a server reads it, up to which any
-	// prompt is sent there: the server is not idle while news of it is on its way.
+	// shortBacklog is the backlog, as the time in which a server reads it, up to which each prompt
+	// is sent to the server. It keeps the server busy while updates about it are in flight.
 	shortBacklog = 100 * time.Millisecond
-	// refuseMargin is how long before its caller would leave a prompt that was held is
-	// expected to begin: a rate of reading is off by a tenth.
+	// refuseMargin is the time before its caller's deadline by which a held prompt must be expected
+	// to begin; otherwise it is refused. Estimates from the read rate are off by a tenth.
 	refuseMargin = 300 * time.Millisecond
-	// holdInterval is how often a prompt that is held is looked at again: half of the pace
-	// at which few instances tell each other of their backlogs.
+	// holdInterval is how often a held prompt is checked again: half the interval at which few
+	// instances send each other their backlogs.
 	holdInterval = 20 * time.Millisecond
 )
 
-// decision is what becomes of a prompt.
+// decision is how Place treats a prompt.
 type decision int
 
 const (
-	// send sends the prompt on now.
+	// send sends the prompt now.
 	send decision = iota
-	// hold lets it wait here.
+	// hold keeps the prompt back on this instance.
 	hold
-	// refuse tells the caller to come back.
+	// refuse rejects the prompt; the caller should retry later.
 	refuse
 )
 
-// OverloadError means that no server can begin a prompt in time and that it can't be
+// OverloadError means that no server can begin a prompt in time and that the prompt can't be
 // held any longer.
 type OverloadError struct {
-	// RetryAfter is when the servers will have read most of what waits there now.
+	// RetryAfter is the time until the caller should retry. By then the servers will have read
+	// at least about half of their current backlog.
 	RetryAfter time.Duration
 }
 
-// Error says when there may be room.
+// Error includes RetryAfter.
 func (e *OverloadError) Error() string {
 	return "servers are busy for longer than the caller waits, try again in " + e.RetryAfter.String()
 }
 
-// Place chooses a server as Pick does, holds a prompt back that can't begin in time while
-// servers are busy with others that can, and returns an OverloadError once it has to be
-// given up. A server that limits its requests is chosen only with a permit; where no other
-// server is left the request waits for one, or gets a NoRoomError. Place waits until ctx
-// ends at most.
+// Place chooses a server as Pick does. It holds a prompt that can't begin in time while servers
+// are busy with prompts that can, and returns an OverloadError once the prompt has to be refused.
+// A server with a limit is chosen only with a permit. If no other server is left, the request
+// waits for a permit, or Place returns a NoRoomError. Place returns at the latest when ctx ends.
 func (s *Scheduler) Place(ctx context.Context, clk clock.Clock, r Request) (*Assignment, error) {
 	permitRequests := 0
 
@@ -96,9 +96,9 @@
 	}
 }
 
-// placeWithoutServer places a request that no server is left for at first: at one that it was to spare,
-// or at one that may have room in time. Without an assignment and an error the request is to
-// be placed anew.
+// placeWithoutServer handles a request for which Pick found no server. A final request first gets
+// another pick in which it may be a trial. Otherwise the request waits for a server that may have
+// room in time. If it returns neither an assignment nor an error, the caller picks again.
 func (s *Scheduler) placeWithoutServer(ctx context.Context, clk clock.Clock, r *Request) (*Assignment, error) {
 	if r.Final && !r.allowTrial {
 		r.allowTrial = true
@@ -111,11 +111,11 @@
 	return s.awaitRoom(ctx, clk, *r)
 }
 
-// decide decides what becomes of a prompt whose best server is that of the assignment. It
-// answers an overload, in which an engine that reads prompts in the order in which they
-// come lets each wait behind all others, and none begins in time. One that is late
-// already loses nothing by letting those go first that are not; if that takes until its
-// caller leaves, it is refused: sent on it would only make others late.
+// decide decides whether a prompt is sent to the server of the assignment, held or refused. It
+// handles overload: an engine reads prompts in order of arrival, so that each waits behind all
+// others and none begins in time. A prompt that is late in any case loses nothing if prompts that
+// can still be on time go first. If that takes until its caller disconnects, it is refused, since
+// sending it would only delay others.
 func (a *Assignment) decide(now time.Time, r Request) decision {
 	if a.meter == nil || r.Due.IsZero() {
 		return send
@@ -138,15 +138,16 @@
 	}
 }
 
-// retryAfter returns when a caller that is refused should come back: half of what waits now
-// is read by then, and those that are refused together come back apart.
+// retryAfter returns the time after which a refused caller should retry: half of the current
+// backlog is read by then, and a random time keeps callers that are refused together from
+// returning together.
 func (a *Assignment) retryAfter() time.Duration {
 	backlog := max(readTime(a.backlog, a.meter.medianReadRate()), shortBacklog)
 
 	return backlog/2 + rand.N(backlog)
 }
 
-// readTime returns the time in which tokens are read at a rate in tokens a second.
+// readTime returns the time to read tokens at a rate in tokens a second.
 func readTime(tokens int64, rate float64) time.Duration {
 	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
--- a/scheduling/removed.go
+++ b/scheduling/removed.go
@@ -6,33 +6,33 @@
 	"monsoonlever/register"
 )
 
-// maxRemovedServers bounds how many servers are remembered whose entry is not there.
+// maxRemovedServers bounds how many server processes without a register entry are remembered.
 const maxRemovedServers = 1024
 
-// removedServers is what servers announced whose entry is not there. Entries lapse while the
-// platform's store is away, and come back with it: what the same start announced before holds
-// then. The zero value is empty.
+// removedServers keeps the announcements of server processes without a register entry. Entries
+// lapse during an outage of the platform's store and come back afterwards; the announcements of
+// the same process apply again then. The zero value is empty.
 type removedServers struct {
 	announcements *simplelru.LRU[register.Process, *announcements]
 }
 
-func (d *removedServers) add(start register.Process, a *announcements) {
+func (d *removedServers) add(process register.Process, a *announcements) {
 	if d.announcements == nil {
-		// It fails for a size that is not positive only.
+		// NewLRU only fails if the size is not positive.
 		d.announcements, _ = simplelru.NewLRU[register.Process, *announcements](maxRemovedServers, nil)
 	}
 
-	d.announcements.Add(start, a)
+	d.announcements.Add(process, a)
 }
 
-// take returns what a start announced before, or nil, and forgets it.
-func (d *removedServers) take(start register.Process) *announcements {
+// take removes and returns the announcements of a server process, or returns nil.
+func (d *removedServers) take(process register.Process) *announcements {
 	if d.announcements == nil {
 		return nil
 	}
 
-	a, _ := d.announcements.Peek(start)
-	d.announcements.Remove(start)
+	a, _ := d.announcements.Peek(process)
+	d.announcements.Remove(process)
 
 	return a
 }
--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -1,13 +1,13 @@
-// Package scheduling places requests on backend servers by what each would have
-// to do before it begins to answer.
+// Package scheduling places requests on backend servers by the estimated work ahead of their
+// first event.
 //
-// For model engines that is the part of the prompt that is not in the engine's
-// cache yet, behind the prompts that wait there; for plain services it is the
-// requests in progress. All instances agree without a message where the common
-// part of a prompt has its home, by rendezvous hashing, and leave that home once
-// the wait there costs more than reading the part again.
+// For model engines that work is the part of the prompt that is not in the engine's cache,
+// plus the prompts that already wait there; for plain services it is the requests in progress.
+// All instances derive the home servers of a shared prompt prefix by rendezvous hashing, without
+// exchanging messages, and use another server once waiting at the home costs more than reading
+// the prefix again.
 //
-// Pick reads an immutable snapshot and atomics.
+// Pick reads an immutable snapshot of the servers and takes no lock over all of them.
 //
 // # Usage
 //
@@ -18,9 +18,9 @@
 //		return err
 //	}
 //	if !assignment.Start(now) {
-//		// The server began to leave after it was picked: pick again.
+//		// The server began to leave, or to back off, after it was picked: pick again.
 //	}
-//	assignment.Answering(now) // the first event has come
+//	assignment.FirstEventReceived(now)
 //	assignment.End(now, scheduling.Served)
 package scheduling
 
@@ -39,48 +39,50 @@
 // ErrNoServer means that no server can take the request now.
 var ErrNoServer = merry.Sentinel("no backend server for the request")
 
-// Segment is a piece of a prompt that other requests may share.
+// Segment is a segment of a prompt that other requests may share.
 type Segment struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what a model engine has to read before it answers.
+// Prompt is what a model engine has to read before it answers. Its segments are in the order
+// of the text; the last one belongs to the request alone.
 type Prompt struct {
-	// Tokens is the length of the prompt, Output the most that is generated.
+	// Tokens is the length of the prompt, and MaxOutputTokens the limit of generated tokens.
 	Tokens          int
 	MaxOutputTokens int
 	Segments        []Segment
 }
 
-// Request says what a server is wanted for.
+// Request describes the request that a server is picked for.
 type Request struct {
 	Service  fleet.Service
 	Prompt   Prompt
 	Excluded []fleet.InstanceID
-	// OnlyVersion is the version of servers that may take it, if it is one of the share that tries
-	// a new one, and Part the part of these servers that take that share. Avoid are
-	// versions that may not.
+	// OnlyVersion restricts the request to servers of one version, while that version takes a
+	// share of the requests for a trial; VersionFraction is the fraction of its servers that
+	// may be used. Servers of AvoidVersions are not used.
 	OnlyVersion     fleet.Version
 	VersionFraction float64
 	AvoidVersions   []fleet.Version
-	// Due is when the first event should come; zero is not known, and nothing is held.
+	// Due is when the first event should come. The zero time means unknown: the request is
+	// never held.
 	Due time.Time
-	// HoldUntil is until when a prompt that can't begin by Due may be held back, and
-	// CallerDeadline when its caller leaves if nothing has come.
+	// HoldUntil is until when a prompt that can't begin by Due may be held back. CallerDeadline
+	// is when its caller disconnects if it has received nothing.
 	HoldUntil, CallerDeadline time.Time
-	// WaitUntil is until when it may wait for a server that limits its requests, where no
-	// other server takes it.
+	// WaitUntil is until when the request may wait for a server that is out of permits or in
+	// backoff, where no other server can take it.
 	WaitUntil time.Time
 
-	// Final requests are sent to no other server if this one turns them away.
+	// Final requests are not sent to another server if this one rejects them.
 	Final bool
 
-	// allowTrial is set once no other server is left: a final request may be the one that shows
-	// whether a server takes requests again.
+	// allowTrial lets a final request be the trial that shows whether a server accepts requests
+	// again after its backoff. It is set once no other server is left.
 	allowTrial bool
-	// onlyUnlimited is set once a few servers without room were asked: only others are
-	// picked from then on.
+	// onlyUnlimited restricts the request to servers without a limit. It is set after
+	// maxPermitRequests servers have refused a permit.
 	onlyUnlimited bool
 }
 
@@ -89,38 +91,39 @@
 type Scheduler struct {
 	// Domain is the failure domain of this entry instance.
 	Domain fleet.FailureDomain
-	// Permits grants requests to servers that announce a limit. Without it limits are not
-	// kept.
+	// Permits grants requests to servers that announce a limit. If it is nil, limits are not
+	// enforced.
 	Permits Permits
-	// OnLimitChange is called where a server announces another limit than before; it may be nil.
+	// OnLimitChange is called when a server announces a different limit; it may be nil.
 	OnLimitChange func(LimitChange)
-	// OnLeaving is called once where a server first answers that it leaves, and OnBackoff
-	// where one asks for no requests for some time; both may be nil.
+	// OnLeaving is called once for each server process, when it first announces in an answer
+	// that it leaves. OnBackoff is called when a server that is not in backoff requests one.
+	// Both may be nil.
 	OnLeaving func(register.Process)
 	OnBackoff func(server register.Process, backoff time.Duration)
-	// Resume says how requests return to a server that asked for backoff.
+	// Resume is the policy for sending requests to a server again after its backoff.
 	Resume ResumePolicy
 	// Counters may be nil.
 	Counters *Counters
 
 	pools atomic.Pointer[map[fleet.Service][]*server]
 
-	// byKey has the servers that other instances tell of.
+	// byKey holds all known servers by the keys that updates of other instances use.
 	byKey atomic.Pointer[map[Key]*server]
 
 	outboxes [audienceCount]outbox
-	// isRelay tells that this instance is a isRelay.
+	// isRelay is set while this instance is a relay.
 	isRelay atomic.Bool
 
 	mu      sync.Mutex
 	servers map[fleet.InstanceID]*server
-	// removed is what servers announced whose entry is not there.
+	// removed holds the announcements of servers that have no entry in the register now.
 	removed removedServers
 	meters  map[fleet.Service]*meter
 }
 
-// Update takes in which servers there are. What was learnt of those that stay is
-// kept; a server that started again holds nothing of what it held before.
+// Update replaces the set of servers. The state of a server is kept while its process stays the
+// same; a restarted server begins without load, cache and announcements of the process before.
 func (s *Scheduler) Update(servers []register.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,12 +177,12 @@
 	s.pools.Store(&pools)
 }
 
-// Initialized tells whether Update was called: requests can be placed.
+// Initialized reports whether Update was called, so that requests can be placed.
 func (s *Scheduler) Initialized() bool {
 	return s.pools.Load() != nil
 }
 
-// RecordLoad takes in what a server said of its load.
+// RecordLoad records the load that a server reported.
 func (s *Scheduler) RecordLoad(now time.Time, id fleet.InstanceID, load Load) {
 	s.mu.Lock()
 	srv := s.servers[id]
@@ -191,7 +194,8 @@
 	}
 }
 
-// Pick chooses the server that is expected to begin its answer first.
+// Pick chooses the server with the lowest estimated cost before the first event. It returns
+// ErrNoServer if no server can take the request.
 func (s *Scheduler) Pick(now time.Time, r Request) (*Assignment, error) {
 	pools := s.pools.Load()
 	if pools == nil {
@@ -210,7 +214,8 @@
 	}
 
 	if shared := r.Prompt.sharedTokens(); shared > 0 && slices.ContainsFunc(cached, func(n int) bool { return n >= shared }) {
-		// The home that does not hold the common part is known not to.
+		// A server is known to hold the shared prefix. A home that is not known to hold it
+		// doesn't.
 		home = nil
 	}
 
@@ -240,7 +245,8 @@
 	return a, nil
 }
 
-// attachMeter notes what an assignment is judged by.
+// attachMeter sets the meter of an assignment and the backlog of its server, by which a prompt
+// is sent, held or refused.
 func (s *Scheduler) attachMeter(now time.Time, a *Assignment, r Request) {
 	if r.Prompt.Tokens > 0 {
 		a.meter = s.meter(r.Service)
@@ -248,7 +254,7 @@
 	}
 }
 
-// cachedBy returns the tokens of a prompt that each of some servers is known to have read.
+// cachedBy returns for each server how many tokens of a prompt it is known to have read.
 func cachedBy(now time.Time, servers []*server, keys []Key, p Prompt) []int {
 	cached := make([]int, len(servers))
 	for i, srv := range servers {
--- a/scheduling/server.go
+++ b/scheduling/server.go
@@ -13,80 +13,84 @@
 )
 
 const (
-	// requestCost is what a request in progress slows the next one, in tokens of a
-	// prompt: an engine's step grows by some 0.1 ms with each request, and a prompt
-	// of some thousand tokens waits for some ten steps.
+	// requestCost is by how much a request in progress slows down the next one, in prompt
+	// tokens: an engine's step takes about 0.1 ms longer with each request, and a prompt
+	// of some thousand tokens takes about ten steps.
 	requestCost = 150
-	// uncachedTokenCost is what a token costs that the server has not read, in tokens that
-	// wait there: it delays this request and all that come to the server meanwhile.
+	// uncachedTokenCost is the cost of a prompt token that the server has not cached, in tokens
+	// of backlog. It is above 1 because the token delays this request and also all requests that
+	// arrive at the server meanwhile.
 	uncachedTokenCost = 1.6
-	// queuedRequestCost is what a request costs that has to wait for a place: about the time
-	// in which an engine with all places taken ends one.
+	// queuedRequestCost is the cost of a request that has to wait for a slot, in prompt tokens:
+	// about the time in which an engine with all slots in use finishes one request.
 	queuedRequestCost = 6500
-	// otherDomainCost breaks ties in favour of the instance's own failure domain:
-	// a round trip across domains takes as long as some hundred tokens.
+	// otherDomainCost breaks ties in favor of the instance's own failure domain, in prompt
+	// tokens: a round trip across domains takes as long as reading about a hundred tokens.
 	otherDomainCost = 100
-	// failureCost is what a server costs that fails all requests: more than any
-	// backlog, so that it is used where all others are worse.
+	// failureCost is the cost of a server that fails all requests, in prompt tokens. It exceeds
+	// any backlog, so that such a server is used only if all others are worse.
 	failureCost = 400_000
-	// homeCachedFraction is the part of a common prefix that its home is expected to hold while
-	// no server is known to: after a start of all instances, homes still hold what the
-	// runs before sent there.
+	// homeCachedFraction is the fraction of a shared prefix that its home is assumed to hold
+	// while no server is known to hold it: after all instances restart, the homes still have
+	// the prefixes that were sent there before.
 	homeCachedFraction = 0.7
-	// loadReportTTL is how long a server's word on its load is used; it is made again
-	// with each answer.
+	// loadReportTTL is how long a load report of a server is used; each answer brings a new one.
 	loadReportTTL = 2 * time.Second
 	// failureHalfLife is the time in which a failure loses half its weight.
 	failureHalfLife = 3 * time.Second
-	// failurePriorSamples keeps a single failure from condemning a server.
+	// failurePriorSamples is added to the number of outcomes, so that a single failure does not
+	// give a server a high failure rate.
 	failurePriorSamples = 3
-	// segmentTTL is how long a part is expected to stay in an engine's cache.
+	// segmentTTL is how long a prompt segment is expected to stay in an engine's cache.
 	segmentTTL = 60 * time.Second
-	// maxSegments bounds the memory of parts of one server.
+	// maxSegments bounds the number of segments stored for one server.
 	maxSegments = 2048
 )
 
-// Load is what a server said of itself.
+// Load is the load that a server reported: running and waiting requests, and slots.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// server is one start of a backend server; snapshots share it.
+// server is the state of one process of a backend server. Snapshots share it.
 type server struct {
-	// registered is its newest entry. Start, service and address never change.
+	// registered is its newest register entry. Process, service and address never change.
 	registered atomic.Pointer[register.Server]
 	hash       uint64
 	key        Key
 
-	// restarted tells that the server started restarted while it was known: it holds nothing.
+	// restarted is set if this process replaced another one of a known server: its cache is
+	// empty.
 	restarted bool
 
-	// removed is set once the register has no entry of this start.
+	// removed is set once the register has no entry for this process.
 	removed       atomic.Bool
 	announcements *announcements
-	// running are the requests of this instance in progress, and pending the
-	// unread tokens of those whose answer has not begun.
+	// running counts the requests of this instance in progress. pendingTokens are the uncached
+	// tokens of those whose answer has not begun.
 	running       atomic.Int64
 	pendingTokens atomic.Int64
 
 	mu sync.Mutex
-	// otherRequests is how many requests of other instances the server last reported.
+	// otherRequests is the number of requests of other instances by the last report, which
+	// was made at reportedAt.
 	otherRequests float64
 	reportedAt    time.Time
-	// reportedRequests is what the server last reported.
+	// reportedRequests is the number of requests in the last report.
 	reportedRequests int
 	failures         float64
 	outcomes         float64
 	decayedAt        time.Time
-	// avoidUntil is when a server that could not be reached is tried again.
+	// avoidUntil is until when requests avoid the server because it was unreachable, full or
+	// terminated.
 	avoidUntil time.Time
-	// terminatedAt is when its program was last found to have ended.
+	// terminatedAt is when the server's process was last found to be terminated.
 	terminatedAt time.Time
-	// segments are those that the server has read, and publishedSegments those that others were publishedSegments of,
-	// each with its time.
+	// segments are the prompt segments that the server has read, and publishedSegments those
+	// that were published to other instances, each with the time.
 	segments, publishedSegments map[Key]time.Time
-	// remoteBacklogs are the unread tokens of other instances, and upstream what relays were
-	// last told of this one's and its subscribers'.
+	// remoteBacklogs are the uncached tokens of other instances. sentUpstream is the backlog of
+	// this instance and its subscribers that was last sent to relays.
 	remoteBacklogs backlogs
 	sentUpstream   int64
 }
@@ -106,22 +110,23 @@
 	return s
 }
 
-// entry returns the server's newest entry.
+// entry returns the server's newest register entry.
 func (s *server) entry() *register.Server { return s.registered.Load() }
 
-// isLeaving reports whether the server takes nothing new.
+// isLeaving reports whether the server accepts no new requests because it leaves or was removed
+// from the register.
 func (s *server) isLeaving() bool { return s.removed.Load() || s.announcements.leaving.Load() }
 
-// sameProcess tells whether an entry tells of the same start: what was learnt of this one
-// holds for it.
+// sameProcess reports whether a register entry describes this process, so that its state still
+// applies.
 func (s *server) sameProcess(entry register.Server) bool {
 	current := s.entry()
 
 	return current.Process() == entry.Process() && current.Address == entry.Address && current.Service == entry.Service
 }
 
-// cost estimates, in tokens of a prompt, what stands before the begin of an answer of
-// which unread tokens have to be read first.
+// cost estimates the work before the first event of a request, in prompt tokens, where uncached
+// tokens of its prompt have to be read.
 func (s *server) cost(now time.Time, uncached int, domain fleet.FailureDomain, poolFailureRate float64) float64 {
 	load := s.load(now)
 	cost := float64(s.pendingTokens.Load()+s.remotePending(now)) + requestCost*load + uncachedTokenCost*float64(uncached)
@@ -143,7 +148,7 @@
 	return cost
 }
 
-// load returns the requests in progress, those of other instances included.
+// load returns the requests in progress, including those of other instances.
 func (s *server) load(now time.Time) float64 {
 	s.mu.Lock()
 	others := 0.0
@@ -157,8 +162,8 @@
 	return float64(s.running.Load()) + others
 }
 
-// recordLoad takes in how many requests the server had at a time. What this instance has
-// there now is taken for what it had then: reports are young.
+// recordLoad records how many requests the server had at a time. It subtracts the current
+// requests of this instance instead of those at that time, since reports are recent.
 func (s *server) recordLoad(at time.Time, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,7 +176,8 @@
 	s.reportedRequests, s.reportedAt = requests, at
 }
 
-// lastLoad returns what the server last reported, and how long ago.
+// lastLoad returns the number of requests in the server's last report and the report's age, and
+// reports whether it is still valid.
 func (s *server) lastLoad(now time.Time) (int, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,8 +187,8 @@
 	return s.reportedRequests, age, age < loadReportTTL
 }
 
-// cachedTokens returns the tokens of a prompt, whose parts have the keys, that the server is known
-// to have read.
+// cachedTokens returns how many tokens of a prompt, whose segments have the keys, the server is
+// known to have read. It stops at the first segment that is missing.
 func (s *server) cachedTokens(now time.Time, keys []Key, p Prompt) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,21 +206,21 @@
 	return cached
 }
 
-// remotePending returns the tokens that other instances have remotePending there.
+// remotePending returns the uncached tokens that other instances have waiting at the server.
 func (s *server) remotePending(now time.Time) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	others := s.remoteBacklogs.sum(now, notFromRelay)
-	// A relay's sum holds what it was told by this instance.
+	// The sum of a relay includes what this instance sent to it.
 	viaRelay := s.remoteBacklogs.sum(now, fromRelay) - s.sentUpstream
 
 	return max(others, viaRelay)
 }
 
-// backlogFor returns the unread tokens that an audience is told. What subscribers said is
-// passed up by a relay alone: two that take each other for relays, or three in a ring, would
-// each add what they are told of themselves, and more with each message.
+// backlogFor returns the backlog to send to an audience. Only a relay adds the backlogs of its
+// subscribers when it sends upstream: instances that subscribe to each other, in pairs or in a
+// ring, would otherwise add their own backlog again with each message.
 func (s *server) backlogFor(now time.Time, to Audience, isRelay bool) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,8 +246,8 @@
 	s.remoteBacklogs.record(now, from, role, tokens)
 }
 
-// addSegments remembers which parts the server has read, and tells whether others have not
-// been told of one of them lately.
+// addSegments records segments that the server has read, and reports whether at least one of
+// them was not published within segmentUpdateInterval.
 func (s *server) addSegments(now time.Time, segments []Key) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -265,7 +271,7 @@
 	return unpublished
 }
 
-// storeSegments remembers parts; the server is locked.
+// storeSegments stores the segments with the time. The caller holds the lock.
 func (s *server) storeSegments(now time.Time, segments []Key) {
 	if len(s.segments)+len(segments) > maxSegments {
 		for id, at := range s.segments {
@@ -319,7 +325,8 @@
 	s.avoidUntil = until
 }
 
-// markTerminated takes in that the program of the server has ended, and tells whether that is news.
+// markTerminated records that the server's process was found to be terminated, and reports
+// whether that was not known yet.
 func (s *server) markTerminated(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -334,7 +341,8 @@
 	return true
 }
 
-// isTerminated reports whether the program of the server was found to have ended a moment ago.
+// isTerminated reports whether the server's process was found to be terminated within
+// unreachableAvoidance.
 func (s *server) isTerminated(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -353,8 +361,8 @@
 	return now.Before(s.avoidUntil)
 }
 
-// meanFailureRate is the mean failure rate of a pool. A service may fail a part
-// of its requests by its nature; only what lies above that speaks against a server.
+// meanFailureRate returns the mean failure rate of a pool. A service may fail a fraction of its
+// requests by its nature; only failures above the mean count against a server.
 func meanFailureRate(now time.Time, pool []*server) float64 {
 	sum := 0.0
 	for _, s := range pool {
--- a/scheduling/updates.go
+++ b/scheduling/updates.go
@@ -15,109 +15,111 @@
 	"monsoonlever/register"
 )
 
-// ServerUpdate is what an instance tells others of the servers that prompts are sent to. Each of
-// many instances sends a small part of what a server has to read; without the others'
-// parts it sees neither the prompts that wait there nor the parts that the server's cache
-// holds (TestNewsOfOthersKeepsPromptsFromWaiting).
+// ServerUpdate is what an instance sends to other instances about the servers that prompts are
+// sent to. With many instances each one sends only a small share of a server's prompts. Without
+// updates from the others it would know neither the prompts that wait at the server nor the
+// segments that the server's cache holds (TestUpdatesShortenPromptWaits).
 type ServerUpdate struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Backlogs []Backlog
 	Holdings []CachedSegments
 	Loads    []ServerLoad
-	// Ended are servers that refused a connection: their program has ended, and their
-	// entry in the register outlives it for some seconds.
+	// Ended are servers that refused a connection: their process terminated, but their entry
+	// stays in the register for some seconds.
 	Ended []Key
-	// Limits are what servers announced of the requests that they take.
+	// Limits are the request limits that servers announced.
 	Limits []ServerLimit
 }
 
-// Empty tells whether there is nothing to tell.
-func (n ServerUpdate) Empty() bool {
-	return len(n.Backlogs) == 0 && len(n.Holdings) == 0 && len(n.Loads) == 0 && len(n.Ended) == 0 &&
-		len(n.Limits) == 0
+// Empty reports whether the update holds nothing.
+func (u ServerUpdate) Empty() bool {
+	return len(u.Backlogs) == 0 && len(u.Holdings) == 0 && len(u.Loads) == 0 && len(u.Ended) == 0 &&
+		len(u.Limits) == 0
 }
 
-// Audience is whom news is for.
+// Audience is the group of instances that an update is sent to.
 type Audience int
 
 const (
-	// Upstream are the relays. They are told what this instance, and where it is a relay
-	// those that turned to it, have sent.
+	// Upstream is the relays. They receive what this instance has sent to servers and, if it is
+	// a relay, what its subscribers have.
 	Upstream Audience = iota
-	// Downstream are the instances that turned to this one as their relay. They are told
-	// what all have sent, themselves included.
+	// Downstream is the subscribers of this instance, which is their relay. They receive what
+	// all instances have sent to servers, including the subscribers themselves.
 	Downstream
 
 	audienceCount
 )
 
-// SenderRole is whom news comes from.
+// SenderRole is the role of the instance that sent an update.
 type SenderRole int
 
 const (
-	// Peer tells what it, and those that turned to it, have sent.
+	// Peer is an instance that reports what it and its subscribers have sent to servers.
 	Peer SenderRole = iota
-	// Subscriber is a peer whose news this instance passes on.
+	// Subscriber is an instance that uses this one as its relay. Its updates are forwarded.
 	Subscriber
-	// Relay tells what all have sent, this instance included.
+	// Relay is the relay of this instance. It reports what all instances have sent to servers,
+	// including this one.
 	Relay
 )
 
-// Backlog is how many tokens of prompts a server has not read yet. It replaces what the
-// same sender told before.
+// Backlog is the number of prompt tokens that a server has not read yet. It replaces the
+// previous value from the same sender.
 type Backlog struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Server   Key
 	Tokens   uint32
 }
 
-// CachedSegments are parts of prompts that a server has read, or is about to.
+// CachedSegments are prompt segments that a server has read, or will read first.
 type CachedSegments struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Server   Key
 	Parts    []Key
 }
 
-// ServerLoad is how many requests a server said it had.
+// ServerLoad is the number of requests that a server reported.
 type ServerLoad struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Server   Key
 	Requests uint16
-	// AgeMs is how long ago the server said so, in milliseconds.
+	// AgeMs is the age of the report in milliseconds.
 	AgeMs uint16
 }
 
-// ServerLimit is what a server announced; a rate of zero is no limit.
+// ServerLimit is the limit that a server announced. A rate of zero means no limit.
 type ServerLimit struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Server   Key
 	Rate     ratelimit.Rate
-	// AgeMs is how long ago the server said so, in milliseconds.
+	// AgeMs is the age of the announcement in milliseconds.
 	AgeMs uint32
 }
 
-// Key stands for a server or a part of a prompt in news. Two of some thousand parts
-// share one in a day of a thousand, and then a part counts as read that is not.
+// Key is a hash that identifies a server process or a prompt segment in updates. With some
+// thousand segments a collision happens on one day in a thousand; a segment that is not cached
+// then counts as cached.
 type Key uint32
 
 func keyOf(id string) Key { return Key(xxhash.Sum64String(id)) }
 
-// keyOfProcess differs between the starts of a server, so that news of one is not taken
-// for news of the next.
+// keyOfProcess returns a key that differs between the processes of one server, so that an update
+// about one process is not applied to the next.
 func keyOfProcess(s register.Process) Key { return keyOf(s.String()) }
 
 const (
-	// backlogTTL is how long the news of a backlog counts that is not told anew: the
-	// longest prompts are read within it, and the instance may have ended.
+	// backlogTTL is how long a backlog counts without a new update. The longest prompts are read
+	// within that time, and the sender may have terminated.
 	backlogTTL = 1500 * time.Millisecond
-	// maxQueuedSegments bounds what is kept for the others until it is told.
+	// maxQueuedSegments bounds the entries of cached segments in an outbox until they are taken.
 	maxQueuedSegments = 256
-	// segmentUpdateInterval is how long after it was told that a server holds a part that is not
-	// told again: well within the time for which the others believe it.
+	// segmentUpdateInterval is how long a segment that was published for a server is not
+	// published again. It is well below segmentTTL, after which other instances drop the segment.
 	segmentUpdateInterval = segmentTTL / 3
 )
 
-// outbox collects what is to be told to one audience. The zero value is empty.
+// outbox collects changes until the next update to one audience. The zero value is empty.
 type outbox struct {
 	mu         sync.Mutex
 	backlogs   map[*server]bool
@@ -125,11 +127,11 @@
 	terminated map[*server]bool
 	limits     map[*server]bool
 	segments   []CachedSegments
-	// wake tells that there is something.
+	// wake is sent when an update should be sent soon.
 	wake feed.Signal
 }
 
-// addBacklog notes that the backlog of a server addBacklog, and parts that it now holds.
+// addBacklog queues the backlog of a server, and segments that the server has cached.
 func (o *outbox) addBacklog(s *server, segments []Key) {
 	o.mu.Lock()
 
@@ -147,7 +149,8 @@
 	o.wake.Send()
 }
 
-// addLoad notes that a server told its load. That alone is no reason to tell at once.
+// addLoad queues the load of a server. A load alone doesn't wake the sender; it is part of the
+// next update.
 func (o *outbox) addLoad(s *server) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -159,7 +162,7 @@
 	o.loads[s] = true
 }
 
-// addTerminated notes that the program of a server has addTerminated.
+// addTerminated queues that the process of a server terminated.
 func (o *outbox) addTerminated(s *server) {
 	o.mu.Lock()
 
@@ -173,8 +176,8 @@
 	o.wake.Send()
 }
 
-// addLimit notes that a server announced a limit. One that changes nothing is no reason to
-// send a message at once.
+// addLimit queues the limit that a server announced. It wakes the sender only if the limit
+// changed.
 func (o *outbox) addLimit(s *server, changed bool) {
 	o.mu.Lock()
 
@@ -191,13 +194,13 @@
 	}
 }
 
-// outboxContent is what an outbox held.
+// outboxContent is the content of an outbox.
 type outboxContent struct {
 	backlogs, loads, terminated, limits []*server
 	segments                            []CachedSegments
 }
 
-// take empties the outbox.
+// take empties the outbox and returns its content.
 func (o *outbox) take() outboxContent {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -245,17 +248,17 @@
 	return update
 }
 
-// SetRelay says whether this instance is a relay: one that is none tells relays of itself
-// alone.
+// SetRelay sets whether this instance is a relay. If it is not, its updates to relays hold only
+// its own backlogs.
 func (s *Scheduler) SetRelay(relay bool) { s.isRelay.Store(relay) }
 
-// UpdateReady returns a channel that is told when there is news for an audience.
+// UpdateReady returns a channel that receives a value when there is an update for an audience.
 func (s *Scheduler) UpdateReady(to Audience) <-chan struct{} { return s.outboxes[to].wake.C() }
 
 func clampTokens(n int64) uint32 { return uint32(min(max(n, 0), math.MaxUint32)) }
 
-// ApplyUpdate takes another instance's news in, and notes what of it is to be passed on.
-// Servers that are not known here are passed over.
+// ApplyUpdate applies another instance's update, and queues the content that has to be forwarded.
+// Entries of servers that are not known here are ignored.
 func (s *Scheduler) ApplyUpdate(now time.Time, from fleet.InstanceID, role SenderRole, update ServerUpdate) {
 	byKey := s.byKey.Load()
 	if byKey == nil {
@@ -295,8 +298,8 @@
 	}
 }
 
-// publishBacklog notes for others that a server's backlog publishBacklog, or parts that it holds. What
-// relays tell goes no further up.
+// publishBacklog queues the backlog of a server, and segments that the server has cached, for
+// other instances. Updates of relays and peers are not forwarded upstream.
 func (s *Scheduler) publishBacklog(srv *server, segments []Key, upstream bool) {
 	s.outboxes[Downstream].addBacklog(srv, segments)
 
@@ -305,16 +308,16 @@
 	}
 }
 
-// publishSegments takes in that a server publishSegments parts, and notes it for others that have not been
-// told of late.
+// publishSegments records that a server has cached segments, and queues them for other instances
+// unless all were published recently.
 func (s *Scheduler) publishSegments(now time.Time, srv *server, segments []Key, upstream bool) {
 	if srv.addSegments(now, segments) {
 		s.publishBacklog(srv, segments, upstream)
 	}
 }
 
-// publishTerminated keeps requests off a server whose program has publishTerminated, and notes that for others
-// that have not been told of late.
+// publishTerminated keeps requests away from a server whose process terminated, and queues that
+// for other instances unless it was already known.
 func (s *Scheduler) publishTerminated(now time.Time, srv *server, upstream bool) {
 	if !srv.markTerminated(now) {
 		return
@@ -335,7 +338,7 @@
 	}
 }
 
-// backlogs are those of other instances at one server.
+// backlogs are the backlogs of other instances at one server.
 type backlogs struct {
 	bySender map[fleet.InstanceID]senderBacklog
 }
@@ -360,8 +363,8 @@
 	b.bySender[from] = senderBacklog{tokens: tokens, receivedAt: now, role: role}
 }
 
-// sum returns the tokens that senders of some kinds have waiting, as far as it was told
-// lately.
+// sum returns the tokens that senders of the included roles have waiting. It removes backlogs
+// that are older than backlogTTL.
 func (b *backlogs) sum(now time.Time, include func(SenderRole) bool) int64 {
 	sum := int64(0)
 
@@ -380,7 +383,7 @@
 	return sum
 }
 
-// isSubscriber and ofOthers are the senders whose backlogs an audience is told.
+// fromSubscriber, notFromRelay and fromRelay select the senders whose backlogs are summed.
 func fromSubscriber(s SenderRole) bool { return s == Subscriber }
 func notFromRelay(s SenderRole) bool   { return s != Relay }
 func fromRelay(s SenderRole) bool      { return s == Relay }
--- a/scheduling/utilization.go
+++ b/scheduling/utilization.go
@@ -6,12 +6,12 @@
 	"monsoonlever/fleet"
 )
 
-// minReportingShare is the part of a service's servers that have to have told their load of late
-// for all to be judged by it.
+// minReportingShare is the fraction of a service's servers that must have a recent load report
+// for the utilization to be known.
 const minReportingShare = 0.5
 
-// Utilization returns the part of the places of a service's servers that is in use or waited for,
-// and whether most of them have told their load of late.
+// Utilization returns the ratio of running and waiting requests to slots over the servers of a
+// service that reported recently, and reports whether enough of them did.
 func (s *Scheduler) Utilization(now time.Time, service fleet.Service) (float64, bool) {
 	pools := s.pools.Load()
 	if pools == nil {
--- a/scheduling/versions.go
+++ b/scheduling/versions.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// matchVersions returns the servers of a pool whose version may take a request. Of a version
-// that is tried with a part of the requests, such a part of the servers takes them: each
-// then carries what it would if all were sent there.
+// matchVersions returns the servers of a pool whose version may take the request. If a version
+// takes a fraction of the requests, the same fraction of its servers is returned: each of them
+// then has the load that it would have if the version took all requests.
 func (r *Request) matchVersions(pool []*server) []*server {
 	if r.OnlyVersion == "" && len(r.AvoidVersions) == 0 {
 		return pool
