--- a/register/deltas_test.go
+++ b/register/deltas_test.go
@@ -11,7 +11,8 @@
 	"monsoonlever/fleet"
 )
 
-// However changes come, the list, the digest and the deltas agree with the changes one by one.
+// For any sequence of changes, the list of servers and the digest equal those that result from
+// the deltas.
 func TestHoldsDeltasMatchServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Register
--- a/register/leaving.go
+++ b/register/leaving.go
@@ -2,19 +2,19 @@
 
 import "github.com/hashicorp/golang-lru/v2/simplelru"
 
-// maxLeavingProcesses bounds how many starts are remembered to leave: a server that leaves ends
-// within minutes, and most of those are long gone.
+// maxLeavingProcesses bounds the stored leaving processes: a leaving server terminates within
+// minutes, so that most of them have terminated long ago.
 const maxLeavingProcesses = 4096
 
-// leavingProcesses are the starts of servers that are known to leave, also those whose entry is
-// not there: it may lapse and come back. The zero value is empty.
+// leavingProcesses are the processes that are known to leave, including those without an entry,
+// since an entry may expire and be written again. The zero value is empty.
 type leavingProcesses struct {
 	processes *simplelru.LRU[Process, struct{}]
 }
 
 func (l *leavingProcesses) add(process Process) {
 	if l.processes == nil {
-		// It fails for a size that is not positive only.
+		// NewLRU returns an error only for a size that is not positive.
 		l.processes, _ = simplelru.NewLRU[Process, struct{}](maxLeavingProcesses, nil)
 	}
 
--- a/register/leaving_test.go
+++ b/register/leaving_test.go
@@ -8,8 +8,8 @@
 	"monsoonlever/fleet"
 )
 
-// Guards against a server that leaves being taken for ready again by an older entry, a whole
-// set, or an entry that lapsed and came back.
+// Guards against a leaving server that counts as ready again after an older entry, a full
+// snapshot, or an entry that expired and was written again.
 func TestHoldsLeavingIsFinalForProcess(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Register
@@ -31,9 +31,9 @@
 		}
 
 		t.Repeat(map[string]func(*rapid.T){
-			"entry":     func(*rapid.T) { r.Apply([]Change{change()}) },
-			"whole set": func(*rapid.T) { r.Replace([]Change{change()}) },
-			"old copy":  func(*rapid.T) { r.Restore([]Change{change()}) },
+			"entry":    func(*rapid.T) { r.Apply([]Change{change()}) },
+			"snapshot": func(*rapid.T) { r.Replace([]Change{change()}) },
+			"old copy": func(*rapid.T) { r.Restore([]Change{change()}) },
 			"announced": func(*rapid.T) {
 				start := Process{
 					ID:          rapid.SampledFrom([]fleet.InstanceID{"i-1", "i-2"}).Draw(t, "who"),
@@ -45,7 +45,7 @@
 			"": func(t *rapid.T) {
 				for _, s := range r.Servers() {
 					if left[s.Process()] && !s.Leaving {
-						t.Errorf("%v: got it ready, want it to leave as it said", s.Process())
+						t.Errorf("%v: got ready, want it still leaving", s.Process())
 					}
 
 					left[s.Process()] = left[s.Process()] || s.Leaving
@@ -55,7 +55,7 @@
 	})
 }
 
-// Guards against what leaves piling up without a bound.
+// Guards against leaving processes that accumulate without a bound.
 func TestLeavingProcessesAreBounded(t *testing.T) {
 	var r Register
 
@@ -64,6 +64,6 @@
 	}
 
 	if got := r.leaving.processes.Len(); got != maxLeavingProcesses {
-		t.Errorf("remembered: got %d, want %d", got, maxLeavingProcesses)
+		t.Errorf("leaving processes: got %d, want %d", got, maxLeavingProcesses)
 	}
 }
--- a/register/register.go
+++ b/register/register.go
@@ -1,10 +1,10 @@
-// Package register holds the backend servers as they register themselves.
+// Package register holds the set of known backend servers.
 //
-// Register is written by one reader of the platform's records and read without a
-// lock by the path of requests. What it holds is as old as the last read.
+// Register is written by the reader of the platform's records, and read without a lock on the
+// request path. Its content is as recent as the last read.
 //
-// A server may start again under its id. Each start is another Start, and what is
-// known or said of one start says nothing of the next.
+// A server may restart under its ID. Each run of it is another Process, and what is known of
+// one process does not apply to the next.
 //
 // # Usage
 //
@@ -29,14 +29,14 @@
 	"monsoonlever/fleet"
 )
 
-// Process names one start of a backend server.
+// Process identifies one process of a backend server, from its start to its end.
 type Process struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	ID          fleet.InstanceID
 	Incarnation fleet.Incarnation
 }
 
-// String returns a text that differs between the starts of a server.
+// String returns a text that differs between the processes of a server.
 func (s Process) String() string {
 	if s.Incarnation == 0 {
 		return string(s.ID)
@@ -45,40 +45,41 @@
 	return string(s.ID) + " " + strconv.FormatUint(uint64(s.Incarnation), 10)
 }
 
-// Server is one start of a backend server.
+// Server describes one process of a backend server.
 type Server struct {
 	ID fleet.InstanceID
-	// Incarnation is when the server started, in Unix milliseconds; zero is not told,
-	// and then the id has one start only.
+	// Incarnation is when the process started, in Unix milliseconds. Zero is unknown; all
+	// processes under the ID then count as one.
 	Incarnation fleet.Incarnation
 	Service     fleet.Service
-	// Version is that of the server's program.
+	// Version is the version of the software that the server runs.
 	Version fleet.Version
 	Address string
 	Domain  fleet.FailureDomain
 	Slots   int
-	// Leaving servers finish what they run and take nothing new.
+	// Leaving servers finish their running requests and take no new ones.
 	Leaving bool
-	// Leaves is when a reclaimed server is gone; zero is not known.
+	// Leaves is when a reclaimed server terminates; the zero value is unknown.
 	Leaves time.Time
-	// Reclaimable servers cost less and may be taken away on short notice.
+	// Reclaimable servers cost less and may be reclaimed at short notice.
 	Reclaimable bool
 }
 
-// Process returns which start of the server this is.
+// Process returns the identity of the server's process.
 func (s Server) Process() Process { return Process{ID: s.ID, Incarnation: s.Incarnation} }
 
-// Change is a new entry of a server, or its removal.
+// Change is a new entry of a server, or the removal of its entry.
 type Change struct {
 	ID fleet.InstanceID
-	// Version is the place of the change in the order of all. One that is older than
-	// what is known of the server changes nothing.
+	// Version is the position of the change in the order of all changes. A change that is older
+	// than the newest known change of its server is ignored.
 	Version uint64
-	// Server is nil where the entry was removed, or names no server that can be used.
+	// Server is nil if the entry was removed or describes no usable server.
 	Server *Server
 }
 
-// Delta is what became of one server: nil stands for one that is not there.
+// Delta is the effect of changes on one server. Before is nil for an added server, After for a
+// removed one.
 type Delta struct {
 	Before, After *Server
 }
@@ -87,18 +88,19 @@
 type Register struct {
 	mu      sync.Mutex
 	servers map[fleet.InstanceID]Server
-	// beforeChange are the servers that are being changed, as they were before; nil was not there.
+	// beforeChange holds the previous state of the servers that are being changed; nil for a
+	// server that was not known.
 	beforeChange map[fleet.InstanceID]*Server
-	// digestSum is the digest of servers.
+	// digestSum is the sum of the digests of servers.
 	digestSum uint64
-	// versions are those of the newest changes, also of servers that are gone.
+	// versions are those of the newest changes, also of removed servers.
 	versions map[fleet.InstanceID]uint64
 	leaving  leavingProcesses
 	current  atomic.Pointer[[]Server]
 	digest   atomic.Uint64
 }
 
-// Replace puts a whole set in place of what was known, and returns what changed.
+// Replace replaces the known servers by a full snapshot and returns the deltas.
 func (r *Register) Replace(entries []Change) []Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,10 +116,10 @@
 	return r.publish()
 }
 
-// Restore takes in a whole set from an older copy of the platform's records, in which the
-// newest are missing. Servers that the copy lacks stay until their own next entry or the
-// next whole set, and those that are known to be gone do not come back by it. It returns what
-// changed.
+// Restore applies a full snapshot of an older copy of the platform's records, which lacks the
+// newest records. Servers that the copy lacks stay until their next entry or the next Replace,
+// and the copy does not bring back servers that are known to be removed. Restore returns the
+// deltas.
 func (r *Register) Restore(entries []Change) []Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +137,7 @@
 	return r.publish()
 }
 
-// Apply takes changes in, in their order, and returns what changed.
+// Apply applies changes in their order and returns the deltas.
 func (r *Register) Apply(changes []Change) []Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,7 +162,7 @@
 		}
 
 		if c.Server != nil && c.Server.Incarnation < r.servers[c.ID].Incarnation {
-			// An entry of an earlier start that was long on its way.
+			// A delayed entry of an earlier process.
 			continue
 		}
 
@@ -189,7 +191,7 @@
 	r.digestSum += digest(s)
 }
 
-// remove takes a server away if it is there.
+// remove removes a server if it is known.
 func (r *Register) remove(id fleet.InstanceID) {
 	before, there := r.servers[id]
 	if _, touched := r.beforeChange[id]; !touched {
@@ -205,8 +207,9 @@
 	}
 }
 
-// MarkLeaving marks starts of servers that are known to leave, and returns what changed. It is final: a server announces it in its answers while its entry can't be
-// written, and an older entry of the same start does not take it back.
+// MarkLeaving marks processes of servers as leaving and returns the deltas. The mark is final:
+// a server announces in its responses that it leaves while its entry can't be written, and an
+// older entry of the same process must not clear the mark.
 func (r *Register) MarkLeaving(processes []Process) []Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,10 +231,11 @@
 	return r.publish()
 }
 
-// rebuildShare is the part of all servers from which on a change sorts them anew.
+// rebuildShare is the share of changed servers above which publish sorts all servers instead of
+// merging the deltas.
 const rebuildShare = 0.05
 
-// publish makes changes visible and returns them.
+// publish makes changes visible to readers and returns the deltas.
 func (r *Register) publish() []Delta {
 	var deltas []Delta
 
@@ -272,7 +276,7 @@
 
 func byID(a, b Server) int { return strings.Compare(string(a.ID), string(b.ID)) }
 
-// merge returns servers with a few changes, both in the order of ids.
+// merge applies deltas to servers, both sorted by ID.
 func merge(servers []Server, deltas []Delta) []Server {
 	merged := make([]Server, 0, len(servers)+len(deltas))
 
@@ -294,8 +298,8 @@
 	return append(merged, servers...)
 }
 
-// digest names a start of a server and whether it leaves. The digests of all servers are added
-// up, so that one change costs the same however many there are.
+// digest returns the digest of a server's process and whether it leaves. Register adds up the
+// digests of all servers, so that the cost of a change does not depend on their number.
 func digest(s Server) uint64 {
 	text := s.Process().String()
 	if s.Leaving {
@@ -305,10 +309,11 @@
 	return xxhash.Sum64String(text)
 }
 
-// Digest is the same where the same servers are known, and the same ones to leave.
+// Digest returns a value that is the same for registers with the same processes and the same
+// leaving marks.
 func (r *Register) Digest() uint64 { return r.digest.Load() }
 
-// Version returns the place of the newest change of a server that is known.
+// Version returns the version of the newest known change of a server.
 func (r *Register) Version(id fleet.InstanceID) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -316,8 +321,7 @@
 	return r.versions[id]
 }
 
-// Servers returns the known servers in the order of their ids. The slice must
-// not be changed.
+// Servers returns the known servers sorted by ID. The slice must not be changed.
 func (r *Register) Servers() []Server {
 	if s := r.current.Load(); s != nil {
 		return *s
@@ -326,7 +330,7 @@
 	return nil
 }
 
-// Loaded tells whether the register was read at least once.
+// Loaded reports whether the register was read at least once.
 func (r *Register) Loaded() bool {
 	return r.current.Load() != nil
 }
--- a/register/register_bench_test.go
+++ b/register/register_bench_test.go
@@ -7,7 +7,8 @@
 	"monsoonlever/fleet"
 )
 
-// One change copies the list of servers, and sorts and digests none but its own.
+// Applying one change copies the list of servers, but sorts none and digests only the changed
+// server.
 func BenchmarkApplyOneChange(b *testing.B) {
 	for _, n := range []int{60, 300, 1000, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/register/restore_test.go
+++ b/register/restore_test.go
@@ -10,8 +10,8 @@
 	return Change{ID: id, Version: version, Server: &Server{ID: id, Incarnation: 1, Service: "api", Leaving: leaving}}
 }
 
-// A copy that lacks the newest records takes no server away, ends no leaving, and brings
-// nothing back that is gone. What is written after it counts as ever.
+// A copy that lacks the newest records removes no server, clears no leaving mark and brings
+// back no removed server. Changes after it apply as usual.
 func TestRestoreRevertsNoNewerChange(t *testing.T) {
 	var r Register
 
@@ -29,23 +29,23 @@
 
 	for id, leaving := range map[fleet.InstanceID]bool{"stays": false, "leaves": true, "new": false} {
 		if is, there := got[id]; !there || is != leaving {
-			t.Errorf("%s: got there %t and leaving %t, want true and %t", id, there, is, leaving)
+			t.Errorf("%s: got present %t and leaving %t, want true and %t", id, there, is, leaving)
 		}
 	}
 
 	if len(got) != 3 {
-		t.Errorf("servers: got %v, want none that is gone", got)
+		t.Errorf("servers: got %v, want no removed server", got)
 	}
 
 	r.Apply([]Change{entryOf("goes", era+4, false)})
 
 	if got := len(r.Servers()); got != 4 {
-		t.Errorf("after its own next entry: got %d servers, want 4", got)
+		t.Errorf("after the server's next entry: got %d servers, want 4", got)
 	}
 
 	r.Replace([]Change{entryOf("stays", era+1, false)})
 
 	if got := len(r.Servers()); got != 1 {
-		t.Errorf("after the next whole set: got %d servers, want 1", got)
+		t.Errorf("after the next full snapshot: got %d servers, want 1", got)
 	}
 }
