--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestHoldsRetriesWithinBudget checks every span that ends at a retry, to the nanosecond.
+// TestHoldsRetriesWithinBudget checks the budget over every window that ends at a
+// retry, to the nanosecond.
 func TestHoldsRetriesWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := BudgetPolicy{
@@ -55,7 +56,8 @@
 	})
 }
 
-// TestBudgetGrantsItsShare shows that the budget isn't held by giving nothing.
+// TestBudgetGrantsItsShare guards against a budget that holds because it refuses
+// every retry.
 func TestBudgetGrantsItsShare(t *testing.T) {
 	b := newBudget(BudgetPolicy{}.withDefaults())
 	now := testStart
@@ -115,6 +117,6 @@
 	}
 
 	if !b.Of(other).Take(testStart) {
-		t.Errorf("budget of another account: got spent, want its own")
+		t.Errorf("budget of another account: got it exhausted, want a separate one")
 	}
 }
--- a/retry/budgetpolicy.go
+++ b/retry/budgetpolicy.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// BudgetPolicy holds the settings of budgets. A zero field stands for its default.
+// BudgetPolicy holds the settings of budgets. A zero field selects its default.
 type BudgetPolicy struct {
-	// Window is the span over which requests and retries are counted.
+	// Window is the sliding window over which requests and retries are counted:
+	// 10 s by default.
 	Window time.Duration
-	// Share is how many retries and hedges there may be for each request.
+	// Share is the number of retries and hedges allowed per request: 0.1 by default.
 	Share float64
-	// UnsentShare is the same for retries of attempts that were never sent.
-	// They load no server, and the loss of a failure domain makes many of them.
+	// UnsentShare is the number of retries allowed per request for attempts that
+	// were never sent: 1 by default. These attempts put no load on a server, and
+	// the loss of a failure domain causes many of them.
 	UnsentShare float64
-	// MinRetries is how many retries there may be in a window however few requests
-	// there are.
+	// MinRetries is the number of retries allowed in a window on top of the share of
+	// its requests: 3 by default.
 	MinRetries int
 }
 
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -6,21 +6,25 @@
 	"sync/atomic"
 )
 
-// maxScopes bounds the memory of budgets; the scopes beyond share one.
+// maxScopes bounds the memory of Budgets; all further scopes share one budget.
 const maxScopes = 4096
 
-// Budgets holds the budget of each scope. Finding one takes no lock.
+// Budgets holds the budget of each scope. Looking up the budget of a known scope
+// takes no lock. Budgets is safe for concurrent use.
 type Budgets struct {
 	policy BudgetPolicy
-	// minRetries is the policy's Least until SetLeast changes it for all scopes.
+	// minRetries is BudgetPolicy.MinRetries until SetMinRetries changes it for all
+	// scopes.
 	minRetries atomic.Int64
-	overflow   *Budget
+	// overflow is shared by the scopes beyond maxScopes.
+	overflow *Budget
 
+	// mu serializes changes of byScope, which is replaced and never modified.
 	mu      sync.Mutex
 	byScope atomic.Pointer[map[Scope]*Budget]
 }
 
-// NewBudgets returns budgets that are made as their scopes are first seen.
+// NewBudgets returns Budgets that create the budget of a scope at its first use.
 func NewBudgets(p BudgetPolicy) *Budgets {
 	p = p.withDefaults()
 	b := &Budgets{policy: p}
@@ -60,13 +64,13 @@
 	return next[s]
 }
 
-// SetMinRetries sets how many retries there may be in a window of each scope however few
-// requests there are, as when the instances that share a bound come and go.
+// SetMinRetries sets BudgetPolicy.MinRetries of all scopes, for example when the
+// number of instances that share a bound on retries changes.
 func (b *Budgets) SetMinRetries(n int) {
 	b.minRetries.Store(int64(n))
 }
 
-// newBudget makes the budget of one scope, which follows SetLeast.
+// newBudget returns a budget of one scope. Later calls of SetMinRetries apply to it.
 func (b *Budgets) newBudget() *Budget {
 	budget := newBudget(b.policy)
 	budget.minRetries = &b.minRetries
--- a/retry/decision.go
+++ b/retry/decision.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Decision tells whether and when a call is tried again.
+// Decision says whether and when a call is retried.
 type Decision struct {
 	reason Reason
 	delay  time.Duration
 }
 
-// Retry tells whether the call is tried again.
+// Retry reports whether the call is retried.
 func (d Decision) Retry() bool { return d.reason == None }
 
-// Delay returns the wait before the next attempt.
+// Delay returns the time to wait before the next attempt.
 func (d Decision) Delay() time.Duration { return d.delay }
 
-// Reason returns why the call isn't tried again.
+// Reason returns why the call is not retried, or None if it is.
 func (d Decision) Reason() Reason { return d.reason }
--- a/retry/drain.go
+++ b/retry/drain.go
@@ -8,29 +8,34 @@
 	"monsoonlever/window"
 )
 
-// DrainPolicy holds the settings of a Drain. A zero field stands for its default.
+// DrainPolicy holds the settings of a DrainEstimator. A zero field selects its
+// default.
 type DrainPolicy struct {
-	// MinRetryAfter and AtMost bound what a caller is told.
+	// MinRetryAfter and MaxRetryAfter bound the Retry-After of a caller: 1 s and
+	// 1 min by default.
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
-	// Window is the span over which the rate is measured.
+	// Window is the sliding window over which the rate of finished requests is
+	// measured: 10 s by default.
 	Window time.Duration
 }
 
-// jitterDivisor is the part of an estimate that is random: an eighth.
+// jitterDivisor sets the jitter that is added to an estimate: up to an eighth of it.
 const jitterDivisor = 8
 
-// DrainEstimator estimates when a service has room for a caller that was refused. Each
-// caller is promised a time of its own, at the rate at which the service
-// finishes requests, so that they don't all come back at once. It is safe for
+// DrainEstimator estimates when a service has capacity for a refused caller. It
+// assigns callers consecutive time slots at the rate at which the service finishes
+// requests, so that they don't all come back at the same time. It is safe for
 // concurrent use.
 type DrainEstimator struct {
-	policy       DrainPolicy
-	finished     *window.Counter
+	policy   DrainPolicy
+	finished *window.Counter
+	// lastSlotNano is the end of the last reserved time slot, in Unix nanoseconds.
 	lastSlotNano atomic.Int64
 }
 
-// NewDrainEstimator returns a drain that has measured nothing.
+// NewDrainEstimator returns an estimator without measurements. Until requests
+// finish, its estimates are spread over the upper half of MaxRetryAfter.
 func NewDrainEstimator(p DrainPolicy) *DrainEstimator {
 	p.MinRetryAfter = cmp.Or(p.MinRetryAfter, time.Second)
 	p.MaxRetryAfter = cmp.Or(p.MaxRetryAfter, time.Minute)
@@ -39,18 +44,18 @@
 	return &DrainEstimator{policy: p, finished: window.NewCounter(p.Window/windowBuckets, windowBuckets+1)}
 }
 
-// RecordFinished counts n requests that the service has finished.
+// RecordFinished counts n requests that the service finished.
 func (d *DrainEstimator) RecordFinished(now time.Time, n int) {
 	d.finished.Add(now, int32(n))
 }
 
-// RetryAfter returns when a refused caller should come back, if excess requests
-// wait before it. It lies within the bounds of the policy.
+// RetryAfter returns after which time a refused caller should retry if excess
+// requests are queued ahead of it. The result lies within the bounds of the policy.
 func (d *DrainEstimator) RetryAfter(now time.Time, random Random, excess int) time.Duration {
 	wait := d.reserveSlot(now, excess)
 	spread := randomBelow(random, wait/jitterDivisor)
 
-	// At the upper bound callers are spread ahead of it, for it is no estimate.
+	// The upper bound is no estimate: callers are spread over the half before it.
 	if wait >= d.policy.MaxRetryAfter {
 		return d.policy.MaxRetryAfter - randomBelow(random, d.policy.MaxRetryAfter/2)
 	}
@@ -58,14 +63,16 @@
 	return min(max(wait+spread, d.policy.MinRetryAfter), d.policy.MaxRetryAfter)
 }
 
-// reserveSlot takes the next free time and returns the wait for it.
+// reserveSlot reserves the next free time slot and returns the time until then. It
+// reserves none and returns MaxRetryAfter if the slot is at least that far away or
+// no request has finished in the window.
 func (d *DrainEstimator) reserveSlot(now time.Time, excess int) time.Duration {
 	finished := d.finished.Sum(now, windowBuckets)
 	if finished <= 0 {
 		return d.policy.MaxRetryAfter
 	}
 
-	// A rate of more than one a nanosecond can't be, and mustn't divide by zero.
+	// At least 1 ns, since the division below must not be by zero.
 	each := max(1, d.policy.Window/time.Duration(finished))
 	if time.Duration(max(0, excess)) > d.policy.MaxRetryAfter/each {
 		return d.policy.MaxRetryAfter
@@ -86,7 +93,8 @@
 	}
 }
 
-// RetryAfterSeconds returns a Retry-After in the whole seconds that its header holds.
+// RetryAfterSeconds returns d in whole seconds, rounded up, as the header
+// Retry-After holds it.
 func RetryAfterSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/retry/drain_test.go
+++ b/retry/drain_test.go
@@ -10,7 +10,8 @@
 
 const drainRate = 50
 
-// newBusyEstimator returns a drain that has seen drainRate requests a second.
+// newBusyEstimator returns an estimator of a service that finished drainRate
+// requests per second.
 func newBusyEstimator() *DrainEstimator {
 	d := NewDrainEstimator(DrainPolicy{})
 	for i := range 10 {
@@ -20,8 +21,8 @@
 	return d
 }
 
-// TestRetryAfterSpreadsCallersAtDrainRate refuses callers at once and counts how
-// many come back in the same second.
+// TestRetryAfterSpreadsCallersAtDrainRate guards against callers that are refused at
+// the same time and retry within the same second.
 func TestRetryAfterSpreadsCallersAtDrainRate(t *testing.T) {
 	const callers = 1000
 
--- a/retry/hedge.go
+++ b/retry/hedge.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// HedgeAt returns when a second attempt at a call should begin beside its first,
-// which began at a time and is slower than usual after the given latency. It
-// returns false for a call that must not or need not be hedged: one that isn't
-// idempotent, has failed or was hedged already, can't finish in time, or whose
-// service is so busy that more work would slow it further.
+// HedgeAt returns when a hedge of the call should begin: once its first attempt,
+// which began at began, has taken the usual latency. It returns false if the call is
+// not hedged: it is not idempotent, an attempt failed, it was hedged before, a hedge
+// can't finish before the deadline, or the utilisation of the service is so high that
+// more load would slow it further.
 func (p *Policy) HedgeAt(c *Call, began time.Time, usual time.Duration, utilisation float64) (time.Time, bool) {
 	if !c.idempotent || c.hedged || c.failedAttempts > 0 {
 		return time.Time{}, false
@@ -24,7 +24,8 @@
 	return at, c.canFinish(at)
 }
 
-// TakeHedge takes the hedge out of the budget once its time has come.
+// TakeHedge reports whether the hedge may begin now, and takes it from the budget if
+// so. It is called at the time that HedgeAt returned.
 func (p *Policy) TakeHedge(now time.Time, c *Call) bool {
 	if !c.idempotent || c.hedged || !c.canFinish(now) {
 		return false
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -10,14 +10,15 @@
 	"monsoonlever/backend"
 )
 
-// Policy decides about the attempts of calls. Its fields are set before its
-// first use; zero fields but Budgets stand for defaults.
+// Policy decides about retries and hedges of calls. Its fields are set before its
+// first use. Budgets is required; another zero field selects its default.
 type Policy struct {
 	Budgets *Budgets
 	Backoff Backoff
-	// MaxAttempts is how often a call is tried at most.
+	// MaxAttempts bounds the attempts at one call, the first included: 3 by default.
 	MaxAttempts int
-	// MaxHedgeUtilisation is the utilisation of a service below which it is hedged.
+	// MaxHedgeUtilisation is the utilisation of a service, from 0 to 1, at and above
+	// which its calls are not hedged: 0.7 by default.
 	MaxHedgeUtilisation float64
 	// Metrics receives the counters, unless it is nil.
 	Metrics *metrics.Set
@@ -28,12 +29,13 @@
 	defaultMaxHedgeUtilisation = 0.7
 )
 
-// CountCall counts a call, before its first attempt.
+// CountCall counts a call for its budget. It is called once, before the first attempt.
 func (p *Policy) CountCall(now time.Time, c *Call) {
 	p.Budgets.Of(c.scope).CountRequest(now)
 }
 
-// Decide takes in that an attempt failed and tells whether there is another.
+// Decide records that an attempt failed with err and decides whether the call is
+// retried.
 func (p *Policy) Decide(now time.Time, random Random, c *Call, err error) Decision {
 	c.recordFailure(err)
 	d := p.decide(now, random, c, err)
@@ -52,9 +54,9 @@
 	}
 
 	unsent := errors.Is(err, backend.ErrNotSent)
-	after := p.delay(random, c, unsent)
+	delay := p.delay(random, c, unsent)
 
-	if !c.canFinish(now.Add(after)) {
+	if !c.canFinish(now.Add(delay)) {
 		return Decision{reason: DeadlineTooClose}
 	}
 
@@ -62,11 +64,11 @@
 		return Decision{reason: BudgetExhausted}
 	}
 
-	return Decision{delay: after}
+	return Decision{delay: delay}
 }
 
-// delay returns the delay before the next attempt. The first attempt that wasn't
-// sent needs none: the next goes to another server.
+// delay returns the time to wait before the next attempt. There is none after a first
+// attempt that was not sent, since the next one goes to another server.
 func (p *Policy) delay(random Random, c *Call, unsent bool) time.Duration {
 	if unsent && c.failedAttempts == 1 {
 		return 0
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -20,7 +20,7 @@
 	testScope = NewScope("payrun-api", "wholesale-1")
 )
 
-// attemptError is the error of an attempt and whether bytes of it may have left.
+// attemptError is the error of an attempt and whether a server may have run it.
 type attemptError struct {
 	err        error
 	mayHaveRun bool
@@ -52,11 +52,11 @@
 
 		for range 20 {
 			if at, ok := p.HedgeAt(c, now, time.Millisecond, 0); ok {
-				t.Fatalf("hedge at %v of a call that isn't idempotent", at)
+				t.Fatalf("hedge at %v of a non-idempotent call", at)
 			}
 
 			if p.TakeHedge(now, c) {
-				t.Fatalf("hedge of a call that isn't idempotent")
+				t.Fatalf("hedge of a non-idempotent call")
 			}
 
 			o := rapid.SampledFrom(attemptErrors).Draw(t, "outcome")
@@ -121,7 +121,7 @@
 		{desc: "unknown but idempotent", idempotent: true, err: io.ErrUnexpectedEOF, least: 9, want: None},
 		{desc: "last attempt", idempotent: true, failed: 2, err: io.EOF, least: 9, want: AttemptsExhausted},
 		{desc: "deadline too near", idempotent: true, deadline: time.Second, err: backend.ErrNotSent, least: 9, want: DeadlineTooClose},
-		{desc: "budget spent", idempotent: true, err: io.EOF, least: -1, want: BudgetExhausted},
+		{desc: "budget exhausted", idempotent: true, err: io.EOF, least: -1, want: BudgetExhausted},
 	}
 
 	for _, tt := range tests {
--- a/retry/random.go
+++ b/retry/random.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Random is a source of random numbers, as math/rand/v2 has them.
+// Random is a source of random numbers, such as rand.Source of math/rand/v2.
 type Random interface {
 	Uint64() uint64
 }
@@ -12,7 +12,7 @@
 	fractionShift = 64 - fractionBits
 )
 
-// randomBelow returns a random duration in [0, d).
+// randomBelow returns a uniformly distributed duration in [0, d).
 func randomBelow(random Random, d time.Duration) time.Duration {
 	fraction := float64(random.Uint64()>>fractionShift) / (1 << fractionBits)
 
--- a/retry/reason.go
+++ b/retry/reason.go
@@ -1,23 +1,24 @@
 package retry
 
-// Reason tells why a call isn't tried again.
+// Reason is the reason why a call is not retried.
 type Reason int
 
 // The reasons.
 const (
-	// None means that the call is tried again.
+	// None means that the call is retried.
 	None Reason = iota
-	// MayHaveRun means that the call isn't idempotent and may have run.
+	// MayHaveRun means that the call is not idempotent and may have run.
 	MayHaveRun
-	// AttemptsExhausted means that the call was tried often enough.
+	// AttemptsExhausted means that the call has had Policy.MaxAttempts attempts.
 	AttemptsExhausted
-	// DeadlineTooClose means that another attempt can't finish before the deadline.
+	// DeadlineTooClose means that another attempt is not expected to finish before the
+	// deadline.
 	DeadlineTooClose
-	// BudgetExhausted means that the scope has had its share of retries.
+	// BudgetExhausted means that the budget of the scope allows no retry now.
 	BudgetExhausted
 )
 
-// String returns the name of the reason as metrics show it.
+// String returns the name of the reason in metrics.
 func (r Reason) String() string {
 	switch r {
 	case None:
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,37 +1,38 @@
-// Package retry decides whether a failed call is tried again, whether a slow
-// one is hedged, and when a refused caller should come back.
+// Package retry decides whether a failed call is retried, whether a slow call is
+// hedged, and after which time a refused caller should retry.
 //
-// A call that isn't idempotent is tried again only while it is certain that no
-// attempt of it ran: each failed with backend.ErrNotSent or backend.ErrRefused.
-// Retries and hedges come out of a budget of each service and client account, a
-// share of its requests over a sliding window. No attempt begins that can't
-// finish before the deadline. The time and the random source are arguments.
+// A call that is not idempotent is retried only if certainly none of its attempts
+// ran: each failed with backend.ErrNotSent or backend.ErrRefused. Each pair of
+// service and client account has a budget, which limits retries and hedges to a
+// share of its requests in a sliding window. No attempt begins that is not expected
+// to finish before the deadline. The time and the random source are arguments.
 //
-// The budget is for attempts at a call of which the caller has nothing yet. An
-// accepted answer that lost its server is resumed without asking it.
+// The budget applies to calls of which the caller has no part of an answer yet. An
+// accepted answer whose server is lost is resumed without taking from the budget.
 //
 // # Usage
 //
 //	policy := &retry.Policy{Budgets: retry.NewBudgets(retry.BudgetPolicy{})}
 //	call := retry.NewCall(retry.NewScope("payrun-api", "wholesale-1"), idempotent).
 //		WithDeadline(deadline).
-//		WithExpected(median)
-//	policy.Begin(now, call)
+//		WithExpectedDuration(median)
+//	policy.CountCall(now, call)
 //	for {
 //		reply, err := attempt(ctx)
 //		if err == nil {
 //			return reply, nil
 //		}
 //		decision := policy.Decide(now, random, call, err)
-//		if !decision.Again() {
+//		if !decision.Retry() {
 //			return backend.Reply{}, err
 //		}
-//		// Wait for decision.After(), pick another server, and go on.
+//		// Wait for decision.Delay() and pick another server.
 //	}
 //
-// Drain turns what a service finishes into a Retry-After:
+// DrainEstimator derives a Retry-After from the rate at which a service finishes
+// requests:
 //
-//	drain := retry.NewDrain(retry.DrainPolicy{})
-//	drain.Finished(now, 1)
+//	drain := retry.NewDrainEstimator(retry.DrainPolicy{})
+//	drain.RecordFinished(now, 1)
 //	after := drain.RetryAfter(now, random, excess)
 package retry
--- a/retry/scope.go
+++ b/retry/scope.go
@@ -2,7 +2,7 @@
 
 import "monsoonlever/fleet"
 
-// Scope names whose retries share a budget.
+// Scope identifies the calls that share a retry budget.
 type Scope struct {
 	service fleet.Service
 	account fleet.Account
