--- a/upstream/counters.go
+++ b/upstream/counters.go
@@ -2,13 +2,13 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Counters count connections and what was wrong with answers. A nil pointer
-// counts nothing.
+// Counters count dialled connections and invalid responses. A nil *Counters counts
+// nothing.
 type Counters struct {
 	dials, dialFailures, stray, garbled *metrics.Counter
 }
 
-// NewCounters registers counters in a set.
+// NewCounters registers the counters of a pool in a set.
 func NewCounters(set *metrics.Set) *Counters {
 	return &Counters{
 		dials:        set.NewCounter("monsoonlever_upstream_dials_total"),
--- a/upstream/dialer.go
+++ b/upstream/dialer.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// unackedTimeout is how long sent bytes may stay without acknowledgement: a peer that
-	// is cut off resets nothing.
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the connection
+	// fails: a peer behind a network cut sends no reset.
 	unackedTimeout = 3 * time.Second
-	// keepAliveInterval and probes find a connection dead that only receives.
+	// keepAliveInterval and keepAliveProbes detect a dead connection that only receives.
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 3
 )
 
-// Dialer returns a dialer whose connections notice within seconds that the other
-// side is cut off.
+// Dialer returns a TCP dialer with the given dial timeout. Its connections fail within
+// seconds if the network to the peer is cut, whether they send or only receive.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
@@ -27,7 +27,8 @@
 	}
 }
 
-// setUnackedTimeout makes the kernel give up on a peer that acknowledges nothing.
+// setUnackedTimeout sets the socket option by which the kernel closes a connection whose
+// peer acknowledges nothing for unackedTimeout.
 func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -16,71 +16,81 @@
 )
 
 const (
-	// DefaultDialTimeout is some hundred round trips within a region; a full queue
-	// of new connections drops the first packet, which is sent again after a second.
+	// DefaultDialTimeout is about a hundred round trips within a region. It is too short
+	// for a server whose accept queue is full: such a server drops the SYN packet, which
+	// is retransmitted only after a second.
 	DefaultDialTimeout = 400 * time.Millisecond
-	// defaultIdleTimeout is how long a connection is kept whose server names no timeout.
+	// defaultIdleTimeout is how long an idle connection is kept if the server sends no
+	// timeout in a Keep-Alive header.
 	defaultIdleTimeout = 4 * time.Second
-	// maxFreshIdle is the idle time up to which a connection counts as in use: a shorter one
-	// makes more connections, with a longer one more calls are lost with dead ones.
+	// maxFreshIdle is the longest idle time of a connection for Request.RequireFresh. A
+	// shorter time causes more dials, a longer one more requests lost on dead connections.
 	maxFreshIdle = 1500 * time.Millisecond
-	// idleTimeoutShare is the part of a server's idle timeout after which a connection is
-	// not used any more, so that no request crosses its close.
+	// idleTimeoutShare is the share of a server's idle timeout after which a connection is
+	// not reused, so that no request is sent while the server closes the connection.
 	idleTimeoutShare = 0.5
-	// readBuffer holds the header of an answer and several events of a stream.
+	// readBuffer is the size in bytes of a connection's read buffer: the header of a
+	// response and several events of a stream fit into it.
 	readBuffer = 4 << 10
 )
 
-// Pool keeps connections to backend servers. Its exported fields are set before
-// its first use.
+// Pool is a pool of connections to backend servers. Its exported fields are set before
+// its first use. Its methods are safe for concurrent use.
 type Pool struct {
 	Clock clock.Clock
-	// DialTimeout bounds the making of a connection; zero is the default.
+	// DialTimeout bounds the dialling of a connection; zero selects DefaultDialTimeout.
 	DialTimeout time.Duration
 	// Counters may be nil.
 	Counters *Counters
-	// Dial makes connections; nil makes those of Dialer over TCP.
+	// Dial opens a connection; nil selects Dialer over IPv4.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	mu      sync.Mutex
 	servers map[fleet.InstanceID]*serverConnections
 }
 
-// serverConnections are those to one start of a backend server.
+// serverConnections are the connections to one process of a backend server.
 type serverConnections struct {
 	idle []*connection
-	// busy carry a request.
-	busy    map[*connection]struct{}
-	open    int
-	limit   int
+	// busy are the connections that carry a request.
+	busy map[*connection]struct{}
+	// open counts the idle and busy connections and those being dialled.
+	open int
+	// limit bounds open; zero is no limit.
+	limit int
+	// removed is set once the server is no longer in the pool: a busy connection is then
+	// closed after its request.
 	removed bool
 }
 
 // connection is used by one request at a time.
 type connection struct {
 	net.Conn
-	// owner counts it: the server may have been forgotten, or have started again, since.
+	// owner counts this connection. Pool.servers may no longer have it: the server may
+	// have been removed or restarted since.
 	owner  *serverConnections
 	reader *bufio.Reader
-	// reuseUntil is when the connection must not be used any more.
+	// reuseUntil is when the connection may last be used for a further request.
 	reuseUntil time.Time
-	lastUsed   time.Time
-	// kept tells that the connection carried a request before.
+	// lastUsed is when the last request on the connection ended.
+	lastUsed time.Time
+	// kept is set once the connection has carried a request.
 	kept bool
 }
 
-// ErrConnectionLimit means that this instance's share of a backend server's
-// connections is in use.
+// ErrConnectionLimit means that all connections to a backend server that this instance
+// may open are in use.
 var ErrConnectionLimit = merry.Sentinel("connection limit of the backend server is reached")
 
-// SetLimit bounds the connections to a server; zero is no bound.
+// SetLimit bounds the number of open connections to a server; zero is no limit.
 func (p *Pool) SetLimit(id fleet.InstanceID, limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connectionsOf(id).limit = limit
 }
 
-// RemoveServer closes the idle connections to a server that is gone and keeps no more.
+// RemoveServer removes a server from the pool: it closes the idle connections
+// immediately and the others once their requests have ended.
 func (p *Pool) RemoveServer(id fleet.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,9 +98,9 @@
 	p.removeServer(id)
 }
 
-// Cut closes all connections to a server that started again, those that carry a
-// request included: the start that had it has ended, which a silent connection does
-// not tell.
+// Cut closes all connections to a server that was restarted, including those that carry
+// a request: the process that had the request has terminated, but a connection without
+// traffic does not show that.
 func (p *Pool) Cut(id fleet.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,8 +112,9 @@
 	}
 }
 
-// removeServer closes the idle connections to a server. Those that carry a request are closed
-// once it has ended.
+// removeServer closes the idle connections to a server and removes it from the pool. It
+// returns the removed connections, or nil if the pool has none. A busy connection is
+// closed once its request has ended. p.mu is held.
 func (p *Pool) removeServer(id fleet.InstanceID) *serverConnections {
 	c := p.servers[id]
 	if c == nil {
@@ -122,7 +133,8 @@
 	return c
 }
 
-// OpenConnections returns how many connections to a server are open.
+// OpenConnections returns the number of connections to a server that are open or being
+// dialled.
 func (p *Pool) OpenConnections(id fleet.InstanceID) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,6 +146,8 @@
 	return 0
 }
 
+// connectionsOf returns the connections to a server, and adds the server if the pool does
+// not have it. p.mu is held.
 func (p *Pool) connectionsOf(id fleet.InstanceID) *serverConnections {
 	if p.servers == nil {
 		p.servers = make(map[fleet.InstanceID]*serverConnections)
@@ -148,7 +162,7 @@
 	return c
 }
 
-// get returns a kept connection that is alive, or dials. The error wraps
+// get returns an idle connection that is alive, or dials a new one. Its errors wrap
 // backend.ErrNotSent.
 func (p *Pool) get(ctx context.Context, s Server, fresh bool) (*connection, error) {
 	for {
@@ -169,8 +183,9 @@
 	}
 }
 
-// reserve takes the connection that was used last, or counts a new one that the caller
-// has to dial.
+// reserve returns the idle connection that was used last, or a new one, already counted
+// as open, that the caller has to dial. With fresh set it returns only an idle
+// connection that was used within maxFreshIdle.
 func (p *Pool) reserve(id fleet.InstanceID, fresh bool) (*connection, error) {
 	now := p.Clock.Now()
 
@@ -194,7 +209,7 @@
 			return nil, merry.Prepend(backend.ErrNotSent, "reserve a connection", merry.WithCause(ErrConnectionLimit))
 		}
 
-		// An idle connection makes room for the fresh one.
+		// The oldest idle connection is closed to make room for a fresh one.
 		_ = c.idle[0].Close()
 		c.idle = c.idle[1:]
 		c.open--
@@ -205,7 +220,7 @@
 	return &connection{owner: c}, nil
 }
 
-// expire closes the connections whose server may close them soon.
+// expire closes the idle connections that the server may soon close. p.mu is held.
 func (p *Pool) expire(c *serverConnections, now time.Time) {
 	kept := c.idle[:0]
 
@@ -223,6 +238,7 @@
 	c.idle = kept
 }
 
+// dial opens a connection that reserve returned, and releases it if that fails.
 func (p *Pool) dial(ctx context.Context, s Server, conn *connection) (*connection, error) {
 	dialled, err := p.connect(ctx, s.Address)
 	if err != nil {
@@ -256,7 +272,8 @@
 	return Dialer(timeout).DialContext(ctx, "tcp4", address)
 }
 
-// putIdle keeps a connection for the next request.
+// putIdle keeps a connection for further requests until it has been idle for the given
+// time. It closes the connection if its server was removed.
 func (p *Pool) putIdle(conn *connection, idle time.Duration) {
 	now := p.Clock.Now()
 	conn.kept = true
@@ -279,11 +296,13 @@
 	c.idle = append(c.idle, conn)
 }
 
+// closeConnection closes a connection that is not idle and releases it.
 func (p *Pool) closeConnection(conn *connection) {
 	_ = conn.Close()
 	p.release(conn)
 }
 
+// release stops counting a connection as open and busy.
 func (p *Pool) release(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -291,8 +310,8 @@
 	conn.owner.open--
 }
 
-// alive tells whether nothing has come on an idle connection: neither its end nor
-// bytes that belong to no request.
+// alive reports whether an idle connection can be used: the server has neither closed
+// it nor sent bytes that belong to no request.
 func (c *connection) alive() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -10,7 +10,8 @@
 	"monsoonlever/clock"
 )
 
-// silent listens, takes connections and never answers. It counts those that end.
+// silent starts a server that accepts connections and never responds. The channel gets a
+// value for each connection that ends.
 func silent(t *testing.T) (Server, <-chan struct{}) {
 	t.Helper()
 
@@ -41,8 +42,8 @@
 	return Server{ID: "i-1", Address: l.Addr().String()}, ended
 }
 
-// A server that started again has lost what it ran: a request that waits there ends at
-// once with an error that leaves open whether it ran.
+// Guards against a request that waits until its deadline for a server that was restarted:
+// the new process does not have the request, and the connection stays without traffic.
 func TestACutEndsRequestsThatWait(t *testing.T) {
 	server, ended := silent(t)
 	pool := &Pool{Clock: clock.NewSteady()}
@@ -74,7 +75,8 @@
 	<-ended
 }
 
-// The connections to the start before say nothing of how many the next one has.
+// Guards against counting connections to the previous process of a server towards the
+// connection limit of its new process.
 func TestConnectionLimitExcludesPreviousProcess(t *testing.T) {
 	server, _ := silent(t)
 	pool := &Pool{Clock: clock.NewSteady()}
@@ -88,18 +90,18 @@
 	pool.SetLimit(server.ID, 1)
 
 	if got := pool.OpenConnections(server.ID); got != 0 {
-		t.Errorf("open to the next start: got %d, want 0", got)
+		t.Errorf("open to the next process: got %d, want 0", got)
 	}
 
 	next, err := pool.get(context.Background(), server, true)
 	if err != nil {
-		t.Fatalf("first connection to the next start: got %v, want one", err)
+		t.Fatalf("first connection to the next process: got %v, want one", err)
 	}
 
 	pool.putIdle(before, time.Second)
 	pool.putIdle(next, time.Second)
 
 	if got := pool.OpenConnections(server.ID); got != 1 {
-		t.Errorf("open to the next start: got %d, want the 1 that is kept", got)
+		t.Errorf("open to the next process: got %d, want the 1 that is kept", got)
 	}
 }
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -8,34 +8,35 @@
 	"monsoonlever/fleet"
 )
 
-// Server names a backend server. Connections belong to the instance and not to
-// its address, which another instance may have later.
+// Server identifies a backend server. Connections are pooled by the server's id and not by
+// its address, which another server may have later.
 type Server struct {
 	ID      fleet.InstanceID
 	Address string
 }
 
-// Request is one attempt at a request.
+// Request is one attempt to send a caller's request to a backend server.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is echoed by the backend server in the header IDHeader.
+	// ID identifies the request. The backend server returns it in the header IDHeader of its
+	// response. The caller of Send also puts it into Header.
 	ID       string
 	IDHeader string
-	// RequireFresh asks for a connection that was in use a moment ago or is new. A kept
-	// connection may be dead, which is found out only by sending, and a request
-	// that may not be repeated is lost with it.
+	// RequireFresh selects a connection that is new or was used a moment ago. A connection
+	// that was idle for longer may be dead, which only a send shows, and a non-idempotent
+	// request sent on it is lost.
 	RequireFresh bool
-	// BeforeSend is asked right before the first byte leaves, after every wait; an
-	// error keeps the request from being sent.
+	// BeforeSend, if not nil, is called right before the first byte is sent, after any
+	// wait for a connection. If it returns an error, the request is not sent.
 	BeforeSend func() error
 }
 
-// encode writes the whole message.
+// encode returns the request as an HTTP/1.1 message.
 func (r *Request) encode() ([]byte, error) {
 	var b bytes.Buffer
 
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -16,21 +16,25 @@
 	"monsoonlever/backend"
 )
 
-// ErrGarbled means that what came back is no answer to the request.
+// ErrGarbled means that no valid response to the request was received: the connection
+// ended early, the message could not be parsed, or it belongs to another request.
 var ErrGarbled = merry.Sentinel("answer is garbled")
 
 const (
-	// maxStrayResponses is how many answers to earlier requests are skipped on a connection.
+	// maxStrayResponses bounds the responses to other requests and the informational
+	// responses (1xx) that are skipped on a connection.
 	maxStrayResponses = 2
-	// maxStrayBytes bounds the body of an answer that is skipped.
+	// maxStrayBytes bounds the body of a response that is skipped.
 	maxStrayBytes = 64 << 10
-	// maxInlineMessage is the size up to which a request is written before its answer is
-	// read; it fits into the send buffer of a connection.
+	// maxInlineMessage is the size in bytes up to which a request is written before its
+	// response is read; it fits into the send buffer of a connection.
 	maxInlineMessage = 2 << 10
 )
 
-// Send sends a request and returns its answer once the header has come. Ending
-// ctx closes the connection, so that the backend server stops its work.
+// Send sends a request and returns its response once the header has been received.
+// Cancelling ctx closes the connection, so that the backend server stops its work. The
+// error wraps backend.ErrNotSent if no byte was sent, otherwise ErrGarbled or the error
+// of ctx. The caller must close the response.
 func (p *Pool) Send(ctx context.Context, s Server, r *Request) (*Response, error) {
 	message, err := r.encode()
 	if err != nil {
@@ -46,7 +50,7 @@
 		if err := r.BeforeSend(); err != nil {
 			p.closeConnection(conn)
 
-			return nil, merry.Prepend(backend.ErrNotSent, "permit", merry.WithCause(err))
+			return nil, merry.Prepend(backend.ErrNotSent, "check before send", merry.WithCause(err))
 		}
 	}
 
@@ -67,21 +71,22 @@
 	return a, nil
 }
 
-// Response is an answer whose header has come.
+// Response is a response whose header has been received. Its body is read by one
+// goroutine at a time.
 type Response struct {
 	pool *Pool
 	conn *connection
 	stop func() bool
 
 	response *http.Response
-	// written is set once the whole request was handed to the connection.
+	// written is set once the whole request was written to the connection.
 	written  atomic.Bool
 	bodyRead bool
 	once     sync.Once
 }
 
-// write hands the message to the connection. A long one is written beside the
-// reading, since a server may answer before it has read it all.
+// write writes the message to the connection. A long message is written concurrently
+// with reading the response, since a server may respond before it has read all of it.
 func (a *Response) write(message []byte) {
 	if len(message) <= maxInlineMessage {
 		a.writeAll(message)
@@ -106,7 +111,7 @@
 		if err != nil {
 			a.pool.Counters.garbledResponse()
 
-			return merry.Prepend(ErrGarbled, "read answer", merry.WithCause(err))
+			return merry.Prepend(ErrGarbled, "read response", merry.WithCause(err))
 		}
 
 		if response.StatusCode < http.StatusOK {
@@ -126,19 +131,19 @@
 		}
 	}
 
-	return merry.Prepend(ErrGarbled, "too many answers to other requests")
+	return merry.Prepend(ErrGarbled, "too many responses to other requests")
 }
 
-// discardResponse reads an answer that belongs to an earlier request to its end.
+// discardResponse reads a response to another request to its end.
 func discardResponse(response *http.Response) error {
 	defer response.Body.Close() //nolint:errcheck // it was read to its end or fails below
 
 	if response.ContentLength < 0 || response.ContentLength > maxStrayBytes {
-		return merry.Prepend(ErrGarbled, "answer to another request has no bounded length")
+		return merry.Prepend(ErrGarbled, "response to another request is too long or has no length")
 	}
 
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return merry.Prepend(ErrGarbled, "answer to another request", merry.WithCause(err))
+		return merry.Prepend(ErrGarbled, "read response to another request", merry.WithCause(err))
 	}
 
 	return nil
@@ -153,8 +158,7 @@
 // ContentLength returns the length of the body, or -1 where it is not known.
 func (a *Response) ContentLength() int64 { return a.response.ContentLength }
 
-// Read reads the body. It returns io.EOF only after the last byte of a body that
-// is whole.
+// Read reads the body. It returns io.EOF only if the body is complete.
 func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
@@ -164,25 +168,26 @@
 	return n, err
 }
 
-// ReadAll reads the whole body, of at most limit bytes.
+// ReadAll reads the whole body, of at most limit bytes. Its errors wrap ErrGarbled.
 func (a *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err != nil {
-		return nil, merry.Prepend(ErrGarbled, "read body", merry.WithCause(err))
+		return nil, merry.Prepend(ErrGarbled, "read response body", merry.WithCause(err))
 	}
 
 	if int64(len(body)) > limit {
-		return nil, merry.Prepend(ErrGarbled, "body is too long")
+		return nil, merry.Prepend(ErrGarbled, "response body is too long")
 	}
 
 	return body, nil
 }
 
-// Close ends the answer. Its connection is kept if the body was read to its end
-// and nothing else came; else it is closed, and the backend server stops.
+// Close releases the connection. It is kept for further requests if the body was read to
+// its end and no other bytes were received; otherwise it is closed, which makes the
+// backend server stop its work.
 func (a *Response) Close() {
 	a.once.Do(func() {
-		// A stop that comes too late means that the connection is being closed.
+		// If it is too late to stop the context's function, that closes the connection.
 		if !a.stop() || !a.reusable() {
 			a.pool.closeConnection(a.conn)
 
@@ -198,7 +203,8 @@
 		a.response.ProtoAtLeast(1, 1) && a.conn.reader.Buffered() == 0
 }
 
-// idleTimeout returns how long a connection may idle, from a Keep-Alive header.
+// idleTimeout returns how long a connection may be idle and still be reused, from the
+// value of a Keep-Alive header, whose timeout is in seconds.
 func idleTimeout(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/upstream/terminated.go
+++ b/upstream/terminated.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Terminated tells whether the program of a server has ended: its machine answers, and nothing
-// takes connections there. One that can't be reached has not shown that it ended. Nothing
-// is kept of the connection: the server may be forgotten by now.
+// Terminated reports whether the process of a server has terminated: its machine refuses
+// a connection. A server that can't be reached may still run. The connection is closed and
+// not added to the pool, since the server may have been removed meanwhile.
 func (p *Pool) Terminated(ctx context.Context, s Server) bool {
 	conn, err := p.connect(ctx, s.Address)
 	if err != nil {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,21 +1,21 @@
-// Package upstream sends requests to backend servers over connections that it
-// keeps, each request at most once.
+// Package upstream sends requests to backend servers over pooled connections, each
+// request at most once.
 //
-// net/http's transport sends some requests again on its own and hands out
-// whatever answer comes next on a kept connection. Here one call is one attempt,
-// an answer is matched with its request by its id, and a connection with any
-// doubt is closed. Messages are parsed by net/http.
+// The transport of net/http resends some requests by itself and accepts any response
+// that arrives next on a reused connection. In this package one call of Pool.Send is one
+// attempt, a response is matched with its request by the request's id, and a connection
+// in an uncertain state is closed. net/http parses the messages.
 //
-// The error of a call tells what became of it: backend.ErrNotSent means that no
-// byte left the process. Any other error leaves open whether the request ran.
+// An error that wraps backend.ErrNotSent means that no byte of the request left this
+// process. After any other error the request may have run.
 //
 // # Usage
 //
 //	pool := &upstream.Pool{Clock: clk, Counters: upstream.NewCounters(set)}
-//	answer, err := pool.Send(ctx, server, request)
+//	response, err := pool.Send(ctx, server, request)
 //	if err != nil {
 //		return err
 //	}
-//	defer answer.Close()
-//	body, err := answer.ReadAll(limit)
+//	defer response.Close()
+//	body, err := response.ReadAll(limit)
 package upstream
