--- a/forward/announcements_test.go
+++ b/forward/announcements_test.go
@@ -9,12 +9,12 @@
 )
 
 // Guards against a Retry-After that ends before any server of the service takes requests again.
-func TestARequestThatAllServersTurnAwayComesBackAfterTheirBackoff(t *testing.T) {
+func TestRetryAfterCoversBackoffOfAllServers(t *testing.T) {
 	const backoff = 3 * time.Second
 
-	s := newSite(t, 10)
-	s.answer = func(_ string, _ int, r *http.Request) string {
-		return whole(r, http.StatusServiceUnavailable, notRunHeader+": 1\r\n", backoffHeader+": 3s\r\n")
+	s := newFixture(t, 10)
+	s.respond = func(_ string, _ int, r *http.Request) string {
+		return signedResponse(r, http.StatusServiceUnavailable, notRunHeader+": 1\r\n", backoffHeader+": 3s\r\n")
 	}
 
 	for _, id := range []string{"r-1", "r-2"} {
@@ -31,23 +31,23 @@
 
 // Guards against sends to a server that announced, while a request waited for its connection,
 // that it leaves or that it wants none for now.
-func TestARequestIsNotSentAfterItsServerAnnouncedThatItTakesNone(t *testing.T) {
-	for name, announce := range map[string]func(s *site, a *scheduling.Assignment){
-		"leaving": func(_ *site, a *scheduling.Assignment) { a.AnnouncedLeaving() },
-		"backoff": func(s *site, a *scheduling.Assignment) { a.AnnouncedBackoff(s.clock.Now(), time.Second) },
+func TestSendSkipsServerBlockedDuringDial(t *testing.T) {
+	for name, announce := range map[string]func(s *fixture, a *scheduling.Assignment){
+		"leaving": func(_ *fixture, a *scheduling.Assignment) { a.AnnouncedLeaving() },
+		"backoff": func(s *fixture, a *scheduling.Assignment) { a.AnnouncedBackoff(s.clock.Now(), time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, 10)
-			s.answer = answerAll
+			s := newFixture(t, 10)
+			s.respond = respondOK
 			first := ""
 
-			s.dialling = func(address string) {
+			s.onDial = func(address string) {
 				if first != "" {
 					return
 				}
 
 				first = address
-				announce(s, s.attemptAt("api", address))
+				announce(s, s.pickServer("api", address))
 			}
 
 			outcome, _ := s.call("once", "r")
@@ -61,14 +61,14 @@
 }
 
 // Guards against a resumed stream going to a server that asked for backoff.
-func TestAStreamIsResumedWhereServersTakeRequests(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = func(_ string, n int, r *http.Request) string {
+func TestResumeSkipsServerInBackoff(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = func(_ string, n int, r *http.Request) string {
 		switch n {
 		case 1:
-			return whole(r, http.StatusServiceUnavailable, notRunHeader+": 1\r\n", backoffHeader+": 3s\r\n")
+			return signedResponse(r, http.StatusServiceUnavailable, notRunHeader+": 1\r\n", backoffHeader+": 3s\r\n")
 		default:
-			return stream(r, 1, 2, n == 2)
+			return signedStream(r, 1, 2, n == 2)
 		}
 	}
 
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -66,34 +66,34 @@
 	return reading
 }
 
-// freeLimits limits nothing.
-type freeLimits struct{}
+// unlimited limits nothing.
+type unlimited struct{}
 
-func (freeLimits) Take(context.Context, fleet.Account, float64) quota.Decision {
+func (unlimited) Take(context.Context, fleet.Account, float64) quota.Decision {
 	return quota.Decision{Granted: true}
 }
 
-type countedUsage struct{ began atomic.Int64 }
+type usageCounter struct{ began atomic.Int64 }
 
-func (u *countedUsage) RequestStarted(fleet.Account) { u.began.Add(1) }
+func (u *usageCounter) RequestStarted(fleet.Account) { u.began.Add(1) }
 
-// site is a forwarder whose backend servers are scripts behind pipes: what they see has
+// fixture is a forwarder whose backend servers are scripts behind pipes: what they see has
 // been sent, without a network.
-type site struct {
+type fixture struct {
 	t     *testing.T
 	clock *clock.Manual
 	rules atomic.Pointer[ruleset.Ruleset]
-	usage countedUsage
+	usage usageCounter
 	*Forwarder
 
 	mu sync.Mutex
-	// seen are the requests that reached a server, by its address, in their order.
-	seen []arrival
-	// dialling is called before each connection is made; it may be nil.
-	dialling func(address string)
-	// answer writes a server's answer to its n-th request, from 1, of all servers; a
-	// connection is closed after an answer that is empty.
-	answer func(address string, n int, r *http.Request) string
+	// received are the requests that reached a server, by its address, in their order.
+	received []arrival
+	// onDial is called before each connection is made; it may be nil.
+	onDial func(address string)
+	// respond writes a server's respond to its n-th request, from 1, of all servers; a
+	// connection is closed after an respond that is empty.
+	respond func(address string, n int, r *http.Request) string
 }
 
 // arrival is a request that reached a backend server.
@@ -103,7 +103,7 @@
 	resume  string
 }
 
-const bound = 3 * time.Second
+const rulesMaxAge = 3 * time.Second
 
 // rulesWith returns rules with a route of each kind and one account with some keys.
 func rulesWith(t *testing.T, version uint64, keys ...string) *ruleset.Ruleset {
@@ -151,14 +151,14 @@
 	return rules
 }
 
-// newSite returns a site with two servers of each service and a budget of further sends.
-func newSite(t *testing.T, budget int) *site {
+// newFixture returns a site with two servers of each service and a budget of further sends.
+func newFixture(t *testing.T, budget int) *fixture {
 	t.Helper()
 
-	s := &site{t: t, clock: clock.NewManual(time.Unix(1000, 0))}
+	s := &fixture{t: t, clock: clock.NewManual(time.Unix(1000, 0))}
 	s.rules.Store(rulesWith(t, 1, "key"))
 
-	tracker := &currency.Tracker{Clock: s.clock, Bound: bound}
+	tracker := &currency.Tracker{Clock: s.clock, Bound: rulesMaxAge}
 	tracker.Confirm(s.clock.Now())
 
 	scheduler := &scheduling.Scheduler{Domain: "a"}
@@ -174,7 +174,7 @@
 	scheduler.Update(servers)
 
 	s.Forwarder = &Forwarder{
-		Clock: s.clock, Rules: &s.rules, Currency: tracker, Limits: freeLimits{},
+		Clock: s.clock, Rules: &s.rules, Currency: tracker, Limits: unlimited{},
 		Retries:   retry.NewBudgets(retry.BudgetPolicy{Window: 10 * time.Second, Share: 1e-9, MinRetries: budget}),
 		Scheduler: scheduler, Pool: &upstream.Pool{Clock: s.clock, Dial: s.dial}, Protocol: plainProtocol{},
 		Usage: &s.usage, MaxResponseBytes: 1 << 20, Quarantine: &quarantine.Ledger{},
@@ -183,9 +183,9 @@
 	return s
 }
 
-func (s *site) dial(_ context.Context, address string) (net.Conn, error) {
-	if s.dialling != nil {
-		s.dialling(address)
+func (s *fixture) dial(_ context.Context, address string) (net.Conn, error) {
+	if s.onDial != nil {
+		s.onDial(address)
 	}
 
 	near, far := net.Pipe()
@@ -196,7 +196,7 @@
 }
 
 // serve answers requests on one connection by the script.
-func (s *site) serve(address string, conn net.Conn) {
+func (s *fixture) serve(address string, conn net.Conn) {
 	defer conn.Close()
 
 	reader := bufio.NewReader(conn)
@@ -208,11 +208,11 @@
 		}
 
 		s.mu.Lock()
-		s.seen = append(s.seen, arrival{address: address, id: r.Header.Get(idHeader), resume: r.Header.Get(resumeHeader)})
-		n := len(s.seen)
+		s.received = append(s.received, arrival{address: address, id: r.Header.Get(idHeader), resume: r.Header.Get(resumeHeader)})
+		n := len(s.received)
 		s.mu.Unlock()
 
-		text := s.answer(address, n, r)
+		text := s.respond(address, n, r)
 		if text == "" {
 			return
 		}
@@ -223,8 +223,8 @@
 	}
 }
 
-// attemptAt returns an attempt at one server of a service, to announce something by.
-func (s *site) attemptAt(service fleet.Service, address string) *scheduling.Assignment {
+// pickServer returns an attempt at one server of a service, to announce something by.
+func (s *fixture) pickServer(service fleet.Service, address string) *scheduling.Assignment {
 	var others []fleet.InstanceID
 
 	for range 16 {
@@ -245,25 +245,25 @@
 	return nil
 }
 
-// leave has a server announce that it leaves.
-func (s *site) leave(service fleet.Service, address string) {
-	if a := s.attemptAt(service, address); a != nil {
+// announceLeaving has a server announce that it leaves.
+func (s *fixture) announceLeaving(service fleet.Service, address string) {
+	if a := s.pickServer(service, address); a != nil {
 		a.AnnouncedLeaving()
 	}
 }
 
-func (s *site) arrivals() []arrival {
+func (s *fixture) arrivals() []arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return append([]arrival(nil), s.seen...)
+	return append([]arrival(nil), s.received...)
 }
 
 // call serves one request of a route and returns its outcome and what the caller got.
-func (s *site) call(route, id string) (Outcome, *caught) {
+func (s *fixture) call(route, id string) (Outcome, *recordingSink) {
 	s.t.Helper()
 
-	got := &caught{}
+	got := &recordingSink{}
 	outcome := s.Serve(s.t.Context(), &Request{
 		ID: id, Method: http.MethodPost, Host: "a.example", Target: "/" + route + "/x", Path: "/" + route + "/x",
 		APIKey: "key", Arrived: s.clock.Now(), Prompt: scheduling.Prompt{Tokens: 100},
@@ -272,44 +272,44 @@
 	return outcome, got
 }
 
-// caught is what a caller got.
-type caught struct {
+// recordingSink is what a caller got.
+type recordingSink struct {
 	status   int
 	begun    int
 	events   []string
 	refusals []Refusal
 }
 
-func (c *caught) WriteResponse(status int, _ http.Header, _ []byte) error {
+func (c *recordingSink) WriteResponse(status int, _ http.Header, _ []byte) error {
 	c.status = status
 
 	return nil
 }
 
-func (c *caught) BeginStream(status int, _ http.Header) error {
+func (c *recordingSink) BeginStream(status int, _ http.Header) error {
 	c.status = status
 	c.begun++
 
 	return nil
 }
 
-func (c *caught) WriteEvent(event []byte) error {
+func (c *recordingSink) WriteEvent(event []byte) error {
 	c.events = append(c.events, string(event))
 
 	return nil
 }
 
-func (c *caught) Refuse(r Refusal) { c.refusals = append(c.refusals, r) }
+func (c *recordingSink) Refuse(r Refusal) { c.refusals = append(c.refusals, r) }
 
-// whole is a signed answer to a request.
-func whole(r *http.Request, status int, header ...string) string {
+// signedResponse is a signed answer to a request.
+func signedResponse(r *http.Request, status int, header ...string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: yes\r\nContent-Length: 2\r\n%s\r\nok",
 		status, idHeader, r.Header.Get(idHeader), signHeader, strings.Join(header, ""))
 }
 
-// stream is a signed stream of the events from one to another. One that is cut ends
+// signedStream is a signed signedStream of the events from one to another. One that is cut ends
 // within an event.
-func stream(r *http.Request, from, to int, cut bool) string {
+func signedStream(r *http.Request, from, to int, cut bool) string {
 	var body strings.Builder
 	for id := from; id <= to; id++ {
 		fmt.Fprintf(&body, "id: %d\ndata: x\n\n", id)
--- a/forward/guards_test.go
+++ b/forward/guards_test.go
@@ -11,14 +11,14 @@
 	"monsoonlever/scheduling"
 )
 
-func answerAll(_ string, _ int, r *http.Request) string { return whole(r, http.StatusOK) }
+func respondOK(_ string, _ int, r *http.Request) string { return signedResponse(r, http.StatusOK) }
 
 // A machine may sleep, or the store be away, while a connection is being made. Rules
 // that grew too old meanwhile allow nothing.
-func TestNothingIsSentOnceTheRulesGrewOld(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.dialling = func(string) { s.clock.Advance(bound + time.Millisecond) }
+func TestSendIsBlockedByStaleRules(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.onDial = func(string) { s.clock.Advance(rulesMaxAge + time.Millisecond) }
 
 	outcome, got := s.call("once", "r-1")
 
@@ -31,10 +31,10 @@
 	}
 }
 
-func TestNothingIsSentOnceTheKeyWasTakenAway(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.dialling = func(string) { s.rules.Store(rulesWith(t, 2, "other")) }
+func TestSendIsBlockedByRevokedKey(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.onDial = func(string) { s.rules.Store(rulesWith(t, 2, "other")) }
 
 	outcome, _ := s.call("once", "r-1")
 
@@ -44,25 +44,25 @@
 }
 
 // Newer rules that leave the key alone change nothing for a request that waits.
-func TestARequestGoesOnUnderNewerRulesThatAllowIt(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.dialling = func(string) { s.rules.Store(rulesWith(t, 2, "key")) }
+func TestSendSucceedsUnderNewRulesWithSameKey(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.onDial = func(string) { s.rules.Store(rulesWith(t, 2, "key")) }
 
 	if outcome, got := s.call("once", "r-1"); outcome.Reason != Answered || got.status != http.StatusOK {
 		t.Errorf("outcome: got %+v with status %d, want it answered", outcome, got.status)
 	}
 }
 
-func TestAServerThatBeganToLeaveIsSentNothing(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
+func TestSendSkipsServerThatStartsLeaving(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
 
 	first := ""
-	s.dialling = func(address string) {
+	s.onDial = func(address string) {
 		if first == "" {
 			first = address
-			s.leave("api", address)
+			s.announceLeaving("api", address)
 		}
 	}
 
@@ -75,11 +75,13 @@
 }
 
 // Servers that all fail must not be sent twice the load.
-func TestFurtherSendsKeepToTheirBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	const requests, budget = 20, 3
 
-	s := newSite(t, budget)
-	s.answer = func(_ string, _ int, r *http.Request) string { return whole(r, http.StatusInternalServerError) }
+	s := newFixture(t, budget)
+	s.respond = func(_ string, _ int, r *http.Request) string {
+		return signedResponse(r, http.StatusInternalServerError)
+	}
 
 	for i := range requests {
 		s.call("safe", fmt.Sprint("r-", i))
@@ -90,7 +92,7 @@
 	}
 }
 
-func TestOnlyWhatMayBeRepeatedIs(t *testing.T) {
+func TestRetryRequiresIdempotentOrUnprocessedRequest(t *testing.T) {
 	const cut = ""
 
 	tests := []struct {
@@ -102,12 +104,12 @@
 	}{
 		{"an unsafe call whose answer is lost", "once", func(*http.Request) string { return cut }, 1, ResponseLost, false},
 		{"an unsafe call that a server did not run", "once", func(r *http.Request) string {
-			return whole(r, http.StatusServiceUnavailable, notRunHeader+": yes\r\n")
+			return signedResponse(r, http.StatusServiceUnavailable, notRunHeader+": yes\r\n")
 		}, 2, Overloaded, true},
 		{"a safe call whose answer is lost", "safe", func(*http.Request) string { return cut }, 2, ResponseLost, false},
 		{"a stream that may not be resumed and is lost", "tell", func(*http.Request) string { return cut }, 1, ResponseLost, false},
 		{"a stream that may not be resumed and is cut", "tell", func(r *http.Request) string {
-			return stream(r, 1, 2, true)
+			return signedStream(r, 1, 2, true)
 		}, 1, StreamBroken, false},
 		{"an answer that nobody signed", "once", func(r *http.Request) string {
 			return "HTTP/1.1 200 OK\r\n" + idHeader + ": " + r.Header.Get(idHeader) + "\r\nContent-Length: 0\r\n\r\n"
@@ -119,8 +121,8 @@
 	}
 
 	for _, test := range tests {
-		s := newSite(t, 10)
-		s.answer = func(_ string, _ int, r *http.Request) string {
+		s := newFixture(t, 10)
+		s.respond = func(_ string, _ int, r *http.Request) string {
 			return test.answer(r)
 		}
 
@@ -138,14 +140,14 @@
 }
 
 // A stream goes on at another server after the last whole event, each event once.
-func TestAStreamIsResumedAfterItsLastWholeEvent(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = func(_ string, n int, r *http.Request) string {
+func TestStreamResumesAfterLastCompleteEvent(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = func(_ string, n int, r *http.Request) string {
 		if n == 1 {
-			return stream(r, 1, 2, true)
+			return signedStream(r, 1, 2, true)
 		}
 
-		return stream(r, 3, 4, false)
+		return signedStream(r, 3, 4, false)
 	}
 
 	outcome, got := s.call("talk", "r-1")
@@ -171,15 +173,15 @@
 }
 
 // An event that repeats or skips what the caller has breaks the stream off.
-func TestAStreamThatGoesOnWronglyIsBrokenOff(t *testing.T) {
+func TestResumedStreamWithGapOrRepeatIsAborted(t *testing.T) {
 	for name, from := range map[string]int{"repeats": 2, "skips": 4} {
-		s := newSite(t, 10)
-		s.answer = func(_ string, n int, r *http.Request) string {
+		s := newFixture(t, 10)
+		s.respond = func(_ string, n int, r *http.Request) string {
 			if n == 1 {
-				return stream(r, 1, 2, true)
+				return signedStream(r, 1, 2, true)
 			}
 
-			return stream(r, from, from+1, false)
+			return signedStream(r, from, from+1, false)
 		}
 
 		outcome, got := s.call("talk", "r-1")
@@ -190,12 +192,12 @@
 }
 
 // A prompt that is held back until its server has room is judged by the rules of then.
-func TestAHeldPromptIsJudgedOnceMore(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = func(_ string, _ int, r *http.Request) string { return stream(r, 1, 1, false) }
+func TestQueuedPromptIsRecheckedAgainstNewRules(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 1, false) }
 	// The prompt could begin after 1.5 s: too late for its objective of 0.5 s, and before
 	// its caller leaves after 2 s.
-	waiting := s.overload(60_000)
+	waiting := s.overloadEngines(60_000)
 
 	done := make(chan Outcome)
 
@@ -216,7 +218,7 @@
 		a.End(s.clock.Now(), scheduling.Cancelled)
 	}
 
-	outcome := s.await(done)
+	outcome := s.awaitOutcome(done)
 	if outcome.Queued <= 0 {
 		t.Errorf("held: got %v, want some time", outcome.Queued)
 	}
@@ -226,8 +228,8 @@
 	}
 }
 
-// await moves the clock on in small steps until a request has ended.
-func (s *site) await(done <-chan Outcome) Outcome {
+// awaitOutcome moves the clock on in small steps until a request has ended.
+func (s *fixture) awaitOutcome(done <-chan Outcome) Outcome {
 	for {
 		select {
 		case outcome := <-done:
@@ -238,8 +240,8 @@
 	}
 }
 
-// overload gives each engine some tokens to read, at 40,000 a second.
-func (s *site) overload(tokens int) []*scheduling.Assignment {
+// overloadEngines gives each engine some tokens to read, at 40,000 a second.
+func (s *fixture) overloadEngines(tokens int) []*scheduling.Assignment {
 	s.t.Helper()
 
 	rates := scheduling.Request{Service: "llm", Prompt: scheduling.Prompt{Tokens: 40_000}}
@@ -270,10 +272,10 @@
 }
 
 // What can't begin before its caller leaves is refused at once, with when to come back.
-func TestAPromptThatCanNotBeginInTimeForItsCallerIsRefused(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.overload(400_000)
+func TestPromptThatStartsTooLateIsRefused(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.overloadEngines(400_000)
 
 	outcome, got := s.call("talk", "r-1")
 
@@ -289,10 +291,10 @@
 }
 
 // A caller that is gone gets no further server.
-func TestACallerThatIsGoneIsNotServedAnyMore(t *testing.T) {
-	s := newSite(t, 10)
+func TestDisconnectedCallerIsNotRetried(t *testing.T) {
+	s := newFixture(t, 10)
 	ctx, leave := context.WithCancel(t.Context())
-	s.answer = func(string, int, *http.Request) string {
+	s.respond = func(string, int, *http.Request) string {
 		leave()
 
 		return ""
@@ -301,7 +303,7 @@
 	outcome := s.Serve(ctx, &Request{
 		ID: "r-1", Method: http.MethodGet, Host: "a.example", Target: "/safe/x", Path: "/safe/x", APIKey: "key",
 		Arrived: s.clock.Now(),
-	}, &caught{})
+	}, &recordingSink{})
 
 	if outcome.Reason != CallerGone || len(s.arrivals()) != 1 {
 		t.Errorf("got %+v and %d arrivals, want the caller gone after 1", outcome, len(s.arrivals()))
@@ -309,11 +311,11 @@
 }
 
 // A request that nothing can come of costs no backend server a connection.
-func TestNoConnectionIsMadeWhileRulesAreOld(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.dialling = func(address string) { t.Errorf("connection to %s: got one, want none", address) }
-	s.clock.Advance(bound + time.Millisecond)
+func TestStaleRulesPreventDial(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.onDial = func(address string) { t.Errorf("connection to %s: got one, want none", address) }
+	s.clock.Advance(rulesMaxAge + time.Millisecond)
 
 	if outcome, _ := s.call("once", "r-1"); outcome.Reason != StaleRules || !outcome.NotRun {
 		t.Errorf("outcome: got %+v, want a refusal as stale that says not run", outcome)
@@ -322,14 +324,14 @@
 
 // A server that lost an answer is not asked again, although the other one took no
 // connection a moment ago.
-func TestAFurtherSendGoesToAnotherServer(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = func(_ string, n int, r *http.Request) string {
+func TestRetryGoesToAnotherServer(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = func(_ string, n int, r *http.Request) string {
 		if n == 1 {
 			return ""
 		}
 
-		return whole(r, http.StatusOK)
+		return signedResponse(r, http.StatusOK)
 	}
 
 	a, err := s.Scheduler.Pick(s.clock.Now(), scheduling.Request{Service: "api", Excluded: []fleet.InstanceID{"api-1"}})
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -12,32 +12,32 @@
 	"monsoonlever/register"
 )
 
-// countedPermits grants a number of requests.
-type countedPermits struct {
-	mu    sync.Mutex
-	left  int
-	asked []register.Process
+// fakePermits grants a number of requests.
+type fakePermits struct {
+	mu        sync.Mutex
+	left      int
+	requested []register.Process
 }
 
-func (p *countedPermits) Acquire(_ context.Context, server register.Process, _ ratelimit.Announcement, _ time.Duration) ratelimit.Permit {
+func (p *fakePermits) Acquire(_ context.Context, server register.Process, _ ratelimit.Announcement, _ time.Duration) ratelimit.Permit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.asked = append(p.asked, server)
+	p.requested = append(p.requested, server)
 	p.left--
 
 	return ratelimit.Permit{Granted: p.left >= 0, Wait: time.Minute}
 }
 
-// newLimitedSite returns a site whose servers all announced a limit, and what grants
+// newLimitedFixture returns a site whose servers all announced a limit, and what grants
 // requests to them.
-func newLimitedSite(t *testing.T, grants int) (*site, *countedPermits) {
+func newLimitedFixture(t *testing.T, grants int) (*fixture, *fakePermits) {
 	t.Helper()
 
-	s := newSite(t, 10)
-	permits := &countedPermits{left: grants}
+	s := newFixture(t, 10)
+	permits := &fakePermits{left: grants}
 	s.Scheduler.Permits = permits
-	s.answer = answerAll
+	s.respond = respondOK
 
 	for _, id := range []fleet.InstanceID{"api-1", "api-2", "llm-1", "llm-2"} {
 		s.Scheduler.Merge(register.Process{ID: id}, ratelimit.Announcement{Rate: 1, At: s.clock.Now()})
@@ -48,8 +48,8 @@
 
 // A request that servers can't take by what they announced is refused at once, as not run,
 // with when to come back, and reaches none of them.
-func TestARequestBeyondWhatServersTakeIsRefused(t *testing.T) {
-	s, _ := newLimitedSite(t, 0)
+func TestRequestOverServerRateLimitIsRefused(t *testing.T) {
+	s, _ := newLimitedFixture(t, 0)
 
 	outcome, got := s.call("once", "r-1")
 
@@ -63,25 +63,25 @@
 }
 
 // A second send and the rest of a stream need a permit as the first send does.
-func TestEachSendToALimitedServerNeedsAPermit(t *testing.T) {
+func TestEverySendToLimitedServerNeedsPermit(t *testing.T) {
 	t.Run("a server that fails", func(t *testing.T) {
-		s, permits := newLimitedSite(t, 1)
-		s.answer = func(_ string, _ int, r *http.Request) string {
-			return whole(r, http.StatusInternalServerError, limitHeader+": 1\r\n")
+		s, permits := newLimitedFixture(t, 1)
+		s.respond = func(_ string, _ int, r *http.Request) string {
+			return signedResponse(r, http.StatusInternalServerError, limitHeader+": 1\r\n")
 		}
 
 		checkSends(t, s, permits, "safe", 1)
 	})
 
 	t.Run("a stream that breaks off", func(t *testing.T) {
-		s, permits := newLimitedSite(t, 1)
-		s.answer = func(_ string, _ int, r *http.Request) string { return stream(r, 1, 2, true) }
+		s, permits := newLimitedFixture(t, 1)
+		s.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 2, true) }
 
 		checkSends(t, s, permits, "talk", 1)
 	})
 }
 
-func checkSends(t *testing.T, s *site, permits *countedPermits, route string, want int) {
+func checkSends(t *testing.T, s *fixture, permits *fakePermits, route string, want int) {
 	t.Helper()
 	s.call(route, "r-1")
 
@@ -89,16 +89,16 @@
 		t.Errorf("sends with %d permits: got %d, want %d", want, got, want)
 	}
 
-	if got := len(permits.asked); got <= want {
+	if got := len(permits.requested); got <= want {
 		t.Errorf("permits asked for: got %d, want one more than the %d sends", got, want)
 	}
 }
 
 // What an answer announces holds for the next request.
-func TestAnAnnouncedLimitIsTakenIn(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = func(_ string, _ int, r *http.Request) string {
-		return whole(r, http.StatusOK, limitHeader+": 1.5\r\n")
+func TestAnnouncedRateLimitIsApplied(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = func(_ string, _ int, r *http.Request) string {
+		return signedResponse(r, http.StatusOK, limitHeader+": 1.5\r\n")
 	}
 
 	s.call("safe", "r-1")
@@ -107,8 +107,8 @@
 		t.Errorf("limited servers: got %d, want 1", got)
 	}
 
-	s.answer = func(_ string, _ int, r *http.Request) string {
-		return whole(r, http.StatusOK, limitHeader+": 0\r\n")
+	s.respond = func(_ string, _ int, r *http.Request) string {
+		return signedResponse(r, http.StatusOK, limitHeader+": 0\r\n")
 	}
 	s.clock.Advance(time.Second)
 
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -22,89 +22,89 @@
 	"monsoonlever/upstream"
 )
 
-// ends is how many servers have to end under a request before it is held off.
-const ends = 3
-
-// farm is a site of many engines, of which each ends at its first request.
-type farm struct {
-	*site
-	ended map[string]*atomic.Bool
-	// probed are how many connections were tried to servers that had ended.
-	probed atomic.Int64
-	// refusal is what such a connection ends with.
-	refusal error
+// lossThreshold is how many servers have to end under a request before it is held off.
+const lossThreshold = 3
+
+// crashFixture is a site of many engines, of which each ends at its first request.
+type crashFixture struct {
+	*fixture
+	crashed map[string]*atomic.Bool
+	// refusedDials are how many connections were tried to servers that had ended.
+	refusedDials atomic.Int64
+	// dialError is what such a connection ends with.
+	dialError error
 }
 
-func newFarm(t *testing.T) *farm {
+func newCrashFixture(t *testing.T) *crashFixture {
 	t.Helper()
 
-	f := &farm{site: newSite(t, 100), ended: make(map[string]*atomic.Bool), refusal: unix.ECONNREFUSED}
+	f := &crashFixture{fixture: newFixture(t, 100), crashed: make(map[string]*atomic.Bool), dialError: unix.ECONNREFUSED}
 
 	var servers []register.Server
 
 	for _, name := range []string{"llm-1", "llm-2", "llm-3", "llm-4", "llm-5", "llm-6", "llm-7", "llm-8"} {
-		f.ended[name] = &atomic.Bool{}
+		f.crashed[name] = &atomic.Bool{}
 		servers = append(servers, register.Server{ID: fleet.InstanceID(name), Service: "llm", Address: name, Domain: "a", Slots: 8})
 	}
 
 	f.Scheduler.Update(servers)
 	f.Pool.Dial = f.dial
-	f.answer = func(address string, _ int, r *http.Request) string {
-		f.ended[address].Store(true)
+	f.respond = func(address string, _ int, r *http.Request) string {
+		f.crashed[address].Store(true)
 
-		return stream(r, 1, 0, true)
+		return signedStream(r, 1, 0, true)
 	}
 
 	return f
 }
 
-func (f *farm) dial(ctx context.Context, address string) (net.Conn, error) {
-	if f.ended[address].Load() {
-		f.probed.Add(1)
+func (f *crashFixture) dial(ctx context.Context, address string) (net.Conn, error) {
+	if f.crashed[address].Load() {
+		f.refusedDials.Add(1)
 
-		return nil, f.refusal
+		return nil, f.dialError
 	}
 
-	return f.site.dial(ctx, address)
+	return f.fixture.dial(ctx, address)
 }
 
-// content is the fingerprint of what call sends to a route.
-func content(route string) quarantine.Fingerprint {
+// fingerprintOf is the fingerprint of what call sends to a route.
+func fingerprintOf(route string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf("acme", http.MethodPost, "a.example", "/"+route+"/x", nil)
 }
 
-// settle lets what looks at ended servers go on for a while.
-func (s *site) settle() {
+// runTerminationChecks lets what looks at ended servers go on for a while.
+func (s *fixture) runTerminationChecks() {
 	for range 20 {
 		s.clock.Advance(terminationDelay)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// settleTo lets what looks at ended servers go on until so many ends count against requests.
-func (s *site) settleTo(ends int) {
+// awaitLosses lets what looks at ended servers go on until so many ends count against requests.
+func (s *fixture) awaitLosses(ends int) {
 	s.t.Helper()
 
-	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.StoredLosses(s.clock.Now())) < ends; s.settle() {
+	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.StoredLosses(s.clock.Now())) < ends; s.runTerminationChecks() {
 		if time.Now().After(limit) {
 			s.t.Fatalf("ends that count: got %d, want %d", len(s.Quarantine.StoredLosses(s.clock.Now())), ends)
 		}
 	}
 }
 
-func (s *site) held(route string) bool {
-	_, held := s.Quarantine.Quarantined(s.clock.Now(), content(route))
+func (s *fixture) quarantined(route string) bool {
+	_, held := s.Quarantine.Quarantined(s.clock.Now(), fingerprintOf(route))
 
 	return held
 }
 
-func TestARequestThatEndsServersIsHeldOff(t *testing.T) {
+func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
 	for _, route := range []string{"tell", "talk"} {
-		f := newFarm(t)
+		f := newCrashFixture(t)
 
-		for len(f.arrivals()) < ends {
+		for len(f.arrivals()) < lossThreshold {
 			f.call(route, "r")
-			f.settleTo(len(f.arrivals()))
+			f.awaitLosses(len(f.arrivals()))
 		}
 
 		before := len(f.arrivals())
@@ -120,37 +120,37 @@
 	}
 }
 
-// countedLimits counts how often a limit is asked.
-type countedLimits struct{ asked int }
+// limitCounter counts how often a limit is asked.
+type limitCounter struct{ calls int }
 
-func (l *countedLimits) Take(context.Context, fleet.Account, float64) quota.Decision {
-	l.asked++
+func (l *limitCounter) Take(context.Context, fleet.Account, float64) quota.Decision {
+	l.calls++
 
 	return quota.Decision{Granted: true}
 }
 
 // What is not sent is refused at once, and takes nothing of its account's limit.
-func TestARequestThatIsHeldOffSpendsNothing(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	limits := &countedLimits{}
+func TestQuarantinedRequestConsumesNoLimit(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	limits := &limitCounter{}
 	s.Limits = limits
 	s.rules.Store(rulesWithLimit(t, 100))
 
 	s.call("once", "r-1")
-	s.loseWithThree("tell")
+	s.recordLosses("tell")
 	s.call("tell", "r-2")
 
-	if limits.asked != 1 {
-		t.Errorf("limits asked: got %d times, want once, for the request that is not held off", limits.asked)
+	if limits.calls != 1 {
+		t.Errorf("limits asked: got %d times, want once, for the request that is not held off", limits.calls)
 	}
 }
 
 // A request may wait for a place or a connection while it becomes known what it does.
-func TestNothingIsSentOnceTheRequestIsHeldOff(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.dialling = func(string) { s.loseWithThree("once") }
+func TestRequestQuarantinedDuringDialIsNotSent(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.onDial = func(string) { s.recordLosses("once") }
 
 	outcome, _ := s.call("once", "r")
 	if len(s.arrivals()) != 0 || outcome.Reason != Quarantined || !outcome.NotRun {
@@ -158,20 +158,20 @@
 	}
 }
 
-func (s *site) loseWithThree(route string) {
-	for i := range ends {
-		s.Quarantine.RecordLoss(s.clock.Now(), content(route), register.Process{ID: "i", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
+func (s *fixture) recordLosses(route string) {
+	for i := range lossThreshold {
+		s.Quarantine.RecordLoss(s.clock.Now(), fingerprintOf(route), register.Process{ID: "i", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
 	}
 }
 
 // A stream that was broken off says so, whatever became known meanwhile: it may have run.
-func TestAStreamThatHasRunIsNotSaidToBeNotRun(t *testing.T) {
-	f := newFarm(t)
-	f.answer = func(address string, _ int, r *http.Request) string {
-		f.ended[address].Store(true)
-		f.loseWithThree("talk")
+func TestQuarantinedRunningStreamIsNotReportedAsNotRun(t *testing.T) {
+	f := newCrashFixture(t)
+	f.respond = func(address string, _ int, r *http.Request) string {
+		f.crashed[address].Store(true)
+		f.recordLosses("talk")
 
-		return stream(r, 1, 2, true)
+		return signedStream(r, 1, 2, true)
 	}
 
 	outcome, _ := f.call("talk", "r")
@@ -182,81 +182,81 @@
 
 // A whole answer shows that a request ends no servers: those that ran beside one that does
 // are served, though they were lost with as many servers.
-func TestAnAnswerClearsARequest(t *testing.T) {
-	f := newFarm(t)
+func TestCompleteResponseClearsLosses(t *testing.T) {
+	f := newCrashFixture(t)
 
-	for n := range ends - 1 {
+	for n := range lossThreshold - 1 {
 		f.call("tell", "r")
-		f.settleTo(n + 1)
+		f.awaitLosses(n + 1)
 	}
 
-	f.answer = func(_ string, _ int, r *http.Request) string { return stream(r, 1, 2, false) }
+	f.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 2, false) }
 
 	if outcome, _ := f.call("tell", "r"); outcome.Reason != Answered {
 		t.Fatalf("got %+v, want it answered", outcome)
 	}
 
-	f.Quarantine.RecordLoss(f.clock.Now(), content("tell"), register.Process{ID: "another"}, quarantine.Strong)
+	f.Quarantine.RecordLoss(f.clock.Now(), fingerprintOf("tell"), register.Process{ID: "another"}, quarantine.Strong)
 
-	if f.held("tell") {
+	if f.quarantined("tell") {
 		t.Error("a request that was answered since: got it held off, want it served")
 	}
 }
 
 // Servers break answers off, are reclaimed, are cut off, or end under streams that have run
 // for a while: none of that is a request's doing.
-func TestNothingButTheEndOfItsServerCountsAgainstARequest(t *testing.T) {
-	tests := map[string]func(f *farm){
-		"servers that break off and go on": func(f *farm) {
-			f.answer = func(_ string, _ int, r *http.Request) string { return stream(r, 1, 0, true) }
+func TestOnlyServerCrashCountsAsLoss(t *testing.T) {
+	tests := map[string]func(f *crashFixture){
+		"servers that break off and go on": func(f *crashFixture) {
+			f.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 0, true) }
 		},
-		"servers that answer garbage": func(f *farm) {
-			f.answer = func(string, int, *http.Request) string { return "garbage\r\n\r\n" }
+		"servers that answer garbage": func(f *crashFixture) {
+			f.respond = func(string, int, *http.Request) string { return "garbage\r\n\r\n" }
 		},
-		"servers that can't be reached": func(f *farm) { f.refusal = errors.New("no route to host") },
-		"servers that had said they would leave": func(f *farm) {
-			f.answer = func(address string, _ int, r *http.Request) string {
-				f.leave("llm", address)
-				f.ended[address].Store(true)
+		"servers that can't be reached": func(f *crashFixture) { f.dialError = errors.New("no route to host") },
+		"servers that had said they would leave": func(f *crashFixture) {
+			f.respond = func(address string, _ int, r *http.Request) string {
+				f.announceLeaving("llm", address)
+				f.crashed[address].Store(true)
 
-				return stream(r, 1, 0, true)
+				return signedStream(r, 1, 0, true)
 			}
 		},
-		"servers that say a little later that they leave": func(f *farm) {
-			f.answer = func(address string, _ int, r *http.Request) string {
-				f.ended[address].Store(true)
-				time.AfterFunc(time.Millisecond/2, func() { f.leave("llm", address) })
+		"servers that say a little later that they leave": func(f *crashFixture) {
+			f.respond = func(address string, _ int, r *http.Request) string {
+				f.crashed[address].Store(true)
+				time.AfterFunc(time.Millisecond/2, func() { f.announceLeaving("llm", address) })
 
-				return stream(r, 1, 0, true)
+				return signedStream(r, 1, 0, true)
 			}
 		},
 	}
 
 	for name, change := range tests {
-		f := newFarm(t)
+		f := newCrashFixture(t)
 		change(f)
 
-		for range ends + 1 {
+		for range lossThreshold + 1 {
 			f.call("tell", "r")
 			time.Sleep(2 * time.Millisecond)
-			f.settle()
+			f.runTerminationChecks()
 		}
 
-		if f.held("tell") {
+		if f.quarantined("tell") {
 			t.Errorf("%s: got the request held off, want it served", name)
 		}
 	}
 }
 
 // Requests that are lost together with a server ask once whether it has ended.
-func TestOneConnectionTellsOfAnEnd(t *testing.T) {
+func TestConcurrentLossesProbeServerOnce(t *testing.T) {
 	const together = 10
 
-	f := newFarm(t)
+	f := newCrashFixture(t)
 	release := make(chan struct{})
-	f.answer = func(_ string, n int, r *http.Request) string {
+	f.respond = func(_ string, n int, r *http.Request) string {
 		if n == together {
-			for _, ended := range f.ended {
+			for _, ended := range f.crashed {
 				ended.Store(true)
 			}
 
@@ -265,7 +265,7 @@
 
 		<-release
 
-		return stream(r, 1, 0, true)
+		return signedStream(r, 1, 0, true)
 	}
 
 	done := make(chan struct{}, together)
@@ -282,16 +282,16 @@
 		<-done
 	}
 
-	f.settleTo(1)
+	f.awaitLosses(1)
 
-	if got, most := int(f.probed.Load()), len(f.ended); got == 0 || got > most {
+	if got, most := int(f.refusedDials.Load()), len(f.crashed); got == 0 || got > most {
 		t.Errorf("connections to %d servers: got %d, want one each at most", most, got)
 	}
 }
 
 // Guards against another connection for each request that is lost after the end is known.
-func TestALateLossTakesNoSecondConnection(t *testing.T) {
-	f := newFarm(t)
+func TestLateLossDoesNotProbeAgain(t *testing.T) {
+	f := newCrashFixture(t)
 	f.Scheduler.Update([]register.Server{{ID: "llm-1", Service: "llm", Address: "llm-1", Domain: "a", Slots: 8}})
 
 	var arrived sync.WaitGroup
@@ -299,11 +299,11 @@
 	arrived.Add(2)
 
 	release := [2]chan struct{}{make(chan struct{}), make(chan struct{})}
-	f.answer = func(_ string, n int, r *http.Request) string {
+	f.respond = func(_ string, n int, r *http.Request) string {
 		arrived.Done()
 		<-release[n-1]
 
-		return stream(r, 1, 0, true)
+		return signedStream(r, 1, 0, true)
 	}
 
 	done := make(chan struct{}, 2)
@@ -317,22 +317,22 @@
 	}
 
 	arrived.Wait()
-	f.ended["llm-1"].Store(true)
+	f.crashed["llm-1"].Store(true)
 
 	for i := range release {
 		close(release[i])
 		<-done
-		f.settle()
+		f.runTerminationChecks()
 	}
 
-	if got := f.probed.Load(); got != 1 {
+	if got := f.refusedDials.Load(); got != 1 {
 		t.Errorf("connections to a server that ended: got %d, want one", got)
 	}
 }
 
 // What the end of a server says of a request is most where its answer had just begun, and
 // never nothing: a request may end its server at any event.
-func TestTheEndOfAServerSpeaksMostAgainstWhatHadJustBegun(t *testing.T) {
+func TestLossEvidenceDependsOnStreamProgress(t *testing.T) {
 	for name, tt := range map[string]struct {
 		kind   ruleset.Kind
 		begun  bool
@@ -346,7 +346,7 @@
 		"a stream that has run for a while": {kind: ruleset.Streaming, begun: true, events: true, ran: time.Minute, want: []quarantine.Evidence{quarantine.Weak}},
 		"a call":                            {kind: ruleset.Unsafe, want: []quarantine.Evidence{quarantine.Strong}},
 	} {
-		f := newFarm(t)
+		f := newCrashFixture(t)
 
 		a, err := f.Scheduler.Pick(f.clock.Now(), scheduling.Request{Service: "llm"})
 		if err != nil {
@@ -361,12 +361,12 @@
 
 		f.clock.Advance(tt.ran)
 
-		f.ended[a.Address()].Store(true)
+		f.crashed[a.Address()].Store(true)
 
 		j := &job{forwarder: f.Forwarder, request: &Request{ID: "r"}, fingerprint: 1, route: &ruleset.Route{Kind: tt.kind}}
 		f.recordLoss(t.Context(), j, a, tt.begun, upstream.ErrGarbled)
-		f.settle()
-		f.settleTo(len(tt.want))
+		f.runTerminationChecks()
+		f.awaitLosses(len(tt.want))
 
 		var got []quarantine.Evidence
 		for _, loss := range f.Quarantine.StoredLosses(f.clock.Now()) {
@@ -383,25 +383,25 @@
 // then was refused after it had tried those four, whose entries were still there, while two
 // would have taken it. A server that refuses a connection has run nothing, and says so at
 // once: while there is time and another server, a request is served.
-func TestARequestIsServedWhileOneServerTakesConnections(t *testing.T) {
-	f := newFarm(t)
-	f.answer = func(_ string, _ int, r *http.Request) string { return stream(r, 1, 2, false) }
+func TestRequestIsServedByOnlyReachableServer(t *testing.T) {
+	f := newCrashFixture(t)
+	f.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 2, false) }
 
-	for name, ended := range f.ended {
+	for name, ended := range f.crashed {
 		ended.Store(name != "llm-8")
 	}
 
 	if outcome, got := f.call("tell", "r"); outcome.Reason != Answered {
 		t.Errorf("one of %d servers is there: got %v after %d connections and %+v, want it answered",
-			len(f.ended), outcome.Reason, f.probed.Load(), got.refusals)
+			len(f.crashed), outcome.Reason, f.refusedDials.Load(), got.refusals)
 	}
 }
 
 // Servers behind a cut take no connection and refuse none, so that each that is tried takes
 // its time. A request is refused once its caller would leave, not after some count of them.
-func TestARequestGivesUpWhenItsCallerWouldLeave(t *testing.T) {
-	f := newFarm(t)
-	f.answer = func(_ string, _ int, r *http.Request) string { return stream(r, 1, 2, false) }
+func TestRequestFailsAfterAbandonDeadline(t *testing.T) {
+	f := newCrashFixture(t)
+	f.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 2, false) }
 
 	const slow = 700 * time.Millisecond
 
