--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -14,21 +14,21 @@
 	"monsoonlever/upstream"
 )
 
-// Errors of attempts.
+// Errors of attempts whose response header was received.
 var (
-	errUnsignedResponse = merry.Sentinel("answer is not signed by a backend server")
+	errUnsignedResponse = merry.Sentinel("response is not signed by a backend server")
 	errServerFailed     = merry.Sentinel("backend server failed the request")
-	errCallerWrite      = merry.Sentinel("answer could not be written to the caller")
+	errCallerWrite      = merry.Sentinel("response could not be written to the caller")
 )
 
-// bufferedResponse is an answer that is not a stream.
+// bufferedResponse is a complete response that was not relayed as a stream.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// attempt sends the request to one server and relays what comes.
+// attempt sends the request to one backend server and relays its response to the sink.
 func (f *Forwarder) attempt(ctx context.Context, j *job, sink Sink) error {
 	began := f.Clock.Now()
 	assignment, err := f.Scheduler.Place(ctx, f.Clock, j.schedulingRequest())
@@ -65,13 +65,16 @@
 	return err
 }
 
-// endAttempt tells the scheduler, and whoever tries a new version, how an attempt ended.
+// endAttempt reports the result of an attempt to the scheduler and to the trial of a new
+// version.
 func (f *Forwarder) endAttempt(ctx context.Context, j *job, a *scheduling.Assignment, err error) {
 	now, result := f.Clock.Now(), resultOf(ctx, err)
 	a.End(now, result)
 	j.trial.end(now, result, err)
 }
 
+// recordSendFailure records that no response header was received from a server, and
+// returns err. If the request may have been sent, the server counts as used.
 func (j *job) recordSendFailure(server upstream.Server, err error) error {
 	if errors.Is(err, backend.ErrNotSent) {
 		return err
@@ -82,15 +85,15 @@
 	j.mayHaveRun = true
 
 	if !j.route.Generative {
-		// A plain service begins at once. An engine begins with the first token, and
-		// says so with the header of its answer, which has not come.
+		// A plain service runs a request as soon as it is received. A model engine sends
+		// the header of its response when it begins to generate, and none was received.
 		j.countUsage()
 	}
 
 	return err
 }
 
-// countUsage counts the request as begun for the account's usage, once.
+// countUsage counts the request as started in the usage of its client account, once.
 func (j *job) countUsage() {
 	if !j.usageCounted && j.account != nil {
 		j.usageCounted = true
@@ -98,6 +101,7 @@
 	}
 }
 
+// resultOf returns what the error of an attempt means for the scheduler.
 func resultOf(ctx context.Context, err error) scheduling.Result {
 	switch {
 	case err == nil:
@@ -118,7 +122,7 @@
 	}
 }
 
-// relayResponse reads an answer whose header has come.
+// relayResponse evaluates the header of a response and relays the response.
 func (f *Forwarder) relayResponse(
 	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Response, sink Sink,
 ) error {
@@ -145,7 +149,7 @@
 	}
 
 	if reading.NotRun {
-		// The body says nothing more, but reading it keeps the connection.
+		// The body is read only so that the connection can be reused.
 		_, _ = answer.ReadAll(f.MaxResponseBytes)
 
 		return merry.Prepend(backend.ErrRefused, string(assignment.ID()))
@@ -161,14 +165,16 @@
 	return f.relayBuffered(j, answer, reading, sink)
 }
 
-// relayBuffered passes an answer on that is not a stream, once it is whole.
+// relayBuffered reads a response that is not a stream and writes it to the sink once it is
+// complete. A response of status 500 or above is kept as lastFailure instead, unless the
+// caller has events of a stream already.
 func (f *Forwarder) relayBuffered(j *job, answer *upstream.Response, reading Reading, sink Sink) error {
 	body, err := answer.ReadAll(f.MaxResponseBytes)
 	if err != nil {
 		return err
 	}
 
-	// The connection serves the next request while this answer is written.
+	// Close first: other requests can use the connection while this response is written.
 	answer.Close()
 
 	if !reading.Signed {
@@ -186,7 +192,7 @@
 	}
 
 	if err := sink.WriteResponse(answer.Status(), answer.Header(), body); err != nil {
-		return merry.Prepend(errCallerWrite, "write answer", merry.WithCause(err))
+		return merry.Prepend(errCallerWrite, "write response", merry.WithCause(err))
 	}
 
 	return nil
--- a/forward/counters.go
+++ b/forward/counters.go
@@ -6,10 +6,11 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// minQueued keeps requests that went on at once out of the times of those that did not.
+// minQueued is the shortest queueing time that is recorded, so that requests which did not
+// wait stay out of the histogram.
 const minQueued = 10 * time.Millisecond
 
-// Counters count outcomes. A nil pointer counts nothing.
+// Counters count the outcomes of requests. A nil *Counters counts nothing.
 type Counters struct {
 	outcomes    [reasons]*metrics.Counter
 	secondSends *metrics.Counter
@@ -17,7 +18,7 @@
 	queued      *metrics.Histogram
 }
 
-// NewCounters registers counters in a set.
+// NewCounters registers the counters of a forwarder in a set.
 func NewCounters(set *metrics.Set) *Counters {
 	c := &Counters{
 		secondSends: set.NewCounter("monsoonlever_forward_second_sends_total"),
--- a/forward/events.go
+++ b/forward/events.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// eventBuffer holds several events as engines send them.
+	// eventBuffer is the size in bytes of the read buffer: several events of a model engine
+	// fit into it.
 	eventBuffer = 2 << 10
-	// maxEventBytes bounds one event.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes = 1 << 20
 )
 
-// eventReader cuts a stream of server-sent events into whole ones.
+// eventReader splits a stream of server-sent events into single events.
 type eventReader struct {
 	reader *bufio.Reader
 	event  []byte
@@ -26,9 +27,9 @@
 
 var idField = []byte("id:")
 
-// next returns the bytes of the next whole event, its blank line included, and
-// its id. The bytes are valid until the next call. It returns io.EOF only between
-// events.
+// next returns the bytes of the next complete event, including its blank line, and its
+// id. The bytes are valid until the next call. It returns io.EOF if the stream ends between
+// events; any other error wraps upstream.ErrGarbled.
 func (e *eventReader) next() ([]byte, string, error) {
 	e.event = e.event[:0]
 	id := ""
@@ -60,14 +61,15 @@
 	}
 }
 
+// readError returns the error of next for an error of the reader.
 func (e *eventReader) readError(err error) error {
 	if errors.Is(err, io.EOF) {
 		if len(bytes.TrimSpace(e.event)) == 0 {
 			return io.EOF
 		}
 
-		// The cause of an error counts as what it is: io.EOF would say that the stream
-		// is whole.
+		// errors.Is also matches the cause of an error: with io.EOF as the cause the
+		// stream would count as complete.
 		err = io.ErrUnexpectedEOF
 	}
 
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,14 +1,14 @@
-// Package forward runs requests of forwarded routes: it finds the route and the
-// client account, spends the account's limit, places the request on a backend
-// server and relays its answer.
+// Package forward runs requests of forwarded routes: it finds the route and the client
+// account, takes the cost of the request from the account's limit, places the request on
+// a backend server and relays the server's response.
 //
-// A request that may not be repeated is given to another server only if the one
-// before said that it did not run it, or if no byte of it left this process. A
-// stream that may be resumed goes on at another server after the last whole event
-// that the caller has; the connection to the server before is closed first.
+// A non-idempotent request is sent to another server only if the previous server reported
+// that it did not run the request, or if no byte of it left this process. A resumable stream
+// is resumed at another server after the last complete event that the caller has; the
+// connection to the previous server is closed first.
 //
-// What is written on the wire is the business of a Protocol, and how an answer
-// reaches the caller that of a Sink.
+// A Protocol defines the messages to and from backend servers. A Sink writes the response
+// to the caller.
 //
 // # Usage
 //
@@ -39,54 +39,56 @@
 	"monsoonlever/upstream"
 )
 
-// Protocol translates between attempts and messages of backend servers.
+// Protocol encodes requests to backend servers and decodes the headers of their responses.
 type Protocol interface {
-	// Encode makes the message of an attempt.
+	// Encode returns the message of an attempt.
 	Encode(r *Request, a Attempt) *upstream.Request
-	// Inspect tells what an answer means.
+	// Inspect decodes the status and header of a response.
 	Inspect(status int, header http.Header) Reading
 }
 
-// Attempt is what the message of an attempt says beside the request.
+// Attempt holds what the message of an attempt contains in addition to the request.
 type Attempt struct {
 	Server  fleet.InstanceID
 	Account fleet.Account
-	// Remaining is the time until the answer is of no use.
+	// Remaining is the time until the deadline of the request.
 	Remaining time.Duration
-	// Priority is from 0, the most urgent, to 9.
+	// Priority ranges from 0, the most urgent, to 9.
 	Priority int
 	// ResumeAfter is the id of the last event that the caller has, or empty.
 	ResumeAfter string
-	Generative  bool
+	// Generative is set for a route to model engines.
+	Generative bool
 }
 
-// Reading is what an answer's header says.
+// Reading is the decoded header of a backend server's response.
 type Reading struct {
-	// Signed answers come from a backend server's program.
+	// Signed is set if the response comes from the backend server itself, and not from a
+	// proxy or another program at its address.
 	Signed bool
-	// NotRun is set where the server says that it did not run the request.
+	// NotRun is set if the server reports that it did not run the request.
 	NotRun bool
-	// Leaving is set where the server takes no further requests.
+	// Leaving is set if the server announces that it accepts no further requests.
 	Leaving bool
-	// Backoff is how long a server that turned the request away wants no further ones from
-	// this instance; zero where it does not say.
+	// Backoff is how long a server that rejected the request accepts no further requests
+	// from this instance; zero if the server announces none.
 	Backoff time.Duration
-	// Load is nil where the server did not tell it.
+	// Load is the load of the server, or nil if it reports none.
 	Load *scheduling.Load
-	// Limit is the rate of requests that the server takes from all instances together,
-	// nil where the answer does not say.
+	// Limit is the rate of requests that the server accepts from all instances together,
+	// or nil if it announces none.
 	Limit *ratelimit.Rate
 }
 
-// Usage counts requests as they begin to run.
+// Usage counts the started requests of client accounts.
 type Usage interface {
 	RequestStarted(account fleet.Account)
 }
 
-// Limits holds the limits of client accounts.
+// Limits enforces the rate limits of client accounts.
 type Limits interface {
-	// Take spends cost of an account's limit, if there is room. It may ask other
-	// instances, which takes some milliseconds.
+	// Take takes cost from the limit of an account, if enough remains. It may request
+	// more from other instances, which takes a few milliseconds.
 	Take(ctx context.Context, account fleet.Account, cost float64) quota.Decision
 }
 
@@ -103,40 +105,42 @@
 	Protocol  Protocol
 	Usage     Usage
 	Counters  *Counters
-	// Quarantine knows the requests that end backend servers.
+	// Quarantine records the requests that crash backend servers.
 	Quarantine *quarantine.Ledger
-	// Versions says which versions of servers requests go to, and Trials counts what comes
-	// of it while one is tried.
+	// Versions selects the server versions to which requests are sent, and Trials counts the
+	// results while a new version is tried. Either may be nil.
 	Versions *rollout.Gate
 	Trials   *rollout.Counter
-	// MaxResponseBytes bounds an answer that is not a stream.
+	// MaxResponseBytes bounds the body of a response that is not a stream.
 	MaxResponseBytes int64
-	// Observe is told each outcome; it may be nil.
+	// Observe is called with each request and its outcome; it may be nil.
 	Observe func(*Request, Outcome)
 
-	// terminationChecks are the servers that are being looked at, by their ids.
+	// terminationChecks holds the running checks for terminated servers, by server id.
 	terminationChecks singleflight.Group
 }
 
 const (
-	// defaultTimeout bounds requests whose caller and route name no time.
+	// defaultTimeout bounds requests for which neither the caller nor the route sets a
+	// timeout.
 	defaultTimeout = 30 * time.Second
-	// answerMargin is kept of a timeout to tell the caller the end.
+	// answerMargin is the part of a timeout that is reserved for writing a refusal to the
+	// caller.
 	answerMargin = 20 * time.Millisecond
-	// maxPriority is the least urgent priority of an engine.
+	// maxPriority is the least urgent priority that a model engine knows.
 	maxPriority = 9
-	// routePriorities is how many priorities of routes fit into one of accounts.
+	// routePriorities is the number of route priorities within one priority of an account.
 	routePriorities = 3
-	// startupRetryAfter is told to callers of an instance that has no rules yet: it reads them,
-	// and then what the others have spent, in about a second.
+	// startupRetryAfter is the Retry-After of an instance that has no rules yet. It reads the
+	// rules, and then the usage reported by other instances, in about a second.
 	startupRetryAfter = time.Second
-	// unavailableRetryAfter is told to callers who are refused for what may last: the store is
-	// away, no server is there.
+	// unavailableRetryAfter is the Retry-After for conditions of unknown duration, such as an
+	// unreachable store or a service without servers.
 	unavailableRetryAfter = 500 * time.Millisecond
 )
 
-// Serve runs a request to its final answer, which the sink has got when Serve
-// returns. ctx ends when the caller is gone.
+// Serve runs a request and returns once its final answer, a backend server's response or a
+// refusal, has been passed to the sink. ctx is cancelled when the caller disconnects.
 func (f *Forwarder) Serve(ctx context.Context, r *Request, sink Sink) Outcome {
 	j, refusal := f.prepare(ctx, r)
 	if refusal == nil {
@@ -166,7 +170,8 @@
 	return outcome
 }
 
-// prepare checks what needs no backend server: rules, key, limit.
+// prepare makes the checks that need no backend server: it finds the route, authorizes the
+// API key, checks the quarantine and takes the cost from the account's limit.
 func (f *Forwarder) prepare(ctx context.Context, r *Request) (*job, *Refusal) {
 	rules := f.Rules.Load()
 	if rules == nil {
@@ -176,7 +181,7 @@
 	route, ok := rules.Match(r.Host, r.Path)
 	if !ok {
 		if !f.Currency.Current() {
-			// The route may have been added since.
+			// The route may have been added since the rules were read.
 			return nil, notRunRefusal(StaleRules, unavailableRetryAfter)
 		}
 
@@ -202,6 +207,7 @@
 	return j, f.takeLimit(ctx, j)
 }
 
+// authorize sets the client account of a request from its API key, if the route requires one.
 func (f *Forwarder) authorize(j *job) *Refusal {
 	if !j.rules.Keyed() || j.route.Public {
 		return nil
@@ -221,17 +227,17 @@
 	return nil
 }
 
-// checkQuarantine refuses a request that is held off. It is not sent, and says when it may be
-// tried again.
+// checkQuarantine refuses a quarantined request, with the end of the quarantine as its
+// Retry-After.
 func (f *Forwarder) checkQuarantine(j *job) *Refusal {
-	if left, held := f.Quarantine.Quarantined(f.Clock.Now(), j.fingerprint); held {
+	if left, quarantined := f.Quarantine.Quarantined(f.Clock.Now(), j.fingerprint); quarantined {
 		return notRunRefusal(Quarantined, left)
 	}
 
 	return nil
 }
 
-// takeLimit spends the account's limit.
+// takeLimit takes the cost of the request from the account's limit, or refuses the request.
 func (f *Forwarder) takeLimit(ctx context.Context, j *job) *Refusal {
 	if j.account == nil || j.account.Rate <= 0 {
 		return nil
--- a/forward/job.go
+++ b/forward/job.go
@@ -16,7 +16,7 @@
 	"monsoonlever/upstream"
 )
 
-// job is the life of one request.
+// job is the state of one request over all its attempts.
 type job struct {
 	forwarder   *Forwarder
 	request     *Request
@@ -27,34 +27,40 @@
 	fingerprint quarantine.Fingerprint
 	deadline    time.Time
 
-	// sent counts the servers that got the request.
+	// sent counts the attempts in which bytes of the request may have reached a server.
 	sent int
-	// mayHaveRun is set once a server may have run it.
-	mayHaveRun   bool
+	// mayHaveRun is set once a server may have run the request.
+	mayHaveRun bool
+	// usageCounted is set once the request is counted in the usage of its client account.
 	usageCounted bool
-	excluded     []fleet.InstanceID
-	sentTo       []string
-	stream       streamProgress
-	// placed tells that a server was chosen before, and trial is what the attempt counts for.
+	// excluded are the servers that were picked before and must not be picked again.
+	excluded []fleet.InstanceID
+	// sentTo are the servers of the attempts that sent counts.
+	sentTo []string
+	stream streamProgress
+	// placed is set once a server was picked for the request.
 	placed bool
-	trial  trial
-	// queued is how long it was queued back while servers were busy.
+	// trial measures the current attempt for the trial of a new version.
+	trial trial
+	// queued is how long the request waited for the scheduler to place it.
 	queued time.Duration
-	// lastFailure is the newest answer of a server that failed, kept in case no other is
-	// better.
+	// lastFailure is the latest response of status 500 or above. The caller gets it if all
+	// further attempts fail.
 	lastFailure *bufferedResponse
 }
 
-// errRevoked means that the rules stopped being known as current, or changed so
-// that the request is not allowed any more, while it waited.
+// errRevoked means that, while the request waited, the rules could no longer be confirmed as
+// current, or changed so that they no longer allow the request.
 var errRevoked = merry.Sentinel("rules no longer allow the request")
 
-// errQuarantined means that servers have ended under the request while it waited.
-var errQuarantined = merry.Sentinel("backend servers end under the request")
+// errQuarantined means that the request was quarantined while it waited.
+var errQuarantined = merry.Sentinel("backend servers crashed while serving the request")
 
-// errServerBlocked means that the server announced after it was picked that it takes no requests.
-var errServerBlocked = merry.Sentinel("server takes no requests any more")
+// errServerBlocked means that the server announced after it was picked that it accepts no
+// requests.
+var errServerBlocked = merry.Sentinel("server no longer accepts requests")
 
+// timeout returns the shorter of the caller's and the route's timeout, or the default.
 func (j *job) timeout() time.Duration {
 	timeout := j.route.Timeout
 	if j.request.Timeout > 0 && (timeout <= 0 || j.request.Timeout < timeout) {
@@ -76,8 +82,8 @@
 	return string(j.account.Name)
 }
 
-// run tries backend servers until one answers. It returns nil if the sink has the
-// whole answer.
+// run sends the request to one backend server after another until one responds or no further
+// attempt is allowed. It returns nil if the sink has the complete response.
 func (f *Forwarder) run(ctx context.Context, j *job, sink Sink) *Refusal {
 	limited, cancel := context.WithTimeout(ctx, j.deadline.Sub(f.Clock.Now())-answerMargin)
 	defer cancel()
@@ -104,7 +110,7 @@
 	}
 }
 
-// cost returns what the request takes of the account's limit.
+// cost returns the cost of the request, in tokens or requests as the account's limit.
 func (j *job) cost() float64 {
 	if !j.account.InTokens {
 		return 1
@@ -117,7 +123,7 @@
 	return float64(j.account.DefaultTokens)
 }
 
-// shouldRetry decides whether another server is tried after an attempt that failed.
+// shouldRetry reports whether another server is tried after an attempt failed with err.
 func (j *job) shouldRetry(err error) bool {
 	if errors.Is(err, errRevoked) || errors.Is(err, scheduling.ErrNoServer) || errors.Is(err, errCallerWrite) ||
 		errors.Is(err, errQuarantined) {
@@ -133,9 +139,9 @@
 	}
 
 	if errors.Is(err, backend.ErrNotSent) {
-		// A server that took no connection has run nothing. Another one is tried for as
-		// long as there is one and the caller waits: entries of servers that ended
-		// together stay in the register for seconds.
+		// A server that accepted no connection has run nothing. Other servers are tried
+		// while there are any and the caller still waits, without a limit on their number:
+		// the entries of servers that crashed together stay in the register for seconds.
 		return j.forwarder.Clock.Now().Before(j.abandonDeadline())
 	}
 
@@ -152,7 +158,8 @@
 	return j.forwarder.Retries.Of(scope).Take(j.forwarder.Clock.Now())
 }
 
-// finalAnswer makes the final answer after the last attempt.
+// finalAnswer returns the refusal after the last attempt failed with err. It returns nil if
+// it wrote the last failed response to the sink instead.
 func (j *job) finalAnswer(err error, sink Sink) *Refusal {
 	if j.lastFailure != nil && j.stream.events == 0 {
 		if writeErr := sink.WriteResponse(j.lastFailure.status, j.lastFailure.header, j.lastFailure.body); writeErr == nil {
@@ -189,7 +196,7 @@
 	}
 }
 
-// retryAfter returns when a caller that servers turned away should come back.
+// retryAfter returns the Retry-After of a request that the backend servers rejected.
 func (j *job) retryAfter() time.Duration {
 	if wait, full := j.forwarder.Scheduler.RetryAfter(j.forwarder.Clock.Now(), j.service); full {
 		return wait
@@ -198,13 +205,15 @@
 	return unavailableRetryAfter
 }
 
-// checkBeforeSend is asked right before the request leaves, after every wait.
+// checkBeforeSend returns an error if the request must not be sent to the picked server. It
+// runs right before the first byte is sent, since the server's announcements, the quarantine
+// and the rules may have changed while the request waited for a place or a connection.
 func (j *job) checkBeforeSend(a *scheduling.Assignment) error {
 	if a.Blocked(j.forwarder.Clock.Now()) {
 		return errServerBlocked
 	}
 
-	if _, held := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.fingerprint); held {
+	if _, quarantined := j.forwarder.Quarantine.Quarantined(j.forwarder.Clock.Now(), j.fingerprint); quarantined {
 		return errQuarantined
 	}
 
@@ -213,7 +222,7 @@
 	}
 
 	if !j.forwarder.Currency.Current() {
-		return merry.Prepend(errRevoked, "not current")
+		return merry.Prepend(errRevoked, "rules are not current")
 	}
 
 	rules := j.forwarder.Rules.Load()
@@ -222,13 +231,14 @@
 	}
 
 	if account, ok := rules.AccountOf(j.request.APIKey); !ok || account.Name != j.account.Name {
-		return merry.Prepend(errRevoked, "key was taken away")
+		return merry.Prepend(errRevoked, "API key was revoked")
 	}
 
 	return nil
 }
 
-// priority ranks the request for an engine: the account first, then the route.
+// priority returns the priority of the request for a model engine. Requests are ranked by the
+// priority of their account first, then by that of their route.
 func (j *job) priority() int {
 	rank := j.route.Priority
 	if j.account != nil {
@@ -239,21 +249,22 @@
 }
 
 const (
-	// holdTimeoutShare is the part of a request's time for which it may be held back once it
-	// can't begin in time: the rest is for its stream, which takes some seconds in an
-	// overload.
+	// holdTimeoutShare is the share of a request's timeout for which it may be queued once it
+	// can't meet its objective. The rest is reserved for its stream, which takes some
+	// seconds under overload.
 	holdTimeoutShare = 0.4
-	// abandonObjectives is after how many objectives callers leave a stream that has shown
-	// nothing, and leastGiveUp the least of it.
+	// abandonObjectives is the number of objectives after which callers abandon a stream
+	// without any event, and minAbandonTimeout the lower bound of that time.
 	abandonObjectives = 4
 	minAbandonTimeout = 2 * time.Second
-	// rateLimitTimeout is how long a request without an objective, or the rest of a stream, waits
-	// for servers that limit their requests: callers leave a stream after two seconds.
+	// rateLimitTimeout is how long a request without an objective, or the rest of a stream,
+	// waits for servers that limit their request rate. Callers abandon a stream after two
+	// seconds.
 	rateLimitTimeout = time.Second
 )
 
-// abandonDeadline returns until when the caller waits for the begin of an answer, or for the
-// answer where none is expected sooner.
+// abandonDeadline returns until when the caller waits for the first event of a stream, or the
+// deadline of a request that has no objective or whose stream has begun.
 func (j *job) abandonDeadline() time.Time {
 	if j.route.Objective <= 0 || j.stream.begun {
 		return j.deadline
@@ -262,7 +273,8 @@
 	return j.request.Arrived.Add(max(abandonObjectives*j.route.Objective, minAbandonTimeout))
 }
 
-// schedulingRequest returns what the scheduler needs to know. A stream that has begun is not held.
+// schedulingRequest returns the scheduler's view of the next attempt. The rest of a stream that
+// has begun is not queued.
 func (j *job) schedulingRequest() scheduling.Request {
 	choice := j.chooseVersion()
 	r := scheduling.Request{
@@ -284,6 +296,8 @@
 	return r
 }
 
+// upstreamRequest returns the message of an attempt. A non-idempotent request requires a fresh
+// connection.
 func (j *job) upstreamRequest(a *scheduling.Assignment) *upstream.Request {
 	attempt := Attempt{
 		Server:      a.ID(),
--- a/forward/loss.go
+++ b/forward/loss.go
@@ -14,47 +14,50 @@
 	"monsoonlever/upstream"
 )
 
-// terminationDelay is the time from the first connection that a program which ends closes until
-// it takes no more.
+// terminationDelay is the time that a terminating process takes from closing its first
+// connection until it accepts no new ones.
 const terminationDelay = 20 * time.Millisecond
 
-// recordLoss counts against a request that its server ended under it, if it did. Nothing
-// but the end of a server that had not said it would leave counts: servers that are
-// reclaimed or replaced, or break answers off and go on, say nothing of a request. An end
-// counts however long the request had been answered: most at the begin of its answer, where
-// few others are with it. begun tells that the answer's header had come.
-func (f *Forwarder) recordLoss(ctx context.Context, j *job, a *scheduling.Assignment, begun bool, err error) {
+// recordLoss checks in the background whether the server crashed while it served the
+// request, and records that in the quarantine ledger. A server that announced it would leave
+// does not count, nor does one that aborts a response and keeps running: both say nothing
+// about the request. A crash counts however long the response has been streamed. It is
+// strong evidence at the start of a response, when few other requests are in the same state,
+// and weak evidence otherwise. headerReceived reports whether the header of the response was
+// received.
+func (f *Forwarder) recordLoss(ctx context.Context, j *job, a *scheduling.Assignment, headerReceived bool, err error) {
 	if !errors.Is(err, upstream.ErrGarbled) || ctx.Err() != nil || a.Leaving() {
 		return
 	}
 
 	evidence := quarantine.Weak
-	if j.route.Kind != ruleset.Streaming || begun && !a.AnswerBegun() {
+	if j.route.Kind != ruleset.Streaming || headerReceived && !a.AnswerBegun() {
 		evidence = quarantine.Strong
 	}
 
-	content, id := j.fingerprint, j.request.ID
-	probe := context.WithoutCancel(ctx)
+	fingerprint, id := j.fingerprint, j.request.ID
+	checkCtx := context.WithoutCancel(ctx)
 
 	go func() {
-		if !f.terminated(probe, a) {
+		if !f.terminated(checkCtx, a) {
 			return
 		}
 
 		now := f.Clock.Now()
-		f.Quarantine.RecordLoss(now, content, a.Server(), evidence)
-		_, held := f.Quarantine.Quarantined(now, content)
-		klog.InfoS("backend server ended under a request", "server", a.ID(), "id", id, "content", content,
-			"atBegin", evidence == quarantine.Strong, "held", held)
+		f.Quarantine.RecordLoss(now, fingerprint, a.Server(), evidence)
+		_, quarantined := f.Quarantine.Quarantined(now, fingerprint)
+		klog.InfoS("backend server ended under a request", "server", a.ID(), "id", id, "content", fingerprint,
+			"atBegin", evidence == quarantine.Strong, "held", quarantined)
 	}()
 }
 
-// terminated reports whether a server has terminated without having said that it would. Requests that
-// were lost together share the answer, also one that is noticed after the others have it.
+// terminated reports whether the process of a server has terminated without announcing that
+// it would leave. Requests that are lost together share one check, and a loss that is
+// detected after the check uses the result that the scheduler has recorded.
 func (f *Forwarder) terminated(ctx context.Context, a *scheduling.Assignment) bool {
 	server := upstream.Server{ID: a.ID(), Address: a.Address()}
 
-	ended, _, _ := f.terminationChecks.Do(string(server.ID), func() (any, error) {
+	terminated, _, _ := f.terminationChecks.Do(string(server.ID), func() (any, error) {
 		if a.KnownTerminated(f.Clock.Now()) {
 			return !a.Leaving(), nil
 		}
@@ -70,5 +73,5 @@
 		return true, nil
 	})
 
-	return ended == true
+	return terminated == true
 }
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -6,37 +6,39 @@
 	"monsoonlever/quarantine"
 )
 
-// Reason says how a request ended.
+// Reason is the reason why a request ended.
 type Reason int
 
 // The reasons.
 const (
-	// Answered requests got a backend server's answer.
+	// Answered means that the caller got a backend server's response.
 	Answered Reason = iota
 	// NoRules means that this instance has no rules yet.
 	NoRules
-	// StaleRules means that the rules may have changed since they were read.
+	// StaleRules means that this instance can't confirm that its rules are current, or that
+	// the rules changed and no longer allow the request.
 	StaleRules
-	// NoRoute means that no route fits host and path.
+	// NoRoute means that no route matches the host and path.
 	NoRoute
-	// Unauthorized means that the key is not held by a client account.
+	// Unauthorized means that the API key belongs to no client account.
 	Unauthorized
-	// OverLimit means that the client account has used up its limit.
+	// OverLimit means that the limit of the client account is exhausted.
 	OverLimit
-	// NoServer means that no backend server could take the request.
+	// NoServer means that the service has no backend server that accepts the request.
 	NoServer
-	// Overloaded means that the backend servers had no room.
+	// Overloaded means that the backend servers have no capacity for the request.
 	Overloaded
-	// TimedOut means that the time of the caller or the route is over.
+	// TimedOut means that the timeout of the caller or the route has passed.
 	TimedOut
-	// ResponseLost means that a backend server's answer did not come or was garbled.
+	// ResponseLost means that a backend server may have run the request, but no valid response
+	// was received.
 	ResponseLost
-	// StreamBroken means that a stream ended before its end.
+	// StreamBroken means that a stream of which the caller has the header could not be completed.
 	StreamBroken
-	// Quarantined means that backend servers have ended under the request, whichever its
-	// id, and that it is held off.
+	// Quarantined means that requests of the same content crashed several backend servers, and
+	// that the request is refused for a time.
 	Quarantined
-	// CallerGone means that the caller has left.
+	// CallerGone means that the caller disconnected.
 	CallerGone
 
 	reasons
@@ -50,40 +52,43 @@
 // String returns the name of the reason in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Refusal is a final answer that is not a backend server's.
+// Refusal is a final answer by this instance instead of a backend server's response.
 type Refusal struct {
 	Reason Reason
-	// NotRun promises that the request has not run and never will.
+	// NotRun guarantees that the request has not run and never will.
 	NotRun bool
-	// RetryAfter is when to come back; zero says nothing.
+	// RetryAfter is the time after which the caller may retry; zero leaves it out.
 	RetryAfter time.Duration
-	// Cause is the error behind it, for logs.
+	// Cause is the underlying error, for logs.
 	Cause string
 }
 
+// notRunRefusal returns the refusal of a request that was not sent to any server.
 func notRunRefusal(reason Reason, retryAfter time.Duration) *Refusal {
 	return &Refusal{Reason: reason, NotRun: true, RetryAfter: retryAfter}
 }
 
-// Outcome is what became of a request.
+// Outcome describes how a request ended.
 type Outcome struct {
 	Reason  Reason
 	NotRun  bool
 	Cause   string
 	Route   string
 	Account string
-	// Fingerprint is what the request asks for, alike for all attempts of its caller; zero
-	// where the account was not found.
+	// Fingerprint identifies the content of the request and is the same for all attempts of
+	// its caller; zero if the request was not authorized.
 	Fingerprint quarantine.Fingerprint
-	// RulesVersion is the version that the request was judged by, and RulesAge how long ago it
-	// was confirmed at the end.
+	// RulesVersion is the version of the rules under which the request was accepted, and
+	// RulesAge the time since the rules were last confirmed as current, at the end of the
+	// request.
 	RulesVersion uint64
 	RulesAge     time.Duration
-	// Servers are the backend servers it was sent to, in order.
+	// Servers are the backend servers to which the request was sent, in order.
 	Servers []string
-	// Events is the number of events that were relayed.
+	// Events is the number of relayed events.
 	Events int
-	// Queued is how long it was held back while servers were busy.
-	Queued   time.Duration
+	// Queued is how long the request waited for the scheduler to place it.
+	Queued time.Duration
+	// Duration is the time from the arrival of the request to its end.
 	Duration time.Duration
 }
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -13,19 +13,21 @@
 	"monsoonlever/upstream"
 )
 
-// streamProgress is how far the stream of one request has come, over all its servers.
+// streamProgress is the progress of the stream of one request, over all its servers.
 type streamProgress struct {
-	// begun is set once the caller has the header.
+	// begun is set once the header was written to the caller.
 	begun bool
-	// lastEventID is the id of the newest event that the caller has.
+	// lastEventID is the id of the last event that was accepted.
 	lastEventID string
-	events      int
+	// events counts the accepted events.
+	events int
 }
 
-// ErrOutOfOrder means that an event is missing, repeated or has no usable id.
+// ErrOutOfOrder means that an event is missing or repeated, or that its id is not a number.
 var ErrOutOfOrder = merry.Sentinel("event is out of order")
 
-// accept takes an event with an id in, if it is the next one.
+// accept records an event by its id. The error wraps ErrOutOfOrder if the event does not
+// follow the last one.
 func (r *streamProgress) accept(id string) error {
 	number, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
@@ -45,7 +47,7 @@
 	return nil
 }
 
-// relayStream passes whole events on as they come.
+// relayStream writes complete events to the sink as they are received.
 func (f *Forwarder) relayStream(
 	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Response, sink Sink,
 ) error {
@@ -79,7 +81,8 @@
 	}
 }
 
-// writeEvent writes one event, after the header of the first server's answer.
+// writeEvent writes one event, preceded by the response header if it is the first event of
+// the request.
 func (f *Forwarder) writeEvent(j *job, answer *upstream.Response, sink Sink, event []byte) error {
 	if !j.stream.begun {
 		if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
@@ -96,12 +99,13 @@
 	return nil
 }
 
+// endStream completes a stream whose response has ended.
 func (f *Forwarder) endStream(j *job, answer *upstream.Response, sink Sink) error {
 	if j.stream.begun {
 		return nil
 	}
 
-	// A stream may be empty, as one that is resumed after its last event.
+	// A stream may be empty: the caller may have resumed it after its last event.
 	if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
 		return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
 	}
--- a/forward/sink.go
+++ b/forward/sink.go
@@ -2,15 +2,15 @@
 
 import "net/http"
 
-// Sink takes the answer to one request. Its methods are called from one goroutine.
+// Sink writes the answer to one request. Its methods are called from one goroutine.
 type Sink interface {
-	// WriteResponse writes a whole answer.
+	// WriteResponse writes a complete response.
 	WriteResponse(status int, header http.Header, body []byte) error
-	// BeginStream writes the header of a stream.
+	// BeginStream writes the header of a stream. It is called once at most.
 	BeginStream(status int, header http.Header) error
-	// WriteEvent writes one event of a stream and sends it on.
+	// WriteEvent writes one event of a stream and flushes it.
 	WriteEvent(event []byte) error
-	// Refuse writes a final answer of our own. After Begin it breaks the stream
-	// off, so that it does not look complete.
+	// Refuse writes a refusal as the final answer. After BeginStream it aborts the stream,
+	// so that the caller does not take it for complete.
 	Refuse(Refusal)
 }
--- a/forward/trial.go
+++ b/forward/trial.go
@@ -10,23 +10,26 @@
 	"monsoonlever/scheduling"
 )
 
-// trial is what an attempt counts for while a new version of the service is tried. The zero
-// value counts nothing.
+// trial measures one attempt while a new version of the service is tried. The zero value
+// counts nothing.
 type trial struct {
-	counter    *rollout.Counter
-	service    fleet.Service
-	route      string
+	counter *rollout.Counter
+	service fleet.Service
+	route   string
+	// orderPlace is the place of the order for the new version.
 	orderPlace uint64
-	// newVersion tells that the server is of the new version.
+	// newVersion is set if the server runs the new version.
 	newVersion bool
 	sent       time.Time
-	// first and last are when events came, and events how many.
+	// first and last are when the first and the last event were received, and eventCount
+	// the number of events.
 	first, last time.Time
 	eventCount  int
 }
 
-// chooseVersion returns which versions the next attempt may go to. A request that was tried is not
-// tried at a new version again: it may be what fails there.
+// chooseVersion returns the server versions to which the next attempt may be sent. A request
+// is not sent to a new version after its first attempt, since the request itself may be what
+// fails there.
 func (j *job) chooseVersion() rollout.Choice {
 	if j.forwarder.Versions == nil {
 		return rollout.Choice{}
@@ -39,9 +42,9 @@
 	return j.forwarder.Versions.Choose(j.forwarder.Clock.Now(), j.service)
 }
 
-// startTrial notes an attempt at a server. What is sent to a new version counts before it is
-// sent, and what is sent to others once it has come there: neither makes the new version's
-// part look smaller than it is.
+// startTrial starts to measure an attempt at a server. An attempt at the new version is counted
+// before it is sent, one at another version only after it was sent, so that the counts never
+// understate the new version's share of the requests.
 func (j *job) startTrial(a *scheduling.Assignment) {
 	j.placed, j.trial = true, trial{}
 
@@ -65,7 +68,7 @@
 	}
 }
 
-// recordEvent notes that an recordEvent has come.
+// recordEvent records that an event was received.
 func (t *trial) recordEvent(now time.Time) {
 	if t.eventCount == 0 {
 		t.first = now
@@ -75,7 +78,7 @@
 	t.eventCount++
 }
 
-// end counts how the attempt ended.
+// end counts the result of the attempt.
 func (t *trial) end(now time.Time, result scheduling.Result, err error) {
 	if t.counter == nil {
 		return
@@ -90,8 +93,8 @@
 	}
 }
 
-// measuredTime returns what is held against others of the route: the mean time between events, or
-// the time of an answer that has none.
+// measuredTime returns the time by which versions are compared within a route: the mean time
+// between events, the duration of an attempt without events, or zero after a single event.
 func (t *trial) measuredTime(now time.Time) time.Duration {
 	switch t.eventCount {
 	case 0:
