--- a/scheduling/limit.go
+++ b/scheduling/limit.go
@@ -13,54 +13,55 @@
 	"monsoonlever/register"
 )
 
-// Permits grants requests to servers that announce a limit, over all instances.
+// Permits grants requests to servers that announce a limit, across all instances.
 type Permits interface {
-	// Acquire asks for one request that can wait for some time.
-	Acquire(ctx context.Context, server register.Process, limit ratelimit.Announcement, patience time.Duration) ratelimit.Permit
+	// Acquire requests a permit for one request that can wait for at most maxWait.
+	Acquire(ctx context.Context, server register.Process, limit ratelimit.Announcement, maxWait time.Duration) ratelimit.Permit
 }
 
 const (
-	// leastComeBack keeps callers that are refused from coming back for the same token.
-	leastComeBack = 300 * time.Millisecond
-	// askedServers bounds how many servers a request asks for room: each takes a round
-	// trip.
-	askedServers = 3
+	// minRetryAfter keeps refused callers from all retrying for the same next permit.
+	minRetryAfter = 300 * time.Millisecond
+	// maxPermitRequests bounds how many servers' permits are requested for one request: each
+	// takes a round trip.
+	maxPermitRequests = 3
 )
 
-// permitted reports whether a server that was picked may get the request now. One without
-// room is passed over until it may have some.
-func (s *Scheduler) permitted(ctx context.Context, clk clock.Clock, a *Assignment) bool {
-	if s.Permits == nil || a.server.announced().Rate == ratelimit.Unlimited {
+// acquirePermit reports whether the server that was picked may get the request now. A server
+// without a free permit is skipped until it may have one.
+func (s *Scheduler) acquirePermit(ctx context.Context, clk clock.Clock, a *Assignment) bool {
+	if s.Permits == nil || a.server.announcedLimit().Rate == ratelimit.Unlimited {
 		return true
 	}
 
-	return s.ask(ctx, clk, a.server, 0).Granted
+	return s.requestPermit(ctx, clk, a.server, 0).Granted
 }
 
-// ask asks for a permit and notes until when a server has no room. A caller that left
-// before the reply came says nothing of that.
-func (s *Scheduler) ask(ctx context.Context, clk clock.Clock, one *server, patience time.Duration) ratelimit.Permit {
-	permit := s.Permits.Acquire(ctx, one.entry().Process(), one.announced(), max(patience, 0))
+// requestPermit requests a permit and, if it is refused, records until when the server has no
+// room. A refusal after ctx ended is not recorded, since it may stem from the cancellation.
+func (s *Scheduler) requestPermit(ctx context.Context, clk clock.Clock, srv *server, maxWait time.Duration) ratelimit.Permit {
+	permit := s.Permits.Acquire(ctx, srv.entry().Process(), srv.announcedLimit(), max(maxWait, 0))
 	if !permit.Granted && ctx.Err() == nil {
-		one.fill(clk.Now().Add(permit.Wait))
+		srv.markFull(clk.Now().Add(permit.Wait))
 	}
 
 	return permit
 }
 
-// awaitRoom lets a request wait for room at one of the servers that announced that they take
-// none for now, the first that may have some. It is refused at once if none has room in time.
-// Without an assignment and an error there may be room by now.
+// awaitRoom waits until one of the servers that accept nothing now has room, starting with the
+// server that may have it first. It returns a NoRoomError immediately if none will have room by
+// WaitUntil. If it returns neither an assignment nor an error, a server may have room by now and
+// the caller picks again.
 func (s *Scheduler) awaitRoom(ctx context.Context, clk clock.Clock, r Request) (*Assignment, error) {
-	blocked := s.blockedFor(clk.Now(), &r)
+	blocked := s.blockedServers(clk.Now(), &r)
 	if len(blocked) == 0 {
-		return nil, s.noServer(clk.Now(), &r)
+		return nil, s.noServerError(clk.Now(), &r)
 	}
 
-	for _, one := range blocked[:min(len(blocked), askedServers)] {
+	for _, srv := range blocked[:min(len(blocked), maxPermitRequests)] {
 		now := clk.Now()
-		if one.announcements.backoff.Load().blocks(now, &r) {
-			wait := max(one.roomAt().Sub(now), holdEvery)
+		if srv.announcements.backoff.Load().blocks(now, &r) {
+			wait := max(srv.roomAt().Sub(now), holdInterval)
 			if now.Add(wait).After(r.WaitUntil) {
 				break
 			}
@@ -70,15 +71,15 @@
 			return nil, ctx.Err()
 		}
 
-		if one.roomAt().After(r.WaitUntil) {
+		if srv.roomAt().After(r.WaitUntil) {
 			break
 		}
 
-		permit := s.ask(ctx, clk, one, r.WaitUntil.Sub(now))
+		permit := s.requestPermit(ctx, clk, srv, r.WaitUntil.Sub(now))
 		if permit.Granted {
 			clock.Sleep(ctx, clk, permit.Wait)
 
-			return s.assign(clk.Now(), one, r), ctx.Err()
+			return s.assign(clk.Now(), srv, r), ctx.Err()
 		}
 
 		if ctx.Err() != nil {
@@ -86,226 +87,230 @@
 		}
 	}
 
-	return nil, &NoRoomError{RetryAfter: comeBackAt(clk.Now(), blocked)}
+	return nil, &NoRoomError{RetryAfter: retryAfter(clk.Now(), blocked)}
 }
 
-// blockedFor returns the servers that could take a request if they had room by what they
-// announced, those first that may have it soonest.
-func (s *Scheduler) blockedFor(now time.Time, r *Request) []*server {
-	blocked := s.serversFor(r, func(one *server) bool {
-		limited := s.Permits != nil && one.announced().Rate != ratelimit.Unlimited
+// blockedServers returns the servers that could take a request except for the limit or backoff
+// that they announced, in the order in which they may have room.
+func (s *Scheduler) blockedServers(now time.Time, r *Request) []*server {
+	blocked := s.serversFor(r, func(srv *server) bool {
+		limited := s.Permits != nil && srv.announcedLimit().Rate != ratelimit.Unlimited
 
-		return one.allowed(r) && (limited || one.announcements.backoff.Load().blocks(now, r))
+		return srv.allowed(r) && (limited || srv.announcements.backoff.Load().blocks(now, r))
 	})
 
-	// Instances that know of no difference spread over the servers.
+	// Servers with equal times are in random order, so that instances spread over them.
 	rand.Shuffle(len(blocked), func(i, j int) { blocked[i], blocked[j] = blocked[j], blocked[i] })
 	slices.SortStableFunc(blocked, func(a, b *server) int { return a.roomAt().Compare(b.roomAt()) })
 
 	return blocked
 }
 
-// serversFor returns the servers whose version may take a request and that fit.
-func (s *Scheduler) serversFor(r *Request, fits func(*server) bool) []*server {
-	pools := s.current.Load()
+// serversFor returns the servers whose version may take a request and that match.
+func (s *Scheduler) serversFor(r *Request, match func(*server) bool) []*server {
+	pools := s.pools.Load()
 	if pools == nil {
 		return nil
 	}
 
 	var servers []*server
 
-	for _, one := range r.versions((*pools)[r.Service]) {
-		if fits(one) {
-			servers = append(servers, one)
+	for _, srv := range r.matchVersions((*pools)[r.Service]) {
+		if match(srv) {
+			servers = append(servers, srv)
 		}
 	}
 
 	return servers
 }
 
-// noServer returns the error of a request that no server is left for. Where servers that had
-// it asked for backoff, it says when the first of them takes requests again; it is nil where
-// one takes them by now.
-func (s *Scheduler) noServer(now time.Time, r *Request) error {
-	if len(s.serversFor(r, func(one *server) bool { return one.fits(now, r) })) > 0 {
+// noServerError returns the error for a request that no server is left for. If servers requested
+// a backoff, the error says when the first of them accepts requests again. It is nil if a server
+// accepts requests by now.
+func (s *Scheduler) noServerError(now time.Time, r *Request) error {
+	if len(s.serversFor(r, func(srv *server) bool { return srv.eligible(now, r) })) > 0 {
 		return nil
 	}
 
-	backoff := s.serversFor(r, func(one *server) bool { return !one.leaves() && one.announcements.backoff.Load().blocks(now, r) })
+	backoff := s.serversFor(r, func(srv *server) bool { return !srv.isLeaving() && srv.announcements.backoff.Load().blocks(now, r) })
 	if len(backoff) == 0 {
 		return ErrNoServer
 	}
 
-	return &NoRoomError{RetryAfter: comeBackAt(now, backoff)}
+	return &NoRoomError{RetryAfter: retryAfter(now, backoff)}
 }
 
-// RetryAfter returns when a caller of a service should come back if none of its servers takes a
-// request now by what they announced, and whether that is so.
+// RetryAfter returns the time after which a caller of a service should retry, and reports whether
+// all servers of the service announced that they accept no requests now.
 func (s *Scheduler) RetryAfter(now time.Time, service fleet.Service) (time.Duration, bool) {
-	servers := s.serversFor(&Request{Service: service}, func(one *server) bool { return !one.leaves() })
-	if len(servers) == 0 || slices.ContainsFunc(servers, func(one *server) bool { return !one.full(now) }) {
+	servers := s.serversFor(&Request{Service: service}, func(srv *server) bool { return !srv.isLeaving() })
+	if len(servers) == 0 || slices.ContainsFunc(servers, func(srv *server) bool { return !srv.full(now) }) {
 		return 0, false
 	}
 
-	return comeBackAt(now, servers), true
+	return retryAfter(now, servers), true
 }
 
-// comeBackAt returns when a caller that is refused should come back: once the first of
-// some servers may have room. Those that are refused together come back apart.
-func comeBackAt(now time.Time, blocked []*server) time.Duration {
+// retryAfter returns the time after which a refused caller should retry: once the first of the
+// blocked servers may have room, plus a random time, so that callers that are refused together
+// don't return together.
+func retryAfter(now time.Time, blocked []*server) time.Duration {
 	first := slices.MinFunc(blocked, func(a, b *server) int { return a.roomAt().Compare(b.roomAt()) })
-	wait := max(first.roomAt().Sub(now), leastComeBack)
+	wait := max(first.roomAt().Sub(now), minRetryAfter)
 
 	return wait + rand.N(wait)
 }
 
 // assign returns the assignment of a request to a server.
-func (s *Scheduler) assign(now time.Time, one *server, r Request) *Assignment {
+func (s *Scheduler) assign(now time.Time, srv *server, r Request) *Assignment {
 	keys := r.Prompt.keys()
-	a := &Assignment{scheduler: s, server: one, prompt: r.Prompt, keys: keys}
-	a.unread = r.Prompt.unread(one.held(now, keys, r.Prompt), false)
-	s.measure(now, a, r)
+	a := &Assignment{scheduler: s, server: srv, prompt: r.Prompt, keys: keys}
+	a.uncachedTokens = r.Prompt.uncachedTokens(srv.cachedTokens(now, keys, r.Prompt), false)
+	s.attachMeter(now, a, r)
 
 	return a
 }
 
-// LimitChange says that a server announced another limit than before.
+// LimitChange reports that a server announced a limit that differs from the one before.
 type LimitChange struct {
 	Server        register.Process
 	Before, After ratelimit.Rate
 }
 
-// AnnouncedLimit takes in which limit, or none, an answer to this attempt announced.
+// AnnouncedLimit records the limit that an answer to this attempt announced. A rate of
+// ratelimit.Unlimited means that the server has no limit.
 func (a *Assignment) AnnouncedLimit(now time.Time, rate ratelimit.Rate) {
-	if rate == ratelimit.Unlimited && a.server.announcements.limited.Load() == nil {
+	if rate == ratelimit.Unlimited && a.server.announcements.limit.Load() == nil {
 		return
 	}
 
-	known := a.server.announced()
-	a.scheduler.announce(a.server, known.Observed(rate, a.startedAt, now), true)
+	known := a.server.announcedLimit()
+	a.scheduler.applyLimit(a.server, known.Observed(rate, a.startedAt, now), true)
 }
 
-// Merge takes in what another instance knows of a server, and returns the newest. Of a
-// server that is not known here it returns what the other knows.
-func (s *Scheduler) Merge(start register.Process, other ratelimit.Announcement) ratelimit.Announcement {
+// Merge merges another instance's announcement of a server with the one known here, and returns
+// the newest. If the server is not known here, it returns the other instance's announcement.
+func (s *Scheduler) Merge(process register.Process, other ratelimit.Announcement) ratelimit.Announcement {
 	byKey := s.byKey.Load()
 	if byKey == nil {
 		return other
 	}
 
-	one := (*byKey)[keyOfStart(start)]
-	if one == nil {
+	srv := (*byKey)[keyOfProcess(process)]
+	if srv == nil {
 		return other
 	}
 
-	s.announce(one, one.announced().Received(other), true)
+	s.applyLimit(srv, srv.announcedLimit().Received(other), true)
 
-	return one.announced()
+	return srv.announcedLimit()
 }
 
-// receiveLimit takes in what another instance passed on.
-func (s *Scheduler) receiveLimit(now time.Time, one *server, l ServerLimit, up bool) {
+// receiveLimit applies a limit from another instance's update.
+func (s *Scheduler) receiveLimit(now time.Time, srv *server, l ServerLimit, upstream bool) {
 	at := now.Add(-time.Duration(l.AgeMs) * time.Millisecond)
 	other := ratelimit.Announcement{Rate: l.Rate, At: at}
-	s.announce(one, one.announced().Received(other), up)
+	s.applyLimit(srv, srv.announcedLimit().Received(other), upstream)
 }
 
-// limitFor returns what others are sent of a server's announcement.
-func (s *server) limitFor(now time.Time) ServerLimit {
-	known := s.announced()
+// limitUpdate returns the server's limit as it is sent to other instances.
+func (s *server) limitUpdate(now time.Time) ServerLimit {
+	known := s.announcedLimit()
 	age := min(max(now.Sub(known.At), 0).Milliseconds(), math.MaxUint32)
 
 	return ServerLimit{Server: s.key, Rate: known.Rate, AgeMs: uint32(age)}
 }
 
-// announce takes an announcement in, if it is newer than what is known, and notes it for
-// others.
-func (s *Scheduler) announce(one *server, next ratelimit.Announcement, up bool) {
-	before, newer := one.announce(next)
+// applyLimit stores an announcement if it is newer than the known one, and queues it for other
+// instances.
+func (s *Scheduler) applyLimit(srv *server, next ratelimit.Announcement, upstream bool) {
+	before, newer := srv.updateLimit(next)
 	if !newer || before.Rate == ratelimit.Unlimited && next.Rate == ratelimit.Unlimited {
 		return
 	}
 
 	changed := before.Rate != next.Rate
 	if changed && s.OnLimitChange != nil {
-		s.OnLimitChange(LimitChange{Server: one.entry().Process(), Before: before.Rate, After: next.Rate})
+		s.OnLimitChange(LimitChange{Server: srv.entry().Process(), Before: before.Rate, After: next.Rate})
 	}
 
-	s.outboxes[Downstream].limited(one, changed)
+	s.outboxes[Downstream].addLimit(srv, changed)
 
-	if up {
-		s.outboxes[Upstream].limited(one, changed)
+	if upstream {
+		s.outboxes[Upstream].addLimit(srv, changed)
 	}
 }
 
-// limited is what is known of the limit of one server.
-type limited struct {
-	announced ratelimit.Announcement
-	// fullUntil is until when it has no room for a request.
+// limitState is the limit that a server announced, and whether it is used up.
+type limitState struct {
+	announcement ratelimit.Announcement
+	// fullUntil is until when the server has no free permit.
 	fullUntil time.Time
 }
 
-// limit returns what is known of the server's limit.
-func (s *server) limit() limited {
-	if known := s.announcements.limited.Load(); known != nil {
+// limitState returns the server's limit state, or the zero value if it announced no limit.
+func (s *server) limitState() limitState {
+	if known := s.announcements.limit.Load(); known != nil {
 		return *known
 	}
 
-	return limited{}
+	return limitState{}
 }
 
-// announce returns the announcement before, and whether the next one is newer.
-func (s *server) announce(next ratelimit.Announcement) (ratelimit.Announcement, bool) {
+// updateLimit stores the newer of the known and the next announcement. It returns the
+// announcement before, and reports whether the announcement changed.
+func (s *server) updateLimit(next ratelimit.Announcement) (ratelimit.Announcement, bool) {
 	s.announcements.mu.Lock()
 	defer s.announcements.mu.Unlock()
 
-	before := s.limit()
-	after := limited{announced: before.announced.Newest(next), fullUntil: before.fullUntil}
+	before := s.limitState()
+	after := limitState{announcement: before.announcement.Newest(next), fullUntil: before.fullUntil}
 
-	if after.announced == before.announced {
-		return before.announced, false
+	if after.announcement == before.announcement {
+		return before.announcement, false
 	}
 
-	if after.announced.Rate == ratelimit.Unlimited {
+	if after.announcement.Rate == ratelimit.Unlimited {
 		after.fullUntil = time.Time{}
 	}
 
-	s.announcements.limited.Store(&after)
+	s.announcements.limit.Store(&after)
 
-	return before.announced, true
+	return before.announcement, true
 }
 
-// announced returns the newest announcement.
-func (s *server) announced() ratelimit.Announcement { return s.limit().announced }
+// announcedLimit returns the newest announcement.
+func (s *server) announcedLimit() ratelimit.Announcement { return s.limitState().announcement }
 
-// fill notes that a server has no room until a time.
-func (s *server) fill(until time.Time) {
+// markFull records until when a server with a limit has no free permit.
+func (s *server) markFull(until time.Time) {
 	s.announcements.mu.Lock()
 	defer s.announcements.mu.Unlock()
 
-	known := s.limit()
-	if known.announced.Rate != ratelimit.Unlimited {
+	known := s.limitState()
+	if known.announcement.Rate != ratelimit.Unlimited {
 		known.fullUntil = until
-		s.announcements.limited.Store(&known)
+		s.announcements.limit.Store(&known)
 	}
 }
 
-// full reports whether a server is known to have no room by what it announced.
+// full reports whether the server accepts no requests now, by its limit or its backoff.
 func (s *server) full(now time.Time) bool { return now.Before(s.roomAt()) }
 
-// roomAt returns when a server may have room.
+// roomAt returns when the server may have room: the later of the next free permit and the end of
+// the backoff.
 func (s *server) roomAt() time.Time {
-	full, backoff := s.limit().fullUntil, s.announcements.returns()
-	if backoff.After(full) {
-		return backoff
+	fullUntil, resumeAt := s.limitState().fullUntil, s.announcements.resumeAt()
+	if resumeAt.After(fullUntil) {
+		return resumeAt
 	}
 
-	return full
+	return fullUntil
 }
 
 // LimitedServers returns how many servers announce a limit.
 func (s *Scheduler) LimitedServers() int {
-	return s.countServers(func(one *server) bool {
-		return !one.leaves() && one.announced().Rate != ratelimit.Unlimited
+	return s.countServers(func(srv *server) bool {
+		return !srv.isLeaving() && srv.announcedLimit().Rate != ratelimit.Unlimited
 	})
 }
--- a/scheduling/meter.go
+++ b/scheduling/meter.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// meterSpan is the time over which arriving work is averaged.
-	meterSpan = 4 * time.Second
-	// speedSamples is how many answers the speed of servers is read from.
+	// arrivalWindow is the time over which the arrival rate is averaged.
+	arrivalWindow = 4 * time.Second
+	// speedSamples is the number of answers from which speeds and read rates are derived.
 	speedSamples = 48
-	// speedRank is the part of the samples that are slower than the speed that
-	// counts: most prompts wait for others, and only those that do not show it.
-	speedRank = 0.8
-	// speedHalfLife is the time in which a speed that is not seen again counts half.
+	// speedQuantile is the quantile of the samples that is taken as the speed of an idle server.
+	// Most prompts wait behind others; only those that don't show the speed.
+	speedQuantile = 0.8
+	// speedHalfLife is the time in which the maximum speed halves unless it is seen again.
 	speedHalfLife = 90 * time.Second
-	// minSample is the least work that shows a speed; below it fixed times count, and
-	// the few samples that make the first speed.
-	minSample = 1500
-	// minRead is the least work, all that waited included, that shows a rate of reading.
-	minRead    = 6000
-	minSamples = 4
+	// minSpeedTokens is the least prompt size that gives a speed sample; fixed delays dominate
+	// below it. minSamples is the number of samples from which a quantile is computed.
+	minSpeedTokens = 1500
+	// minReadTokens is the least number of tokens, backlog included, that gives a sample of the
+	// read rate.
+	minReadTokens = 6000
+	minSamples    = 4
 )
 
-// Work is what arrives at a service and what its servers can do, in tokens of
-// prompts a second. Only the tokens of the request itself count in both: whether a
-// server has to read the shared parts is known to no single instance.
+// Work is the prompt tokens a second that arrive at a service, and the speed at which one of its
+// servers reads them. Both count only the tokens that belong to the request alone: no single
+// instance knows whether a server has to read the shared segments.
 type Work struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Service  fleet.Service
@@ -37,7 +38,7 @@
 	Speed    float64
 }
 
-// samples are the newest of some numbers.
+// samples is a ring of the newest speedSamples numbers.
 type samples struct {
 	values []float64
 	next   int
@@ -54,51 +55,51 @@
 	s.next = (s.next + 1) % speedSamples
 }
 
-// rank returns the number below which a part of the others lies, and whether there are
-// enough of them.
-func (s *samples) rank(part float64) (float64, bool) {
+// quantile returns the q-quantile of the samples, and reports whether there are enough of them.
+func (s *samples) quantile(q float64) (float64, bool) {
 	n := len(s.values)
 	if n < minSamples {
 		return 0, false
 	}
 
-	return slices.Sorted(slices.Values(s.values))[min(int(float64(n)*part), n-1)], true
+	return slices.Sorted(slices.Values(s.values))[min(int(float64(n)*q), n-1)], true
 }
 
-// meter measures one service.
+// meter measures the arrival rate and the speeds of one service.
 type meter struct {
-	mu   sync.Mutex
-	rate float64
-	at   time.Time
-	// speeds are those at which servers read prompts of some size, waiting included, and
-	// reads those at which they read what waited there; both in tokens a second.
-	speeds, reads samples
-	// speed is the highest speed of late.
-	speed   float64
-	speedAt time.Time
+	mu          sync.Mutex
+	arrivalRate float64
+	decayedAt   time.Time
+	// speeds are the speeds at which servers read single prompts, waiting included, and readRates
+	// the rates at which they read a prompt and the backlog before it; both in tokens a second.
+	speeds, readRates samples
+	// maxSpeed is the highest recent speed. It halves in each speedHalfLife.
+	maxSpeed   float64
+	maxSpeedAt time.Time
 }
 
-// arrived counts work.
-func (m *meter) arrived(now time.Time, tokens int) {
+// addArrival counts prompt tokens that arrived.
+func (m *meter) addArrival(now time.Time, tokens int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fade(now)
-	m.rate += float64(tokens) / meterSpan.Seconds()
+	m.decayArrivals(now)
+	m.arrivalRate += float64(tokens) / arrivalWindow.Seconds()
 }
 
-func (m *meter) fade(now time.Time) {
-	if !m.at.IsZero() {
-		m.rate *= math.Exp(-float64(now.Sub(m.at)) / float64(meterSpan))
+func (m *meter) decayArrivals(now time.Time) {
+	if !m.decayedAt.IsZero() {
+		m.arrivalRate *= math.Exp(-float64(now.Sub(m.decayedAt)) / float64(arrivalWindow))
 	}
 
-	m.at = now
+	m.decayedAt = now
 }
 
-// read takes in how long a server took to read a prompt, waiting included. tokens are
-// those that no server can have read before: what other instances sent there is not
-// known here, and counting it would make a server with a good cache look fast.
-func (m *meter) read(tokens int, took time.Duration) {
-	if tokens < minSample || took <= 0 {
+// recordSpeed records how long a server took to read a prompt, waiting included. tokens are
+// those that no server can have cached: this instance doesn't know which shared segments were
+// cached on behalf of other instances, and counting them would make a server with a good cache
+// look fast.
+func (m *meter) recordSpeed(tokens int, took time.Duration) {
+	if tokens < minSpeedTokens || took <= 0 {
 		return
 	}
 
@@ -108,58 +109,58 @@
 	m.speeds.add(float64(tokens) / took.Seconds())
 }
 
-// readAll takes in how long a server took to read a prompt and what waited before it.
-func (m *meter) readAll(tokens int64, took time.Duration) {
-	if tokens < minRead || took <= 0 {
+// recordReadRate records how long a server took to read a prompt and the backlog before it.
+func (m *meter) recordReadRate(tokens int64, took time.Duration) {
+	if tokens < minReadTokens || took <= 0 {
 		return
 	}
 
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	m.reads.add(float64(tokens) / took.Seconds())
+	m.readRates.add(float64(tokens) / took.Seconds())
 }
 
-// readRate returns the rate at which servers read, as the middle one of late, or zero
-// while it is not known.
-func (m *meter) readRate() float64 {
+// medianReadRate returns the median of the recent read rates in tokens a second, or zero while it
+// is unknown.
+func (m *meter) medianReadRate() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	middle, _ := m.reads.rank(0.5)
+	median, _ := m.readRates.quantile(0.5)
 
-	return middle
+	return median
 }
 
 func (m *meter) work(now time.Time, service fleet.Service) Work {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fade(now)
+	m.decayArrivals(now)
 
-	w := Work{Service: service, Arriving: m.rate}
+	work := Work{Service: service, Arriving: m.arrivalRate}
 
-	w.Speed = m.newSpeed(now)
+	work.Speed = m.idleSpeed(now)
 
-	return w
+	return work
 }
 
-// newSpeed returns the speed of an idle server. It fades slowly: servers that are
-// overloaded show less, and must not be taken for slow ones.
-func (m *meter) newSpeed(now time.Time) float64 {
-	if !m.speedAt.IsZero() {
-		m.speed *= math.Exp2(-float64(now.Sub(m.speedAt)) / float64(speedHalfLife))
+// idleSpeed returns the speed of an idle server. It decays slowly, because overloaded servers
+// show a lower speed and must not be taken for slow ones.
+func (m *meter) idleSpeed(now time.Time) float64 {
+	if !m.maxSpeedAt.IsZero() {
+		m.maxSpeed *= math.Exp2(-float64(now.Sub(m.maxSpeedAt)) / float64(speedHalfLife))
 	}
 
-	m.speedAt = now
+	m.maxSpeedAt = now
 
-	if speed, ok := m.speeds.rank(speedRank); ok {
-		m.speed = max(m.speed, speed)
+	if speed, ok := m.speeds.quantile(speedQuantile); ok {
+		m.maxSpeed = max(m.maxSpeed, speed)
 	}
 
-	return m.speed
+	return m.maxSpeed
 }
 
-// Work returns what this instance measured of each service.
+// Work returns the measurements of this instance for each service.
 func (s *Scheduler) Work(now time.Time) []Work {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +173,7 @@
 	return work
 }
 
-// meter returns the meter of a service.
+// meter returns the meter of a service, and creates it on first use.
 func (s *Scheduler) meter(service fleet.Service) *meter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduling/relayed_test.go
+++ b/scheduling/relays_test.go
@@ -9,15 +9,15 @@
 )
 
 // relayed are schedulers of which two relays tell each other, and members a relay each.
-type relayed struct {
+type relayTopology struct {
 	relays  map[fleet.InstanceID]*Scheduler
 	members map[fleet.InstanceID]*Scheduler
 	// relayOf is the relay of each member.
 	relayOf map[fleet.InstanceID]fleet.InstanceID
 }
 
-func newRelayed() *relayed {
-	r := &relayed{
+func newRelayTopology() *relayTopology {
+	r := &relayTopology{
 		relays: make(map[fleet.InstanceID]*Scheduler), members: make(map[fleet.InstanceID]*Scheduler),
 		relayOf: map[fleet.InstanceID]fleet.InstanceID{"a-1": "relay-a", "a-2": "relay-a", "b-1": "relay-b"},
 	}
@@ -31,7 +31,7 @@
 }
 
 // exchange passes all news on.
-func (r *relayed) exchange(now time.Time) {
+func (r *relayTopology) exchange(now time.Time) {
 	for id, member := range r.members {
 		r.relays[r.relayOf[id]].ApplyUpdate(now, id, Subscriber, member.TakeUpdate(now, Upstream))
 	}
@@ -58,8 +58,8 @@
 }
 
 // Told in sums, each instance knows what all others have waiting, and counts its own once.
-func TestBacklogsToldInSumsCountOnce(t *testing.T) {
-	r := newRelayed()
+func TestRelayedBacklogsAreCountedOnce(t *testing.T) {
+	r := newRelayTopology()
 	all := []*Scheduler{r.members["a-1"], r.members["a-2"], r.members["b-1"], r.relays["relay-a"], r.relays["relay-b"]}
 	assignments := make([]*Assignment, 0, len(all))
 	sum := int64(0)
@@ -75,7 +75,7 @@
 
 	for i, s := range all {
 		server := s.servers["i-0"]
-		if got := server.pending.Load() + server.waiting(now); got != sum {
+		if got := server.pendingTokens.Load() + server.remotePending(now); got != sum {
 			t.Errorf("instance %d: got %d tokens waiting, want %d", i, got, sum)
 		}
 	}
@@ -91,16 +91,16 @@
 	r.exchange(now)
 
 	for i, s := range all {
-		if got := s.servers["i-0"].waiting(now); got != 0 {
+		if got := s.servers["i-0"].remotePending(now); got != 0 {
 			t.Errorf("instance %d after all were read: got %d tokens waiting, want none", i, got)
 		}
 	}
 }
 
 // What a server holds reaches all instances once, and is not told again for a while.
-func TestHoldingsAreToldOnce(t *testing.T) {
-	r := newRelayed()
-	p := prompt("session")
+func TestCachedSegmentsArePublishedOnce(t *testing.T) {
+	r := newRelayTopology()
+	p := promptRequest("session")
 
 	for range 3 {
 		a := pick(t, r.members["a-1"], p)
@@ -109,7 +109,7 @@
 		a.End(now, Served)
 	}
 
-	if got := len(r.members["a-1"].outboxes[Upstream].holdings); got != 2 {
+	if got := len(r.members["a-1"].outboxes[Upstream].segments); got != 2 {
 		t.Errorf("holdings to tell: got %d, want that of the common parts and that of all", got)
 	}
 
@@ -118,7 +118,7 @@
 	keys := p.Prompt.keys()
 
 	for id, s := range r.members {
-		if got := s.servers["i-0"].held(now, keys, p.Prompt); got != p.Prompt.Tokens {
+		if got := s.servers["i-0"].cachedTokens(now, keys, p.Prompt); got != p.Prompt.Tokens {
 			t.Errorf("%s: got %d tokens held, want %d", id, got, p.Prompt.Tokens)
 		}
 	}
@@ -133,8 +133,8 @@
 }
 
 // The load that a server told one instance reaches all.
-func TestLoadsReachAllThroughRelays(t *testing.T) {
-	r := newRelayed()
+func TestLoadsReachAllInstancesThroughRelays(t *testing.T) {
+	r := newRelayTopology()
 	r.members["b-1"].RecordLoad(now, "i-0", Load{Running: 5, Waiting: 2})
 	r.exchange(now)
 
