--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,18 +1,19 @@
-// Package directory names the relays among many entry instances.
+// Package directory names the relays of a large fleet of entry instances.
 //
-// A directory is one small record that lasts on the platform. An instance that starts reads
-// it, turns to a relay, and gets everything else from there, so that what it reads at the
-// origin does not grow with the number of instances. Of few instances it says only that they
-// are few: these find each other by themselves.
+// A directory is one small record in persistent storage of the platform. An instance that
+// starts reads it, subscribes to one of its relays, and gets all other state from that relay.
+// The amount that an instance reads at the origin therefore does not grow with the number of
+// instances. The directory of a small fleet names no relays: its instances form a full mesh and
+// find each other without it.
 //
-// The instances that lead keep the directory up to date. A Keeper is the step by which one
-// of them decides: what relays report goes in, the next directory comes out.
+// The leaders keep the directory up to date. A Planner is the state machine by which a leader
+// decides: the reports of the relays are its input, the next directory is its output.
 //
 // # Usage
 //
-//	var keeper directory.Keeper
-//	keeper.Report(now, report)
-//	if next, changed := keeper.Next(now, current); changed {
+//	var planner directory.Planner
+//	planner.AddReport(now, report)
+//	if next, changed := planner.Next(now, current); changed {
 //		data, err := next.Marshal()
 //	}
 package directory
@@ -28,18 +29,19 @@
 	"monsoonlever/topology"
 )
 
-// Directory names the relays among a number of instances.
+// Directory names the relays of a fleet and the number of its instances.
 type Directory struct {
-	// Relays are the relays, where there are many instances.
+	// Relays are the relays of a large fleet, empty for a full mesh.
 	Relays []topology.Member
-	// Count is how many instances there were when it was written.
+	// Count is the number of instances when the directory was written.
 	Count int
-	// Forming is set while Count is not known: an instance that started first asks the
-	// others to turn to it.
+	// Forming is set while Count is unknown: the first instance of the fleet lists itself as
+	// the relay that the others subscribe to.
 	Forming bool
 }
 
-// FullMesh reports whether the instances are so few that they find each other by themselves.
+// FullMesh reports whether the fleet is small enough that all instances exchange messages
+// directly.
 func (d *Directory) FullMesh() bool { return !d.Forming && d.Count <= topology.FullMeshMax }
 
 // HasRelay reports whether an instance is one of the relays.
@@ -53,14 +55,14 @@
 	return false
 }
 
-// record is a Directory as it is written.
+// record is the encoded form of a Directory.
 type record struct {
 	Relays  []Member `msgpack:"r"`
 	Count   int      `msgpack:"c"`
 	Forming bool     `msgpack:"f,omitempty"`
 }
 
-// Member is a topology.Member in messages and records.
+// Member is the encoded form of a topology.Member in messages and records.
 type Member struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	ID       fleet.InstanceID
@@ -69,33 +71,33 @@
 	Cores    float64
 }
 
-// MemberOf returns a member as it is written.
+// MemberOf returns the encoded form of a member.
 func MemberOf(m topology.Member) Member {
 	return Member{ID: m.ID, Domain: m.Domain, Address: m.Address.String(), Cores: m.Cores}
 }
 
-// Member returns the member that was written. One without a usable address is not sent
-// anything.
+// Member returns the decoded member. Its Address is the zero value if the encoded address is
+// invalid; nothing is sent to such a member.
 func (m Member) Member() topology.Member {
 	address, _ := netip.ParseAddrPort(m.Address)
 
 	return topology.Member{ID: m.ID, Domain: m.Domain, Address: address, Cores: m.Cores}
 }
 
-// MembersOf returns members as they are written.
+// MembersOf returns the encoded form of members.
 func MembersOf(members []topology.Member) []Member {
-	written := make([]Member, 0, len(members))
+	encoded := make([]Member, 0, len(members))
 	for _, m := range members {
-		written = append(written, MemberOf(m))
+		encoded = append(encoded, MemberOf(m))
 	}
 
-	return written
+	return encoded
 }
 
-// TopologyMembers returns the members that were written.
-func TopologyMembers(written []Member) []topology.Member {
-	members := make([]topology.Member, 0, len(written))
-	for _, m := range written {
+// TopologyMembers returns the decoded members.
+func TopologyMembers(encoded []Member) []topology.Member {
+	members := make([]topology.Member, 0, len(encoded))
+	for _, m := range encoded {
 		members = append(members, m.Member())
 	}
 
@@ -107,7 +109,8 @@
 	return msgpack.Marshal(&record{Relays: MembersOf(d.Relays), Count: d.Count, Forming: d.Forming})
 }
 
-// Unmarshal decodes a directory.
+// Unmarshal decodes a directory. It returns an error for malformed data and for a negative
+// count.
 func Unmarshal(data []byte) (*Directory, error) {
 	var r record
 	if err := codec.Unmarshal(data, &r); err != nil {
@@ -115,7 +118,7 @@
 	}
 
 	if r.Count < 0 {
-		return nil, merry.Errorf("directory of %d instances", r.Count)
+		return nil, merry.Errorf("directory has a negative number of instances: %d", r.Count)
 	}
 
 	return &Directory{Relays: TopologyMembers(r.Relays), Count: r.Count, Forming: r.Forming}, nil
--- a/directory/planner.go
+++ b/directory/planner.go
@@ -12,23 +12,26 @@
 )
 
 const (
-	// reportTimeout is how long a relay without a report is kept: some reports may be lost, and
-	// an instance that is restarted is back by then.
+	// reportTimeout is how long a relay without a new report remains a relay. It allows for
+	// lost reports and for the restart of an instance.
 	reportTimeout = 6 * time.Second
-	// maxCountDrift is the change of the number of instances that is worth a record.
+	// maxCountDrift is the relative change of the number of instances up to which no new record
+	// is written.
 	maxCountDrift = 0.1
 )
 
-// Report is what one relay says of the instances that turned to it.
+// Report is a relay's report of its subscribers.
 type Report struct {
 	Relay topology.Member
-	// Sizes are how many instances of each failure domain turned to it, itself included.
+	// Sizes is the number of instances in the relay's group, the relay included, by failure
+	// domain.
 	Sizes map[fleet.FailureDomain]int
-	// Candidates are some of them that would take over a relay's work first.
+	// Candidates are the relay's subscribers that are preferred as new relays; there may be
+	// others.
 	Candidates []topology.Member
 }
 
-// Planner decides which instances relay. The zero value has no reports; it is safe for
+// Planner decides which instances are relays. The zero value has no reports; it is safe for
 // concurrent use.
 type Planner struct {
 	mu        sync.Mutex
@@ -36,13 +39,14 @@
 	reports   map[fleet.InstanceID]timedReport
 }
 
+// timedReport is a report with the time at which it was received.
 type timedReport struct {
 	Report
 
 	at time.Time
 }
 
-// AddReport takes a relay's report in.
+// AddReport records the report of a relay. It replaces the relay's earlier report.
 func (p *Planner) AddReport(now time.Time, r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +58,7 @@
 	p.reports[r.Relay.ID] = timedReport{Report: r, at: now}
 }
 
-// Reset forgets all reports: this instance did not get any meanwhile.
+// Reset discards all reports, after a time in which this instance received none.
 func (p *Planner) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,8 +66,8 @@
 	p.startedAt, p.reports = time.Time{}, nil
 }
 
-// Next returns the directory that should follow the current one, and whether it says
-// anything else.
+// Next returns the directory that should follow the current one, and whether the two differ
+// enough to write it.
 func (p *Planner) Next(now time.Time, current *Directory) (*Directory, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +77,7 @@
 	}
 
 	for id, r := range p.reports {
-		// Instances that turned to one that relays no longer are counted elsewhere.
+		// Subscribers of an instance that is no longer a relay are in the groups of other relays.
 		if now.Sub(r.at) > reportTimeout || !current.HasRelay(id) {
 			delete(p.reports, id)
 		}
@@ -94,7 +98,7 @@
 	return next, differsEnough(current, next)
 }
 
-// sizes adds up how many instances there are in each failure domain and in all.
+// sizes returns the number of instances in each failure domain and in total.
 func (p *Planner) sizes() (map[fleet.FailureDomain]int, int) {
 	sizes := make(map[fleet.FailureDomain]int)
 	count := 0
@@ -109,20 +113,21 @@
 	return sizes, count
 }
 
-// retainedRelays returns the relays that have reported, or may not have had the time to.
+// retainedRelays returns the current relays that have reported. Until reportTimeout has passed
+// since the first call of Next it returns all current relays.
 func (p *Planner) retainedRelays(now time.Time, current *Directory) []topology.Member {
-	var staying []topology.Member
+	var retained []topology.Member
 
 	for _, m := range current.Relays {
 		if _, ok := p.reports[m.ID]; ok || now.Sub(p.startedAt) < reportTimeout {
-			staying = append(staying, m)
+			retained = append(retained, m)
 		}
 	}
 
-	return staying
+	return retained
 }
 
-// chooseRelays fills up the relays of each failure domain from the candidates, and replaces smaller
+// chooseRelays fills up the relays of each failure domain with candidates and replaces smaller
 // instances by larger ones.
 func (p *Planner) chooseRelays(relays []topology.Member, sizes map[fleet.FailureDomain]int) []topology.Member {
 	candidates := p.candidates(relays)
@@ -135,7 +140,8 @@
 	return topology.Rank(chosen)
 }
 
-// candidates returns those that are no relays yet, by failure domain, the first in rank first.
+// candidates returns the reported candidates that are no relays yet, by failure domain and in
+// rank order.
 func (p *Planner) candidates(relays []topology.Member) map[fleet.FailureDomain][]topology.Member {
 	seen := make(map[fleet.InstanceID]bool, len(relays))
 	for _, m := range relays {
@@ -161,8 +167,8 @@
 	return candidates
 }
 
-// fillDomain adds candidates of one failure domain to all relays until it has as many as wanted, and
-// puts larger candidates in the place of its smallest relays.
+// fillDomain adds candidates of one failure domain to relays until the domain has the wanted
+// number of relays, and replaces the domain's smallest relays by larger candidates.
 func fillDomain(relays, candidates []topology.Member, domain fleet.FailureDomain, wanted int) []topology.Member {
 	var own, others []topology.Member
 
@@ -191,7 +197,8 @@
 	return append(others, own...)
 }
 
-// differsEnough reports whether two directories differ by more than a few instances that came or went.
+// differsEnough reports whether directory b is worth a new record after a: it has other relays or
+// another mode, or its count differs by more than maxCountDrift.
 func differsEnough(a, b *Directory) bool {
 	if a.Forming != b.Forming || a.FullMesh() != b.FullMesh() || math.Abs(float64(a.Count-b.Count)) > maxCountDrift*float64(a.Count) {
 		return true
--- a/directory/planner_test.go
+++ b/directory/planner_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// fleetOf returns n members in some failure domains, of which every sixteenth has more cores.
+// fleetOf returns n members that are distributed over the failure domains in turn. One of
+// sixteen members of each domain has more cores.
 func fleetOf(n, domains int) []topology.Member {
 	members := make([]topology.Member, 0, n)
 
@@ -36,8 +37,8 @@
 	return members
 }
 
-// reportsOf has each member turn to a relay of its domain, or to any where it has none, and
-// returns what the relays report.
+// reportsOf subscribes each member to a relay of its failure domain, or to any relay if the
+// domain has none, and returns the relays' reports.
 func reportsOf(relays, members []topology.Member) []Report {
 	reports := make([]Report, len(relays))
 	for i, r := range relays {
@@ -72,12 +73,11 @@
 	return reports
 }
 
-// settle has a keeper decide until nothing changes, and returns the directory and after how
-// many changes.
+// settle runs a planner for 30 rounds and returns the last directory and the number of changes.
 func settle(t *testing.T, current *Directory, members []topology.Member) (*Directory, int) {
 	t.Helper()
 
-	var keeper Planner
+	var planner Planner
 
 	changes := 0
 
@@ -86,10 +86,10 @@
 
 		for _, r := range reportsOf(current.Relays, members) {
 			r.Candidates = topology.Rank(r.Candidates)
-			keeper.AddReport(now, r)
+			planner.AddReport(now, r)
 		}
 
-		if next, changed := keeper.Next(now, current); changed {
+		if next, changed := planner.Next(now, current); changed {
 			current = next
 			changes++
 		}
@@ -108,11 +108,11 @@
 			sizes[m.Domain]++
 		}
 
-		var keeper Planner
+		var planner Planner
 
-		keeper.AddReport(begin, Report{Relay: first, Sizes: sizes, Candidates: members[1:]})
+		planner.AddReport(begin, Report{Relay: first, Sizes: sizes, Candidates: members[1:]})
 
-		got, changed := keeper.Next(begin, &Directory{Relays: []topology.Member{first}, Count: 1, Forming: true})
+		got, changed := planner.Next(begin, &Directory{Relays: []topology.Member{first}, Count: 1, Forming: true})
 		if !changed || got.Forming || got.Count != n {
 			t.Errorf("%d instances: got %d, forming %t, want all of them", n, got.Count, got.Forming)
 		}
@@ -132,19 +132,19 @@
 		}
 
 		if large := got.Relays[0].Cores; large != 0.8 {
-			t.Errorf("%d instances: got a first relay of %.1f cores, want the largest", n, large)
+			t.Errorf("%d instances: got a first relay with %.1f cores, want the largest", n, large)
 		}
 	}
 }
 
 func TestFewInstancesNeedNoRelays(t *testing.T) {
-	var keeper Planner
+	var planner Planner
 
-	keeper.AddReport(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
+	planner.AddReport(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
 
-	got, changed := keeper.Next(begin, &Directory{Count: 1, Forming: true})
+	got, changed := planner.Next(begin, &Directory{Count: 1, Forming: true})
 	if !changed || !got.FullMesh() || len(got.Relays) != 0 {
-		t.Errorf("got %+v, changed %t, want few without relays", got, changed)
+		t.Errorf("got %+v, changed %t, want a full mesh without relays", got, changed)
 	}
 }
 
@@ -171,40 +171,40 @@
 	lost := current.Relays[0]
 	left := slices.DeleteFunc(slices.Clone(members), func(m topology.Member) bool { return m == lost })
 
-	var keeper Planner
+	var planner Planner
 
 	for round := range 20 {
 		now := begin.Add(time.Duration(round) * time.Second)
 
 		others := slices.DeleteFunc(slices.Clone(current.Relays), func(m topology.Member) bool { return m == lost })
 		for _, r := range reportsOf(others, left) {
-			keeper.AddReport(now, r)
+			planner.AddReport(now, r)
 		}
 
-		next, changed := keeper.Next(now, current)
+		next, changed := planner.Next(now, current)
 		if changed {
 			current = next
 		}
 
 		if now.Sub(begin) < reportTimeout && !current.HasRelay(lost.ID) {
-			t.Fatalf("after %v: got the relay replaced, want it kept for %v", now.Sub(begin), reportTimeout)
+			t.Fatalf("after %v: got the relay replaced, want it retained for %v", now.Sub(begin), reportTimeout)
 		}
 	}
 
 	if current.HasRelay(lost.ID) {
-		t.Error("a silent relay: got it kept, want it replaced")
+		t.Error("silent relay: got it retained, want it replaced")
 	}
 }
 
-// An instance that has just begun to lead knows few reports, and must not take that for a loss.
+// A new leader has received few reports and must not take the missing ones for lost relays.
 func TestNewLeaderKeepsRelaysBeforeReports(t *testing.T) {
 	members := fleetOf(986, 6)
 	current, _ := settle(t, &Directory{Relays: topology.RelaysOf(topology.Rank(members)), Count: len(members)}, members)
 
-	var keeper Planner
+	var planner Planner
 
 	for _, after := range []time.Duration{0, time.Second, reportTimeout - time.Millisecond} {
-		if next, changed := keeper.Next(begin.Add(after), current); changed {
+		if next, changed := planner.Next(begin.Add(after), current); changed {
 			t.Errorf("after %v without reports: got %d instances and %d relays, want nothing changed", after, next.Count, len(next.Relays))
 		}
 	}
