--- a/forward/announcements_test.go
+++ b/forward/announcements_test.go
@@ -8,7 +8,7 @@
 	"monsoonlever/scheduling"
 )
 
-// Guards against a Retry-After that ends before any server of the service takes requests again.
+// Guards against a Retry-After that is shorter than the announced backoff of all servers.
 func TestRetryAfterCoversBackoffOfAllServers(t *testing.T) {
 	const backoff = 3 * time.Second
 
@@ -20,7 +20,7 @@
 	for _, id := range []string{"r-1", "r-2"} {
 		outcome, got := s.call("once", id)
 		if outcome.Reason != Overloaded || !outcome.NotRun || len(got.refusals) != 1 || got.refusals[0].RetryAfter < backoff {
-			t.Errorf("%s: got %+v and %+v, want it refused, to come back after %v", id, outcome, got, backoff)
+			t.Errorf("%s: got %+v and %+v, want one refusal with a Retry-After of at least %v", id, outcome, got, backoff)
 		}
 	}
 
@@ -29,8 +29,8 @@
 	}
 }
 
-// Guards against sends to a server that announced, while a request waited for its connection,
-// that it leaves or that it wants none for now.
+// Guards against a send to a server that announced that it leaves, or a backoff, while the
+// request waited for a connection to it.
 func TestSendSkipsServerBlockedDuringDial(t *testing.T) {
 	for name, announce := range map[string]func(s *fixture, a *scheduling.Assignment){
 		"leaving": func(_ *fixture, a *scheduling.Assignment) { a.AnnouncedLeaving() },
@@ -54,13 +54,13 @@
 			seen := s.arrivals()
 
 			if outcome.Reason != Answered || len(seen) != 1 || seen[0].address == first {
-				t.Errorf("got %+v and arrivals %v, want one at the other server than %s", outcome, seen, first)
+				t.Errorf("got %+v and arrivals %v, want one at a server other than %s", outcome, seen, first)
 			}
 		})
 	}
 }
 
-// Guards against a resumed stream going to a server that asked for backoff.
+// Guards against resuming a stream at a server that announced a backoff.
 func TestResumeSkipsServerInBackoff(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = func(_ string, n int, r *http.Request) string {
@@ -76,6 +76,6 @@
 	seen := s.arrivals()
 
 	if len(seen) != 2 || seen[0].address == seen[1].address {
-		t.Errorf("arrivals: got %v, want the one that was turned away and one at the other server; %+v", seen, outcome)
+		t.Errorf("arrivals: got %v, want the rejected one and one at the other server; %+v", seen, outcome)
 	}
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -47,18 +47,18 @@
 	server := upstream.Server{ID: assignment.ID(), Address: assignment.Address()}
 	j.startTrial(assignment)
 
-	answer, err := f.Pool.Send(ctx, server, j.upstreamRequest(assignment))
+	response, err := f.Pool.Send(ctx, server, j.upstreamRequest(assignment))
 	if err != nil {
 		f.endAttempt(ctx, j, assignment, err)
 		f.recordLoss(ctx, j, assignment, false, err)
 
 		return j.recordSendFailure(server, err)
 	}
-	defer answer.Close()
+	defer response.Close()
 
 	j.sent++
 	j.sentTo = append(j.sentTo, string(server.ID))
-	err = f.relayResponse(ctx, j, assignment, answer, sink)
+	err = f.relayResponse(ctx, j, assignment, response, sink)
 	f.endAttempt(ctx, j, assignment, err)
 	f.recordLoss(ctx, j, assignment, true, err)
 
@@ -124,9 +124,9 @@
 
 // relayResponse evaluates the header of a response and relays the response.
 func (f *Forwarder) relayResponse(
-	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Response, sink Sink,
+	ctx context.Context, j *job, assignment *scheduling.Assignment, response *upstream.Response, sink Sink,
 ) error {
-	reading := f.Protocol.Inspect(answer.Status(), answer.Header())
+	reading := f.Protocol.Inspect(response.Status(), response.Header())
 
 	if reading.Load != nil {
 		f.Scheduler.RecordLoad(f.Clock.Now(), assignment.ID(), *reading.Load)
@@ -150,7 +150,7 @@
 
 	if reading.NotRun {
 		// The body is read only so that the connection can be reused.
-		_, _ = answer.ReadAll(f.MaxResponseBytes)
+		_, _ = response.ReadAll(f.MaxResponseBytes)
 
 		return merry.Prepend(backend.ErrRefused, string(assignment.ID()))
 	}
@@ -158,40 +158,40 @@
 	j.mayHaveRun = true
 	j.countUsage()
 
-	if j.route.Kind == ruleset.Streaming && answer.Status() == http.StatusOK && reading.Signed {
-		return f.relayStream(ctx, j, assignment, answer, sink)
+	if j.route.Kind == ruleset.Streaming && response.Status() == http.StatusOK && reading.Signed {
+		return f.relayStream(ctx, j, assignment, response, sink)
 	}
 
-	return f.relayBuffered(j, answer, reading, sink)
+	return f.relayBuffered(j, response, reading, sink)
 }
 
 // relayBuffered reads a response that is not a stream and writes it to the sink once it is
 // complete. A response of status 500 or above is kept as lastFailure instead, unless the
 // caller has events of a stream already.
-func (f *Forwarder) relayBuffered(j *job, answer *upstream.Response, reading Reading, sink Sink) error {
-	body, err := answer.ReadAll(f.MaxResponseBytes)
+func (f *Forwarder) relayBuffered(j *job, response *upstream.Response, reading Reading, sink Sink) error {
+	body, err := response.ReadAll(f.MaxResponseBytes)
 	if err != nil {
 		return err
 	}
 
 	// Close first: other requests can use the connection while this response is written.
-	answer.Close()
+	response.Close()
 
 	if !reading.Signed {
-		return merry.Prependf(errUnsignedResponse, "status %d", answer.Status())
+		return merry.Prependf(errUnsignedResponse, "status %d", response.Status())
 	}
 
-	if answer.Status() >= http.StatusInternalServerError && j.stream.events == 0 {
-		j.lastFailure = &bufferedResponse{status: answer.Status(), header: answer.Header(), body: body}
+	if response.Status() >= http.StatusInternalServerError && j.stream.events == 0 {
+		j.lastFailure = &bufferedResponse{status: response.Status(), header: response.Header(), body: body}
 
-		return merry.Prependf(errServerFailed, "status %d", answer.Status())
+		return merry.Prependf(errServerFailed, "status %d", response.Status())
 	}
 
 	if j.stream.begun {
-		return merry.Prependf(errServerFailed, "status %d instead of the rest of a stream", answer.Status())
+		return merry.Prependf(errServerFailed, "status %d instead of the rest of a stream", response.Status())
 	}
 
-	if err := sink.WriteResponse(answer.Status(), answer.Header(), body); err != nil {
+	if err := sink.WriteResponse(response.Status(), response.Header(), body); err != nil {
 		return merry.Prepend(errCallerWrite, "write response", merry.WithCause(err))
 	}
 
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -33,12 +33,12 @@
 	notRunHeader = "Not-Run"
 	signHeader   = "Signed"
 	limitHeader  = "Limit"
-	// leavingHeader and backoffHeader hold what a server announced; the latter a duration.
+	// leavingHeader and backoffHeader are announcements; the latter holds a duration.
 	leavingHeader = "Leaving"
 	backoffHeader = "Backoff"
 )
 
-// plainProtocol is a protocol with as little as the forwarder needs.
+// plainProtocol is a minimal Protocol.
 type plainProtocol struct{}
 
 func (plainProtocol) Encode(r *Request, a Attempt) *upstream.Request {
@@ -61,12 +61,12 @@
 	}
 
 	reading.Leaving = header.Get(leavingHeader) != ""
-	reading.Backoff, _ = time.ParseDuration(header.Get(backoffHeader)) // none where it is not there
+	reading.Backoff, _ = time.ParseDuration(header.Get(backoffHeader)) // zero if the header is missing
 
 	return reading
 }
 
-// unlimited limits nothing.
+// unlimited grants every request.
 type unlimited struct{}
 
 func (unlimited) Take(context.Context, fleet.Account, float64) quota.Decision {
@@ -77,8 +77,8 @@
 
 func (u *usageCounter) RequestStarted(fleet.Account) { u.began.Add(1) }
 
-// fixture is a forwarder whose backend servers are scripts behind pipes: what they see has
-// been sent, without a network.
+// fixture is a Forwarder whose backend servers are scripted and connected by in-memory
+// pipes: every request that a server receives was sent.
 type fixture struct {
 	t     *testing.T
 	clock *clock.Manual
@@ -87,12 +87,12 @@
 	*Forwarder
 
 	mu sync.Mutex
-	// received are the requests that reached a server, by its address, in their order.
+	// received are the requests that reached a server, in order.
 	received []arrival
-	// onDial is called before each connection is made; it may be nil.
+	// onDial is called with the address before each connection is made; it may be nil.
 	onDial func(address string)
-	// respond writes a server's respond to its n-th request, from 1, of all servers; a
-	// connection is closed after an respond that is empty.
+	// respond returns a server's response to a request, which is the n-th of all servers,
+	// counted from 1. If it is empty, the connection is closed without a response.
 	respond func(address string, n int, r *http.Request) string
 }
 
@@ -103,16 +103,18 @@
 	resume  string
 }
 
+// rulesMaxAge is the age up to which rules count as current.
 const rulesMaxAge = 3 * time.Second
 
-// rulesWith returns rules with a route of each kind and one account with some keys.
+// rulesWith returns rules with a route of each kind and one account with the given keys.
 func rulesWith(t *testing.T, version uint64, keys ...string) *ruleset.Ruleset {
 	t.Helper()
 
 	return rulesFor(t, version, ruleset.Account{Name: "acme", Keys: keys})
 }
 
-// rulesWithLimit returns the same with a limit of the account, in requests a second.
+// rulesWithLimit returns the same rules with a rate limit of the account, in requests per
+// second.
 func rulesWithLimit(t *testing.T, rate float64) *ruleset.Ruleset {
 	t.Helper()
 
@@ -151,7 +153,7 @@
 	return rules
 }
 
-// newFixture returns a site with two servers of each service and a budget of further sends.
+// newFixture returns a fixture with two servers of each service and the given retry budget.
 func newFixture(t *testing.T, budget int) *fixture {
 	t.Helper()
 
@@ -195,7 +197,7 @@
 	return near, nil
 }
 
-// serve answers requests on one connection by the script.
+// serve responds to the requests on one connection.
 func (s *fixture) serve(address string, conn net.Conn) {
 	defer conn.Close()
 
@@ -223,14 +225,14 @@
 	}
 }
 
-// pickServer returns an attempt at one server of a service, to announce something by.
+// pickServer returns an assignment of a request to the server with the given address.
 func (s *fixture) pickServer(service fleet.Service, address string) *scheduling.Assignment {
 	var others []fleet.InstanceID
 
 	for range 16 {
 		a, err := s.Scheduler.Pick(s.clock.Now(), scheduling.Request{Service: service, Excluded: others})
 		if err != nil {
-			s.t.Errorf("attempt at %s: got %v, want one", address, err)
+			s.t.Errorf("pick %s: got %v, want an assignment", address, err)
 
 			return nil
 		}
@@ -245,7 +247,7 @@
 	return nil
 }
 
-// announceLeaving has a server announce that it leaves.
+// announceLeaving makes a server announce that it leaves.
 func (s *fixture) announceLeaving(service fleet.Service, address string) {
 	if a := s.pickServer(service, address); a != nil {
 		a.AnnouncedLeaving()
@@ -259,7 +261,8 @@
 	return append([]arrival(nil), s.received...)
 }
 
-// call serves one request of a route and returns its outcome and what the caller got.
+// call serves one request of a route and returns its outcome and what was written to the
+// caller.
 func (s *fixture) call(route, id string) (Outcome, *recordingSink) {
 	s.t.Helper()
 
@@ -272,7 +275,7 @@
 	return outcome, got
 }
 
-// recordingSink is what a caller got.
+// recordingSink is a Sink that records what is written to the caller.
 type recordingSink struct {
 	status   int
 	begun    int
@@ -301,14 +304,14 @@
 
 func (c *recordingSink) Refuse(r Refusal) { c.refusals = append(c.refusals, r) }
 
-// signedResponse is a signed answer to a request.
+// signedResponse returns a complete, signed response to a request.
 func signedResponse(r *http.Request, status int, header ...string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: yes\r\nContent-Length: 2\r\n%s\r\nok",
 		status, idHeader, r.Header.Get(idHeader), signHeader, strings.Join(header, ""))
 }
 
-// signedStream is a signed signedStream of the events from one to another. One that is cut ends
-// within an event.
+// signedStream returns a signed stream of the events with the ids from from to to. With cut
+// set it ends within the following event.
 func signedStream(r *http.Request, from, to int, cut bool) string {
 	var body strings.Builder
 	for id := from; id <= to; id++ {
--- a/forward/guards_test.go
+++ b/forward/guards_test.go
@@ -13,8 +13,8 @@
 
 func respondOK(_ string, _ int, r *http.Request) string { return signedResponse(r, http.StatusOK) }
 
-// A machine may sleep, or the store be away, while a connection is being made. Rules
-// that grew too old meanwhile allow nothing.
+// Guards against a send under rules that became stale while the connection was dialled, as
+// when the machine sleeps or the store is unreachable.
 func TestSendIsBlockedByStaleRules(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = respondOK
@@ -27,7 +27,7 @@
 	}
 
 	if outcome.Reason != StaleRules || !outcome.NotRun || len(got.refusals) != 1 || got.refusals[0].RetryAfter <= 0 {
-		t.Errorf("outcome: got %+v and %+v, want one refusal as stale, not run, with when to come back", outcome, got)
+		t.Errorf("outcome: got %+v and %+v, want one refusal StaleRules, not run, with a Retry-After", outcome, got)
 	}
 }
 
@@ -39,11 +39,12 @@
 	outcome, _ := s.call("once", "r-1")
 
 	if len(s.arrivals()) != 0 || outcome.Reason != StaleRules || !outcome.NotRun {
-		t.Errorf("got %v and %+v, want no arrival and a refusal that says not run", s.arrivals(), outcome)
+		t.Errorf("got %v and %+v, want no arrival and a refusal StaleRules, not run", s.arrivals(), outcome)
 	}
 }
 
-// Newer rules that leave the key alone change nothing for a request that waits.
+// Guards against refusing a waiting request because newer rules were published that still
+// allow it.
 func TestSendSucceedsUnderNewRulesWithSameKey(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = respondOK
@@ -70,11 +71,11 @@
 	seen := s.arrivals()
 
 	if outcome.Reason != Answered || len(seen) != 1 || seen[0].address == first {
-		t.Errorf("got %+v and arrivals %v, want one at the server that does not leave, %s does", outcome, seen, first)
+		t.Errorf("got %+v and arrivals %v, want one at the server that does not leave; %s leaves", outcome, seen, first)
 	}
 }
 
-// Servers that all fail must not be sent twice the load.
+// Guards against retries that double the load of a service whose servers all fail.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	const requests, budget = 20, 3
 
@@ -102,19 +103,19 @@
 		reason      Reason
 		notRun      bool
 	}{
-		{"an unsafe call whose answer is lost", "once", func(*http.Request) string { return cut }, 1, ResponseLost, false},
+		{"an unsafe call whose response is lost", "once", func(*http.Request) string { return cut }, 1, ResponseLost, false},
 		{"an unsafe call that a server did not run", "once", func(r *http.Request) string {
 			return signedResponse(r, http.StatusServiceUnavailable, notRunHeader+": yes\r\n")
 		}, 2, Overloaded, true},
-		{"a safe call whose answer is lost", "safe", func(*http.Request) string { return cut }, 2, ResponseLost, false},
-		{"a stream that may not be resumed and is lost", "tell", func(*http.Request) string { return cut }, 1, ResponseLost, false},
-		{"a stream that may not be resumed and is cut", "tell", func(r *http.Request) string {
+		{"a safe call whose response is lost", "safe", func(*http.Request) string { return cut }, 2, ResponseLost, false},
+		{"a stream that is not resumable and is lost", "tell", func(*http.Request) string { return cut }, 1, ResponseLost, false},
+		{"a stream that is not resumable and is cut", "tell", func(r *http.Request) string {
 			return signedStream(r, 1, 2, true)
 		}, 1, StreamBroken, false},
-		{"an answer that nobody signed", "once", func(r *http.Request) string {
+		{"a response without a signature", "once", func(r *http.Request) string {
 			return "HTTP/1.1 200 OK\r\n" + idHeader + ": " + r.Header.Get(idHeader) + "\r\nContent-Length: 0\r\n\r\n"
 		}, 1, ResponseLost, false},
-		{"an answer to another request", "once", func(*http.Request) string {
+		{"a response to another request", "once", func(*http.Request) string {
 			return "HTTP/1.1 200 OK\r\n" + idHeader + ": other\r\n" + signHeader +
 				": yes\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 		}, 1, ResponseLost, false},
@@ -139,7 +140,7 @@
 	}
 }
 
-// A stream goes on at another server after the last whole event, each event once.
+// Guards against lost or repeated events when a stream is resumed at another server.
 func TestStreamResumesAfterLastCompleteEvent(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = func(_ string, n int, r *http.Request) string {
@@ -154,7 +155,7 @@
 	seen := s.arrivals()
 
 	if outcome.Reason != Answered || len(seen) != 2 || seen[1].resume != "2" || seen[0].address == seen[1].address {
-		t.Fatalf("got %+v and arrivals %v, want a second server asked for what follows event 2", outcome, seen)
+		t.Fatalf("got %+v and arrivals %v, want the stream resumed after event 2 at a second server", outcome, seen)
 	}
 
 	for i, event := range got.events {
@@ -168,11 +169,11 @@
 	}
 
 	if began := s.usage.began.Load(); began != 1 {
-		t.Errorf("begun for usage: got %d, want 1", began)
+		t.Errorf("requests counted in the usage: got %d, want 1", began)
 	}
 }
 
-// An event that repeats or skips what the caller has breaks the stream off.
+// Guards against passing on a resumed stream that repeats or skips events.
 func TestResumedStreamWithGapOrRepeatIsAborted(t *testing.T) {
 	for name, from := range map[string]int{"repeats": 2, "skips": 4} {
 		s := newFixture(t, 10)
@@ -186,17 +187,18 @@
 
 		outcome, got := s.call("talk", "r-1")
 		if outcome.Reason != StreamBroken || len(got.events) != 2 || len(got.refusals) != 1 {
-			t.Errorf("a server that %s: got %v with %d events, want it broken off after 2", name, outcome.Reason, len(got.events))
+			t.Errorf("a server that %s: got %v with %d events, want it aborted after 2", name, outcome.Reason, len(got.events))
 		}
 	}
 }
 
-// A prompt that is held back until its server has room is judged by the rules of then.
+// Guards against sending a prompt that was queued for a busy server under rules that changed
+// meanwhile.
 func TestQueuedPromptIsRecheckedAgainstNewRules(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 1, false) }
-	// The prompt could begin after 1.5 s: too late for its objective of 0.5 s, and before
-	// its caller leaves after 2 s.
+	// The prompt could start after 1.5 s: too late for its objective of 0.5 s, but before its
+	// caller abandons it after 2 s.
 	waiting := s.overloadEngines(60_000)
 
 	done := make(chan Outcome)
@@ -208,7 +210,7 @@
 
 	select {
 	case outcome := <-done:
-		t.Fatalf("outcome: got %+v, want the prompt to be held", outcome)
+		t.Fatalf("outcome: got %+v, want the prompt to be queued", outcome)
 	case <-time.After(50 * time.Millisecond):
 	}
 
@@ -220,15 +222,15 @@
 
 	outcome := s.awaitOutcome(done)
 	if outcome.Queued <= 0 {
-		t.Errorf("held: got %v, want some time", outcome.Queued)
+		t.Errorf("queued: got %v, want more than 0", outcome.Queued)
 	}
 
 	if outcome.Reason != StaleRules || !outcome.NotRun || len(s.arrivals()) != 0 {
-		t.Errorf("got %+v and arrivals %v, want a refusal that says not run", outcome, s.arrivals())
+		t.Errorf("got %+v and arrivals %v, want no arrival and a refusal StaleRules, not run", outcome, s.arrivals())
 	}
 }
 
-// awaitOutcome moves the clock on in small steps until a request has ended.
+// awaitOutcome advances the clock in small steps until a request has ended.
 func (s *fixture) awaitOutcome(done <-chan Outcome) Outcome {
 	for {
 		select {
@@ -240,7 +242,8 @@
 	}
 }
 
-// overloadEngines gives each engine some tokens to read, at 40,000 a second.
+// overloadEngines assigns each engine a prompt of the given number of tokens, after its rate
+// was measured as 40,000 tokens per second.
 func (s *fixture) overloadEngines(tokens int) []*scheduling.Assignment {
 	s.t.Helper()
 
@@ -271,7 +274,8 @@
 	return waiting
 }
 
-// What can't begin before its caller leaves is refused at once, with when to come back.
+// Guards against queueing a prompt that can not start before its caller abandons it, instead
+// of refusing it immediately.
 func TestPromptThatStartsTooLateIsRefused(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = respondOK
@@ -280,17 +284,17 @@
 	outcome, got := s.call("talk", "r-1")
 
 	if outcome.Reason != Overloaded || !outcome.NotRun || len(s.arrivals()) != 0 || len(got.refusals) != 1 {
-		t.Fatalf("got %+v, %d arrivals and %d final answers, want one refusal that says not run", outcome, len(s.arrivals()),
+		t.Fatalf("got %+v, %d arrivals and %d final answers, want one refusal Overloaded, not run", outcome, len(s.arrivals()),
 			len(got.refusals))
 	}
 
-	// Ten seconds of work wait: half of it to all and a half of it.
+	// Ten seconds of work are queued: the Retry-After is 0.5 to 1.5 times that.
 	if after := got.refusals[0].RetryAfter; after < 5*time.Second || after > 15*time.Second {
-		t.Errorf("when to come back: got %v, want 5 s to 15 s", after)
+		t.Errorf("Retry-After: got %v, want 5 s to 15 s", after)
 	}
 }
 
-// A caller that is gone gets no further server.
+// Guards against a retry for a caller that has disconnected.
 func TestDisconnectedCallerIsNotRetried(t *testing.T) {
 	s := newFixture(t, 10)
 	ctx, leave := context.WithCancel(t.Context())
@@ -306,11 +310,11 @@
 	}, &recordingSink{})
 
 	if outcome.Reason != CallerGone || len(s.arrivals()) != 1 {
-		t.Errorf("got %+v and %d arrivals, want the caller gone after 1", outcome, len(s.arrivals()))
+		t.Errorf("got %+v and %d arrivals, want CallerGone after 1", outcome, len(s.arrivals()))
 	}
 }
 
-// A request that nothing can come of costs no backend server a connection.
+// Guards against dialling a server for a request that stale rules refuse anyway.
 func TestStaleRulesPreventDial(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = respondOK
@@ -318,12 +322,12 @@
 	s.clock.Advance(rulesMaxAge + time.Millisecond)
 
 	if outcome, _ := s.call("once", "r-1"); outcome.Reason != StaleRules || !outcome.NotRun {
-		t.Errorf("outcome: got %+v, want a refusal as stale that says not run", outcome)
+		t.Errorf("outcome: got %+v, want a refusal StaleRules, not run", outcome)
 	}
 }
 
-// A server that lost an answer is not asked again, although the other one took no
-// connection a moment ago.
+// Guards against a retry at the server that lost the response, picked because the other server
+// was unreachable a moment ago.
 func TestRetryGoesToAnotherServer(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = func(_ string, n int, r *http.Request) string {
@@ -343,6 +347,6 @@
 
 	outcome, _ := s.call("safe", "r-1")
 	if seen := s.arrivals(); outcome.Reason != Answered || len(seen) != 2 || seen[0].address == seen[1].address {
-		t.Errorf("got %+v and arrivals %v, want it answered by another server", outcome, seen)
+		t.Errorf("got %+v and arrivals %v, want it answered by the other server", outcome, seen)
 	}
 }
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -12,7 +12,7 @@
 	"monsoonlever/register"
 )
 
-// fakePermits grants a number of requests.
+// fakePermits grants the given number of permits and records all requests for them.
 type fakePermits struct {
 	mu        sync.Mutex
 	left      int
@@ -29,8 +29,8 @@
 	return ratelimit.Permit{Granted: p.left >= 0, Wait: time.Minute}
 }
 
-// newLimitedFixture returns a site whose servers all announced a limit, and what grants
-// requests to them.
+// newLimitedFixture returns a fixture whose servers all announced a rate limit, and the source
+// of permits for requests to them.
 func newLimitedFixture(t *testing.T, grants int) (*fixture, *fakePermits) {
 	t.Helper()
 
@@ -46,15 +46,15 @@
 	return s, permits
 }
 
-// A request that servers can't take by what they announced is refused at once, as not run,
-// with when to come back, and reaches none of them.
+// Guards against sending a request beyond the rate limits that all servers announced, and
+// against refusing it without a Retry-After.
 func TestRequestOverServerRateLimitIsRefused(t *testing.T) {
 	s, _ := newLimitedFixture(t, 0)
 
 	outcome, got := s.call("once", "r-1")
 
 	if outcome.Reason != Overloaded || !outcome.NotRun || len(got.refusals) != 1 || got.refusals[0].RetryAfter <= 0 {
-		t.Errorf("got %+v and %+v, want one refusal as overloaded, not run, with when to come back", outcome, got)
+		t.Errorf("got %+v and %+v, want one refusal Overloaded, not run, with a Retry-After", outcome, got)
 	}
 
 	if got := s.arrivals(); len(got) != 0 {
@@ -62,7 +62,7 @@
 	}
 }
 
-// A second send and the rest of a stream need a permit as the first send does.
+// Guards against a retry or the rest of a stream being sent without a permit.
 func TestEverySendToLimitedServerNeedsPermit(t *testing.T) {
 	t.Run("a server that fails", func(t *testing.T) {
 		s, permits := newLimitedFixture(t, 1)
@@ -73,7 +73,7 @@
 		checkSends(t, s, permits, "safe", 1)
 	})
 
-	t.Run("a stream that breaks off", func(t *testing.T) {
+	t.Run("a stream that is cut", func(t *testing.T) {
 		s, permits := newLimitedFixture(t, 1)
 		s.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 2, true) }
 
@@ -90,11 +90,11 @@
 	}
 
 	if got := len(permits.requested); got <= want {
-		t.Errorf("permits asked for: got %d, want one more than the %d sends", got, want)
+		t.Errorf("requested permits: got %d, want one more than the %d sends", got, want)
 	}
 }
 
-// What an answer announces holds for the next request.
+// Guards against ignoring a rate limit that a response announces or lifts.
 func TestAnnouncedRateLimitIsApplied(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = func(_ string, _ int, r *http.Request) string {
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -22,16 +22,16 @@
 	"monsoonlever/upstream"
 )
 
-// lossThreshold is how many servers have to end under a request before it is held off.
+// lossThreshold is the number of servers that a request must crash before it is quarantined.
 const lossThreshold = 3
 
-// crashFixture is a site of many engines, of which each ends at its first request.
+// crashFixture is a fixture with eight engines, each of which crashes at its first request.
 type crashFixture struct {
 	*fixture
 	crashed map[string]*atomic.Bool
-	// refusedDials are how many connections were tried to servers that had ended.
+	// refusedDials counts the dials to crashed servers.
 	refusedDials atomic.Int64
-	// dialError is what such a connection ends with.
+	// dialError is the error of such a dial.
 	dialError error
 }
 
@@ -68,12 +68,12 @@
 	return f.fixture.dial(ctx, address)
 }
 
-// fingerprintOf is the fingerprint of what call sends to a route.
+// fingerprintOf returns the fingerprint of the requests that call sends to a route.
 func fingerprintOf(route string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf("acme", http.MethodPost, "a.example", "/"+route+"/x", nil)
 }
 
-// runTerminationChecks lets what looks at ended servers go on for a while.
+// runTerminationChecks advances the clock so that running termination checks finish.
 func (s *fixture) runTerminationChecks() {
 	for range 20 {
 		s.clock.Advance(terminationDelay)
@@ -81,21 +81,21 @@
 	}
 }
 
-// awaitLosses lets what looks at ended servers go on until so many ends count against requests.
-func (s *fixture) awaitLosses(ends int) {
+// awaitLosses runs termination checks until the given number of losses is recorded.
+func (s *fixture) awaitLosses(want int) {
 	s.t.Helper()
 
-	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.StoredLosses(s.clock.Now())) < ends; s.runTerminationChecks() {
+	for limit := time.Now().Add(10 * time.Second); len(s.Quarantine.StoredLosses(s.clock.Now())) < want; s.runTerminationChecks() {
 		if time.Now().After(limit) {
-			s.t.Fatalf("ends that count: got %d, want %d", len(s.Quarantine.StoredLosses(s.clock.Now())), ends)
+			s.t.Fatalf("recorded losses: got %d, want %d", len(s.Quarantine.StoredLosses(s.clock.Now())), want)
 		}
 	}
 }
 
 func (s *fixture) quarantined(route string) bool {
-	_, held := s.Quarantine.Quarantined(s.clock.Now(), fingerprintOf(route))
+	_, quarantined := s.Quarantine.Quarantined(s.clock.Now(), fingerprintOf(route))
 
-	return held
+	return quarantined
 }
 
 func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
@@ -111,16 +111,16 @@
 		outcome, got := f.call(route, "r-last")
 
 		if len(f.arrivals()) != before || outcome.Reason != Quarantined || !outcome.NotRun {
-			t.Errorf("%s: got %+v and %d more arrivals, want it held off and not run", route, outcome, len(f.arrivals())-before)
+			t.Errorf("%s: got %+v and %d more arrivals, want it quarantined and not run", route, outcome, len(f.arrivals())-before)
 		}
 
 		if len(got.refusals) != 1 || got.refusals[0].RetryAfter <= 0 {
-			t.Errorf("%s: got %+v, want one refusal with when to come back", route, got.refusals)
+			t.Errorf("%s: got %+v, want one refusal with a Retry-After", route, got.refusals)
 		}
 	}
 }
 
-// limitCounter counts how often a limit is asked.
+// limitCounter is a Limits that counts its calls.
 type limitCounter struct{ calls int }
 
 func (l *limitCounter) Take(context.Context, fleet.Account, float64) quota.Decision {
@@ -129,7 +129,7 @@
 	return quota.Decision{Granted: true}
 }
 
-// What is not sent is refused at once, and takes nothing of its account's limit.
+// Guards against a quarantined request consuming the limit of its account.
 func TestQuarantinedRequestConsumesNoLimit(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = respondOK
@@ -142,11 +142,11 @@
 	s.call("tell", "r-2")
 
 	if limits.calls != 1 {
-		t.Errorf("limits asked: got %d times, want once, for the request that is not held off", limits.calls)
+		t.Errorf("limit: got %d calls, want one, for the request that is not quarantined", limits.calls)
 	}
 }
 
-// A request may wait for a place or a connection while it becomes known what it does.
+// Guards against sending a request that was quarantined while it waited for a connection.
 func TestRequestQuarantinedDuringDialIsNotSent(t *testing.T) {
 	s := newFixture(t, 10)
 	s.respond = respondOK
@@ -154,17 +154,19 @@
 
 	outcome, _ := s.call("once", "r")
 	if len(s.arrivals()) != 0 || outcome.Reason != Quarantined || !outcome.NotRun {
-		t.Errorf("got %+v and %d arrivals, want it held off and none", outcome, len(s.arrivals()))
+		t.Errorf("got %+v and %d arrivals, want it quarantined and no arrival", outcome, len(s.arrivals()))
 	}
 }
 
+// recordLosses records as many losses as quarantine the requests of a route.
 func (s *fixture) recordLosses(route string) {
 	for i := range lossThreshold {
 		s.Quarantine.RecordLoss(s.clock.Now(), fingerprintOf(route), register.Process{ID: "i", Incarnation: fleet.Incarnation(i)}, quarantine.Strong)
 	}
 }
 
-// A stream that was broken off says so, whatever became known meanwhile: it may have run.
+// Guards against reporting a cut stream as not run because its request was quarantined
+// meanwhile: the request may have run.
 func TestQuarantinedRunningStreamIsNotReportedAsNotRun(t *testing.T) {
 	f := newCrashFixture(t)
 	f.respond = func(address string, _ int, r *http.Request) string {
@@ -180,8 +182,8 @@
 	}
 }
 
-// A whole answer shows that a request ends no servers: those that ran beside one that does
-// are served, though they were lost with as many servers.
+// Guards against quarantining a request that was lost with several servers only because it ran
+// beside the request that crashed them: a complete response clears its earlier losses.
 func TestCompleteResponseClearsLosses(t *testing.T) {
 	f := newCrashFixture(t)
 
@@ -199,22 +201,22 @@
 	f.Quarantine.RecordLoss(f.clock.Now(), fingerprintOf("tell"), register.Process{ID: "another"}, quarantine.Strong)
 
 	if f.quarantined("tell") {
-		t.Error("a request that was answered since: got it held off, want it served")
+		t.Error("a request that was answered since: got it quarantined, want it served")
 	}
 }
 
-// Servers break answers off, are reclaimed, are cut off, or end under streams that have run
-// for a while: none of that is a request's doing.
+// Guards against quarantining requests whose server aborts responses and keeps running, can't be
+// reached, or terminates after it announced that it leaves: none of that is caused by a request.
 func TestOnlyServerCrashCountsAsLoss(t *testing.T) {
 	tests := map[string]func(f *crashFixture){
-		"servers that break off and go on": func(f *crashFixture) {
+		"servers that abort responses and keep running": func(f *crashFixture) {
 			f.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 0, true) }
 		},
-		"servers that answer garbage": func(f *crashFixture) {
+		"servers that send invalid responses": func(f *crashFixture) {
 			f.respond = func(string, int, *http.Request) string { return "garbage\r\n\r\n" }
 		},
 		"servers that can't be reached": func(f *crashFixture) { f.dialError = errors.New("no route to host") },
-		"servers that had said they would leave": func(f *crashFixture) {
+		"servers that announced before that they leave": func(f *crashFixture) {
 			f.respond = func(address string, _ int, r *http.Request) string {
 				f.announceLeaving("llm", address)
 				f.crashed[address].Store(true)
@@ -222,7 +224,7 @@
 				return signedStream(r, 1, 0, true)
 			}
 		},
-		"servers that say a little later that they leave": func(f *crashFixture) {
+		"servers that announce shortly after that they leave": func(f *crashFixture) {
 			f.respond = func(address string, _ int, r *http.Request) string {
 				f.crashed[address].Store(true)
 				time.AfterFunc(time.Millisecond/2, func() { f.announceLeaving("llm", address) })
@@ -243,21 +245,21 @@
 		}
 
 		if f.quarantined("tell") {
-			t.Errorf("%s: got the request held off, want it served", name)
+			t.Errorf("%s: got the request quarantined, want it served", name)
 		}
 	}
 }
 
-// Requests that are lost together with a server ask once whether it has ended.
+// Guards against one dial per request when many requests are lost with the same server.
 func TestConcurrentLossesProbeServerOnce(t *testing.T) {
-	const together = 10
+	const concurrent = 10
 
 	f := newCrashFixture(t)
 	release := make(chan struct{})
 	f.respond = func(_ string, n int, r *http.Request) string {
-		if n == together {
-			for _, ended := range f.crashed {
-				ended.Store(true)
+		if n == concurrent {
+			for _, crashed := range f.crashed {
+				crashed.Store(true)
 			}
 
 			close(release)
@@ -268,9 +270,9 @@
 		return signedStream(r, 1, 0, true)
 	}
 
-	done := make(chan struct{}, together)
+	done := make(chan struct{}, concurrent)
 
-	for range together {
+	for range concurrent {
 		go func() {
 			f.call("tell", "r")
 
@@ -278,18 +280,18 @@
 		}()
 	}
 
-	for range together {
+	for range concurrent {
 		<-done
 	}
 
 	f.awaitLosses(1)
 
 	if got, most := int(f.refusedDials.Load()), len(f.crashed); got == 0 || got > most {
-		t.Errorf("connections to %d servers: got %d, want one each at most", most, got)
+		t.Errorf("dials to %d crashed servers: got %d, want at least one, and one each at most", most, got)
 	}
 }
 
-// Guards against another connection for each request that is lost after the end is known.
+// Guards against another dial for each request that is lost after the crash was detected.
 func TestLateLossDoesNotProbeAgain(t *testing.T) {
 	f := newCrashFixture(t)
 	f.Scheduler.Update([]register.Server{{ID: "llm-1", Service: "llm", Address: "llm-1", Domain: "a", Slots: 8}})
@@ -326,12 +328,12 @@
 	}
 
 	if got := f.refusedDials.Load(); got != 1 {
-		t.Errorf("connections to a server that ended: got %d, want one", got)
+		t.Errorf("dials to a crashed server: got %d, want one", got)
 	}
 }
 
-// What the end of a server says of a request is most where its answer had just begun, and
-// never nothing: a request may end its server at any event.
+// Guards against ignoring a crash late in a stream, since a request may crash its server at any
+// event, and against weighing it as much as a crash at the start of a response.
 func TestLossEvidenceDependsOnStreamProgress(t *testing.T) {
 	for name, tt := range map[string]struct {
 		kind   ruleset.Kind
@@ -379,26 +381,27 @@
 	}
 }
 
-// Four of six servers ended within 0.15 s under a request, and another request that came
-// then was refused after it had tried those four, whose entries were still there, while two
-// would have taken it. A server that refuses a connection has run nothing, and says so at
-// once: while there is time and another server, a request is served.
+// Guards against a limit on the number of servers tried. Four of six servers crashed within
+// 0.15 s, and another request was refused after it had tried those four, whose entries were
+// still in the register, although two servers could have served it. A refused connection proves
+// immediately that nothing has run.
 func TestRequestIsServedByOnlyReachableServer(t *testing.T) {
 	f := newCrashFixture(t)
 	f.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 2, false) }
 
-	for name, ended := range f.crashed {
-		ended.Store(name != "llm-8")
+	for name, crashed := range f.crashed {
+		crashed.Store(name != "llm-8")
 	}
 
 	if outcome, got := f.call("tell", "r"); outcome.Reason != Answered {
-		t.Errorf("one of %d servers is there: got %v after %d connections and %+v, want it answered",
+		t.Errorf("one of %d servers is reachable: got %v after %d refused dials and %+v, want it answered",
 			len(f.crashed), outcome.Reason, f.refusedDials.Load(), got.refusals)
 	}
 }
 
-// Servers behind a cut take no connection and refuse none, so that each that is tried takes
-// its time. A request is refused once its caller would leave, not after some count of them.
+// Guards against a request that is retried after its caller has abandoned it. Behind a network
+// cut each dial runs into its timeout, so that the time and not the number of servers tried must
+// end the attempts.
 func TestRequestFailsAfterAbandonDeadline(t *testing.T) {
 	f := newCrashFixture(t)
 	f.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 2, false) }
@@ -413,7 +416,7 @@
 
 	outcome, got := f.call("tell", "r")
 	if outcome.Reason != Overloaded || !outcome.NotRun {
-		t.Errorf("no server takes connections: got %v and %+v, want it refused as not run before all were tried",
+		t.Errorf("no server is reachable: got %v and %+v, want it refused as not run before all were tried",
 			outcome.Reason, got.refusals)
 	}
 
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -49,14 +49,14 @@
 
 // relayStream writes complete events to the sink as they are received.
 func (f *Forwarder) relayStream(
-	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Response, sink Sink,
+	ctx context.Context, j *job, assignment *scheduling.Assignment, response *upstream.Response, sink Sink,
 ) error {
-	events := &eventReader{reader: bufio.NewReaderSize(answer, eventBuffer)}
+	events := &eventReader{reader: bufio.NewReaderSize(response, eventBuffer)}
 
 	for {
 		event, id, err := events.next()
 		if errors.Is(err, io.EOF) {
-			return f.endStream(j, answer, sink)
+			return f.endStream(j, response, sink)
 		}
 
 		if err != nil {
@@ -71,7 +71,7 @@
 			return err
 		}
 
-		if err := f.writeEvent(j, answer, sink, event); err != nil {
+		if err := f.writeEvent(j, response, sink, event); err != nil {
 			return err
 		}
 
@@ -83,9 +83,9 @@
 
 // writeEvent writes one event, preceded by the response header if it is the first event of
 // the request.
-func (f *Forwarder) writeEvent(j *job, answer *upstream.Response, sink Sink, event []byte) error {
+func (f *Forwarder) writeEvent(j *job, response *upstream.Response, sink Sink, event []byte) error {
 	if !j.stream.begun {
-		if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
+		if err := sink.BeginStream(response.Status(), response.Header()); err != nil {
 			return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
 		}
 
@@ -100,13 +100,13 @@
 }
 
 // endStream completes a stream whose response has ended.
-func (f *Forwarder) endStream(j *job, answer *upstream.Response, sink Sink) error {
+func (f *Forwarder) endStream(j *job, response *upstream.Response, sink Sink) error {
 	if j.stream.begun {
 		return nil
 	}
 
 	// A stream may be empty: the caller may have resumed it after its last event.
-	if err := sink.BeginStream(answer.Status(), answer.Header()); err != nil {
+	if err := sink.BeginStream(response.Status(), response.Header()); err != nil {
 		return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
 	}
 
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -54,12 +54,12 @@
 		}
 	}
 
-	a := &Response{pool: p, conn: conn}
-	a.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
-	a.write(message)
+	resp := &Response{pool: p, conn: conn}
+	resp.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
+	resp.write(message)
 
-	if err := a.readHeader(r); err != nil {
-		a.Close()
+	if err := resp.readHeader(r); err != nil {
+		resp.Close()
 
 		if ctx.Err() != nil {
 			return nil, merry.Prepend(ctx.Err(), "send to "+s.Address)
@@ -68,7 +68,7 @@
 		return nil, merry.Prepend(err, "send to "+s.Address)
 	}
 
-	return a, nil
+	return resp, nil
 }
 
 // Response is a response whose header has been received. Its body is read by one
@@ -87,29 +87,29 @@
 
 // write writes the message to the connection. A long message is written concurrently
 // with reading the response, since a server may respond before it has read all of it.
-func (a *Response) write(message []byte) {
+func (resp *Response) write(message []byte) {
 	if len(message) <= maxInlineMessage {
-		a.writeAll(message)
+		resp.writeAll(message)
 
 		return
 	}
 
-	go a.writeAll(message)
+	go resp.writeAll(message)
 }
 
-func (a *Response) writeAll(message []byte) {
-	if _, err := a.conn.Write(message); err == nil {
-		a.written.Store(true)
+func (resp *Response) writeAll(message []byte) {
+	if _, err := resp.conn.Write(message); err == nil {
+		resp.written.Store(true)
 	}
 }
 
-func (a *Response) readHeader(r *Request) error {
+func (resp *Response) readHeader(r *Request) error {
 	request := &http.Request{Method: r.Method}
 
 	for range maxStrayResponses + 1 {
-		response, err := http.ReadResponse(a.conn.reader, request)
+		response, err := http.ReadResponse(resp.conn.reader, request)
 		if err != nil {
-			a.pool.Counters.garbledResponse()
+			resp.pool.Counters.garbledResponse()
 
 			return merry.Prepend(ErrGarbled, "read response", merry.WithCause(err))
 		}
@@ -119,12 +119,12 @@
 		}
 
 		if response.Header.Get(r.IDHeader) == r.ID {
-			a.response = response
+			resp.response = response
 
 			return nil
 		}
 
-		a.pool.Counters.strayResponse()
+		resp.pool.Counters.strayResponse()
 
 		if err := discardResponse(response); err != nil {
 			return err
@@ -150,27 +150,27 @@
 }
 
 // Status returns the status code.
-func (a *Response) Status() int { return a.response.StatusCode }
+func (resp *Response) Status() int { return resp.response.StatusCode }
 
 // Header returns the header fields.
-func (a *Response) Header() http.Header { return a.response.Header }
+func (resp *Response) Header() http.Header { return resp.response.Header }
 
 // ContentLength returns the length of the body, or -1 where it is not known.
-func (a *Response) ContentLength() int64 { return a.response.ContentLength }
+func (resp *Response) ContentLength() int64 { return resp.response.ContentLength }
 
 // Read reads the body. It returns io.EOF only if the body is complete.
-func (a *Response) Read(b []byte) (int, error) {
-	n, err := a.response.Body.Read(b)
+func (resp *Response) Read(b []byte) (int, error) {
+	n, err := resp.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.bodyRead = true
+		resp.bodyRead = true
 	}
 
 	return n, err
 }
 
 // ReadAll reads the whole body, of at most limit bytes. Its errors wrap ErrGarbled.
-func (a *Response) ReadAll(limit int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a, limit+1))
+func (resp *Response) ReadAll(limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(resp, limit+1))
 	if err != nil {
 		return nil, merry.Prepend(ErrGarbled, "read response body", merry.WithCause(err))
 	}
@@ -185,22 +185,22 @@
 // Close releases the connection. It is kept for further requests if the body was read to
 // its end and no other bytes were received; otherwise it is closed, which makes the
 // backend server stop its work.
-func (a *Response) Close() {
-	a.once.Do(func() {
+func (resp *Response) Close() {
+	resp.once.Do(func() {
 		// If it is too late to stop the context's function, that closes the connection.
-		if !a.stop() || !a.reusable() {
-			a.pool.closeConnection(a.conn)
+		if !resp.stop() || !resp.reusable() {
+			resp.pool.closeConnection(resp.conn)
 
 			return
 		}
 
-		a.pool.putIdle(a.conn, idleTimeout(a.response.Header.Get("Keep-Alive")))
+		resp.pool.putIdle(resp.conn, idleTimeout(resp.response.Header.Get("Keep-Alive")))
 	})
 }
 
-func (a *Response) reusable() bool {
-	return a.response != nil && a.bodyRead && a.written.Load() && !a.response.Close &&
-		a.response.ProtoAtLeast(1, 1) && a.conn.reader.Buffered() == 0
+func (resp *Response) reusable() bool {
+	return resp.response != nil && resp.bodyRead && resp.written.Load() && !resp.response.Close &&
+		resp.response.ProtoAtLeast(1, 1) && resp.conn.reader.Buffered() == 0
 }
 
 // idleTimeout returns how long a connection may be idle and still be reused, from the
