--- a/arrivals/arrivals.go
+++ b/arrivals/arrivals.go
@@ -35,21 +35,21 @@
 // Table holds the newest reports of each other instance. The zero value is empty; it is safe
 // for concurrent use.
 type Table struct {
-	mu sync.Mutex
-	of map[fleet.InstanceID]*source
+	mu      sync.Mutex
+	sources map[fleet.InstanceID]*source
 }
 
 // source is one start of an instance.
 type source struct {
 	incarnation fleet.Incarnation
-	services    map[fleet.Service]entry
+	services    map[fleet.Service]workReport
 }
 
-// entry is what a source reported last of one service.
-type entry struct {
-	work scheduling.Work
-	sent int64
-	at   time.Time
+// workReport is what a source reported last of one service.
+type workReport struct {
+	work       scheduling.Work
+	sentAt     int64
+	receivedAt time.Time
 }
 
 // Record takes a report in. One of an earlier start, or that another has overtaken, changes
@@ -58,40 +58,40 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	if t.of == nil {
-		t.of = make(map[fleet.InstanceID]*source)
+	if t.sources == nil {
+		t.sources = make(map[fleet.InstanceID]*source)
 	}
 
-	from := t.of[r.Instance]
+	from := t.sources[r.Instance]
 	if from != nil && r.Incarnation < from.incarnation {
 		return
 	}
 
 	if from == nil || r.Incarnation > from.incarnation {
-		from = &source{incarnation: r.Incarnation, services: make(map[fleet.Service]entry)}
-		t.of[r.Instance] = from
+		from = &source{incarnation: r.Incarnation, services: make(map[fleet.Service]workReport)}
+		t.sources[r.Instance] = from
 	}
 
 	for _, work := range r.Work {
-		if r.SentAt >= from.services[work.Service].sent {
-			from.services[work.Service] = entry{work: work, sent: r.SentAt, at: now}
+		if r.SentAt >= from.services[work.Service].sentAt {
+			from.services[work.Service] = workReport{work: work, sentAt: r.SentAt, receivedAt: now}
 		}
 	}
 }
 
 // Total returns what arrives here and at all others, by service. Reports that came
 // longer than life ago do not count and are forgotten.
-func (t *Table) Total(now time.Time, life time.Duration, own []scheduling.Work) []scheduling.Work {
+func (t *Table) Total(now time.Time, ttl time.Duration, own []scheduling.Work) []scheduling.Work {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	all := slices.Clone(own)
 
-	for id, from := range t.of {
-		maps.DeleteFunc(from.services, func(_ fleet.Service, e entry) bool { return now.Sub(e.at) > life })
+	for id, from := range t.sources {
+		maps.DeleteFunc(from.services, func(_ fleet.Service, e workReport) bool { return now.Sub(e.receivedAt) > ttl })
 
 		if len(from.services) == 0 {
-			delete(t.of, id)
+			delete(t.sources, id)
 		}
 
 		for _, e := range from.services {
@@ -99,12 +99,12 @@
 		}
 	}
 
-	return add(all)
+	return sumByService(all)
 }
 
-// add adds up what arrives by service. Its speed is the middle one: what single instances
+// sumByService adds up what arrives by service. Its speed is the middle one: what single instances
 // measured of few answers may lie far off.
-func add(all []scheduling.Work) []scheduling.Work {
+func sumByService(all []scheduling.Work) []scheduling.Work {
 	speeds := make(map[fleet.Service][]float64)
 
 	var sums []scheduling.Work
--- a/arrivals/arrivals_test.go
+++ b/arrivals/arrivals_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	service fleet.Service = "llm"
-	life                  = 2 * time.Second
+	service   fleet.Service = "llm"
+	reportTTL               = 2 * time.Second
 )
 
 var begin = time.Unix(1000, 0)
 
-func arriving(work []scheduling.Work) float64 {
+func totalRate(work []scheduling.Work) float64 {
 	sum := 0.0
 	for _, w := range work {
 		sum += w.Arriving
@@ -42,27 +42,27 @@
 	table.Record(begin, report("a", 1, 2, 15))
 	table.Record(begin, report("a", 1, 1, 10))
 
-	if got, want := arriving(table.Total(begin, life, nil)), 35.0; got != want {
+	if got, want := totalRate(table.Total(begin, reportTTL, nil)), 35.0; got != want {
 		t.Errorf("newest reports: got %v, want %v", got, want)
 	}
 
 	table.Record(begin, report("a", 2, 1, 1))
 	table.Record(begin, report("a", 1, 9, 15))
 
-	if got, want := arriving(table.Total(begin, life, report("", 0, 0, 4).Work)), 25.0; got != want {
+	if got, want := totalRate(table.Total(begin, reportTTL, report("", 0, 0, 4).Work)), 25.0; got != want {
 		t.Errorf("after a start of one, with what arrives here: got %v, want %v", got, want)
 	}
 
-	if got, want := arriving(table.Total(begin.Add(life+1), life, nil)), 0.0; got != want {
+	if got, want := totalRate(table.Total(begin.Add(reportTTL+1), reportTTL, nil)), 0.0; got != want {
 		t.Errorf("after their life: got %v, want %v", got, want)
 	}
 
-	if got := len(table.of); got != 0 {
+	if got := len(table.sources); got != 0 {
 		t.Errorf("remembered after their life: got %d, want none", got)
 	}
 }
 
-func TestTheSpeedIsTheMiddleOne(t *testing.T) {
+func TestTotalUsesMedianSpeed(t *testing.T) {
 	var table Table
 
 	for i, speed := range []float64{100, 9000, 0, 110, 90} {
@@ -71,24 +71,24 @@
 		table.Record(begin, w)
 	}
 
-	if got, want := table.Total(begin, life, nil)[0].Speed, 110.0; got != want {
+	if got, want := table.Total(begin, reportTTL, nil)[0].Speed, 110.0; got != want {
 		t.Errorf("speed: got %v, want %v", got, want)
 	}
 }
 
-// model is a fleet whose instances tell those that plan what arrives at them, over messages
+// simulation is a fleet whose instances tell those that plan what arrives at them, over messages
 // that are lost, late, repeated and overtaken, while instances end, start again and change
 // whom they tell.
-type model struct {
+type simulation struct {
 	now    time.Time
 	tables [2]Table
 	// rate is what arrives at each instance at a time.
 	rate        []float64
 	incarnation []fleet.Incarnation
-	flying      []flight
+	inFlight    []message
 }
 
-type flight struct {
+type message struct {
 	to     int
 	report Report
 }
@@ -98,7 +98,7 @@
 func TestHoldsNoInstanceCountsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "instances")
-		m := &model{now: begin, rate: make([]float64, n), incarnation: make([]fleet.Incarnation, n)}
+		m := &simulation{now: begin, rate: make([]float64, n), incarnation: make([]fleet.Incarnation, n)}
 		highest := 0.0
 
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -113,13 +113,13 @@
 				m.incarnation[i]++
 				m.rate[i] = 0
 			case 2, 3:
-				m.flying = append(m.flying, flight{rapid.IntRange(0, 1).Draw(t, "to"), m.say(i)})
+				m.inFlight = append(m.inFlight, message{rapid.IntRange(0, 1).Draw(t, "to"), m.currentReport(i)})
 			case 4:
-				m.land(t)
+				m.deliver(t)
 			}
 
 			for planner := range m.tables {
-				if got, most := arriving(m.tables[planner].Total(m.now, life, nil)), highest*float64(n); got > most {
+				if got, most := totalRate(m.tables[planner].Total(m.now, reportTTL, nil)), highest*float64(n); got > most {
 					t.Fatalf("at planner %d: got %v, want at most %v of %d instances", planner, got, most, n)
 				}
 			}
@@ -129,37 +129,37 @@
 
 		for i, rate := range m.rate {
 			m.now = m.now.Add(time.Millisecond)
-			m.tables[0].Record(m.now, m.say(i))
+			m.tables[0].Record(m.now, m.currentReport(i))
 
 			want += rate
 		}
 
-		for _, late := range m.flying {
+		for _, late := range m.inFlight {
 			m.tables[0].Record(m.now, late.report)
 		}
 
-		if got := arriving(m.tables[0].Total(m.now, life, nil)); got != want {
+		if got := totalRate(m.tables[0].Total(m.now, reportTTL, nil)); got != want {
 			t.Fatalf("after all were heard, late messages behind them: got %v, want %v", got, want)
 		}
 	})
 }
 
-// say returns what an instance says now.
-func (m *model) say(i int) Report {
+// currentReport returns what an instance says now.
+func (m *simulation) currentReport(i int) Report {
 	return report(fleet.InstanceID(fmt.Sprint("entry-", i)), m.incarnation[i], m.now.UnixNano(), m.rate[i])
 }
 
-// land lets one of the messages that are on their way arrive, maybe not for the last time.
-func (m *model) land(t *rapid.T) {
-	if len(m.flying) == 0 {
+// deliver lets one of the messages that are on their way arrive, maybe not for the last time.
+func (m *simulation) deliver(t *rapid.T) {
+	if len(m.inFlight) == 0 {
 		return
 	}
 
-	k := rapid.IntRange(0, len(m.flying)-1).Draw(t, "flight")
-	one := m.flying[k]
-	m.tables[one.to].Record(m.now, one.report)
+	k := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "flight")
+	msg := m.inFlight[k]
+	m.tables[msg.to].Record(m.now, msg.report)
 
 	if !rapid.Bool().Draw(t, "again") {
-		m.flying = append(m.flying[:k], m.flying[k+1:]...)
+		m.inFlight = append(m.inFlight[:k], m.inFlight[k+1:]...)
 	}
 }
