--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -71,48 +71,48 @@
 }
 
 const (
-	// afterLosses is the part of a server's speed that is used once two failure domains
+	// maxUtilizationAfterLosses is the part of a server's speed that is used once two failure domains
 	// were reclaimed. With four of them it makes 0.31 at the usual load, at which a prompt
 	// waits for half as long as it takes itself, and with six 0.41.
-	afterLosses = 0.62
-	// losses is how many failure domains may be reclaimed at a time, and mostLost the part
+	maxUtilizationAfterLosses = 0.62
+	// toleratedDomainLosses is how many failure domains may be reclaimed at a time, and mostLost the part
 	// of the servers that is planned for where there are few of them.
-	losses   = 2
-	mostLost = 0.5
-	// memory is how long the highest load counts: a wave of users. Servers that are
+	toleratedDomainLosses = 2
+	maxLostShare          = 0.5
+	// peakWindow is how long the highest load counts: a wave of users. Servers that are
 	// given back too early cost more than those that are kept: they may not be had
 	// again, and new ones have read nothing.
-	memory = 45 * time.Second
-	// settle is added to the boot of servers before an order is given again: the
+	peakWindow = 45 * time.Second
+	// orderSettleTime is added to the boot of servers before an order is given again: the
 	// register and the calls have their delays.
-	settle = 4 * time.Second
-	// refusedFor is how long a failure domain that had none is not asked again.
-	refusedFor = 4 * time.Second
-	// shortFor is how long after such an answer reclaimable servers count as short.
-	shortFor = 8 * time.Second
-	// critical is the part of the servers wanted of late below which lasting ones are
+	orderSettleTime = 4 * time.Second
+	// refusalBackoff is how long a failure domain that had none is not asked again.
+	refusalBackoff = 4 * time.Second
+	// shortageWindow is how long after such an answer reclaimable servers count as short.
+	shortageWindow = 8 * time.Second
+	// criticalShare is the part of the servers wanted of late below which lasting ones are
 	// ordered while no reclaimable ones are to be had: one failure domain after the
 	// other may be reclaimed before there are any again.
-	critical = 0.66
-	// lately is the time in which servers count as wanted of late. Lasting servers
+	criticalShare = 0.66
+	// recentWindow is the time in which servers count as wanted of late. Lasting servers
 	// cost many times what reclaimable ones cost, and are had at any time.
-	lately = 12 * time.Second
+	recentWindow = 12 * time.Second
 )
 
 // Planner remembers what was ordered. It is not safe for concurrent use.
 type Planner struct {
-	ordered map[key]given
+	lastOrders map[orderKey]lastOrder
 	// peaks are the highest loads of late, by service.
 	peaks map[fleet.Service]*peaks
 }
 
-type key struct {
+type orderKey struct {
 	service     fleet.Service
 	domain      fleet.FailureDomain
 	reclaimable bool
 }
 
-type given struct {
+type lastOrder struct {
 	servers int
 	at      time.Time
 	// refusedAt is when no such servers were to be had.
@@ -121,12 +121,12 @@
 
 // Plan returns the orders to give now for one service.
 func (p *Planner) Plan(now time.Time, s ServiceState) []Order {
-	if p.ordered == nil {
-		p.ordered = make(map[key]given)
+	if p.lastOrders == nil {
+		p.lastOrders = make(map[orderKey]lastOrder)
 	}
 
-	places := slices.Clone(s.Domains)
-	slices.SortFunc(places, func(a, b DomainState) int {
+	domains := slices.Clone(s.Domains)
+	slices.SortFunc(domains, func(a, b DomainState) int {
 		if a.Price != b.Price {
 			return int(math.Copysign(1, a.Price-b.Price))
 		}
@@ -134,32 +134,32 @@
 		return strings.Compare(string(a.Domain), string(b.Domain))
 	})
 
-	wanted := p.wanted(now, s)
+	wanted := p.updateWanted(now, s)
 	if wanted == 0 {
 		return nil
 	}
 
-	reclaimable := p.spread(now, s, places, wanted)
-	lasting := p.lasting(now, s, places, wanted)
+	reclaimable := p.distribute(now, s, domains, wanted)
+	onDemand := p.onDemandServers(now, s, domains, wanted)
 
 	var orders []Order
 
-	for i, place := range places {
-		orders = p.order(now, s, orders, place.Domain, true, reclaimable[i], place.Reclaimable)
-		orders = p.order(now, s, orders, place.Domain, false, lasting[i], place.OnDemand)
+	for i, domain := range domains {
+		orders = p.appendOrder(now, s, orders, domain.Domain, true, reclaimable[i], domain.Reclaimable)
+		orders = p.appendOrder(now, s, orders, domain.Domain, false, onDemand[i], domain.OnDemand)
 	}
 
 	return orders
 }
 
-// order adds an order where what is wanted is not what was ordered or has not come.
-func (p *Planner) order(
+// appendOrder adds an appendOrder where what is wanted is not what was ordered or has not come.
+func (p *Planner) appendOrder(
 	now time.Time, s ServiceState, orders []Order, domain fleet.FailureDomain, reclaimable bool, wanted, present int,
 ) []Order {
-	k := key{s.Service, domain, reclaimable}
-	last, known := p.ordered[k]
+	k := orderKey{s.Service, domain, reclaimable}
+	last, known := p.lastOrders[k]
 
-	if now.Sub(last.refusedAt) < refusedFor {
+	if now.Sub(last.refusedAt) < refusalBackoff {
 		return orders
 	}
 
@@ -167,28 +167,28 @@
 		return orders
 	}
 
-	if known && last.servers == wanted && (wanted == present || now.Sub(last.at) < s.BootTime+settle) {
+	if known && last.servers == wanted && (wanted == present || now.Sub(last.at) < s.BootTime+orderSettleTime) {
 		return orders
 	}
 
-	p.ordered[k] = given{servers: wanted, at: now, refusedAt: last.refusedAt}
+	p.lastOrders[k] = lastOrder{servers: wanted, at: now, refusedAt: last.refusedAt}
 
 	return append(orders, Order{Service: s.Service, Domain: domain, Reclaimable: reclaimable, Servers: wanted})
 }
 
 // RecordResult takes in how an order was answered. none is set where no such servers
 // were to be had; ok is not set where it is not known whether the order took effect.
-func (p *Planner) RecordResult(now time.Time, o Order, ok, none bool) {
-	k := key{o.Service, o.Domain, o.Reclaimable}
-	one := p.ordered[k]
+func (p *Planner) RecordResult(now time.Time, o Order, ok, unavailable bool) {
+	k := orderKey{o.Service, o.Domain, o.Reclaimable}
+	last := p.lastOrders[k]
 
 	switch {
-	case none:
-		one.refusedAt = now
-		one.servers = -1
+	case unavailable:
+		last.refusedAt = now
+		last.servers = -1
 	case !ok:
-		one.servers = -1
+		last.servers = -1
 	}
 
-	p.ordered[k] = one
+	p.lastOrders[k] = last
 }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -9,15 +9,15 @@
 	"monsoonlever/fleet"
 )
 
-// market is a platform that carries orders out: servers take a time to boot, and at
+// fakeCloud is a platform that carries orders out: servers take a time to boot, and at
 // times no reclaimable ones are to be had.
-type market struct {
-	boot    time.Duration
-	dry     bool
-	servers map[key][]time.Time // when each server takes requests
-	orders  int
-	// paid is the price of all servers so far, in seconds of a lasting one.
-	paid float64
+type fakeCloud struct {
+	boot      time.Duration
+	exhausted bool
+	servers   map[orderKey][]time.Time // when each server takes requests
+	orders    int
+	// cost is the price of all servers so far, in seconds of a lasting one.
+	cost float64
 }
 
 const (
@@ -30,18 +30,18 @@
 	domains = []fleet.FailureDomain{"a", "b", "c", "d"}
 )
 
-func newMarket() *market {
-	m := &market{boot: 4 * time.Second, servers: make(map[key][]time.Time)}
+func newFakeCloud() *fakeCloud {
+	m := &fakeCloud{boot: 4 * time.Second, servers: make(map[orderKey][]time.Time)}
 
 	for i := range 9 {
-		k := key{service, domains[i%4], false}
+		k := orderKey{service, domains[i%4], false}
 		m.servers[k] = append(m.servers[k], begin)
 	}
 
 	return m
 }
 
-func (m *market) ready(now time.Time, k key) int {
+func (m *fakeCloud) ready(now time.Time, k orderKey) int {
 	n := 0
 
 	for _, at := range m.servers[k] {
@@ -53,25 +53,25 @@
 	return n
 }
 
-func (m *market) state(now time.Time, arriving float64) ServiceState {
+func (m *fakeCloud) state(now time.Time, arriving float64) ServiceState {
 	s := ServiceState{Service: service, MinPerDomain: 1, MaxPerDomain: 6, BootTime: m.boot, ArrivalRate: arriving, ServerRate: 50_000}
 
 	for i, d := range domains {
 		s.Domains = append(s.Domains, DomainState{
 			Domain: d, Price: 1 + float64(i)/10,
-			OnDemand: m.ready(now, key{service, d, false}), Reclaimable: m.ready(now, key{service, d, true}),
+			OnDemand: m.ready(now, orderKey{service, d, false}), Reclaimable: m.ready(now, orderKey{service, d, true}),
 		})
 	}
 
 	return s
 }
 
-// obey carries an order out and tells whether there were none.
-func (m *market) obey(now time.Time, o Order) (none bool) {
+// apply carries an order out and tells whether there were none.
+func (m *fakeCloud) apply(now time.Time, o Order) (none bool) {
 	m.orders++
 
-	k := key{o.Service, o.Domain, o.Reclaimable}
-	if o.Reclaimable && m.dry && o.Servers > len(m.servers[k]) {
+	k := orderKey{o.Service, o.Domain, o.Reclaimable}
+	if o.Reclaimable && m.exhausted && o.Servers > len(m.servers[k]) {
 		return true
 	}
 
@@ -84,7 +84,7 @@
 	return false
 }
 
-func (m *market) all(now time.Time) (lasting, reclaimable int) {
+func (m *fakeCloud) count(now time.Time) (lasting, reclaimable int) {
 	for k := range m.servers {
 		if k.reclaimable {
 			reclaimable += m.ready(now, k)
@@ -96,15 +96,15 @@
 	return lasting, reclaimable
 }
 
-// play plans for a span and calls each at every tick.
-func play(m *market, p *Planner, from time.Time, span time.Duration, arriving float64, each func(time.Time)) time.Time {
+// simulate plans for a span and calls each at every tick.
+func simulate(m *fakeCloud, p *Planner, from time.Time, span time.Duration, arriving float64, each func(time.Time)) time.Time {
 	for now := from; now.Before(from.Add(span)); now = now.Add(tick) {
 		for _, o := range p.Plan(now, m.state(now, arriving)) {
-			p.RecordResult(now, o, true, m.obey(now, o))
+			p.RecordResult(now, o, true, m.apply(now, o))
 		}
 
-		lasting, reclaimable := m.all(now)
-		m.paid += (float64(lasting) + 0.15*float64(reclaimable)) * tick.Seconds()
+		lasting, reclaimable := m.count(now)
+		m.cost += (float64(lasting) + 0.15*float64(reclaimable)) * tick.Seconds()
 
 		if each != nil {
 			each(now)
@@ -114,31 +114,31 @@
 	return from.Add(span)
 }
 
-// needed is how many servers of the market carry a load.
-func needed(arriving float64) int {
-	return int(math.Ceil(arriving / (50_000 * target(len(domains)))))
+// neededServers is how many servers of the market carry a load.
+func neededServers(arriving float64) int {
+	return int(math.Ceil(arriving / (50_000 * targetUtilization(len(domains)))))
 }
 
-func TestReclaimableServersTakeOverWithoutAGap(t *testing.T) {
-	m, p := newMarket(), &Planner{}
+func TestReclaimableServersReplaceOnDemandServersWithoutGap(t *testing.T) {
+	m, p := newFakeCloud(), &Planner{}
 	least := 99
 
-	play(m, p, begin, time.Minute, 130_000, func(now time.Time) {
-		lasting, reclaimable := m.all(now)
+	simulate(m, p, begin, time.Minute, 130_000, func(now time.Time) {
+		lasting, reclaimable := m.count(now)
 		least = min(least, lasting+reclaimable)
 	})
 
-	lasting, reclaimable := m.all(begin.Add(time.Minute))
-	if lasting != 0 || reclaimable < needed(130_000) {
+	lasting, reclaimable := m.count(begin.Add(time.Minute))
+	if lasting != 0 || reclaimable < neededServers(130_000) {
 		t.Errorf("after a minute: got %d lasting and %d reclaimable, want 0 and what the load needs", lasting, reclaimable)
 	}
 
-	if least < needed(130_000) {
-		t.Errorf("servers on the way: got %d, want never below %d", least, needed(130_000))
+	if least < neededServers(130_000) {
+		t.Errorf("servers on the way: got %d, want never below %d", least, neededServers(130_000))
 	}
 
-	if all := 9 * 60.0; m.paid > all/3 {
-		t.Errorf("price: got %.0f, want below a third of %.0f for lasting servers alone", m.paid, all)
+	if all := 9 * 60.0; m.cost > all/3 {
+		t.Errorf("price: got %.0f, want below a third of %.0f for lasting servers alone", m.cost, all)
 	}
 
 	if m.orders > 16 {
@@ -146,19 +146,19 @@
 	}
 }
 
-func TestTwoReclaimsWhileNoneAreAvailable(t *testing.T) {
-	m, p := newMarket(), &Planner{}
-	now := play(m, p, begin, 20*time.Second, 150_000, nil)
+func TestOnDemandServersCoverTwoReclaimedDomains(t *testing.T) {
+	m, p := newFakeCloud(), &Planner{}
+	now := simulate(m, p, begin, 20*time.Second, 150_000, nil)
 
-	m.dry = true
-	delete(m.servers, key{service, "a", true})
-	now = play(m, p, now, 6*time.Second, 150_000, nil)
-	delete(m.servers, key{service, "b", true})
+	m.exhausted = true
+	delete(m.servers, orderKey{service, "a", true})
+	now = simulate(m, p, now, 6*time.Second, 150_000, nil)
+	delete(m.servers, orderKey{service, "b", true})
 
 	before := m.orders
-	now = play(m, p, now, 8*time.Second, 150_000, nil)
+	now = simulate(m, p, now, 8*time.Second, 150_000, nil)
 
-	lasting, reclaimable := m.all(now)
+	lasting, reclaimable := m.count(now)
 	if got, want := lasting+reclaimable, 5; got < want {
 		t.Errorf("8s after the second reclaim: got %d servers, want at least %d", got, want)
 	}
@@ -167,16 +167,16 @@
 		t.Errorf("orders in 8s: got %d, want at most 16", got)
 	}
 
-	m.dry = false
-	now = play(m, p, now, 25*time.Second, 150_000, nil)
+	m.exhausted = false
+	now = simulate(m, p, now, 25*time.Second, 150_000, nil)
 
-	if lasting, _ := m.all(now); lasting != 0 {
+	if lasting, _ := m.count(now); lasting != 0 {
 		t.Errorf("once reclaimable ones are back: got %d lasting, want 0", lasting)
 	}
 }
 
-func TestAnOrderThatDidNotComeAboutIsGivenAgain(t *testing.T) {
-	m, p := newMarket(), &Planner{}
+func TestOrderWithoutEffectIsRepeated(t *testing.T) {
+	m, p := newFakeCloud(), &Planner{}
 	lost := map[string]int{}
 
 	for now := begin; now.Before(begin.Add(30 * time.Second)); now = now.Add(tick) {
@@ -186,20 +186,20 @@
 
 			// The first order of each kind has no effect, although it is accepted.
 			if lost[name] > 1 {
-				m.obey(now, o)
+				m.apply(now, o)
 			}
 
 			p.RecordResult(now, o, true, false)
 		}
 	}
 
-	if lasting, reclaimable := m.all(begin.Add(30 * time.Second)); lasting != 0 || reclaimable != 9 {
+	if lasting, reclaimable := m.count(begin.Add(30 * time.Second)); lasting != 0 || reclaimable != 9 {
 		t.Errorf("got %d lasting and %d reclaimable, want 0 and 9", lasting, reclaimable)
 	}
 }
 
-func TestNothingIsOrderedBeforeServersAreKnown(t *testing.T) {
-	m := &market{servers: make(map[key][]time.Time)}
+func TestPlanReturnsNoOrdersBeforeServersRegister(t *testing.T) {
+	m := &fakeCloud{servers: make(map[orderKey][]time.Time)}
 	s := m.state(begin, 0)
 	s.ServerRate = 0
 
@@ -210,74 +210,74 @@
 
 // A holder that takes over, or starts with all others, knows no load yet: it must not
 // give servers back for that.
-func TestAPlannerThatIsNewGivesNothingBack(t *testing.T) {
-	m, p := newMarket(), &Planner{}
-	now := play(m, p, begin, 30*time.Second, 150_000, nil)
-	_, before := m.all(now)
+func TestNewPlannerReleasesNoServers(t *testing.T) {
+	m, p := newFakeCloud(), &Planner{}
+	now := simulate(m, p, begin, 30*time.Second, 150_000, nil)
+	_, before := m.count(now)
 
-	play(m, &Planner{}, now, 20*time.Second, 10_000, func(now time.Time) {
-		if lasting, reclaimable := m.all(now); lasting+reclaimable < before {
+	simulate(m, &Planner{}, now, 20*time.Second, 10_000, func(now time.Time) {
+		if lasting, reclaimable := m.count(now); lasting+reclaimable < before {
 			t.Fatalf("%v after the change: got %d servers, want %d", now.Sub(begin), lasting+reclaimable, before)
 		}
 	})
 }
 
 // While there are too few, a place that still has reclaimable servers keeps them.
-func TestNothingIsGivenBackInAShortage(t *testing.T) {
-	m, p := newMarket(), &Planner{}
-	now := play(m, p, begin, 20*time.Second, 150_000, nil)
+func TestShortageReleasesNoReclaimableServers(t *testing.T) {
+	m, p := newFakeCloud(), &Planner{}
+	now := simulate(m, p, begin, 20*time.Second, 150_000, nil)
 
-	m.dry = true
-	delete(m.servers, key{service, "a", true})
-	delete(m.servers, key{service, "b", true})
+	m.exhausted = true
+	delete(m.servers, orderKey{service, "a", true})
+	delete(m.servers, orderKey{service, "b", true})
 
-	_, before := m.all(now)
-	play(m, p, now, 20*time.Second, 150_000, func(now time.Time) {
-		if _, got := m.all(now); got < before {
+	_, before := m.count(now)
+	simulate(m, p, now, 20*time.Second, 150_000, func(now time.Time) {
+		if _, got := m.count(now); got < before {
 			t.Fatalf("reclaimable servers: got %d, want the %d that are left", got, before)
 		}
 	})
 }
 
-func TestANewHolderGivesNothingBackThatTheLastOneWanted(t *testing.T) {
-	m, last := newMarket(), &Planner{}
-	now := play(m, last, begin, 20*time.Second, 180_000, nil)
+func TestRestoredPlannerReleasesNoServersWantedBefore(t *testing.T) {
+	m, last := newFakeCloud(), &Planner{}
+	now := simulate(m, last, begin, 20*time.Second, 180_000, nil)
 
 	// All instances start anew while a failure domain is reclaimed: little is there,
 	// and no load is known yet.
-	delete(m.servers, key{service, "a", true})
-	m.dry = true
+	delete(m.servers, orderKey{service, "a", true})
+	m.exhausted = true
 
 	next := &Planner{}
 	next.Restore(now, last.Plans(now))
 
 	for _, o := range next.Plan(now, m.state(now, 0)) {
-		if present := m.ready(now, key{service, o.Domain, o.Reclaimable}); o.Reclaimable && o.Servers < present {
+		if present := m.ready(now, orderKey{service, o.Domain, o.Reclaimable}); o.Reclaimable && o.Servers < present {
 			t.Errorf("order of the new holder: got %d servers in %s where %d are, want none given back", o.Servers, o.Domain, present)
 		}
 	}
 
-	if wanted, _ := next.Wanted(now, service); wanted != needed(180_000) {
-		t.Errorf("wanted by the new holder: got %d, want %d as before", wanted, needed(180_000))
+	if wanted, _ := next.Wanted(now, service); wanted != neededServers(180_000) {
+		t.Errorf("wanted by the new holder: got %d, want %d as before", wanted, neededServers(180_000))
 	}
 }
 
-func TestLastingServersFollowTheLoadOfLate(t *testing.T) {
-	m, p := newMarket(), &Planner{}
-	now := play(m, p, begin, 20*time.Second, 300_000, nil)
+func TestOnDemandServersFollowRecentLoad(t *testing.T) {
+	m, p := newFakeCloud(), &Planner{}
+	now := simulate(m, p, begin, 20*time.Second, 300_000, nil)
 
 	// The wave is over before the reclaims, and no others are to be had.
-	now = play(m, p, now, lately+time.Second, 60_000, nil)
-	m.dry = true
+	now = simulate(m, p, now, recentWindow+time.Second, 60_000, nil)
+	m.exhausted = true
 
 	for _, d := range domains {
-		delete(m.servers, key{service, d, true})
+		delete(m.servers, orderKey{service, d, true})
 	}
 
-	now = play(m, p, now, 10*time.Second, 60_000, nil)
+	now = simulate(m, p, now, 10*time.Second, 60_000, nil)
 
-	lasting, _ := m.all(now)
-	if most := len(domains) + needed(60_000); lasting > most || lasting < needed(60_000)/2 {
+	lasting, _ := m.count(now)
+	if most := len(domains) + neededServers(60_000); lasting > most || lasting < neededServers(60_000)/2 {
 		t.Errorf("lasting servers after the wave: got %d, want at most %d and at least half of what the load needs", lasting, most)
 	}
 }
@@ -295,16 +295,16 @@
 			s.Domains = append(s.Domains, DomainState{Domain: fleet.FailureDomain(fmt.Sprint("domain-", i)), Price: 1})
 		}
 
-		wanted := (&Planner{}).wanted(begin, s)
+		wanted := (&Planner{}).updateWanted(begin, s)
 		if before > 0 && wanted > before && wanted > n {
 			t.Errorf("%d failure domains: got %d servers, want at most the %d of fewer domains", n, wanted, before)
 		}
 
 		before = wanted
 
-		left := float64(wanted) * (1 - min(losses/float64(n), mostLost))
-		if use := arriving / 50_000 / left; use > afterLosses+0.01 {
-			t.Errorf("%d failure domains: got %.2f of the speed used after two are lost, want at most %.2f", n, use, afterLosses)
+		left := float64(wanted) * (1 - min(toleratedDomainLosses/float64(n), maxLostShare))
+		if use := arriving / 50_000 / left; use > maxUtilizationAfterLosses+0.01 {
+			t.Errorf("%d failure domains: got %.2f of the speed used after two are lost, want at most %.2f", n, use, maxUtilizationAfterLosses)
 		}
 	}
 }
--- a/capacity/contradiction.go
+++ b/capacity/contradiction.go
@@ -1,27 +1,27 @@
 package capacity
 
 const (
-	// impossibleLoad is how many times what all servers read that has to arrive before it
+	// impossibleLoadFactor is how many times what all servers read that has to arrive before it
 	// is held against what they say: prompts then pile up at them within a second.
-	impossibleLoad = 1.5
-	// idleShare is the part of the servers' places below which nothing piles up there.
-	idleShare = 0.5
+	impossibleLoadFactor = 1.5
+	// idleOccupancy is the part of the servers' places below which nothing piles up there.
+	idleOccupancy = 0.5
 )
 
 // Contradicted tells whether the servers' own answers contradict the load: it would fill
 // their places in no time, and most of these are free. What was told of the load, or
 // measured of the servers' speed, is wrong then.
 func (s ServiceState) Contradicted() bool {
-	load := s.ServerRate * float64(s.servers())
+	serviceRate := s.ServerRate * float64(s.serverCount())
 
-	return s.OccupancyKnown && load > 0 && s.ArrivalRate > impossibleLoad*load && s.Occupancy < idleShare
+	return s.OccupancyKnown && serviceRate > 0 && s.ArrivalRate > impossibleLoadFactor*serviceRate && s.Occupancy < idleOccupancy
 }
 
-// servers returns how many servers take requests.
-func (s ServiceState) servers() int {
+// serverCount returns how many serverCount take requests.
+func (s ServiceState) serverCount() int {
 	n := 0
-	for _, place := range s.Domains {
-		n += place.OnDemand + place.Reclaimable
+	for _, domain := range s.Domains {
+		n += domain.OnDemand + domain.Reclaimable
 	}
 
 	return n
--- a/capacity/contradiction_test.go
+++ b/capacity/contradiction_test.go
@@ -7,7 +7,7 @@
 
 // A load that was told many times over is not ordered for while the servers say that most
 // of their places are free. One that fills them is.
-func TestALoadThatTheServersContradictIsNotOrderedFor(t *testing.T) {
+func TestContradictedLoadOrdersNoServers(t *testing.T) {
 	const load = 4 * 9 * 50_000
 
 	for name, tt := range map[string]struct {
@@ -19,10 +19,10 @@
 		"places are taken":     {taken: 0.9, known: true, more: true},
 		"servers told nothing": {more: true},
 	} {
-		m := newMarket()
+		m := newFakeCloud()
 		p := &Planner{}
 
-		lasting, reclaimable := m.all(begin)
+		lasting, reclaimable := m.count(begin)
 		before := lasting + reclaimable
 		most := before
 
@@ -32,7 +32,7 @@
 			s.Occupancy, s.OccupancyKnown = tt.taken, tt.known
 
 			for _, o := range p.Plan(now, s) {
-				none := m.obey(now, o)
+				none := m.apply(now, o)
 				p.RecordResult(now, o, !none, none)
 			}
 
--- /dev/null
+++ b/capacity/distribution.go
@@ -0,0 +1,133 @@
+package capacity
+
+import (
+	"math"
+	"time"
+
+	"monsoonlever/fleet"
+)
+
+// distribute divides the wanted servers over the places that have reclaimable ones,
+// evenly, since all of a place are lost at once. While there are too few, none is
+// given back: it might not be had again.
+func (p *Planner) distribute(now time.Time, s ServiceState, places []DomainState, wanted int) []int {
+	counts := make([]int, len(places))
+	left := wanted
+
+	if reclaimableServers(places) < wanted {
+		for i, place := range places {
+			counts[i] = min(place.Reclaimable, s.MaxPerDomain)
+			left -= counts[i]
+		}
+	}
+
+	for left > 0 {
+		least := -1
+
+		for i, place := range places {
+			if counts[i] >= s.MaxPerDomain || p.refusedRecently(now, s.Service, place) && counts[i] >= place.Reclaimable {
+				continue
+			}
+
+			if least < 0 || counts[i] < counts[least] {
+				least = i
+			}
+		}
+
+		if least < 0 {
+			break
+		}
+
+		counts[least]++
+		left--
+	}
+
+	return counts
+}
+
+// reclaimableServers returns the reclaimable servers of all places.
+func reclaimableServers(places []DomainState) int {
+	n := 0
+	for _, place := range places {
+		n += place.Reclaimable
+	}
+
+	return n
+}
+
+func (p *Planner) refusedRecently(now time.Time, service fleet.Service, place DomainState) bool {
+	return now.Sub(p.lastOrders[orderKey{service, place.Domain, true}].refusedAt) < refusalBackoff
+}
+
+// onDemandServers returns how many servers that are not reclaimable each place keeps: no
+// more than what reclaimable ones leave open, and new ones where these are not to be
+// had.
+func (p *Planner) onDemandServers(now time.Time, s ServiceState, places []DomainState, wanted int) []int {
+	counts := make([]int, len(places))
+	// While the load is lower than it was, lasting servers are not what is kept for it.
+	open := min(wanted, p.peaksOf(s.Service).highest(now, recentWindow)) - reclaimableServers(places)
+
+	// The dearest places come last, and give theirs back first.
+	for i, place := range places {
+		counts[i] = min(max(place.OnDemand, p.pendingServers(now, s, place, false)), max(open, 0))
+		open -= counts[i]
+	}
+
+	missing := p.missingOnDemand(now, s, places) - sum(counts)
+
+	for missing > 0 {
+		before := missing
+
+		for i, place := range places {
+			if missing > 0 && counts[i]+place.Reclaimable < s.MaxPerDomain {
+				counts[i]++
+				missing--
+			}
+		}
+
+		if missing == before {
+			break
+		}
+	}
+
+	return counts
+}
+
+func sum(counts []int) int {
+	n := 0
+	for _, c := range counts {
+		n += c
+	}
+
+	return n
+}
+
+// missingOnDemand returns how many lasting servers are needed while reclaimable ones are
+// short, those that were ordered and are on their way counted as there.
+func (p *Planner) missingOnDemand(now time.Time, s ServiceState, places []DomainState) int {
+	short := false
+	expected := 0
+
+	for _, place := range places {
+		short = short || now.Sub(p.lastOrders[orderKey{s.Service, place.Domain, true}].refusedAt) < shortageWindow
+		expected += max(place.Reclaimable, p.pendingServers(now, s, place, true))
+	}
+
+	if !short {
+		return 0
+	}
+
+	wanted := p.peaksOf(s.Service).highest(now, recentWindow)
+
+	return max(int(math.Ceil(criticalShare*float64(wanted)))-expected, 0)
+}
+
+// pendingServers returns the servers of a place that were ordered and may still start.
+func (p *Planner) pendingServers(now time.Time, s ServiceState, place DomainState, reclaimable bool) int {
+	last := p.lastOrders[orderKey{s.Service, place.Domain, reclaimable}]
+	if now.Sub(last.at) < s.BootTime+orderSettleTime {
+		return max(last.servers, 0)
+	}
+
+	return 0
+}
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -9,15 +9,15 @@
 	"monsoonlever/fleet"
 )
 
-// wanted returns the number of servers for the highest load of late.
-func (p *Planner) wanted(now time.Time, s ServiceState) int {
-	lasting, reclaimable := 0, 0
-	for _, place := range s.Domains {
-		lasting += place.OnDemand
-		reclaimable += place.Reclaimable
+// updateWanted returns the number of servers for the highest load of late.
+func (p *Planner) updateWanted(now time.Time, s ServiceState) int {
+	onDemand, reclaimable := 0, 0
+	for _, domain := range s.Domains {
+		onDemand += domain.OnDemand
+		reclaimable += domain.Reclaimable
 	}
 
-	if lasting+reclaimable == 0 && s.ServerRate == 0 {
+	if onDemand+reclaimable == 0 && s.ServerRate == 0 {
 		// The servers that are there at the start have not registered yet.
 		return 0
 	}
@@ -26,35 +26,35 @@
 
 	switch {
 	case s.ServerRate > 0 && s.ArrivalRate > 0:
-		n = max(n, int(math.Ceil(s.ArrivalRate/(s.ServerRate*target(len(s.Domains))))))
+		n = max(n, int(math.Ceil(s.ArrivalRate/(s.ServerRate*targetUtilization(len(s.Domains))))))
 	default:
 		// Nothing is known of the load yet: what is there was meant for it. One kind
 		// takes the place of the other, so that their sum is no measure.
-		n = max(n, lasting, reclaimable)
+		n = max(n, onDemand, reclaimable)
 	}
 
 	peaks := p.peaksOf(s.Service)
 	if s.Contradicted() {
-		n = min(n, max(peaks.highest(now, memory), lasting, reclaimable))
+		n = min(n, max(peaks.highest(now, peakWindow), onDemand, reclaimable))
 	}
 
 	if peaks.empty() {
 		// A planner that is new and heard of no plan knows no load of the time before:
 		// what is there was ordered for it.
-		n = max(n, lasting, reclaimable)
+		n = max(n, onDemand, reclaimable)
 	}
 
 	peaks.add(now, min(n, len(s.Domains)*s.MaxPerDomain))
 
-	return min(peaks.highest(now, memory), len(s.Domains)*s.MaxPerDomain)
+	return min(peaks.highest(now, peakWindow), len(s.Domains)*s.MaxPerDomain)
 }
 
-// target returns the part of a server's speed that is used at the usual load. The more
+// targetUtilization returns the part of a server's speed that is used at the usual load. The more
 // failure domains there are, the less is lost with two of them.
-func target(domains int) float64 {
-	lost := min(losses/float64(max(domains, 1)), mostLost)
+func targetUtilization(domains int) float64 {
+	lost := min(toleratedDomainLosses/float64(max(domains, 1)), maxLostShare)
 
-	return afterLosses * (1 - lost)
+	return maxUtilizationAfterLosses * (1 - lost)
 }
 
 // peaksOf returns the loads of a service.
@@ -63,21 +63,21 @@
 		p.peaks = make(map[fleet.Service]*peaks)
 	}
 
-	one := p.peaks[service]
-	if one == nil {
-		one = &peaks{}
-		p.peaks[service] = one
+	servicePeaks := p.peaks[service]
+	if servicePeaks == nil {
+		servicePeaks = &peaks{}
+		p.peaks[service] = servicePeaks
 	}
 
-	return one
+	return servicePeaks
 }
 
 // Wanted returns how many servers of a service are wanted, and how many were wanted
 // of late.
-func (p *Planner) Wanted(now time.Time, service fleet.Service) (wanted, ofLate int) {
+func (p *Planner) Wanted(now time.Time, service fleet.Service) (wanted, recent int) {
 	peaks := p.peaksOf(service)
 
-	return peaks.highest(now, memory), peaks.highest(now, lately)
+	return peaks.highest(now, peakWindow), peaks.highest(now, recentWindow)
 }
 
 // Plans returns what is wanted at present, for the planner of the next holder.
@@ -85,7 +85,7 @@
 	var plans []Plan
 
 	for _, service := range slices.Sorted(maps.Keys(p.peaks)) {
-		if wanted := p.peaks[service].highest(now, memory); wanted > 0 {
+		if wanted := p.peaks[service].highest(now, peakWindow); wanted > 0 {
 			plans = append(plans, Plan{Service: service, Wanted: wanted})
 		}
 	}
