--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -6,21 +6,21 @@
 	"monsoonlever/fleet"
 )
 
-func TestAFingerprintFollowsFromWhatIsAskedFor(t *testing.T) {
-	type asked struct {
+func TestFingerprintDependsOnEveryRequestField(t *testing.T) {
+	type requestFields struct {
 		account, method, host, target, body string
 	}
 
-	of := func(a asked) Fingerprint {
+	of := func(a requestFields) Fingerprint {
 		return FingerprintOf(fleet.Account(a.account), a.method, a.host, a.target, []byte(a.body))
 	}
 
-	base := asked{"acme", "POST", "a.example", "/talk/1", "hello"}
+	base := requestFields{"acme", "POST", "a.example", "/talk/1", "hello"}
 	if got, want := of(base), of(base); got != want {
 		t.Errorf("again: got %v, want %v", got, want)
 	}
 
-	for name, other := range map[string]asked{
+	for name, other := range map[string]requestFields{
 		"account":                      {"other", "POST", "a.example", "/talk/1", "hello"},
 		"method":                       {"acme", "PUT", "a.example", "/talk/1", "hello"},
 		"host":                         {"acme", "POST", "b.example", "/talk/1", "hello"},
--- a/quarantine/loss.go
+++ b/quarantine/loss.go
@@ -42,11 +42,11 @@
 	return ServerKey(xxhash.Sum64String(s.String()))
 }
 
-func (l Loss) ago() time.Duration { return time.Duration(l.AgeMs) * time.Millisecond }
+func (l Loss) age() time.Duration { return time.Duration(l.AgeMs) * time.Millisecond }
 
-// aged returns the loss as it is told at a time.
-func (l Loss) aged(now, at time.Time) Loss {
-	l.AgeMs = uint32(min(max(now.Sub(at), 0), kept).Milliseconds())
+// withAge returns the loss as it is told at a time.
+func (l Loss) withAge(now, at time.Time) Loss {
+	l.AgeMs = uint32(min(max(now.Sub(at), 0), suspectTTL).Milliseconds())
 
 	return l
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -40,25 +40,25 @@
 )
 
 const (
-	// strongEnds is how many servers have to end at a request's begin before it is held
+	// minStrongLosses is how many servers have to end at a request's begin before it is held
 	// off, as operators bear, and anyEnds how many at any time of its answer: one more than
 	// a stream beside harmful requests loses, which is resumed and asked for again
 	// (TestRequestsBesideAHarmfulOneAreServed).
-	strongEnds = 3
-	anyEnds    = 5
-	// hold is how long after the newest end a request is held off. A caller that repeats
+	minStrongLosses = 3
+	minLosses       = 5
+	// quarantineDuration is how long after the newest end a request is held off. A caller that repeats
 	// it is long gone by then, or has been told so for as long; it may then end one more
 	// server before it is held off again.
-	hold = 10 * time.Minute
-	// kept is how long a request is remembered after the newest end under it.
-	kept = 2 * hold
+	quarantineDuration = 10 * time.Minute
+	// suspectTTL is how long a request is remembered after the newest end under it.
+	suspectTTL = 2 * quarantineDuration
 	// maxSuspects bounds the requests that are remembered, to 1.5 MB: with a server go all
 	// requests that run there, some dozens, and each body may be new.
 	maxSuspects = 2048
-	// forgotten is the part of them that goes at once when there are more.
-	forgotten = 4
-	// sweepEvery is how often old suspects are dropped: far less than they are kept.
-	sweepEvery = time.Minute
+	// evictionDivisor is the part of them that goes at once when there are more.
+	evictionDivisor = 4
+	// sweepInterval is how often old suspects are dropped: far less than they are kept.
+	sweepInterval = time.Minute
 )
 
 // Ledger remembers what ended under which request. The zero value is empty; it is safe for
@@ -71,19 +71,19 @@
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
 	outbox   outbox
-	// swept is when old suspects were last dropped.
-	swept time.Time
+	// lastSweep is when old suspects were last dropped.
+	lastSweep time.Time
 
-	// counted is what the path of requests reads, without a lock: until when each suspect
+	// quarantineEnds is what the path of requests reads, without a lock: until when each suspect
 	// with ends that count is held off, a time.Time by Fingerprint.
-	counted sync.Map
+	quarantineEnds sync.Map
 
 	wake feed.Signal
 }
 
 // Quarantined tells whether a request is held off, and for how much longer.
 func (l *Ledger) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
-	value, suspected := l.counted.Load(f)
+	value, suspected := l.quarantineEnds.Load(f)
 	if !suspected {
 		return 0, false
 	}
@@ -100,8 +100,8 @@
 
 	n := 0
 
-	for _, one := range l.suspects {
-		if one.heldUntil().After(now) {
+	for _, s := range l.suspects {
+		if s.quarantinedUntil().After(now) {
 			n++
 		}
 	}
@@ -115,43 +115,43 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	l.take(now, Loss{Request: f, Server: keyOf(s), Evidence: e}, here)
+	l.merge(now, Loss{Request: f, Server: keyOf(s), Evidence: e}, observedHere)
 }
 
 // RecordAnswer takes in that a request was answered as a whole, so that it ends no servers.
 func (l *Ledger) RecordAnswer(now time.Time, f Fingerprint) {
-	if _, suspected := l.counted.Load(f); !suspected {
+	if _, suspected := l.quarantineEnds.Load(f); !suspected {
 		return
 	}
 
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	one := l.suspects[f]
-	if one == nil {
+	s := l.suspects[f]
+	if s == nil {
 		return
 	}
 
-	for key, e := range one.ends {
+	for key, e := range s.losses {
 		if !e.cleared {
-			l.take(now, Loss{Request: f, Server: key, Cleared: true}, here)
+			l.merge(now, Loss{Request: f, Server: key, Cleared: true}, observedHere)
 		}
 	}
 }
 
 // Merge takes in what another instance tells, or has recorded. What is new is told on if
 // this instance passes news on.
-func (l *Ledger) Merge(now time.Time, losses []Loss, passOn bool) {
+func (l *Ledger) Merge(now time.Time, losses []Loss, forward bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	from := heard
-	if passOn {
-		from = relayed
+	from := received
+	if forward {
+		from = receivedByRelay
 	}
 
 	for _, loss := range losses {
-		l.take(now, loss, from)
+		l.merge(now, loss, from)
 	}
 }
 
@@ -159,87 +159,87 @@
 type origin int
 
 const (
-	// heard losses are known to all that have to be told by whoever saw them.
-	heard origin = iota
-	// relayed ones are told on.
-	relayed
-	// here ones were seen by this instance.
-	here
+	// received losses are known to all that have to be told by whoever saw them.
+	received origin = iota
+	// receivedByRelay ones are told on.
+	receivedByRelay
+	// observedHere ones were seen by this instance.
+	observedHere
 )
 
-// take takes one loss in.
-func (l *Ledger) take(now time.Time, loss Loss, from origin) {
+// merge takes one loss in.
+func (l *Ledger) merge(now time.Time, loss Loss, from origin) {
 	if l.suspects == nil {
 		l.suspects = make(map[Fingerprint]*suspect)
 	}
 
-	one := l.suspects[loss.Request]
-	if one == nil {
-		one = &suspect{}
-		l.suspects[loss.Request] = one
+	s := l.suspects[loss.Request]
+	if s == nil {
+		s = &suspect{}
+		l.suspects[loss.Request] = s
 	}
 
-	before := one.heldUntil()
-	if !one.take(now.Add(-loss.ago()), loss, from == here) {
+	before := s.quarantinedUntil()
+	if !s.merge(now.Add(-loss.age()), loss, from == observedHere) {
 		return
 	}
 
-	if from != heard {
+	if from != received {
 		l.outbox.add(loss)
 		l.wake.Send()
 	}
 
-	l.show(loss.Request, one)
+	l.publish(loss.Request, s)
 
-	if before.IsZero() && !one.heldUntil().IsZero() && l.OnQuarantined != nil {
+	if before.IsZero() && !s.quarantinedUntil().IsZero() && l.OnQuarantined != nil {
 		l.OnQuarantined()
 	}
 
 	l.sweep(now)
 }
 
-// show tells the path of requests of a suspect.
-func (l *Ledger) show(f Fingerprint, one *suspect) {
-	if all, _ := one.count(); all == 0 {
-		l.counted.Delete(f)
+// publish tells the path of requests of a suspect.
+func (l *Ledger) publish(f Fingerprint, s *suspect) {
+	if all, _ := s.countLosses(); all == 0 {
+		l.quarantineEnds.Delete(f)
 	} else {
-		l.counted.Store(f, one.heldUntil())
+		l.quarantineEnds.Store(f, s.quarantinedUntil())
 	}
 }
 
 // sweep drops suspects that are old or too many.
 func (l *Ledger) sweep(now time.Time) {
-	if now.Sub(l.swept) >= sweepEvery {
-		l.swept = now
+	if now.Sub(l.lastSweep) >= sweepInterval {
+		l.lastSweep = now
 
-		for f, one := range l.suspects {
-			if now.Sub(one.newest) > kept {
-				l.drop(f)
+		for f, s := range l.suspects {
+			if now.Sub(s.lastLoss) > suspectTTL {
+				l.remove(f)
 			}
 		}
 	}
 
 	if len(l.suspects) > maxSuspects {
-		l.forget()
+		l.evict()
 	}
 }
 
-func (l *Ledger) drop(f Fingerprint) {
+func (l *Ledger) remove(f Fingerprint) {
 	delete(l.suspects, f)
-	l.counted.Delete(f)
+	l.quarantineEnds.Delete(f)
 }
 
-// forget drops those with the fewest ends, the oldest of them first.
-func (l *Ledger) forget() {
+// evict drops those with the fewest ends, the oldest of them first.
+func (l *Ledger) evict() {
 	order := slices.SortedFunc(maps.Keys(l.suspects), func(a, b Fingerprint) int {
 		x, y := l.suspects[a], l.suspects[b]
-		ofX, _ := x.count()
-		ofY, _ := y.count()
+		lossesX, _ := x.countLosses()
+		lossesY, _ := y.countLosses()
 
-		return cmp.Or(cmp.Compare(ofX, ofY), x.newest.Compare(y.newest))
+		return cmp.Or(cmp.Compare(lossesX, lossesY), x.lastLoss.Compare(y.lastLoss))
 	})
 
-	for _, f := range order[:len(order)/forgotten] {
-		l.drop(f)
+	for _, f := range order[:len(order)/evictionDivisor] {
+		l.remove(f)
 	}
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -14,60 +14,60 @@
 	"monsoonlever/register"
 )
 
-// enough servers that end at its begin hold a request off.
-const enough = strongEnds
+// quarantineThreshold servers that end at its begin hold a request off.
+const quarantineThreshold = minStrongLosses
 
 var begin = time.Unix(1000, 0)
 
-// start returns the n-th start of a server.
-func start(n int) register.Process {
+// process returns the n-th process of a server.
+func process(n int) register.Process {
 	return register.Process{ID: "i-1", Incarnation: fleet.Incarnation(n + 1)}
 }
 
-func held(l *Ledger, now time.Time, f Fingerprint) bool {
+func quarantined(l *Ledger, now time.Time, f Fingerprint) bool {
 	_, held := l.Quarantined(now, f)
 
 	return held
 }
 
-func TestThreeEndsHoldARequestOff(t *testing.T) {
+func TestThreeStrongLossesQuarantineRequest(t *testing.T) {
 	var l Ledger
 
-	for n := range enough {
-		if held(&l, begin, 1) {
+	for n := range quarantineThreshold {
+		if quarantined(&l, begin, 1) {
 			t.Fatalf("after %d ends: got it held off, want it served", n)
 		}
 
-		l.RecordLoss(begin, 1, start(n), Strong)
-		l.RecordLoss(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, process(n), Strong)
+		l.RecordLoss(begin, 1, process(n), Strong)
 	}
 
-	if left, held := l.Quarantined(begin, 1); !held || left != hold {
-		t.Errorf("after %d ends: got %v left and held off %t, want %v and true", enough, left, held, hold)
+	if left, held := l.Quarantined(begin, 1); !held || left != quarantineDuration {
+		t.Errorf("after %d ends: got %v left and held off %t, want %v and true", quarantineThreshold, left, held, quarantineDuration)
 	}
 
-	if held(&l, begin, 2) {
+	if quarantined(&l, begin, 2) {
 		t.Error("another request: got it held off, want it served")
 	}
 
 	// It is tried again in the end, and held off again by one more server that ends.
-	later := begin.Add(hold + time.Second)
-	if held(&l, later, 1) {
+	later := begin.Add(quarantineDuration + time.Second)
+	if quarantined(&l, later, 1) {
 		t.Error("after its time: got it held off, want it tried")
 	}
 
-	l.RecordLoss(later, 1, start(9), Strong)
+	l.RecordLoss(later, 1, process(9), Strong)
 
-	if !held(&l, later, 1) {
+	if !quarantined(&l, later, 1) {
 		t.Error("after one more end: got it served, want it held off")
 	}
 }
 
-func TestAnAnswerClearsWhatCountedBefore(t *testing.T) {
+func TestAnswerClearsEarlierLosses(t *testing.T) {
 	var l, other Ledger
 
-	for n := range enough {
-		l.RecordLoss(begin, 1, start(n), Strong)
+	for n := range quarantineThreshold {
+		l.RecordLoss(begin, 1, process(n), Strong)
 	}
 
 	old := l.StoredLosses(begin)
@@ -77,14 +77,14 @@
 	other.Merge(begin.Add(time.Second), old, false)
 	l.Merge(begin.Add(time.Second), old, false)
 
-	for name, one := range map[string]*Ledger{"here": &l, "at another": &other} {
-		if held(one, begin, 1) {
+	for name, ledger := range map[string]*Ledger{"here": &l, "at another": &other} {
+		if quarantined(ledger, begin, 1) {
 			t.Errorf("%s: got it held off, want it served", name)
 		}
 
-		one.RecordLoss(begin, 1, start(7), Strong)
+		ledger.RecordLoss(begin, 1, process(7), Strong)
 
-		if held(one, begin, 1) {
+		if quarantined(ledger, begin, 1) {
 			t.Errorf("%s, after one more end: got it held off, want it served", name)
 		}
 	}
@@ -92,7 +92,7 @@
 
 // What instances count alike, in whatever order they tell each other and how often, they
 // judge alike.
-func TestHoldsVerdictsAlikeWhateverTheOrder(t *testing.T) {
+func TestHoldsSameVerdictInAnyMessageOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		losses := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Loss {
 			return Loss{
@@ -114,8 +114,8 @@
 		}
 
 		for f := range Fingerprint(4) {
-			if held(&a, begin, f) != held(&b, begin, f) {
-				t.Fatalf("request %d: got %t and %t, want the same", f, held(&a, begin, f), held(&b, begin, f))
+			if quarantined(&a, begin, f) != quarantined(&b, begin, f) {
+				t.Fatalf("request %d: got %t and %t, want the same", f, quarantined(&a, begin, f), quarantined(&b, begin, f))
 			}
 		}
 	})
@@ -126,16 +126,16 @@
 func TestHoldsMemoryBounded(t *testing.T) {
 	var l Ledger
 
-	for n := range enough {
-		l.RecordLoss(begin, 1, start(n), Strong)
+	for n := range quarantineThreshold {
+		l.RecordLoss(begin, 1, process(n), Strong)
 	}
 
 	now := begin
 
 	for n := range 5 * maxSuspects {
 		now = now.Add(time.Millisecond)
-		l.RecordLoss(now, Fingerprint(n+2), start(n), Strong)
-		l.RecordLoss(now, 1, start(enough+n), Strong)
+		l.RecordLoss(now, Fingerprint(n+2), process(n), Strong)
+		l.RecordLoss(now, 1, process(quarantineThreshold+n), Strong)
 
 		if n%100 == 0 {
 			l.PendingLosses(now)
@@ -146,51 +146,51 @@
 		t.Errorf("requests remembered: got %d, want at most %d", got, maxSuspects)
 	}
 
-	if got := len(l.suspects[1].ends); got > maxEnds {
-		t.Errorf("ends of one request: got %d, want at most %d", got, maxEnds)
+	if got := len(l.suspects[1].losses); got > maxLossesPerSuspect {
+		t.Errorf("ends of one request: got %d, want at most %d", got, maxLossesPerSuspect)
 	}
 
-	if !held(&l, now, 1) {
+	if !quarantined(&l, now, 1) {
 		t.Error("the request under which most ended: got it forgotten, want it held off")
 	}
 
-	if got := len(l.StoredLosses(now)); got > maxRecorded {
-		t.Errorf("losses in a record: got %d, want at most %d", got, maxRecorded)
+	if got := len(l.StoredLosses(now)); got > maxStoredLosses {
+		t.Errorf("losses in a record: got %d, want at most %d", got, maxStoredLosses)
 	}
 
-	l.RecordLoss(now.Add(kept+sweepEvery), 2, start(0), Strong)
+	l.RecordLoss(now.Add(suspectTTL+sweepInterval), 2, process(0), Strong)
 
-	shown := 0
-	l.counted.Range(func(any, any) bool {
-		shown++
+	published := 0
+	l.quarantineEnds.Range(func(any, any) bool {
+		published++
 
 		return true
 	})
 
-	if len(l.suspects) != 1 || shown != 1 {
-		t.Errorf("after %v: got %d requests remembered and %d shown, want 1", kept, len(l.suspects), shown)
+	if len(l.suspects) != 1 || published != 1 {
+		t.Errorf("after %v: got %d requests remembered and %d shown, want 1", suspectTTL, len(l.suspects), published)
 	}
 }
 
 // A record brings all that is held off back after a loss of all instances, and what one saw
 // to those that hear nothing from it.
-func TestARecordBringsBackWhatIsHeldOff(t *testing.T) {
+func TestStoredLossesRestoreQuarantine(t *testing.T) {
 	var one, two, next Ledger
 
-	one.RecordLoss(begin, 1, start(0), Strong)
-	one.RecordLoss(begin, 1, start(1), Strong)
+	one.RecordLoss(begin, 1, process(0), Strong)
+	one.RecordLoss(begin, 1, process(1), Strong)
 	two.Merge(begin, one.StoredLosses(begin), false)
-	two.RecordLoss(begin, 1, start(2), Strong)
+	two.RecordLoss(begin, 1, process(2), Strong)
 
-	if !held(&two, begin, 1) {
+	if !quarantined(&two, begin, 1) {
 		t.Error("one that reads records: got it served, want it held off")
 	}
 
-	later := begin.Add(hold / 2)
+	later := begin.Add(quarantineDuration / 2)
 	next.Merge(later, two.StoredLosses(later), false)
 
-	if left, held := next.Quarantined(later, 1); !held || left != hold/2 {
-		t.Errorf("after a start: got %v left and held off %t, want %v and true", left, held, hold/2)
+	if left, held := next.Quarantined(later, 1); !held || left != quarantineDuration/2 {
+		t.Errorf("after a start: got %v left and held off %t, want %v and true", left, held, quarantineDuration/2)
 	}
 
 	if got := len(one.StoredLosses(later)); got != 0 {
@@ -198,23 +198,23 @@
 	}
 }
 
-func TestNewsIsToldAFewTimesAndPassedOnOnce(t *testing.T) {
-	var seer, relay, last Ledger
+func TestLossIsSentRepeatedlyAndForwardedByRelays(t *testing.T) {
+	var observer, relay, last Ledger
 
-	seer.RecordLoss(begin, 1, start(0), Strong)
+	observer.RecordLoss(begin, 1, process(0), Strong)
 
-	for range toldTimes {
-		news := seer.PendingLosses(begin)
-		if len(news) != 1 {
-			t.Fatalf("news: got %d losses, want 1", len(news))
+	for range sendsPerLoss {
+		pending := observer.PendingLosses(begin)
+		if len(pending) != 1 {
+			t.Fatalf("news: got %d losses, want 1", len(pending))
 		}
 
-		relay.Merge(begin, news, true)
-		last.Merge(begin, news, false)
+		relay.Merge(begin, pending, true)
+		last.Merge(begin, pending, false)
 	}
 
-	if got := len(seer.PendingLosses(begin)); got != 0 {
-		t.Errorf("news told %d times: got %d losses more, want none", toldTimes, got)
+	if got := len(observer.PendingLosses(begin)); got != 0 {
+		t.Errorf("news told %d times: got %d losses more, want none", sendsPerLoss, got)
 	}
 
 	if got := len(relay.PendingLosses(begin)); got != 1 {
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestALossHasABoundedSize(t *testing.T) {
+func TestEncodedLossFitsMaxLossBytes(t *testing.T) {
 	data, err := msgpack.Marshal(Loss{Request: math.MaxUint64, Server: math.MaxUint64, Evidence: Strong, Cleared: true, AgeMs: math.MaxUint32})
 	if err != nil || len(data) > MaxLossBytes {
 		t.Errorf("got %d bytes (%v), want at most %d", len(data), err, MaxLossBytes)
@@ -236,11 +236,11 @@
 // A request that is not suspected costs the path of requests one look without a lock.
 // Measured on one core: 16 to 24 ns, and 226 to 238 ns for its fingerprint with a body of 1 KB; 3.5 µs to
 // take a loss in while as many requests are suspected as are remembered.
-func BenchmarkHeld(b *testing.B) {
+func BenchmarkQuarantined(b *testing.B) {
 	var l Ledger
 
 	for n := range maxSuspects {
-		l.RecordLoss(begin, Fingerprint(n), start(n), Strong)
+		l.RecordLoss(begin, Fingerprint(n), process(n), Strong)
 	}
 
 	body := make([]byte, 1024)
@@ -257,7 +257,7 @@
 	})
 	b.Run("lost", func(b *testing.B) {
 		for n := 0; b.Loop(); n++ {
-			l.RecordLoss(begin, Fingerprint(n), start(n), Strong)
+			l.RecordLoss(begin, Fingerprint(n), process(n), Strong)
 		}
 	})
 }
@@ -266,7 +266,7 @@
 	var l Ledger
 
 	for n := range 3 {
-		l.RecordLoss(begin, 1, start(n), Strong)
+		l.RecordLoss(begin, 1, process(n), Strong)
 	}
 
 	_, held := l.Quarantined(begin, 1)
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -2,64 +2,64 @@
 
 import "time"
 
-// maxEnds bounds the ends that are remembered of one request: more than are needed to hold
+// maxLossesPerSuspect bounds the ends that are remembered of one request: more than are needed to hold
 // it off, so that those that were cleared are known again when they are told late.
-const maxEnds = 16
+const maxLossesPerSuspect = 16
 
 // suspect is a request under which servers have ended.
 type suspect struct {
-	ends map[ServerKey]end
-	// newest is when the last of them ended.
-	newest time.Time
+	losses map[ServerKey]serverLoss
+	// lastLoss is when the last of them ended.
+	lastLoss time.Time
 }
 
-// end is the end of one server under a request.
-type end struct {
-	at       time.Time
+// serverLoss is the serverLoss of one server under a request.
+type serverLoss struct {
+	lostAt   time.Time
 	evidence Evidence
-	// cleared ends do not count, seen ones were seen by this instance.
-	cleared, seen bool
+	// cleared ends do not count, observed ones were observed by this instance.
+	cleared, observed bool
 }
 
-// take takes an end in, and tells whether that is news. One that was cleared stays so, and
+// merge takes an end in, and tells whether that is news. One that was cleared stays so, and
 // strong evidence is not weakened, whatever is told later: instances tell each other in any
 // order, and more than once.
-func (s *suspect) take(at time.Time, loss Loss, seen bool) bool {
-	known, ok := s.ends[loss.Server]
+func (s *suspect) merge(at time.Time, loss Loss, observed bool) bool {
+	known, ok := s.losses[loss.Server]
 	if ok && (known.cleared || !loss.Cleared && loss.Evidence <= known.evidence) {
 		return false
 	}
 
-	if !ok && !s.room() {
+	if !ok && !s.makeRoom() {
 		return false
 	}
 
-	if s.ends == nil {
-		s.ends = make(map[ServerKey]end)
+	if s.losses == nil {
+		s.losses = make(map[ServerKey]serverLoss)
 	}
 
 	if ok {
-		at, seen = known.at, seen || known.seen
+		at, observed = known.lostAt, observed || known.observed
 	}
 
-	s.ends[loss.Server] = end{at: at, evidence: loss.Evidence, cleared: loss.Cleared, seen: seen}
+	s.losses[loss.Server] = serverLoss{lostAt: at, evidence: loss.Evidence, cleared: loss.Cleared, observed: observed}
 
-	if at.After(s.newest) {
-		s.newest = at
+	if at.After(s.lastLoss) {
+		s.lastLoss = at
 	}
 
 	return true
 }
 
-// room makes room for one more end among those that are cleared.
-func (s *suspect) room() bool {
-	if len(s.ends) < maxEnds {
+// makeRoom makes makeRoom for one more end among those that are cleared.
+func (s *suspect) makeRoom() bool {
+	if len(s.losses) < maxLossesPerSuspect {
 		return true
 	}
 
-	for key, e := range s.ends {
+	for key, e := range s.losses {
 		if e.cleared {
-			delete(s.ends, key)
+			delete(s.losses, key)
 
 			return true
 		}
@@ -68,9 +68,9 @@
 	return false
 }
 
-// count returns how many ends count against the request, and how many of them strongly.
-func (s *suspect) count() (all, strong int) {
-	for _, e := range s.ends {
+// countLosses returns how many ends countLosses against the request, and how many of them strongly.
+func (s *suspect) countLosses() (all, strong int) {
+	for _, e := range s.losses {
 		if e.cleared {
 			continue
 		}
@@ -85,11 +85,11 @@
 	return all, strong
 }
 
-// heldUntil returns until when the request is held off; zero is not at all.
-func (s *suspect) heldUntil() time.Time {
-	if all, strong := s.count(); all < anyEnds && strong < strongEnds {
+// quarantinedUntil returns until when the request is held off; zero is not at all.
+func (s *suspect) quarantinedUntil() time.Time {
+	if all, strong := s.countLosses(); all < minLosses && strong < minStrongLosses {
 		return time.Time{}
 	}
 
-	return s.newest.Add(hold)
+	return s.lastLoss.Add(quarantineDuration)
 }
--- a/quarantine/news.go
+++ b/quarantine/updates.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// toldTimes is how often a loss is told to the others: of 100 datagrams some are lost,
+	// sendsPerLoss is how often a loss is told to the others: of 100 datagrams some are lost,
 	// and of three in a row hardly any.
-	toldTimes = 3
-	// maxRecorded bounds what a record for all holds, to a kilobyte.
-	maxRecorded = 40
-	// recordedFor is how long an end that this instance saw stands in its records: some
+	sendsPerLoss = 3
+	// maxStoredLosses bounds what a record for all holds, to a kilobyte.
+	maxStoredLosses = 40
+	// storedLossTTL is how long an end that this instance saw stands in its records: some
 	// rounds of them, so that instances which hear nothing from each other learn of it.
-	recordedFor = 10 * time.Second
+	storedLossTTL = 10 * time.Second
 )
 
 // lossKey names a loss or its clearing.
@@ -27,15 +27,15 @@
 
 // outbox holds what is still to be told. The zero value is empty.
 type outbox struct {
-	left map[lossKey]int
+	remainingSends map[lossKey]int
 }
 
 func (o *outbox) add(l Loss) {
-	if o.left == nil {
-		o.left = make(map[lossKey]int)
+	if o.remainingSends == nil {
+		o.remainingSends = make(map[lossKey]int)
 	}
 
-	o.left[lossKey{l.Request, l.Server, l.Cleared}] = toldTimes
+	o.remainingSends[lossKey{l.Request, l.Server, l.Cleared}] = sendsPerLoss
 }
 
 // Ready returns a channel that is told when there is news.
@@ -47,23 +47,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	news := make([]Loss, 0, len(l.outbox.left))
+	pending := make([]Loss, 0, len(l.outbox.remainingSends))
 
-	for key, left := range l.outbox.left {
+	for key, left := range l.outbox.remainingSends {
 		if left == 1 {
-			delete(l.outbox.left, key)
+			delete(l.outbox.remainingSends, key)
 		} else {
-			l.outbox.left[key] = left - 1
+			l.outbox.remainingSends[key] = left - 1
 		}
 
-		if one := l.suspects[key.request]; one != nil {
-			e := one.ends[key.server]
+		if s := l.suspects[key.request]; s != nil {
+			e := s.losses[key.server]
 			loss := Loss{Request: key.request, Server: key.server, Evidence: e.evidence, Cleared: key.cleared}
-			news = append(news, loss.aged(now, e.at))
+			pending = append(pending, loss.withAge(now, e.lostAt))
 		}
 	}
 
-	return news
+	return pending
 }
 
 // StoredLosses returns what outlives a loss of all instances, and reaches those that hear no
@@ -75,25 +75,25 @@
 	order := slices.SortedFunc(maps.Keys(l.suspects), func(a, b Fingerprint) int {
 		x, y := l.suspects[a], l.suspects[b]
 
-		return cmp.Or(y.heldUntil().Compare(x.heldUntil()), y.newest.Compare(x.newest), cmp.Compare(a, b))
+		return cmp.Or(y.quarantinedUntil().Compare(x.quarantinedUntil()), y.lastLoss.Compare(x.lastLoss), cmp.Compare(a, b))
 	})
 
-	var record []Loss
+	var stored []Loss
 
 	for _, f := range order {
-		one := l.suspects[f]
-		held := one.heldUntil().After(now)
+		s := l.suspects[f]
+		quarantined := s.quarantinedUntil().After(now)
 
-		for key, e := range one.ends {
-			if len(record) == maxRecorded {
-				return record
+		for key, e := range s.losses {
+			if len(stored) == maxStoredLosses {
+				return stored
 			}
 
-			if !e.cleared && (held || e.seen && now.Sub(e.at) <= recordedFor) {
-				record = append(record, Loss{Request: f, Server: key, Evidence: e.evidence}.aged(now, e.at))
+			if !e.cleared && (quarantined || e.observed && now.Sub(e.lostAt) <= storedLossTTL) {
+				stored = append(stored, Loss{Request: f, Server: key, Evidence: e.evidence}.withAge(now, e.lostAt))
 			}
 		}
 	}
 
-	return record
+	return stored
 }
