--- a/rollout/count.go
+++ b/rollout/count.go
@@ -30,32 +30,32 @@
 }
 
 const (
-	// paceStep is the factor between two paces that are counted apart, and fastest the first.
-	paceStep = 1.5
-	fastest  = 100 * time.Microsecond
+	// paceFactor is the factor between two paces that are counted apart, and fastest the first.
+	paceFactor  = 1.5
+	fastestPace = 100 * time.Microsecond
 )
 
 // paceOf returns the step of what an answer took.
 func paceOf(took time.Duration) uint8 {
-	step := math.Log(float64(took)/float64(fastest)) / math.Log(paceStep)
+	step := math.Log(float64(took)/float64(fastestPace)) / math.Log(paceFactor)
 
 	return uint8(min(max(step, 0), math.MaxUint8))
 }
 
 // combine joins the numbers of two counts.
 func (a Answers) combine(b Answers, with func(x, y uint32) uint32) Answers {
-	joined := Answers{
+	combined := Answers{
 		Sent: with(a.Sent, b.Sent), Answered: with(a.Answered, b.Answered), Failed: with(a.Failed, b.Failed),
 		Paces: make(map[uint8]uint32, len(a.Paces)),
 	}
 
 	for _, paces := range []map[uint8]uint32{a.Paces, b.Paces} {
 		for pace := range paces {
-			joined.Paces[pace] = with(a.Paces[pace], b.Paces[pace])
+			combined.Paces[pace] = with(a.Paces[pace], b.Paces[pace])
 		}
 	}
 
-	return joined
+	return combined
 }
 
 // copy returns counts that don't change any more.
@@ -63,11 +63,11 @@
 
 func sum(x, y uint32) uint32 { return x + y }
 
-// highest is how counts of one source are joined: they only grow.
-func highest(x, y uint32) uint32 { return max(x, y) }
+// maximum is how counts of one source are joined: they only grow.
+func maximum(x, y uint32) uint32 { return max(x, y) }
 
-// timed returns how many answers have a pace.
-func (a Answers) timed() uint32 {
+// timedAnswers returns how many answers have a pace.
+func (a Answers) timedAnswers() uint32 {
 	n := uint32(0)
 	for _, answers := range a.Paces {
 		n += answers
@@ -76,12 +76,12 @@
 	return n
 }
 
-// slower returns how many answers took longer than a pace.
-func (a Answers) slower(than uint8) uint32 {
+// slowerThan returns how many answers took longer than a pace.
+func (a Answers) slowerThan(limit uint8) uint32 {
 	n := uint32(0)
 
 	for pace, answers := range a.Paces {
-		if pace > than {
+		if pace > limit {
 			n += answers
 		}
 	}
@@ -89,9 +89,9 @@
 	return n
 }
 
-// middle returns the pace in the middle of all.
-func (a Answers) middle() uint8 {
-	left := a.timed() / 2
+// medianPace returns the pace in the medianPace of all.
+func (a Answers) medianPace() uint8 {
+	left := a.timedAnswers() / 2
 
 	for _, pace := range slices.Sorted(maps.Keys(a.Paces)) {
 		if a.Paces[pace] > left {
@@ -106,8 +106,8 @@
 
 // Counter counts at one instance. The zero value is empty; it is safe for concurrent use.
 type Counter struct {
-	mu sync.Mutex
-	of map[countKey]*counted
+	mu     sync.Mutex
+	counts map[countKey]*versionCounts
 }
 
 type countKey struct {
@@ -116,25 +116,25 @@
 	route   string
 }
 
-type counted struct {
+type versionCounts struct {
 	old, new Answers
 }
 
 // CountSent counts a request that is sent.
-func (c *Counter) CountSent(service fleet.Service, place uint64, route string, tried bool) {
+func (c *Counter) CountSent(service fleet.Service, place uint64, route string, newVersion bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at(service, place, route).answers(tried).Sent++
+	c.at(service, place, route).answers(newVersion).Sent++
 }
 
 // CountAnswer counts an answer. took is what is held against others of the route: the time of a
 // whole answer, or the mean time between events, which does not depend on what a server's
 // cache holds; zero is not known.
-func (c *Counter) CountAnswer(service fleet.Service, place uint64, route string, tried, failed bool, took time.Duration) {
+func (c *Counter) CountAnswer(service fleet.Service, place uint64, route string, newVersion, failed bool, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	a := c.at(service, place, route).answers(tried)
+	a := c.at(service, place, route).answers(newVersion)
 	a.Answered++
 
 	switch {
@@ -149,8 +149,8 @@
 	}
 }
 
-func (c *counted) answers(tried bool) *Answers {
-	if tried {
+func (c *versionCounts) answers(newVersion bool) *Answers {
+	if newVersion {
 		return &c.new
 	}
 
@@ -158,26 +158,26 @@
 }
 
 // at returns the counts of a route. Those of earlier orders of the service go.
-func (c *Counter) at(service fleet.Service, place uint64, route string) *counted {
-	if c.of == nil {
-		c.of = make(map[countKey]*counted)
+func (c *Counter) at(service fleet.Service, place uint64, route string) *versionCounts {
+	if c.counts == nil {
+		c.counts = make(map[countKey]*versionCounts)
 	}
 
 	key := countKey{service, place, route}
-	if one := c.of[key]; one != nil {
-		return one
+	if existing := c.counts[key]; existing != nil {
+		return existing
 	}
 
-	for k := range c.of {
+	for k := range c.counts {
 		if k.service == service && k.place < place {
-			delete(c.of, k)
+			delete(c.counts, k)
 		}
 	}
 
-	one := &counted{}
-	c.of[key] = one
+	created := &versionCounts{}
+	c.counts[key] = created
 
-	return one
+	return created
 }
 
 // Counts returns what was counted.
@@ -185,10 +185,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	counts := make([]Count, 0, len(c.of))
-	for k, one := range c.of {
+	counts := make([]Count, 0, len(c.counts))
+	for k, versions := range c.counts {
 		counts = append(counts, Count{
-			Service: k.service, Place: k.place, Route: k.route, Old: one.old.copy(), New: one.new.copy(),
+			Service: k.service, Place: k.place, Route: k.route, Old: versions.old.copy(), New: versions.new.copy(),
 		})
 	}
 
@@ -198,8 +198,8 @@
 // Table holds what all instances counted. The zero value is empty; it is safe for
 // concurrent use.
 type Table struct {
-	mu sync.Mutex
-	of map[source]map[string]Count
+	mu       sync.Mutex
+	bySource map[source]map[string]Count
 }
 
 // source is what one start of an instance counted for an order.
@@ -216,19 +216,19 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	if t.of == nil {
-		t.of = make(map[source]map[string]Count)
+	if t.bySource == nil {
+		t.bySource = make(map[source]map[string]Count)
 	}
 
 	for _, c := range counts {
 		from := source{id, incarnation, c.Service, c.Place}
-		if t.of[from] == nil {
-			t.of[from] = make(map[string]Count)
+		if t.bySource[from] == nil {
+			t.bySource[from] = make(map[string]Count)
 		}
 
-		known := t.of[from][c.Route]
-		c.Old, c.New = c.Old.combine(known.Old, highest), c.New.combine(known.New, highest)
-		t.of[from][c.Route] = c
+		known := t.bySource[from][c.Route]
+		c.Old, c.New = c.Old.combine(known.Old, maximum), c.New.combine(known.New, maximum)
+		t.bySource[from][c.Route] = c
 	}
 }
 
@@ -240,13 +240,13 @@
 
 	sums := make(map[string]Count)
 
-	for from, routes := range t.of {
+	for from, routes := range t.bySource {
 		if from.service != o.Service {
 			continue
 		}
 
 		if from.place < o.Place {
-			delete(t.of, from)
+			delete(t.bySource, from)
 		}
 
 		if from.place != o.Place {
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -32,45 +32,45 @@
 	Random func() float64
 
 	mu      sync.Mutex
-	current atomic.Pointer[map[fleet.Service]known]
+	current atomic.Pointer[map[fleet.Service]serviceState]
 }
 
-// known is what an instance knows of one service.
-type known struct {
+// serviceState is what an instance knows of one service.
+type serviceState struct {
 	order Order
-	// begun is when the order was first seen, here or by another instance.
-	begun time.Time
-	state State
-	// at is when the holder made the decision, or before; zero is that it counts for no share.
-	at time.Time
+	// firstSeen is when the order was first seen, here or by another instance.
+	firstSeen time.Time
+	state     State
+	// decidedAt is when the holder made the decision, or before; zero is that it counts for no share.
+	decidedAt time.Time
 }
 
 // AddOrder takes an order in and tells whether it is news. Until the holder's decision comes, the
 // new version gets nothing.
 func (g *Gate) AddOrder(now time.Time, o Order) bool {
-	return g.change(o.Service, func(k *known) bool {
+	return g.update(o.Service, func(k *serviceState) bool {
 		if o.Place <= k.order.Place {
 			return false
 		}
 
-		if o.again(k.order) {
-			k.moveTo(o.Place)
+		if o.reissues(k.order) {
+			k.changePlace(o.Place)
 
 			return true
 		}
 
-		k.order, k.begun = o, now
+		k.order, k.firstSeen = o, now
 
 		if k.state.Place == o.Place {
-			k.begun = now.Add(-k.state.Elapsed)
+			k.firstSeen = now.Add(-k.state.Elapsed)
 		}
 
 		return true
 	})
 }
 
-// moveTo puts what is known of an order under the place at which it was written again.
-func (k *known) moveTo(place uint64) {
+// changePlace puts what is known of an order under the place at which it was written again.
+func (k *serviceState) changePlace(place uint64) {
 	if k.state.Place == k.order.Place {
 		k.state.Place = place
 		k.state.ReachedBefore, k.state.ExposedBefore = k.state.Reached, k.state.Exposed
@@ -82,16 +82,16 @@
 // Apply takes a decision in that the holder made at a time, or later. One whose age is not
 // known has the zero time.
 func (g *Gate) Apply(now time.Time, s State, at time.Time) {
-	g.change(s.Service, func(k *known) bool {
+	g.update(s.Service, func(k *serviceState) bool {
 		switch {
 		case s.Replaces(k.state):
-			k.state, k.at = s, at
+			k.state, k.decidedAt = s, at
 
-			if begun := now.Add(-s.Elapsed); s.Place == k.order.Place && begun.Before(k.begun) {
-				k.begun = begun
+			if firstSeen := now.Add(-s.Elapsed); s.Place == k.order.Place && firstSeen.Before(k.firstSeen) {
+				k.firstSeen = firstSeen
 			}
-		case !k.state.Replaces(s) && at.After(k.at):
-			k.at = at
+		case !k.state.Replaces(s) && at.After(k.decidedAt):
+			k.decidedAt = at
 		default:
 			return false
 		}
@@ -100,16 +100,16 @@
 	})
 }
 
-// change puts a changed picture in place of the one before, and tells whether it changed.
-func (g *Gate) change(service fleet.Service, apply func(*known) bool) bool {
+// update puts a changed picture in place of the one before, and tells whether it changed.
+func (g *Gate) update(service fleet.Service, apply func(*serviceState) bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	var all map[fleet.Service]known
+	var all map[fleet.Service]serviceState
 	if p := g.current.Load(); p != nil {
 		all = maps.Clone(*p)
 	} else {
-		all = make(map[fleet.Service]known)
+		all = make(map[fleet.Service]serviceState)
 	}
 
 	k := all[service]
@@ -123,11 +123,11 @@
 	return true
 }
 
-// of returns what is known of a service.
-func (g *Gate) of(service fleet.Service) (known, bool) {
+// lookup returns what is known lookup a service.
+func (g *Gate) lookup(service fleet.Service) (serviceState, bool) {
 	all := g.current.Load()
 	if all == nil {
-		return known{}, false
+		return serviceState{}, false
 	}
 
 	k, ok := (*all)[service]
@@ -137,16 +137,16 @@
 
 // Choose returns which versions a request may be sent to now.
 func (g *Gate) Choose(now time.Time, service fleet.Service) Choice {
-	k, ok := g.of(service)
+	k, ok := g.lookup(service)
 	if !ok {
 		return Choice{}
 	}
 
-	if !k.undecided() && k.state.Phase == Trial && now.Sub(k.at) < g.GrantTTL && g.draw() < k.state.Share {
+	if !k.undecided() && k.state.Phase == Trial && now.Sub(k.decidedAt) < g.GrantTTL && g.draw() < k.state.Share {
 		return Choice{Only: k.state.Target, ServerShare: k.state.Share}
 	}
 
-	return k.rest()
+	return k.oldVersionChoice()
 }
 
 func (g *Gate) draw() float64 {
@@ -160,33 +160,33 @@
 // ChooseRetry returns which versions a further send of a request may go to: a request that was
 // tried once is not tried at the new version again.
 func (g *Gate) ChooseRetry(service fleet.Service) Choice {
-	k, ok := g.of(service)
+	k, ok := g.lookup(service)
 	if !ok {
 		return Choice{}
 	}
 
-	return k.rest()
+	return k.oldVersionChoice()
 }
 
 // undecided tells whether the holder has said nothing of the newest order yet.
-func (k known) undecided() bool { return k.order.Place > k.state.Place }
+func (k serviceState) undecided() bool { return k.order.Place > k.state.Place }
 
-// rest returns the choice of a request that is none of the new version's share.
-func (k known) rest() Choice {
+// oldVersionChoice returns the choice of a request that is none of the new version's share.
+func (k serviceState) oldVersionChoice() Choice {
 	if k.undecided() {
-		return Choice{Avoid: avoided(k.state.Avoid, k.order.Target)}
+		return Choice{Avoid: addVersions(k.state.Avoid, k.order.Target)}
 	}
 
 	if k.state.Phase == Completed {
 		return Choice{Avoid: k.state.Avoid}
 	}
 
-	return Choice{Avoid: avoided(k.state.Avoid, k.state.Target)}
+	return Choice{Avoid: addVersions(k.state.Avoid, k.state.Target)}
 }
 
 // InTrial returns the order of a service whose new version is being tried.
 func (g *Gate) InTrial(service fleet.Service) (target fleet.Version, place uint64, trial bool) {
-	k, ok := g.of(service)
+	k, ok := g.lookup(service)
 	if !ok {
 		return "", 0, false
 	}
@@ -221,8 +221,8 @@
 		}
 
 		update := Update{State: k.state, Age: -1}
-		if !k.at.IsZero() {
-			update.Age = now.Sub(k.at)
+		if !k.decidedAt.IsZero() {
+			update.Age = now.Sub(k.decidedAt)
 		}
 
 		updates = append(updates, update)
@@ -236,8 +236,8 @@
 	updates := g.Updates(time.Time{})
 	states := make([]State, 0, len(updates))
 
-	for _, w := range updates {
-		states = append(states, w.State)
+	for _, u := range updates {
+		states = append(states, u.State)
 	}
 
 	return states
@@ -262,7 +262,7 @@
 
 	for _, service := range slices.Sorted(maps.Keys(*all)) {
 		if k := (*all)[service]; k.order.Place > 0 {
-			tasks = append(tasks, Task{Order: k.order, FirstSeen: k.begun, State: k.state})
+			tasks = append(tasks, Task{Order: k.order, FirstSeen: k.firstSeen, State: k.state})
 		}
 	}
 
--- a/rollout/gate_test.go
+++ b/rollout/gate_test.go
@@ -23,27 +23,27 @@
 }
 
 // An instance sends to a new version by the holder's decision alone, and for its life only.
-func TestANewVersionGetsNothingWithoutTheHoldersWord(t *testing.T) {
+func TestNewVersionGetsNoTrafficWithoutCurrentDecision(t *testing.T) {
 	const life = 2 * time.Second
 
 	order := Order{Service: service, Target: target, Duration: time.Minute, Place: 7}
 	trial := State{Service: service, Target: target, Place: 7, Fence: 1, Step: 1, Share: 0.2}
 
 	for name, tt := range map[string]struct {
-		hear func(g *Gate)
-		at   time.Duration
-		some bool
+		apply func(g *Gate)
+		at    time.Duration
+		some  bool
 	}{
-		"an order without a decision": {hear: func(*Gate) {}},
-		"a young decision":            {hear: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life / 2, some: true},
-		"a decision that has lapsed":  {hear: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life},
-		"a decision of unknown age":   {hear: func(g *Gate) { g.Apply(begin, trial, time.Time{}) }},
-		"a decision on the order before": {hear: func(g *Gate) {
+		"an order without a decision": {apply: func(*Gate) {}},
+		"a young decision":            {apply: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life / 2, some: true},
+		"a decision that has lapsed":  {apply: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life},
+		"a decision of unknown age":   {apply: func(g *Gate) { g.Apply(begin, trial, time.Time{}) }},
+		"a decision on the order before": {apply: func(g *Gate) {
 			earlier := trial
 			earlier.Place = 6
 			g.Apply(begin, earlier, begin)
 		}},
-		"a revert that a late decision follows": {hear: func(g *Gate) {
+		"a revert that a late decision follows": {apply: func(g *Gate) {
 			reverted := trial
 			reverted.Phase = Reverted
 			g.Apply(begin, reverted, begin)
@@ -54,7 +54,7 @@
 	} {
 		g := &Gate{GrantTTL: life}
 		g.AddOrder(begin, order)
-		tt.hear(g)
+		tt.apply(g)
 
 		some, avoided := choices(g, begin.Add(tt.at))
 		if some != tt.some || !avoided {
@@ -65,7 +65,7 @@
 }
 
 // Once it is completed, all may go to the new version and none to those that it replaced.
-func TestACompletedVersionReplacesTheOthers(t *testing.T) {
+func TestCompletedVersionReplacesEarlierOnes(t *testing.T) {
 	g := &Gate{GrantTTL: time.Second}
 	g.AddOrder(begin, Order{Service: service, Target: target, Duration: time.Minute, Place: 7})
 	g.Apply(begin, State{
@@ -80,7 +80,7 @@
 
 // Operators write again what the platform lost: the order is the one before, whatever its
 // place.
-func TestAnOrderThatIsWrittenAgainIsTheSame(t *testing.T) {
+func TestReissuedOrderKeepsItsState(t *testing.T) {
 	g := &Gate{GrantTTL: time.Second}
 	order := Order{Service: service, Target: target, Duration: time.Minute, Place: 7}
 
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -35,9 +35,9 @@
 	Place uint64
 }
 
-// again tells whether an order is an earlier one that operators wrote again because the
+// reissues tells whether an order is an earlier one that operators wrote reissues because the
 // platform lost it.
-func (o Order) again(earlier Order) bool {
+func (o Order) reissues(earlier Order) bool {
 	return o.Service == earlier.Service && o.Target == earlier.Target && o.Duration == earlier.Duration &&
 		feed.Position(o.Place-1).Era() > feed.Position(earlier.Place-1).Era()
 }
@@ -52,9 +52,11 @@
 	StopTimeout time.Duration
 }
 
-// grantShare is the part of the time to stop for which a decision to send to the new version
+// grantStopShare is the part of the time to stop for which a decision to send to the new version
 // counts. Noticing and telling take the rest.
-const grantShare = 0.5
+const grantStopShare = 0.5
 
 // GrantTTL is how long a decision to send to the new version counts after it was made.
-func (p Policy) GrantTTL() time.Duration { return time.Duration(grantShare * float64(p.StopTimeout)) }
+func (p Policy) GrantTTL() time.Duration {
+	return time.Duration(grantStopShare * float64(p.StopTimeout))
+}
--- a/rollout/model_test.go
+++ b/rollout/simulation_test.go
@@ -16,11 +16,11 @@
 	target  fleet.Version = "v2"
 	before  fleet.Version = "v1"
 
-	modelStep = 100 * time.Millisecond
-	// planEvery is the pace of the holder's steps.
-	planEvery = 400 * time.Millisecond
-	// answerAfter is how long a server takes to answer.
-	answerAfter = 100 * time.Millisecond
+	stepInterval = 100 * time.Millisecond
+	// planInterval is the pace of the holder's steps.
+	planInterval = 400 * time.Millisecond
+	// answerTime is how long a server takes to answer.
+	answerTime = 100 * time.Millisecond
 )
 
 var (
@@ -28,39 +28,39 @@
 	policy = Policy{Share: 0.1, Slack: 50, StopTimeout: 5 * time.Second}
 )
 
-// flaw is what is wrong with a version: the part of its answers that fail or are slow, from
+// defect is what is wrong with a version: the part of its answers that fail or are slow, from
 // a time on, on one route or all, and only where its servers carry a load.
-type flaw struct {
-	rate  float64
-	slow  bool
-	after time.Duration
-	route string
-	// load is the share of the traffic from which on it shows.
-	load float64
+type defect struct {
+	rate        float64
+	slow        bool
+	startsAfter time.Duration
+	route       string
+	// minShare is the share of the traffic from which on it shows.
+	minShare float64
 }
 
-// world is a service whose instances try a version.
-type world struct {
-	random   *rand.Rand
-	now      time.Time
-	order    Order
-	flaw     flaw
-	rate     float64
-	lossy    float64
-	told     time.Duration
-	gates    []*Gate
-	counters []*Counter
-	cutOff   map[int]bool
+// simulation is a service whose instances try a version.
+type simulation struct {
+	random      *rand.Rand
+	now         time.Time
+	order       Order
+	defect      defect
+	rate        float64
+	lossRate    float64
+	countDelay  time.Duration
+	gates       []*Gate
+	counters    []*Counter
+	partitioned map[int]bool
 
 	table   Table
 	planner *Planner
 	fence   uint64
-	// frozen is until when the holder stands still, and orphaned until when there is none.
-	frozen, orphaned time.Time
-	completed        bool
+	// frozenUntil is until when the holder stands still, and holderlessUntil until when there is none.
+	frozenUntil, holderlessUntil time.Time
+	completed                    bool
 
-	answers []answering
-	updates []flyingUpdate
+	answers []pendingAnswer
+	updates []pendingUpdate
 	// reached and exposed are all requests until the deadline, bad the times of bad answers,
 	// and late how many requests were sent too late after the fiftieth.
 	reached, exposed, late int
@@ -69,7 +69,7 @@
 	lastExposed float64
 }
 
-type answering struct {
+type pendingAnswer struct {
 	at                 time.Time
 	instance           int
 	route              string
@@ -77,18 +77,18 @@
 	took               time.Duration
 }
 
-type flyingUpdate struct {
-	at       time.Time
-	instance int
-	state    State
-	made     time.Time
+type pendingUpdate struct {
+	at        time.Time
+	instance  int
+	state     State
+	decidedAt time.Time
 }
 
-func newWorld(seed uint64, n int, rate float64, span time.Duration, f flaw) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(seed, 1)), now: begin, flaw: f, rate: rate, cutOff: make(map[int]bool),
+func newSimulation(seed uint64, n int, rate float64, span time.Duration, f defect) *simulation {
+	w := &simulation{
+		random: rand.New(rand.NewPCG(seed, 1)), now: begin, defect: f, rate: rate, partitioned: make(map[int]bool),
 		order: Order{Service: service, Target: target, Duration: span, Place: 7}, fence: 1,
-		told: max(time.Duration(n)*6*time.Millisecond, 150*time.Millisecond),
+		countDelay: max(time.Duration(n)*6*time.Millisecond, 150*time.Millisecond),
 	}
 
 	for range n {
@@ -103,18 +103,18 @@
 	return w
 }
 
-func (w *world) due() time.Time { return begin.Add(w.order.Duration) }
+func (w *simulation) deadline() time.Time { return begin.Add(w.order.Duration) }
 
 // step plays one step of the day.
-func (w *world) step(t fataler) {
-	w.now = w.now.Add(modelStep)
+func (w *simulation) step(t fataler) {
+	w.now = w.now.Add(stepInterval)
 	w.send()
 	w.answer()
-	w.tell()
+	w.reportCounts()
 	w.plan()
-	w.hear()
+	w.deliverUpdates()
 
-	if !w.now.After(w.due()) {
+	if !w.now.After(w.deadline()) {
 		if most := policy.Share*float64(w.reached) + policy.Slack; float64(w.exposed) > most {
 			t.Fatalf("%v after the order: got %d of %d requests at the new version, want at most %.0f",
 				w.now.Sub(begin), w.exposed, w.reached, most)
@@ -127,10 +127,10 @@
 }
 
 // send sends the requests of a step at random instances.
-func (w *world) send() {
+func (w *simulation) send() {
 	tried, all := 0, 0
 
-	for left := w.rate * modelStep.Seconds(); left > 0 && w.random.Float64() < left; left-- {
+	for left := w.rate * stepInterval.Seconds(); left > 0 && w.random.Float64() < left; left-- {
 		i := w.random.IntN(len(w.gates))
 		route := fmt.Sprint("r", w.random.IntN(5))
 		choice := w.gates[i].Choose(w.now, service)
@@ -149,7 +149,7 @@
 		w.lastExposed = float64(tried) / float64(all)
 	}
 
-	if w.now.Before(w.due()) {
+	if w.now.Before(w.deadline()) {
 		w.reached += all
 		w.exposed += tried
 	}
@@ -161,9 +161,9 @@
 
 func (g *Gate) states() []State { return append(g.States(), State{}) }
 
-func (w *world) serve(i int, route string, isNew bool) {
-	took := time.Duration(float64(answerAfter) * (0.7 + 0.6*w.random.Float64()))
-	one := answering{at: w.now.Add(answerAfter), instance: i, route: route, tried: isNew, took: took}
+func (w *simulation) serve(i int, route string, isNew bool) {
+	took := time.Duration(float64(answerTime) * (0.7 + 0.6*w.random.Float64()))
+	one := pendingAnswer{at: w.now.Add(answerTime), instance: i, route: route, tried: isNew, took: took}
 	// One route fails by its nature, whatever the version, and caches are cold at first.
 	one.failed = route == "r0" && w.random.Float64() < 0.14
 
@@ -171,13 +171,13 @@
 		one.took *= 2
 	}
 
-	shows := w.flaw.rate > 0 && (w.flaw.route == "" || w.flaw.route == route) &&
-		w.now.Sub(begin) >= w.flaw.after && w.lastExposed >= w.flaw.load
+	shows := w.defect.rate > 0 && (w.defect.route == "" || w.defect.route == route) &&
+		w.now.Sub(begin) >= w.defect.startsAfter && w.lastExposed >= w.defect.minShare
 
-	if isNew && shows && w.random.Float64() < w.flaw.rate {
+	if isNew && shows && w.random.Float64() < w.defect.rate {
 		one.bad = true
 
-		if w.flaw.slow {
+		if w.defect.slow {
 			one.took *= 8
 		} else {
 			one.failed = true
@@ -187,7 +187,7 @@
 	w.answers = append(w.answers, one)
 }
 
-func (w *world) answer() {
+func (w *simulation) answer() {
 	kept := w.answers[:0]
 
 	for _, one := range w.answers {
@@ -207,42 +207,42 @@
 	w.answers = kept
 }
 
-// tell lets some instances tell what they counted.
-func (w *world) tell() {
+// reportCounts lets some instances reportCounts what they counted.
+func (w *simulation) reportCounts() {
 	for i, c := range w.counters {
-		due := w.random.Float64() < modelStep.Seconds()/w.told.Seconds()
-		if due && !w.cutOff[i] && w.random.Float64() >= w.lossy {
+		due := w.random.Float64() < stepInterval.Seconds()/w.countDelay.Seconds()
+		if due && !w.partitioned[i] && w.random.Float64() >= w.lossRate {
 			w.table.Record(fleet.InstanceID(fmt.Sprint("entry-", i)), 1, c.Counts())
 		}
 	}
 }
 
 // plan lets the holder take a step and tell its decision to all.
-func (w *world) plan() {
-	if w.now.Sub(begin)%planEvery != 0 || w.now.Before(w.frozen) || w.now.Before(w.orphaned) {
+func (w *simulation) plan() {
+	if w.now.Sub(begin)%planInterval != 0 || w.now.Before(w.frozenUntil) || w.now.Before(w.holderlessUntil) {
 		return
 	}
 
 	s, complete := w.planner.Step(w.now, w.fence, Observation{
-		Routes: w.table.Routes(w.order), OldServers: 30, NewServers: 30, CountDelay: w.told + modelStep,
+		Routes: w.table.Routes(w.order), OldServers: 30, NewServers: 30, CountDelay: w.countDelay + stepInterval,
 	})
 
 	if complete {
 		w.planner.MarkCompleted([]fleet.Version{before})
 		w.completed = true
-		s, _ = w.planner.Step(w.now, w.fence, Observation{Routes: w.table.Routes(w.order), OldServers: 30, NewServers: 30, CountDelay: w.told})
+		s, _ = w.planner.Step(w.now, w.fence, Observation{Routes: w.table.Routes(w.order), OldServers: 30, NewServers: 30, CountDelay: w.countDelay})
 	}
 
 	for i := range w.gates {
-		if !w.cutOff[i] && w.random.Float64() >= w.lossy {
-			delay := modelStep + time.Duration(w.random.Float64()*float64(w.told))
-			w.updates = append(w.updates, flyingUpdate{at: w.now.Add(delay), instance: i, state: s, made: w.now})
+		if !w.partitioned[i] && w.random.Float64() >= w.lossRate {
+			delay := stepInterval + time.Duration(w.random.Float64()*float64(w.countDelay))
+			w.updates = append(w.updates, pendingUpdate{at: w.now.Add(delay), instance: i, state: s, decidedAt: w.now})
 		}
 	}
 }
 
-// hear delivers messages, which may overtake each other.
-func (w *world) hear() {
+// deliverUpdates delivers messages, which may overtake each other.
+func (w *simulation) deliverUpdates() {
 	kept := w.updates[:0]
 
 	for _, one := range w.updates {
@@ -252,16 +252,16 @@
 			continue
 		}
 
-		w.gates[one.instance].Apply(w.now, one.state, one.made)
+		w.gates[one.instance].Apply(w.now, one.state, one.decidedAt)
 	}
 
 	w.updates = kept
 }
 
-// newHolder lets the duty go over to another instance, which knows what was recorded.
-func (w *world) newHolder(after time.Duration) {
+// replaceHolder lets the duty go over to another instance, which knows what was recorded.
+func (w *simulation) replaceHolder(after time.Duration) {
 	w.fence++
-	w.orphaned = w.now.Add(after)
+	w.holderlessUntil = w.now.Add(after)
 	recorded := w.planner.state
 	w.planner = &Planner{Policy: policy, Order: w.order, FirstSeen: begin}
 	w.planner.Resume(recorded)
@@ -271,36 +271,36 @@
 // messages lost and late, instances cut off and the holder lost or frozen in its step, the
 // new version gets no more than its budget, and nothing later than the time to stop after
 // its fiftieth bad answer.
-func TestHoldsWhatABadVersionGets(t *testing.T) {
+func TestHoldsBadVersionWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 9, 80, 195, 410}).Draw(t, "instances")
 		rate := float64(rapid.SampledFrom([]int{5, 50, 400}).Draw(t, "requests a second"))
 		span := time.Duration(rapid.SampledFrom([]int{6, 12, 30}).Draw(t, "span")) * time.Second
-		f := flaw{
+		f := defect{
 			rate: rapid.SampledFrom([]float64{0, 0.2, 0.5, 1}).Draw(t, "flaw"),
-			slow: rapid.Bool().Draw(t, "slow"), after: time.Duration(rapid.IntRange(0, 30).Draw(t, "after")) * time.Second,
-			load: rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "load"),
+			slow: rapid.Bool().Draw(t, "slow"), startsAfter: time.Duration(rapid.IntRange(0, 30).Draw(t, "after")) * time.Second,
+			minShare: rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "load"),
 		}
 
 		if rapid.Bool().Draw(t, "one route") {
 			f.route = "r3"
 		}
 
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), n, rate, span, f)
-		w.lossy = rapid.SampledFrom([]float64{0, 0.03, 0.3}).Draw(t, "loss")
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, rate, span, f)
+		w.lossRate = rapid.SampledFrom([]float64{0, 0.03, 0.3}).Draw(t, "loss")
 		trouble := begin.Add(time.Duration(rapid.IntRange(1, 25).Draw(t, "trouble at")) * time.Second)
 		kind := rapid.IntRange(0, 3).Draw(t, "trouble")
 
-		for !w.now.After(w.due().Add(8 * time.Second)) {
+		for !w.now.After(w.deadline().Add(8 * time.Second)) {
 			if w.now.Equal(trouble) {
 				switch kind {
 				case 1:
-					w.newHolder(time.Duration(rapid.IntRange(1, 6).Draw(t, "without a holder")) * time.Second)
+					w.replaceHolder(time.Duration(rapid.IntRange(1, 6).Draw(t, "without a holder")) * time.Second)
 				case 2:
-					w.frozen = w.now.Add(3 * time.Second)
+					w.frozenUntil = w.now.Add(3 * time.Second)
 				case 3:
 					for i := range w.gates {
-						w.cutOff[i] = rapid.IntRange(0, 3).Draw(t, "cut off") == 0
+						w.partitioned[i] = rapid.IntRange(0, 3).Draw(t, "cut off") == 0
 					}
 				}
 			}
@@ -309,7 +309,7 @@
 
 			if w.completed {
 				// What a version does after the deadline is not the roll-out's.
-				if w.now.After(w.due()) {
+				if w.now.After(w.deadline()) {
 					break
 				}
 
@@ -326,34 +326,34 @@
 
 // versions are those that operators may order, and what becomes of each by its deadline.
 func versions() map[string]struct {
-	flaw flaw
+	flaw defect
 	want Phase
 } {
 	return map[string]struct {
-		flaw flaw
+		flaw defect
 		want Phase
 	}{
 		"good":                {want: Completed},
-		"fails at once":       {flaw: flaw{rate: 0.4}, want: Reverted},
-		"fails in part":       {flaw: flaw{rate: 0.2}, want: Reverted},
-		"fails later":         {flaw: flaw{rate: 0.4, after: 8 * time.Second}, want: Reverted},
-		"fails on one route":  {flaw: flaw{rate: 0.5, route: "r3"}, want: Reverted},
-		"slow":                {flaw: flaw{rate: 0.6, slow: true}, want: Reverted},
-		"slow on one route":   {flaw: flaw{rate: 0.8, slow: true, route: "r2"}, want: Reverted},
-		"fails only if tried": {flaw: flaw{rate: 0.5, load: 0.005}, want: Reverted},
+		"fails at once":       {flaw: defect{rate: 0.4}, want: Reverted},
+		"fails in part":       {flaw: defect{rate: 0.2}, want: Reverted},
+		"fails later":         {flaw: defect{rate: 0.4, startsAfter: 8 * time.Second}, want: Reverted},
+		"fails on one route":  {flaw: defect{rate: 0.5, route: "r3"}, want: Reverted},
+		"slow":                {flaw: defect{rate: 0.6, slow: true}, want: Reverted},
+		"slow on one route":   {flaw: defect{rate: 0.8, slow: true, route: "r2"}, want: Reverted},
+		"fails only if tried": {flaw: defect{rate: 0.5, minShare: 0.005}, want: Reverted},
 	}
 }
 
 // A good version is completed by its deadline, also where a route fails by its nature and
 // caches are cold, and a bad one is reverted before.
-func TestAVersionIsJudgedByItsDeadline(t *testing.T) {
+func TestVersionIsDecidedByDeadline(t *testing.T) {
 	for name, tt := range versions() {
 		for _, n := range []int{9, 80, 195, 410} {
 			for seed := range uint64(3) {
-				w := newWorld(seed, n, 400, 20*time.Second, tt.flaw)
-				w.lossy = 0.03
+				w := newSimulation(seed, n, 400, 20*time.Second, tt.flaw)
+				w.lossRate = 0.03
 
-				for !w.now.After(w.due()) {
+				for !w.now.After(w.deadline()) {
 					w.step(t)
 				}
 
@@ -366,12 +366,12 @@
 }
 
 // A version that fails on every route is reverted also where few of its answers are known of each.
-func TestAVersionThatFailsOnAllRoutesIsReverted(t *testing.T) {
+func TestVersionFailingOnAllRoutesIsReverted(t *testing.T) {
 	for seed := range uint64(12) {
-		w := newWorld(seed, 410, 400, 20*time.Second, flaw{rate: 0.2})
-		w.lossy = 0.03
+		w := newSimulation(seed, 410, 400, 20*time.Second, defect{rate: 0.2})
+		w.lossRate = 0.03
 
-		for !w.now.After(w.due()) {
+		for !w.now.After(w.deadline()) {
 			w.step(t)
 		}
 
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -69,12 +69,12 @@
 	return s.Step > other.Step
 }
 
-// maxAvoid bounds the versions that are remembered as getting nothing: servers of older ones
+// maxAvoidedVersions bounds the versions that are remembered as getting nothing: servers of older ones
 // are long gone.
-const maxAvoid = 8
+const maxAvoidedVersions = 8
 
-// avoided adds versions to those that get nothing, the newest last.
-func avoided(versions []fleet.Version, more ...fleet.Version) []fleet.Version {
+// addVersions adds versions to those that get nothing, the newest last.
+func addVersions(versions []fleet.Version, more ...fleet.Version) []fleet.Version {
 	all := slices.Clone(versions)
 
 	for _, v := range more {
@@ -83,10 +83,10 @@
 		}
 	}
 
-	return all[max(len(all)-maxAvoid, 0):]
+	return all[max(len(all)-maxAvoidedVersions, 0):]
 }
 
-// without takes a version out of those that get nothing.
-func without(versions []fleet.Version, version fleet.Version) []fleet.Version {
+// removeVersion takes a version out of those that get nothing.
+func removeVersion(versions []fleet.Version, version fleet.Version) []fleet.Version {
 	return slices.DeleteFunc(slices.Clone(versions), func(v fleet.Version) bool { return v == version })
 }
