--- a/entry/datagram.go
+++ b/entry/datagram.go
@@ -23,11 +23,11 @@
 	// Forwarded are counts of several instances, as their relay passes them on.
 	Forwarded []usageCounts `msgpack:"y,omitempty"`
 	// Ask and Reply lend limits of client accounts.
-	Ask   *quota.Ask   `msgpack:"a,omitempty"`
-	Reply *quota.Reply `msgpack:"r,omitempty"`
+	Ask   *quota.LoanRequest  `msgpack:"a,omitempty"`
+	Reply *quota.LoanResponse `msgpack:"r,omitempty"`
 	// Permit and Permitted grant requests to backend servers that limit them.
-	Permit    *ratelimit.Ask   `msgpack:"l,omitempty"`
-	Permitted *ratelimit.Reply `msgpack:"m,omitempty"`
+	Permit    *ratelimit.PermitRequest  `msgpack:"l,omitempty"`
+	Permitted *ratelimit.PermitResponse `msgpack:"m,omitempty"`
 	// Servers are changes of backend servers.
 	Servers []serverNews `msgpack:"s,omitempty"`
 	// Prompts is what another instance knows of prompts at model engines.
@@ -65,13 +65,13 @@
 		p.rollouts.table.Record(d.Trials.Instance, d.Trials.Incarnation, d.Trials.Counts)
 	case d.Ask != nil:
 		// One that has just started, or stops, is no member here.
-		reply := p.loans.Lend(*d.Ask)
+		reply := p.loans.HandleRequest(*d.Ask)
 		p.sendAll(map[fleet.InstanceID]netip.AddrPort{d.Ask.From: from}, datagram{Reply: &reply})
 	case d.Permit != nil:
-		reply := p.permits.Answer(*d.Permit)
+		reply := p.permits.HandleRequest(*d.Permit)
 		p.sendAll(map[fleet.InstanceID]netip.AddrPort{d.Permit.From: from}, datagram{Permitted: &reply})
 	case d.Permitted != nil:
-		p.permits.Replied(*d.Permitted)
+		p.permits.HandleResponse(*d.Permitted)
 	case len(d.Servers) > 0:
 		p.receiveServers(now, d.Servers)
 	case d.Prompts != nil:
@@ -79,7 +79,7 @@
 	case len(d.Losses) > 0:
 		p.receiveLosses(now, d.Losses)
 	case d.Reply != nil:
-		p.loans.Answered(*d.Reply)
+		p.loans.HandleResponse(*d.Reply)
 	default:
 		p.receiveRelayed(now, &d)
 	}
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -86,9 +86,9 @@
 	// serversMu is held while the register is changed and the change takes effect.
 	serversMu sync.Mutex
 	limits    *quota.Quota
-	loans     *quota.Loans
+	loans     *quota.Limiter
 	// permits grant requests to backend servers that limit them.
-	permits   *ratelimit.Asker
+	permits   *ratelimit.Limiter
 	retries   *retry.Budgets
 	scheduler *scheduling.Scheduler
 	pool      *upstream.Pool
@@ -153,7 +153,7 @@
 
 	// early holds what the records say of the time before, until the board was first
 	// read to its end; it is nil from then on.
-	early  *quota.Past
+	early  *quota.EarlierRecords
 	echoes echoes
 	// spentSeen are the echoes of news of limits.
 	spentSeen spentSeen
@@ -190,8 +190,8 @@
 		},
 		members:    &board.Members{},
 		quarantine: &quarantine.Ledger{},
-		early:      &quota.Past{},
-		counter:    &usage.Counter{Width: s.Bounds.UsageWindow, Keep: usageKeep, Now: time.Now},
+		early:      &quota.EarlierRecords{},
+		counter:    &usage.Counter{Width: s.Bounds.UsageWindow, Retention: usageKeep, Now: time.Now},
 	}
 	p.scheduler.OnLeaving = p.serverAnnouncedLeaving
 	p.store = platform.NewStore(s.Store, p.eraRose)
@@ -202,10 +202,10 @@
 	p.links = &topology.Links{Self: self}
 	p.plan.Store(&topology.Plan{InstanceCount: 1})
 	p.limits = quota.New(quota.Policy{
-		Self: s.Instance, Window: s.Bounds.LimitWindow, Spread: newsSpread, Quick: p.quickSpread,
-		Tell: func() { p.board.Wake() },
+		Self: s.Instance, Window: s.Bounds.LimitWindow, PropagationDelay: newsSpread, DirectDelay: p.quickSpread,
+		RequestRecord: func() { p.board.Wake() },
 	})
-	p.loans = &quota.Loans{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.Ask) {
+	p.loans = &quota.Limiter{Quota: p.limits, Clock: e.Clock, Self: s.Instance, Current: p.currency.Current, Send: func(to fleet.InstanceID, ask quota.LoanRequest) {
 		p.sendDatagram(to, datagram{Ask: &ask})
 	}}
 	p.permits = newPermits(p)
@@ -216,7 +216,7 @@
 		Clock: e.Clock, Rules: &p.rules, Currency: p.currency, Limits: p.loans, Retries: p.retries,
 		Scheduler: p.scheduler, Pool: p.pool, Protocol: platform.Protocol{Fields: &p.unknownFields}, Usage: p.counter,
 		Versions: &p.rollouts.gate, Trials: &p.rollouts.counter,
-		Quarantine: p.quarantine, Counters: forward.NewCounters(set), MaxAnswerBytes: maxAnswerBytes, Observe: e.logOutcome,
+		Quarantine: p.quarantine, Counters: forward.NewCounters(set), MaxResponseBytes: maxAnswerBytes, Observe: e.logOutcome,
 	}
 	p.handler = &platform.Handler{Clock: e.Clock, Serve: p.serve, BodyBytes: p.bodyBytes}
 	p.board = &board.Board{
@@ -305,7 +305,7 @@
 
 func newRetries(b settings.Bounds) *retry.Budgets {
 	return retry.NewBudgets(retry.BudgetPolicy{
-		Window: b.RetryWindow, Share: b.RetryShare * retryMargin, Least: b.Retries(),
+		Window: b.RetryWindow, Share: b.RetryShare * retryMargin, MinRetries: b.Retries(),
 	})
 }
 
@@ -355,7 +355,7 @@
 		return false
 	}
 
-	limits := p.limits.Known() || p.clock.Now().Sub(*counted) > limitsPatience
+	limits := p.limits.HasSynced() || p.clock.Now().Sub(*counted) > limitsPatience
 
 	return !p.stopping.Load() && p.serving() && limits
 }
@@ -396,9 +396,9 @@
 		return
 	}
 
-	klog.InfoS("request", "id", r.ID, "outcome", o.Reason.String(), "route", o.Route, "account", o.Account, "content", o.Content,
-		"rules", o.Rules, "rulesAge", o.RulesAge, "notRun", o.NotRun, "servers", o.Servers, "events", o.Events,
-		"held", o.Held, "took", o.Took, "cause", o.Cause)
+	klog.InfoS("request", "id", r.ID, "outcome", o.Reason.String(), "route", o.Route, "account", o.Account, "content", o.Fingerprint,
+		"rules", o.RulesVersion, "rulesAge", o.RulesAge, "notRun", o.NotRun, "servers", o.Servers, "events", o.Events,
+		"held", o.Queued, "took", o.Duration, "cause", o.Cause)
 }
 
 // self is this instance.
--- a/quota/reserve.go
+++ b/quota/reserve.go
@@ -22,10 +22,10 @@
 	fewest = 4
 )
 
-// Holders returns the instances that are asked for a loan of an account's limit, in their
+// Lenders returns the instances that are asked for a loan of an account's limit, in their
 // order: those that hold its reserve, and then the other keepers where there are some. All
 // that know the same members name the same ones.
-func (q *Quota) Holders(name fleet.Account) []fleet.InstanceID {
+func (q *Quota) Lenders(name fleet.Account) []fleet.InstanceID {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -116,16 +116,16 @@
 	part += q.held(a) * rest
 
 	if recent+cost > part {
-		return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Rest: rest, Part: part}
+		return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Share: part}
 	}
 
 	if untold := a.own.total - a.recorded; untold > 0 && untold+cost > q.untold(a) {
 		q.tell(now, a)
 
-		return Decision{RetryAfter: firstRetry, Rest: rest, Part: part}
+		return Decision{RetryAfter: firstRetry, Remaining: rest, Share: part}
 	}
 
 	q.spend(now, a, cost)
 
-	return Decision{Granted: true, Rest: rest, Part: part}
+	return Decision{Granted: true, Remaining: rest, Share: part}
 }
--- a/register/deltas_test.go
+++ b/register/deltas_test.go
@@ -11,8 +11,9 @@
 	"monsoonlever/fleet"
 )
 
-// However changes come, the list, the digest and the deltas agree with the changes one by one.
-func TestHoldsDeltasAgreeWithTheServers(t *testing.T) {
+// For any sequence of changes, the list of servers and the digest equal those that result from
+// the deltas.
+func TestHoldsDeltasMatchServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Register
 
--- a/register/leaving_test.go
+++ b/register/leaving_test.go
@@ -8,9 +8,9 @@
 	"monsoonlever/fleet"
 )
 
-// Guards against a server that leaves being taken for ready again by an older entry, a whole
-// set, or an entry that lapsed and came back.
-func TestHoldsLeavingIsFinalForAStart(t *testing.T) {
+// Guards against a leaving server that counts as ready again after an older entry, a full
+// snapshot, or an entry that expired and was written again.
+func TestHoldsLeavingIsFinalForProcess(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Register
 
@@ -31,9 +31,9 @@
 		}
 
 		t.Repeat(map[string]func(*rapid.T){
-			"entry":     func(*rapid.T) { r.Apply([]Change{change()}) },
-			"whole set": func(*rapid.T) { r.Replace([]Change{change()}) },
-			"old copy":  func(*rapid.T) { r.Restore([]Change{change()}) },
+			"entry":    func(*rapid.T) { r.Apply([]Change{change()}) },
+			"snapshot": func(*rapid.T) { r.Replace([]Change{change()}) },
+			"old copy": func(*rapid.T) { r.Restore([]Change{change()}) },
 			"announced": func(*rapid.T) {
 				start := Process{
 					ID:          rapid.SampledFrom([]fleet.InstanceID{"i-1", "i-2"}).Draw(t, "who"),
@@ -45,7 +45,7 @@
 			"": func(t *rapid.T) {
 				for _, s := range r.Servers() {
 					if left[s.Process()] && !s.Leaving {
-						t.Errorf("%v: got it ready, want it to leave as it said", s.Process())
+						t.Errorf("%v: got ready, want it still leaving", s.Process())
 					}
 
 					left[s.Process()] = left[s.Process()] || s.Leaving
@@ -55,15 +55,15 @@
 	})
 }
 
-// Guards against what leaves piling up without a bound.
-func TestFewStartsAreRememberedToLeave(t *testing.T) {
+// Guards against leaving processes that accumulate without a bound.
+func TestLeavingProcessesAreBounded(t *testing.T) {
 	var r Register
 
-	for i := range 2 * maxLeaving {
+	for i := range 2 * maxLeavingProcesses {
 		r.MarkLeaving([]Process{{ID: "i-1", Incarnation: fleet.Incarnation(i + 1)}})
 	}
 
-	if got := r.leaving.known.Len(); got != maxLeaving {
-		t.Errorf("remembered: got %d, want %d", got, maxLeaving)
+	if got := r.leaving.processes.Len(); got != maxLeavingProcesses {
+		t.Errorf("leaving processes: got %d, want %d", got, maxLeavingProcesses)
 	}
 }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -9,13 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestHoldsBudget checks every span that ends at a retry, to the nanosecond.
-func TestHoldsBudget(t *testing.T) {
+// TestHoldsRetriesWithinBudget checks the budget over every window that ends at a
+// retry, to the nanosecond.
+func TestHoldsRetriesWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := BudgetPolicy{
-			Window: 10 * time.Second,
-			Share:  rapid.Float64Range(0.01, 1).Draw(t, "share"),
-			Least:  rapid.IntRange(1, 5).Draw(t, "least"),
+			Window:     10 * time.Second,
+			Share:      rapid.Float64Range(0.01, 1).Draw(t, "share"),
+			MinRetries: rapid.IntRange(1, 5).Draw(t, "least"),
 		}
 		b := newBudget(policy.withDefaults())
 		now := testStart
@@ -37,7 +38,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
-				b.Request(now)
+				b.CountRequest(now)
 				requests = append(requests, now)
 			}
 
@@ -47,7 +48,7 @@
 				}
 			}
 
-			most := int(policy.Share*float64(within(requests))) + policy.Least
+			most := int(policy.Share*float64(within(requests))) + policy.MinRetries
 			if got := within(retries); len(retries) > 0 && retries[len(retries)-1].Equal(now) && got > most {
 				t.Fatalf("%d retries in the last %v, want at most %d", got, policy.Window, most)
 			}
@@ -55,8 +56,9 @@
 	})
 }
 
-// TestBudgetGivesItsShare shows that the budget isn't held by giving nothing.
-func TestBudgetGivesItsShare(t *testing.T) {
+// TestBudgetGrantsItsShare guards against a budget that holds because it refuses
+// every retry.
+func TestBudgetGrantsItsShare(t *testing.T) {
 	b := newBudget(BudgetPolicy{}.withDefaults())
 	now := testStart
 	taken := 0
@@ -65,7 +67,7 @@
 
 	for range seconds * rate {
 		now = now.Add(time.Second / rate)
-		b.Request(now)
+		b.CountRequest(now)
 
 		if b.Take(now) {
 			taken++
@@ -78,11 +80,11 @@
 	}
 }
 
-func TestBudgetHoldsUnderConcurrency(t *testing.T) {
+func TestBudgetIsNotExceededConcurrently(t *testing.T) {
 	const workers, tries, want = 8, 2000, 50
 
 	for range 20 {
-		b := newBudget(BudgetPolicy{Least: want}.withDefaults())
+		b := newBudget(BudgetPolicy{MinRetries: want}.withDefaults())
 
 		var (
 			taken atomic.Int64
@@ -107,7 +109,7 @@
 	}
 }
 
-func TestBudgetsKeepScopesApart(t *testing.T) {
+func TestBudgetsAreSeparatePerScope(t *testing.T) {
 	b := NewBudgets(BudgetPolicy{})
 	other := NewScope("payrun-api", "wholesale-2")
 
@@ -115,6 +117,6 @@
 	}
 
 	if !b.Of(other).Take(testStart) {
-		t.Errorf("budget of another account: got spent, want its own")
+		t.Errorf("budget of another account: got it exhausted, want a separate one")
 	}
 }
--- a/scheduling/news_test.go
+++ b/scheduling/updates_test.go
@@ -11,33 +11,33 @@
 
 // Eight instances place 40 prompts a second on nine engines. Without news of the others
 // 53 in 1,000 prompts wait for longer than 800 ms for their first event, with it 13.
-func TestNewsOfOthersKeepsPromptsFromWaiting(t *testing.T) {
-	var silent, told outcome
+func TestUpdatesShortenPromptWaits(t *testing.T) {
+	var isolated, updated simulationResult
 
 	for seed := range uint64(5) {
-		p := play{instances: 8, engines: 9, every: 25 * time.Millisecond, span: 30 * time.Second, seed: seed}
-		one := p.run(t)
-		silent.again += one.again
-		silent.waits = append(silent.waits, one.waits...)
-
-		p.told, p.delay = true, 50*time.Millisecond
-		one = p.run(t)
-		told.again += one.again
-		told.waits = append(told.waits, one.waits...)
+		p := simulation{instances: 8, engines: 9, interval: 25 * time.Millisecond, duration: 30 * time.Second, seed: seed}
+		result := p.run(t)
+		isolated.reread += result.reread
+		isolated.waits = append(isolated.waits, result.waits...)
+
+		p.updates, p.delay = true, 50*time.Millisecond
+		result = p.run(t)
+		updated.reread += result.reread
+		updated.waits = append(updated.waits, result.waits...)
 	}
 
-	slices.Sort(silent.waits)
-	slices.Sort(told.waits)
+	slices.Sort(isolated.waits)
+	slices.Sort(updated.waits)
 
-	if got, before := told.late(), silent.late(); got > 0.05 || got > before/4 {
+	if got, before := updated.late(), isolated.late(); got > 0.05 || got > before/4 {
 		t.Errorf("prompts that wait for longer than %v: got %.3f with news and %.3f without, want a quarter and 0.05 at most",
 			objective, got, before)
 	}
 }
 
-func TestNewsTellsWhatWaitsAndWhatIsHeld(t *testing.T) {
+func TestUpdatesCarryBacklogsAndCachedSegments(t *testing.T) {
 	here, there := engines(2, 64), engines(2, 64)
-	r := prompt("session")
+	r := promptRequest("session")
 
 	a := pick(t, there, r)
 	a.Start(now)
@@ -50,22 +50,22 @@
 
 	server, idle := here.servers[a.ID()], here.servers[other]
 
-	if got, want := server.waiting(now), int64(a.unread); got != want {
+	if got, want := server.remotePending(now), int64(a.uncachedTokens); got != want {
 		t.Errorf("waiting there: got %d, want %d", got, want)
 	}
 
-	if got, want := server.held(now, r.Prompt.keys(), r.Prompt), r.Prompt.shared(); got != want {
+	if got, want := server.cachedTokens(now, r.Prompt.keys(), r.Prompt), r.Prompt.sharedTokens(); got != want {
 		t.Errorf("held there while it is being read: got %d, want the common %d", got, want)
 	}
 
-	if got := idle.waiting(now) + int64(idle.held(now, r.Prompt.keys(), r.Prompt)); got != 0 {
+	if got := idle.remotePending(now) + int64(idle.cachedTokens(now, r.Prompt.keys(), r.Prompt)); got != 0 {
 		t.Errorf("at the other server: got %d tokens waiting and held, want 0", got)
 	}
 
 	a.FirstEventReceived(now)
 	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
-	if got := server.waiting(now); got != 0 {
+	if got := server.remotePending(now); got != 0 {
 		t.Errorf("waiting after it was read: got %d, want 0", got)
 	}
 
@@ -75,46 +75,46 @@
 }
 
 // An instance that ended tells no more that its prompts were read.
-func TestABacklogThatIsNotToldAnewIsForgotten(t *testing.T) {
+func TestBacklogExpiresWithoutUpdates(t *testing.T) {
 	s := engines(1, 64)
 	server := s.servers["i-0"]
 	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: server.key, Tokens: 9000}}})
 
-	if got := server.waiting(now.Add(backlogLife)); got != 9000 {
+	if got := server.remotePending(now.Add(backlogTTL)); got != 9000 {
 		t.Errorf("waiting at the end of its life: got %d, want 9000", got)
 	}
 
-	if got := server.waiting(now.Add(backlogLife + time.Millisecond)); got != 0 {
+	if got := server.remotePending(now.Add(backlogTTL + time.Millisecond)); got != 0 {
 		t.Errorf("waiting after its life: got %d, want 0", got)
 	}
 }
 
-func TestAnAttemptThatEndsUnreadLeavesNoBacklogElsewhere(t *testing.T) {
+func TestFailedAttemptClearsRemoteBacklog(t *testing.T) {
 	here, there := engines(1, 64), engines(1, 64)
 
-	a := pick(t, there, prompt("session"))
+	a := pick(t, there, promptRequest("session"))
 	a.Start(now)
 	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 	a.End(now, Failed)
 	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
-	if got := here.servers["i-0"].waiting(now); got != 0 {
+	if got := here.servers["i-0"].remotePending(now); got != 0 {
 		t.Errorf("waiting after the attempt failed: got %d, want 0", got)
 	}
 }
 
 // What nobody takes must not grow without bound.
-func TestNewsThatIsNotTakenIsBounded(t *testing.T) {
+func TestUnsentUpdatesAreBounded(t *testing.T) {
 	s := engines(1, 64)
 
-	for i := range 4 * maxHoldings {
-		a := pick(t, s, prompt(fmt.Sprint("session-", i)))
+	for i := range 4 * maxQueuedSegments {
+		a := pick(t, s, promptRequest(fmt.Sprint("session-", i)))
 		a.Start(now)
 		a.FirstEventReceived(now)
 		a.End(now, Served)
 	}
 
-	if got := len(s.TakeUpdate(now, Upstream).Holdings); got > maxHoldings {
-		t.Errorf("holdings: got %d, want at most %d", got, maxHoldings)
+	if got := len(s.TakeUpdate(now, Upstream).Holdings); got > maxQueuedSegments {
+		t.Errorf("holdings: got %d, want at most %d", got, maxQueuedSegments)
 	}
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -16,95 +16,106 @@
 )
 
 const (
-	// DefaultDialTimeout is some hundred round trips within a region; a full queue
-	// of new connections drops the first packet, which is sent again after a second.
+	// DefaultDialTimeout is about a hundred round trips within a region. It is too short
+	// for a server whose accept queue is full: such a server drops the SYN packet, which
+	// is retransmitted only after a second.
 	DefaultDialTimeout = 400 * time.Millisecond
-	// defaultIdle is how long a connection is kept whose server names no timeout.
-	defaultIdle = 4 * time.Second
-	// freshIdle is the idle time up to which a connection counts as in use: a shorter one
-	// makes more connections, with a longer one more calls are lost with dead ones.
-	freshIdle = 1500 * time.Millisecond
-	// idleShare is the part of a server's idle timeout after which a connection is
-	// not used any more, so that no request crosses its close.
-	idleShare = 0.5
-	// readBuffer holds the header of an answer and several events of a stream.
+	// defaultIdleTimeout is how long an idle connection is kept if the server sends no
+	// timeout in a Keep-Alive header.
+	defaultIdleTimeout = 4 * time.Second
+	// maxFreshIdle is the longest idle time of a connection for Request.RequireFresh. A
+	// shorter time causes more dials, a longer one more requests lost on dead connections.
+	maxFreshIdle = 1500 * time.Millisecond
+	// idleTimeoutShare is the share of a server's idle timeout after which a connection is
+	// not reused, so that no request is sent while the server closes the connection.
+	idleTimeoutShare = 0.5
+	// readBuffer is the size in bytes of a connection's read buffer: the header of a
+	// response and several events of a stream fit into it.
 	readBuffer = 4 << 10
 )
 
-// Pool keeps connections to backend servers. Its exported fields are set before
-// its first use.
+// Pool is a pool of connections to backend servers. Its exported fields are set before
+// its first use. Its methods are safe for concurrent use.
 type Pool struct {
 	Clock clock.Clock
-	// DialTimeout bounds the making of a connection; zero is the default.
+	// DialTimeout bounds the dialling of a connection; zero selects DefaultDialTimeout.
 	DialTimeout time.Duration
 	// Counters may be nil.
 	Counters *Counters
-	// Dial makes connections; nil makes those of Dialer over TCP.
+	// Dial opens a connection; nil selects Dialer over IPv4.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	mu      sync.Mutex
-	servers map[fleet.InstanceID]*connections
+	servers map[fleet.InstanceID]*serverConnections
 }
 
-// connections are those to one start of a backend server.
-type connections struct {
+// serverConnections are the connections to one process of a backend server.
+type serverConnections struct {
 	idle []*connection
-	// busy carry a request.
-	busy  map[*connection]struct{}
-	open  int
+	// busy are the connections that carry a request.
+	busy map[*connection]struct{}
+	// open counts the idle and busy connections and those being dialled.
+	open int
+	// limit bounds open; zero is no limit.
 	limit int
-	gone  bool
+	// removed is set once the server is no longer in the pool: a busy connection is then
+	// closed after its request.
+	removed bool
 }
 
 // connection is used by one request at a time.
 type connection struct {
 	net.Conn
-	// owner counts it: the server may have been forgotten, or have started again, since.
-	owner  *connections
+	// owner counts this connection. Pool.servers may no longer have it: the server may
+	// have been removed or restarted since.
+	owner  *serverConnections
 	reader *bufio.Reader
-	// dead is when the connection must not be used any more.
-	dead time.Time
-	used time.Time
-	// kept tells that the connection carried a request before.
+	// reuseUntil is when the connection may last be used for a further request.
+	reuseUntil time.Time
+	// lastUsed is when the last request on the connection ended.
+	lastUsed time.Time
+	// kept is set once the connection has carried a request.
 	kept bool
 }
 
-// ErrConnectionLimit means that this instance's share of a backend server's
-// connections is in use.
+// ErrConnectionLimit means that all connections to a backend server that this instance
+// may open are in use.
 var ErrConnectionLimit = merry.Sentinel("connection limit of the backend server is reached")
 
-// SetLimit bounds the connections to a server; zero is no bound.
+// SetLimit bounds the number of open connections to a server; zero is no limit.
 func (p *Pool) SetLimit(id fleet.InstanceID, limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(id).limit = limit
+	p.connectionsOf(id).limit = limit
 }
 
-// Forget closes the idle connections to a server that is gone and keeps no more.
-func (p *Pool) Forget(id fleet.InstanceID) {
+// RemoveServer removes a server from the pool: it closes the idle connections
+// immediately and the others once their requests have ended.
+func (p *Pool) RemoveServer(id fleet.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.forget(id)
+	p.removeServer(id)
 }
 
-// Cut closes all connections to a server that started again, those that carry a
-// request included: the start that had it has ended, which a silent connection does
-// not tell.
+// Cut closes all connections to a server that was restarted, including those that carry
+// a request: the process that had the request has terminated, but a connection without
+// traffic does not show that.
 func (p *Pool) Cut(id fleet.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	if c := p.forget(id); c != nil {
+	if c := p.removeServer(id); c != nil {
 		for conn := range c.busy {
 			_ = conn.Close()
 		}
 	}
 }
 
-// forget closes the idle connections to a server. Those that carry a request are closed
-// once it has ended.
-func (p *Pool) forget(id fleet.InstanceID) *connections {
+// removeServer closes the idle connections to a server and removes it from the pool. It
+// returns the removed connections, or nil if the pool has none. A busy connection is
+// closed once its request has ended. p.mu is held.
+func (p *Pool) removeServer(id fleet.InstanceID) *serverConnections {
 	c := p.servers[id]
 	if c == nil {
 		return nil
@@ -116,14 +127,15 @@
 
 	c.open -= len(c.idle)
 	c.idle = nil
-	c.gone = true
+	c.removed = true
 	delete(p.servers, id)
 
 	return c
 }
 
-// Open returns how many connections to a server are open.
-func (p *Pool) Open(id fleet.InstanceID) int {
+// OpenConnections returns the number of connections to a server that are open or being
+// dialled.
+func (p *Pool) OpenConnections(id fleet.InstanceID) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -134,21 +146,23 @@
 	return 0
 }
 
-func (p *Pool) of(id fleet.InstanceID) *connections {
+// connectionsOf returns the connections to a server, and adds the server if the pool does
+// not have it. p.mu is held.
+func (p *Pool) connectionsOf(id fleet.InstanceID) *serverConnections {
 	if p.servers == nil {
-		p.servers = make(map[fleet.InstanceID]*connections)
+		p.servers = make(map[fleet.InstanceID]*serverConnections)
 	}
 
 	c := p.servers[id]
 	if c == nil {
-		c = &connections{busy: make(map[*connection]struct{})}
+		c = &serverConnections{busy: make(map[*connection]struct{})}
 		p.servers[id] = c
 	}
 
 	return c
 }
 
-// get returns a kept connection that is alive, or dials. The error wraps
+// get returns an idle connection that is alive, or dials a new one. Its errors wrap
 // backend.ErrNotSent.
 func (p *Pool) get(ctx context.Context, s Server, fresh bool) (*connection, error) {
 	for {
@@ -161,27 +175,28 @@
 			return p.dial(ctx, s, conn)
 		}
 
-		if conn.quiet() {
+		if conn.alive() {
 			return conn, nil
 		}
 
-		p.drop(conn)
+		p.closeConnection(conn)
 	}
 }
 
-// reserve takes the connection that was used last, or counts a new one that the caller
-// has to dial.
+// reserve returns the idle connection that was used last, or a new one, already counted
+// as open, that the caller has to dial. With fresh set it returns only an idle
+// connection that was used within maxFreshIdle.
 func (p *Pool) reserve(id fleet.InstanceID, fresh bool) (*connection, error) {
 	now := p.Clock.Now()
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.of(id)
+	c := p.connectionsOf(id)
 	p.expire(c, now)
 
 	if n := len(c.idle); n > 0 {
 		conn := c.idle[n-1]
-		if !fresh || now.Sub(conn.used) <= freshIdle {
+		if !fresh || now.Sub(conn.lastUsed) <= maxFreshIdle {
 			c.idle = c.idle[:n-1]
 			c.busy[conn] = struct{}{}
 
@@ -194,7 +209,7 @@
 			return nil, merry.Prepend(backend.ErrNotSent, "reserve a connection", merry.WithCause(ErrConnectionLimit))
 		}
 
-		// An idle connection makes room for the fresh one.
+		// The oldest idle connection is closed to make room for a fresh one.
 		_ = c.idle[0].Close()
 		c.idle = c.idle[1:]
 		c.open--
@@ -205,12 +220,12 @@
 	return &connection{owner: c}, nil
 }
 
-// expire closes the connections whose server may close them soon.
-func (p *Pool) expire(c *connections, now time.Time) {
+// expire closes the idle connections that the server may soon close. p.mu is held.
+func (p *Pool) expire(c *serverConnections, now time.Time) {
 	kept := c.idle[:0]
 
 	for _, conn := range c.idle {
-		if now.Before(conn.dead) {
+		if now.Before(conn.reuseUntil) {
 			kept = append(kept, conn)
 
 			continue
@@ -223,6 +238,7 @@
 	c.idle = kept
 }
 
+// dial opens a connection that reserve returned, and releases it if that fails.
 func (p *Pool) dial(ctx context.Context, s Server, conn *connection) (*connection, error) {
 	dialled, err := p.connect(ctx, s.Address)
 	if err != nil {
@@ -256,12 +272,13 @@
 	return Dialer(timeout).DialContext(ctx, "tcp4", address)
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(conn *connection, idle time.Duration) {
+// putIdle keeps a connection for further requests until it has been idle for the given
+// time. It closes the connection if its server was removed.
+func (p *Pool) putIdle(conn *connection, idle time.Duration) {
 	now := p.Clock.Now()
 	conn.kept = true
-	conn.used = now
-	conn.dead = now.Add(idle)
+	conn.lastUsed = now
+	conn.reuseUntil = now.Add(idle)
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -269,7 +286,7 @@
 	c := conn.owner
 	delete(c.busy, conn)
 
-	if c.gone {
+	if c.removed {
 		_ = conn.Close()
 		c.open--
 
@@ -279,11 +296,13 @@
 	c.idle = append(c.idle, conn)
 }
 
-func (p *Pool) drop(conn *connection) {
+// closeConnection closes a connection that is not idle and releases it.
+func (p *Pool) closeConnection(conn *connection) {
 	_ = conn.Close()
 	p.release(conn)
 }
 
+// release stops counting a connection as open and busy.
 func (p *Pool) release(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -291,9 +310,9 @@
 	conn.owner.open--
 }
 
-// quiet tells whether nothing has come on an idle connection: neither its end nor
-// bytes that belong to no request.
-func (c *connection) quiet() bool {
+// alive reports whether an idle connection can be used: the server has neither closed
+// it nor sent bytes that belong to no request.
+func (c *connection) alive() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
