--- a/scheduling/announcements_test.go
+++ b/scheduling/announcements_test.go
@@ -9,8 +9,8 @@
 	"monsoonlever/register"
 )
 
-// Guards against sends to a server that announced that it leaves, once its entry has lapsed
-// and come back as ready.
+// Guards against requests to a server that announced that it leaves, after its register entry
+// lapsed and came back as ready.
 func TestAnnouncedLeaveOutlivesLapsedEntry(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
 	s.Update([]register.Server{processEntry(500)})
@@ -21,16 +21,16 @@
 	before.AnnouncedLeaving()
 
 	if waiting.Start(now) {
-		t.Error("a request that was placed before: got it started, want it placed anew")
+		t.Error("request that was picked before the leave: got it started, want it refused")
 	}
 
 	for _, step := range []struct {
 		desc    string
 		servers []register.Server
 	}{
-		{desc: "its entry says ready", servers: []register.Server{processEntry(500)}},
-		{desc: "its entry lapsed"},
-		{desc: "its entry is back", servers: []register.Server{processEntry(500)}},
+		{desc: "entry is ready", servers: []register.Server{processEntry(500)}},
+		{desc: "entry lapsed"},
+		{desc: "entry came back", servers: []register.Server{processEntry(500)}},
 	} {
 		s.Update(step.servers)
 
@@ -43,8 +43,7 @@
 	pick(t, s, Request{Service: "llm"})
 }
 
-// Guards against a limit, and a backoff, that are forgotten while the entry of their server
-// lapses.
+// Guards against losing the limit and the backoff of a server while its register entry lapses.
 func TestLimitAndBackoffOutliveLapsedEntry(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
 	s.Update([]register.Server{processEntry(500)})
@@ -67,11 +66,11 @@
 
 	srv = s.servers["i-1"]
 	if got := srv.announcedLimit().Rate; got != ratelimit.Unlimited || srv.announcements.inBackoff(now) {
-		t.Errorf("another start: got limit %v and backoff %t, want neither", got, srv.announcements.inBackoff(now))
+		t.Errorf("new process: got limit %v and backoff %t, want neither", got, srv.announcements.inBackoff(now))
 	}
 }
 
-// Guards against what a server announced being forgotten where its entry names another address.
+// Guards against losing the announcements of a server when its entry names another address.
 func TestBackoffOutlivesAddressChange(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
 	s.Update([]register.Server{processEntry(500)})
@@ -90,11 +89,11 @@
 	}
 }
 
-// Guards against a log line and a change of the register for each answer of a server that leaves.
+// Guards against a log line and a register change for each answer of a server that leaves.
 func TestLeaveIsReportedOnce(t *testing.T) {
 	var got []register.Process
 
-	s := &Scheduler{Domain: "a", OnLeaving: func(start register.Process) { got = append(got, start) }}
+	s := &Scheduler{Domain: "a", OnLeaving: func(process register.Process) { got = append(got, process) }}
 	s.Update([]register.Server{processEntry(500)})
 
 	first, second := pick(t, s, Request{Service: "llm"}), pick(t, s, Request{Service: "llm"})
@@ -102,6 +101,6 @@
 	second.AnnouncedLeaving()
 
 	if len(got) != 1 || got[0] != processEntry(500).Process() {
-		t.Errorf("noted: got %v, want the server once", got)
+		t.Errorf("OnLeaving calls: got %v, want the server once", got)
 	}
 }
--- a/scheduling/backoff_test.go
+++ b/scheduling/backoff_test.go
@@ -13,8 +13,8 @@
 	"monsoonlever/register"
 )
 
-// Guards against sends to a server within the time for which it asked for none, whatever
-// comes between: shorter requests for backoff, entries that lapse, other starts.
+// Guards against requests to a server during its backoff, whatever happens meanwhile: shorter
+// backoffs, lapsed entries, restarts.
 func TestHoldsNoSendWithinABackoff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := now
@@ -43,17 +43,17 @@
 			}
 
 			if backoffEnds[a.Server()].After(at) {
-				t.Errorf("%v: got it picked %v before its backoff ends, want it left alone", a.Server(), backoffEnds[a.Server()].Sub(at))
+				t.Errorf("%v: got it picked %v before its backoff ends, want another server or none", a.Server(), backoffEnds[a.Server()].Sub(at))
 			}
 
 			return a
 		}
 
-		// waiting are placed and not sent, underWay are sent and not answered.
+		// waiting were picked and not started; inFlight were started and not answered.
 		var waiting, inFlight []*Assignment
 
 		t.Repeat(map[string]func(*rapid.T){
-			"refused": func(t *rapid.T) {
+			"rejected": func(t *rapid.T) {
 				if len(inFlight) == 0 {
 					return
 				}
@@ -68,7 +68,7 @@
 					backoffEnds[a.Server()] = end
 				}
 			},
-			"placed": func(t *rapid.T) {
+			"picked": func(t *rapid.T) {
 				if a := pickServer(t); a != nil {
 					waiting = append(waiting, a)
 				}
@@ -83,7 +83,7 @@
 
 				if a.Start(at) {
 					if backoffEnds[a.Server()].After(at) {
-						t.Errorf("%v: got a request sent that was placed before, want it placed anew", a.Server())
+						t.Errorf("%v: got a request started within a backoff that began after it was picked, want it refused", a.Server())
 					}
 
 					inFlight = append(inFlight, a)
@@ -99,10 +99,10 @@
 				a.Accepted()
 				a.End(at, Served)
 			},
-			"later":     func(t *rapid.T) { at = at.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond) },
-			"lapsed":    func(t *rapid.T) { update(rapid.SampledFrom(ids).Draw(t, "id")) },
-			"all there": func(*rapid.T) { update("") },
-			"started again": func(t *rapid.T) {
+			"later":       func(t *rapid.T) { at = at.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond) },
+			"lapsed":      func(t *rapid.T) { update(rapid.SampledFrom(ids).Draw(t, "id")) },
+			"all present": func(*rapid.T) { update("") },
+			"server restarted": func(t *rapid.T) {
 				incarnations[rapid.SampledFrom(ids).Draw(t, "id")]++
 				update("")
 			},
@@ -111,7 +111,7 @@
 	})
 }
 
-// Guards against an answer that asks for less ending what one before it asked for.
+// Guards against an answer with a shorter backoff ending a longer one that was requested before.
 func TestShorterBackoffDoesNotEndLongerOne(t *testing.T) {
 	s := engines(1, 64)
 	askBackoffAt(t, s, now, 3*time.Second, "i-0")
@@ -126,8 +126,8 @@
 	pickAt(t, s, now.Add(3*time.Second), Request{Service: "llm"})
 }
 
-// Guards against callers that wait in vain, or come back too soon, where all servers asked
-// for backoff.
+// Guards against requests that wait in vain, or are told to retry too soon, when all servers are
+// in backoff.
 func TestRequestRefusedWhenAllServersInBackoff(t *testing.T) {
 	const backoff = 3 * time.Second
 
@@ -144,14 +144,14 @@
 
 				var noRoom *NoRoomError
 				if !errors.As(err, &noRoom) || time.Since(began) > 0 || noRoom.RetryAfter < backoff {
-					t.Errorf("got %v after %v, want it refused at once, to come back after %v", err, time.Since(began), backoff)
+					t.Errorf("got %v after %v, want it refused immediately, with a retry after at least %v", err, time.Since(began), backoff)
 				}
 			})
 		})
 	}
 }
 
-// Guards against refusals where the first server takes requests again in time.
+// Guards against refusing a request although a server's backoff ends in time.
 func TestRequestWaitsForShortBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(2, 64)
@@ -167,13 +167,13 @@
 	})
 }
 
-// askBackoff has servers turn a request away now and ask for backoff.
+// askBackoff makes servers reject a request now and request a backoff.
 func askBackoff(t *testing.T, s *Scheduler, backoff time.Duration, ids ...fleet.InstanceID) {
 	t.Helper()
 	askBackoffAt(t, s, clock.System{}.Now(), backoff, ids...)
 }
 
-// Guards against a server that is flooded when its backoff ends.
+// Guards against flooding a server when its backoff ends.
 func TestHalfOpenSendsOneRequestAtATime(t *testing.T) {
 	s := engines(1, 64)
 	s.Resume = ResumePolicy{HalfOpen: true}
@@ -183,31 +183,31 @@
 	first, second := pickAt(t, s, at, Request{Service: "llm"}), pickAt(t, s, at, Request{Service: "llm"})
 
 	if !first.Start(at) || second.Start(at) {
-		t.Fatal("two requests at the end of a backoff: got the first held back or the second sent, want the first alone sent")
+		t.Fatal("two requests at the end of a backoff: got the first blocked or the second started, want only the first started")
 	}
 
 	first.End(at, Failed)
 
 	third := pickAt(t, s, at, Request{Service: "llm"})
 	if !third.Start(at) {
-		t.Fatal("after the first failed: got the next held back, want it sent")
+		t.Fatal("after the first failed: got the next blocked, want it started")
 	}
 
 	if _, err := s.Pick(at, Request{Service: "llm"}); !errors.Is(err, ErrNoServer) {
-		t.Errorf("while it is under way: got %v, want no server", err)
+		t.Errorf("while the trial is in flight: got %v, want no server", err)
 	}
 
 	third.Accepted()
 
 	for range 2 {
 		if !pickAt(t, s, at, Request{Service: "llm"}).Start(at) {
-			t.Error("after the server took one: got a request held back, want it sent")
+			t.Error("after the server accepted one: got a request blocked, want it started")
 		}
 	}
 }
 
-// Guards against callers whose requests go to one server only being refused to find out
-// whether a server takes requests again.
+// Guards against refusing final requests, which are sent to one server only, because they were
+// used as trials after a backoff.
 func TestFinalRequestIsNotTrialWhileOthersHaveRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(2, 64)
@@ -219,14 +219,14 @@
 
 		for range 8 {
 			if a, err := place(t, s, final); err != nil || a.ID() != "i-1" {
-				t.Fatalf("got %v, %v, want the server that takes requests", a, err)
+				t.Fatalf("got %v, %v, want the server that is not in backoff", a, err)
 			}
 		}
 
 		final.Excluded = []fleet.InstanceID{"i-1"}
 
 		if a, err := place(t, s, final); err != nil || a.ID() != "i-0" {
-			t.Errorf("no other server is left: got %v, %v, want the trial", a, err)
+			t.Errorf("no other server is left: got %v, %v, want the server after its backoff", a, err)
 		}
 
 		time.Sleep(time.Second)
@@ -235,12 +235,12 @@
 		s.servers["i-1"].running.Add(60)
 
 		if a, err := place(t, s, final); err != nil || a.ID() != "i-0" {
-			t.Errorf("after it was spared for a second: got %v, %v, want the idle server", a, err)
+			t.Errorf("after FinalDelay: got %v, %v, want the idle server", a, err)
 		}
 	})
 }
 
-// Guards against waits for a trial that are longer than their request's objective.
+// Guards against waiting for a trial for longer than WaitUntil, which follows from the objective.
 func TestWaitForTrialEndsAtWaitUntil(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := engines(1, 64)
@@ -255,17 +255,17 @@
 
 		var noRoom *NoRoomError
 		if _, err := place(t, s, Request{Service: "llm", WaitUntil: began.Add(500 * time.Millisecond)}); !errors.As(err, &noRoom) {
-			t.Errorf("got %v, want it refused for want of room", err)
+			t.Errorf("got %v, want a NoRoomError", err)
 		}
 
 		if took := time.Since(began); took > 500*time.Millisecond {
-			t.Errorf("refused after %v, want within the objective", took)
+			t.Errorf("refused after %v, want at WaitUntil at the latest", took)
 		}
 
 		time.AfterFunc(100*time.Millisecond, trial.Accepted)
 
 		if _, err := place(t, s, Request{Service: "llm", WaitUntil: time.Now().Add(500 * time.Millisecond)}); err != nil {
-			t.Errorf("the server takes requests again: got %v, want the request placed", err)
+			t.Errorf("the server accepts requests again: got %v, want the request placed", err)
 		}
 	})
 }
@@ -290,11 +290,11 @@
 	}
 }
 
-// Guards against a refusal where a backoff ends between two looks at the servers.
+// Guards against refusing a request when a backoff ends between Pick and awaitRoom.
 func TestAwaitRoomRetriesAfterBackoffEnds(t *testing.T) {
 	s := engines(1, 64)
 
 	if a, err := s.awaitRoom(t.Context(), clock.System{}, Request{Service: "llm"}); a != nil || err != nil {
-		t.Errorf("a server takes requests by now: got %v, %v, want neither, to look again", a, err)
+		t.Errorf("a server accepts requests by now: got %v, %v, want neither, so that Place picks again", a, err)
 	}
 }
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -14,17 +14,17 @@
 	"monsoonlever/register"
 )
 
-// scriptedPermits answers questions for permits.
+// scriptedPermits grants permits at given times.
 type scriptedPermits struct {
-	// rooms is when each server has room for the next request.
-	roomAt map[fleet.InstanceID]time.Time
-	asked  []fleet.InstanceID
+	// roomAt is when each server has room for the next request.
+	roomAt    map[fleet.InstanceID]time.Time
+	requested []fleet.InstanceID
 }
 
 func (p *scriptedPermits) Acquire(
 	_ context.Context, server register.Process, _ ratelimit.Announcement, maxWait time.Duration,
 ) ratelimit.Permit {
-	p.asked = append(p.asked, server.ID)
+	p.requested = append(p.requested, server.ID)
 	wait := max(time.Until(p.roomAt[server.ID]), 0)
 
 	return ratelimit.Permit{Granted: wait <= maxWait, Wait: wait}
@@ -48,8 +48,8 @@
 	return s.Place(t.Context(), clock.System{}, r)
 }
 
-// A server that has had what it announced is left to others; where one without a limit is
-// left nothing waits and nothing is refused.
+// A server whose limit is used up is skipped. While a server without a limit is left, no request
+// waits or is refused.
 func TestServersWithoutRoomAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": time.Now().Add(time.Second)}}
@@ -66,12 +66,12 @@
 			a.Start(time.Now())
 
 			if took := time.Since(began); took != 0 {
-				t.Errorf("placed after %v, want at once", took)
+				t.Errorf("placed after %v, want immediately", took)
 			}
 		}
 
-		if got, want := p.asked, []fleet.InstanceID{"i-0"}; !slices.Equal(got, want) {
-			t.Errorf("asked for room: got %v, want %v: one without room is not asked again", got, want)
+		if got, want := p.requested, []fleet.InstanceID{"i-0"}; !slices.Equal(got, want) {
+			t.Errorf("permit requests: got %v, want %v: no second one to a server that is known to be full", got, want)
 		}
 
 		time.Sleep(time.Second)
@@ -82,51 +82,52 @@
 	})
 }
 
-// Where all servers limit their requests, one that can begin in time waits, and one that
-// can't is refused at once and knows when to come back.
+// If all servers have limits, a request that can begin in time waits. One that can't is refused
+// immediately, with the time to retry.
 func TestRequestWaitsForRoomOrIsRefused(t *testing.T) {
-	const room = 200 * time.Millisecond
+	const wait = 200 * time.Millisecond
 
 	for name, tt := range map[string]struct {
 		wait   time.Duration
 		served bool
 	}{
-		"room in time":     {wait: room, served: true},
-		"room too late":    {wait: room - 1},
+		"room in time":     {wait: wait, served: true},
+		"room too late":    {wait: wait - 1},
 		"no time to wait":  {},
-		"long after it is": {wait: time.Minute, served: true},
+		"room long before": {wait: time.Minute, served: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
-				p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": began.Add(room), "i-1": began.Add(2 * room)}}
+				p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": began.Add(wait), "i-1": began.Add(2 * wait)}}
 				s := limitedEngines(2, p, "i-0", "i-1")
 
 				a, err := place(t, s, Request{Service: "llm", WaitUntil: began.Add(tt.wait)})
 				took := time.Since(began)
 
 				if tt.served {
-					if err != nil || a.ID() != "i-0" || took != room {
-						t.Errorf("got %v, %v after %v, want i-0 after %v", a, err, took, room)
+					if err != nil || a.ID() != "i-0" || took != wait {
+						t.Errorf("got %v, %v after %v, want i-0 after %v", a, err, took, wait)
 					}
 
 					return
 				}
 
 				var limit *NoRoomError
-				if !errors.As(err, &limit) || limit.RetryAfter < room || took != 0 {
-					t.Errorf("got %v after %v, want a NoRoomError at once, to come back after %v", err, took, room)
+				if !errors.As(err, &limit) || limit.RetryAfter < wait || took != 0 {
+					t.Errorf("got %v after %v, want a NoRoomError immediately, with a retry after at least %v", err, took, wait)
 				}
 
-				if got, want := len(p.asked), 2; got != want {
-					t.Errorf("questions: got %d, want %d: when there is room is known then", got, want)
+				if got, want := len(p.requested), 2; got != want {
+					t.Errorf("permit requests: got %d, want %d: the replies say when there is room", got, want)
 				}
 			})
 		})
 	}
 }
 
-// Of many servers without room few are asked: each question takes a round trip.
+// Permits are requested from only a few of many servers without room: each request takes a round
+// trip.
 func TestPermitRequestsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &scriptedPermits{roomAt: make(map[fleet.InstanceID]time.Time)}
@@ -141,49 +142,49 @@
 			t.Error("got a server, want none")
 		}
 
-		if got, most := len(p.asked), 2*maxPermitRequests; got > most {
-			t.Errorf("servers asked: got %d, want at most %d", got, most)
+		if got, most := len(p.requested), 2*maxPermitRequests; got > most {
+			t.Errorf("permit requests: got %d, want at most %d", got, most)
 		}
 	})
 }
 
-// A caller that leaves while its request waits for room ends the wait.
+// A request stops waiting for room when its context ends.
 func TestWaitForRoomEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": began.Add(time.Minute)}}
 		s := limitedEngines(1, p, "i-0")
-		ctx, leave := context.WithTimeout(t.Context(), time.Second)
+		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 
-		defer leave()
+		defer cancel()
 
 		_, err := s.Place(ctx, clock.System{}, Request{Service: "llm", WaitUntil: began.Add(time.Hour)})
 		if took := time.Since(began); !errors.Is(err, context.DeadlineExceeded) || took != time.Second {
-			t.Errorf("got %v after %v, want the end of the caller's time after 1s", err, took)
+			t.Errorf("got %v after %v, want the end of the context after 1s", err, took)
 		}
 	})
 }
 
-// A caller that leaves while its instance asks for room says nothing of the server.
+// A permit request that is cancelled by its caller does not mark the server as full.
 func TestCancelledPermitRequestMarksNoServerFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": time.Now().Add(time.Minute)}}
 		s := limitedEngines(1, p, "i-0")
-		gone, leave := context.WithCancel(t.Context())
+		cancelled, cancel := context.WithCancel(t.Context())
 
-		leave()
+		cancel()
 
-		if _, err := s.Place(gone, clock.System{}, Request{Service: "llm"}); !errors.Is(err, context.Canceled) {
+		if _, err := s.Place(cancelled, clock.System{}, Request{Service: "llm"}); !errors.Is(err, context.Canceled) {
 			t.Errorf("got %v, want %v", err, context.Canceled)
 		}
 
 		if s.servers["i-0"].full(time.Now()) {
-			t.Error("after a caller that left: got a server without room, want it as before")
+			t.Error("after a cancelled permit request: got a full server, want its state unchanged")
 		}
 	})
 }
 
-// All instances learn of a limit and of its end from one of them, through relays.
+// All instances learn through relays that one of them received a limit, and that it was lifted.
 func TestLimitsReachAllInstances(t *testing.T) {
 	r := newRelayTopology()
 	all := []*Scheduler{r.members["a-1"], r.members["a-2"], r.members["b-1"], r.relays["relay-a"], r.relays["relay-b"]}
@@ -212,13 +213,13 @@
 	later.AnnouncedLimit(now.Add(2*time.Second), ratelimit.Unlimited)
 	check(now.Add(2*time.Second), ratelimit.Unlimited)
 
-	// The answer to an earlier request that comes now says nothing of what holds now.
+	// A late answer to an earlier request does not bring the old limit back.
 	r.members["a-2"].applyLimit(r.members["a-2"].servers["i-0"], ratelimit.Announcement{Rate: 1.5, At: now}, true)
 	check(now.Add(2*time.Second), ratelimit.Unlimited)
 }
 
-// Instances that pass an announcement on to each other, again and again, don't take it for
-// a newer one: its end would never be believed.
+// Instances that send an announcement back and forth don't take it for a newer one each time;
+// otherwise the end of the limit would never be accepted.
 func TestForwardedAnnouncementKeepsItsAge(t *testing.T) {
 	const networkDelay = 5 * time.Millisecond
 
@@ -229,19 +230,19 @@
 	a.OnLimitChange = func(LimitChange) { changes++ }
 	b.OnLimitChange = a.OnLimitChange
 
-	// The rate is none that a number of fewer bits holds.
+	// The rate can't be represented in fewer bits.
 	a.applyLimit(a.servers["i-0"], ratelimit.Announcement{Rate: 1.4, At: at}, true)
 
 	for range 200 {
-		news := a.TakeUpdate(at, Upstream)
+		update := a.TakeUpdate(at, Upstream)
 		at = at.Add(networkDelay)
-		b.ApplyUpdate(at, "a", Peer, news)
+		b.ApplyUpdate(at, "a", Peer, update)
 
-		start := register.Process{ID: "i-0"}
-		known := b.Merge(start, ratelimit.Announcement{})
+		process := register.Process{ID: "i-0"}
+		known := b.Merge(process, ratelimit.Announcement{})
 		age := at.Sub(known.At)
 		at = at.Add(networkDelay)
-		a.Merge(start, ratelimit.Announcement{Rate: known.Rate, At: at.Add(-age)})
+		a.Merge(process, ratelimit.Announcement{Rate: known.Rate, At: at.Add(-age)})
 	}
 
 	if changes != 2 {
@@ -253,7 +254,7 @@
 	}
 }
 
-// A limit is that of one start of a server.
+// A limit belongs to one process of a server.
 func TestLimitEndsWithServerProcess(t *testing.T) {
 	s := engines(1, 64)
 	s.applyLimit(s.servers["i-0"], ratelimit.Announcement{Rate: 1.5, At: now}, true)
@@ -265,6 +266,6 @@
 	s.Update([]register.Server{{ID: "i-0", Incarnation: 99, Service: "llm", Slots: 64}})
 
 	if got := s.LimitedServers(); got != 0 {
-		t.Errorf("limited servers after a new start: got %d, want none", got)
+		t.Errorf("limited servers after a restart: got %d, want none", got)
 	}
 }
--- a/scheduling/place_test.go
+++ b/scheduling/place_test.go
@@ -10,9 +10,9 @@
 	"monsoonlever/clock"
 )
 
-// Twice the usual prompts come for five seconds, more than the engines read. Sent on as
-// they come, 31 in 100 begin late; with those held back that are late in any case, and
-// refused in the end, 15 begin late or are refused.
+// Twice the usual prompts arrive for five seconds, more than the engines can read. If they are
+// sent immediately, 31 in 100 begin late; if those that are late in any case are held and finally
+// refused, 15 in 100 begin late or are refused.
 func TestHoldingLatePromptsReducesLateStarts(t *testing.T) {
 	var immediate, held simulationResult
 
@@ -33,22 +33,22 @@
 	slices.Sort(held.waits)
 
 	if got, before := held.late(), immediate.late(); got > 0.7*before {
-		t.Errorf("prompts that begin late: got %.3f held and %.3f sent on as they come, want 0.7 of that at most", got, before)
+		t.Errorf("prompts that begin late: got %.3f with holding and %.3f without, want at most 0.7 of that", got, before)
 	}
 
 	if got, want := len(held.waits)+held.refused, len(immediate.waits); got != want {
 		t.Errorf("prompts that were read or refused: got %d, want all %d", got, want)
 	}
 
-	// A caller that is shown nothing leaves: what is read after that is read in vain. The
+	// A caller that receives nothing disconnects, and its prompt is then read in vain. The
 	// largest prompts take two seconds by themselves.
 	if got, want := held.waits[len(held.waits)-1], callerTimeout+2*time.Second; got > want {
 		t.Errorf("longest wait of a prompt that was read: got %v, want at most %v", got, want)
 	}
 }
 
-// busy returns a scheduler whose only engine has a backlog that takes a time to read,
-// at the rate that the scheduler has measured.
+// busyEngine returns a scheduler whose only engine has a backlog that takes the given time to
+// read, at the rate that the scheduler has measured.
 func busyEngine(backlog time.Duration) *Scheduler {
 	s := engines(1, 64)
 
@@ -72,10 +72,10 @@
 	}{
 		{"begins in time", 400 * time.Millisecond, time.Second, 4 * time.Second, send},
 		{"can't begin in time", 900 * time.Millisecond, time.Second, 4 * time.Second, hold},
-		{"is late and the server has room", 90 * time.Millisecond, -time.Second, 4 * time.Second, send},
+		{"is late but the server has room", 90 * time.Millisecond, -time.Second, 4 * time.Second, send},
 		{"was held for long enough", 900 * time.Millisecond, -time.Second, -time.Millisecond, refuse},
-		{"would miss its caller if it waited on", 2 * time.Second, time.Second, 4 * time.Second, refuse},
-		{"can't begin before its caller leaves", 9 * time.Second, time.Second, 4 * time.Second, refuse},
+		{"would miss the caller's deadline if it waited longer", 2 * time.Second, time.Second, 4 * time.Second, refuse},
+		{"can't begin before the caller's deadline", 9 * time.Second, time.Second, 4 * time.Second, refuse},
 	}
 
 	for _, test := range tests {
@@ -83,13 +83,13 @@
 		r.Due, r.HoldUntil, r.CallerDeadline = now.Add(test.due), now.Add(test.until), now.Add(2400*time.Millisecond)
 
 		if got := pick(t, busyEngine(test.backlog), r).decide(now, r); got != test.want {
-			t.Errorf("verdict, where a prompt %s: got %v, want %v", test.name, got, test.want)
+			t.Errorf("decision for a prompt that %s: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// Half of what waits is read when the first come back that were refused, and they do not
-// come back together.
+// Half of the backlog is read when the first refused callers retry, and they don't retry
+// together.
 func TestRetryAfterIsSpread(t *testing.T) {
 	const backlog = 4 * time.Second
 
@@ -102,7 +102,7 @@
 	}
 
 	if least < backlog/2 || most > backlog*3/2 || most-least < backlog/2 {
-		t.Errorf("come back after: got %v to %v, want them spread over %v to %v", least, most, backlog/2, backlog*3/2)
+		t.Errorf("retry after: got %v to %v, want them spread over %v to %v", least, most, backlog/2, backlog*3/2)
 	}
 }
 
@@ -114,22 +114,22 @@
 	r.Due, r.HoldUntil, r.CallerDeadline = now.Add(time.Second), now.Add(4*time.Second), now.Add(4*time.Second)
 
 	if got := pick(t, s, r).decide(now, r); got != send {
-		t.Errorf("verdict without a rate: got %v, want %v", got, send)
+		t.Errorf("decision without a read rate: got %v, want %v", got, send)
 	}
 }
 
-// A caller that leaves is not waited for, and one that is held goes on once there is room.
+// A held prompt is released when its context ends, and is sent once the server has room.
 func TestHoldingEndsWithContextOrBacklog(t *testing.T) {
 	s := busyEngine(10 * time.Second)
 	clk := clock.NewManual(now)
 	r := promptRequest("session")
 	r.Due, r.HoldUntil, r.CallerDeadline = now.Add(time.Second), now.Add(time.Minute), now.Add(time.Minute)
 
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 
 	if _, err := s.Place(ctx, clk, r); !errors.Is(err, context.Canceled) {
-		t.Errorf("place for a caller that left: got %v, want %v", err, context.Canceled)
+		t.Errorf("place with a cancelled context: got %v, want %v", err, context.Canceled)
 	}
 
 	placed := make(chan error)
--- a/scheduling/processes_test.go
+++ b/scheduling/processes_test.go
@@ -12,8 +12,8 @@
 	return register.Server{ID: "i-1", Incarnation: incarnation, Service: "llm", Address: "10.0.0.1:1", Domain: "a", Slots: 8}
 }
 
-// A server that started again holds no parts, has no backlog, no failures and no load of
-// the start before, and does not leave because that one did.
+// A restarted server has no cached segments, backlog, failures or load of the process before, and
+// is not leaving because that process was.
 func TestRestartedServerStartsWithoutState(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
 	s.Update([]register.Server{processEntry(500)})
@@ -26,33 +26,33 @@
 	s.servers["i-1"].recordOutcome(now, true)
 	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: s.servers["i-1"].key, Tokens: 9000}}})
 
-	news := s.TakeUpdate(now, Upstream)
+	update := s.TakeUpdate(now, Upstream)
 
 	first.AnnouncedLeaving()
 	s.Update([]register.Server{processEntry(900)})
 
 	if !first.Leaving() {
-		t.Error("an attempt at the first start: got a server that stays, want one that leaves")
+		t.Error("attempt at the first process: got a server that is not leaving, want a leaving one")
 	}
 
-	// What others tell of the first start changes nothing either.
-	s.ApplyUpdate(now, "entry-2", Peer, news)
+	// An update of another instance about the first process changes nothing either.
+	s.ApplyUpdate(now, "entry-2", Peer, update)
 
 	second := pick(t, s, r)
 	srv := s.servers["i-1"]
 
 	if second.uncachedTokens != 900 || second.backlog != 0 || srv.load(now) != 0 || srv.failureRate(now) != 0 {
-		t.Errorf("second start: got %d unread, backlog %d, load %v, failures %v, want 900 and nothing else",
+		t.Errorf("second process: got %d uncached, backlog %d, load %v, failures %v, want 900 and nothing else",
 			second.uncachedTokens, second.backlog, srv.load(now), srv.failureRate(now))
 	}
 
 	if !second.Start(now.Add(time.Second)) {
-		t.Error("start at the second: got false, want true")
+		t.Error("start at the second process: got false, want true")
 	}
 }
 
-// An entry that changes places or failure domain of the same start is in force, and what
-// was learnt stays.
+// An entry that changes slots or failure domain of the same process takes effect, and the state
+// of the server is kept.
 func TestNewEntryOfSameProcessKeepsState(t *testing.T) {
 	s := &Scheduler{Domain: "a"}
 	s.Update([]register.Server{processEntry(500)})
@@ -67,10 +67,10 @@
 
 	srv := s.servers["i-1"]
 	if got := srv.entry(); got.Slots != 2 || got.Domain != "b" {
-		t.Errorf("got %d places in %s, want 2 in b", got.Slots, got.Domain)
+		t.Errorf("got %d slots in %s, want 2 in b", got.Slots, got.Domain)
 	}
 
 	if len(srv.segments) != 2 {
-		t.Errorf("parts: got %d, want the 2 that it has read", len(srv.segments))
+		t.Errorf("segments: got %d, want the 2 that the server has read", len(srv.segments))
 	}
 }
--- a/scheduling/relays_test.go
+++ b/scheduling/relays_test.go
@@ -8,7 +8,7 @@
 	"monsoonlever/fleet"
 )
 
-// relayed are schedulers of which two relays tell each other, and members a relay each.
+// relayTopology is two relays that exchange updates, and members with one relay each.
 type relayTopology struct {
 	relays  map[fleet.InstanceID]*Scheduler
 	members map[fleet.InstanceID]*Scheduler
@@ -30,34 +30,35 @@
 	return r
 }
 
-// exchange passes all news on.
+// exchange sends all pending updates.
 func (r *relayTopology) exchange(now time.Time) {
 	for id, member := range r.members {
 		r.relays[r.relayOf[id]].ApplyUpdate(now, id, Subscriber, member.TakeUpdate(now, Upstream))
 	}
 
 	for id, relay := range r.relays {
-		news := relay.TakeUpdate(now, Upstream)
+		update := relay.TakeUpdate(now, Upstream)
 
 		for other, peer := range r.relays {
 			if other != id {
-				peer.ApplyUpdate(now, id, Peer, news)
+				peer.ApplyUpdate(now, id, Peer, update)
 			}
 		}
 	}
 
 	for id, relay := range r.relays {
-		news := relay.TakeUpdate(now, Downstream)
+		update := relay.TakeUpdate(now, Downstream)
 
 		for member, s := range r.members {
 			if r.relayOf[member] == id {
-				s.ApplyUpdate(now, id, Relay, news)
+				s.ApplyUpdate(now, id, Relay, update)
 			}
 		}
 	}
 }
 
-// Told in sums, each instance knows what all others have waiting, and counts its own once.
+// With backlogs summed by relays, each instance knows what all others have waiting and counts
+// its own backlog once.
 func TestRelayedBacklogsAreCountedOnce(t *testing.T) {
 	r := newRelayTopology()
 	all := []*Scheduler{r.members["a-1"], r.members["a-2"], r.members["b-1"], r.relays["relay-a"], r.relays["relay-b"]}
@@ -97,7 +98,7 @@
 	}
 }
 
-// What a server holds reaches all instances once, and is not told again for a while.
+// Cached segments of a server reach all instances once, and are not published again for a while.
 func TestCachedSegmentsArePublishedOnce(t *testing.T) {
 	r := newRelayTopology()
 	p := promptRequest("session")
@@ -110,7 +111,7 @@
 	}
 
 	if got := len(r.members["a-1"].outboxes[Upstream].segments); got != 2 {
-		t.Errorf("holdings to tell: got %d, want that of the common parts and that of all", got)
+		t.Errorf("queued entries of cached segments: got %d, want one of the shared segments and one of all", got)
 	}
 
 	r.exchange(now)
@@ -119,7 +120,7 @@
 
 	for id, s := range r.members {
 		if got := s.servers["i-0"].cachedTokens(now, keys, p.Prompt); got != p.Prompt.Tokens {
-			t.Errorf("%s: got %d tokens held, want %d", id, got, p.Prompt.Tokens)
+			t.Errorf("%s: got %d tokens cached, want %d", id, got, p.Prompt.Tokens)
 		}
 	}
 
@@ -128,11 +129,11 @@
 	again.FirstEventReceived(now)
 
 	if got := r.members["b-1"].TakeUpdate(now, Upstream).Holdings; len(got) != 0 {
-		t.Errorf("holdings told again: got %v, want none", got)
+		t.Errorf("cached segments published again: got %v, want none", got)
 	}
 }
 
-// The load that a server told one instance reaches all.
+// A load that a server reported to one instance reaches all of them.
 func TestLoadsReachAllInstancesThroughRelays(t *testing.T) {
 	r := newRelayTopology()
 	r.members["b-1"].RecordLoad(now, "i-0", Load{Running: 5, Waiting: 2})
--- a/scheduling/resume_model_test.go
+++ b/scheduling/resume_model_test.go
@@ -13,20 +13,20 @@
 	"monsoonlever/register"
 )
 
-// shedding is a load of short requests on servers some of which shed it for a while. Each
-// server runs a bounded number at once; one that has more turns them away, and asks for
+// sheddingModel is a load of short requests on servers, some of which shed load for a while. Each
+// server runs a bounded number of requests at a time; it rejects further ones and requests a
 // backoff.
 type sheddingModel struct {
 	instances, servers int
-	// places is how many requests a server runs and has waiting at once.
+	// slots is how many requests a server runs and has waiting at the same time.
 	slots int
-	// work is how long a request runs.
+	// serviceTime is how long a request runs.
 	serviceTime time.Duration
-	// load is the part of all places that is wanted on the mean.
+	// utilization is the mean fraction of all slots that the load needs.
 	utilization float64
-	// sheds is how many servers turn everything away, from shedFrom for shedFor.
+	// sheddingServers is how many servers reject all requests, from shedFrom for shedFor.
 	sheddingServers int
-	// final is the part of the requests that are sent to one server only.
+	// finalShare is the fraction of the requests that are sent to one server only.
 	finalShare float64
 	policy     ResumePolicy
 	seed       uint64
@@ -37,19 +37,19 @@
 	shedFrom      = 2 * time.Second
 	shedFor       = 9 * time.Second
 	modelDuration = 20 * time.Second
-	// wayThere is the time to a server.
+	// networkDelay is the time to a server.
 	networkDelay = time.Millisecond
 )
 
-// shedOutcome is what callers and servers saw.
+// sheddingResult is what callers and servers observed.
 type sheddingResult struct {
 	sent, refused, rejected int
-	// worst is the most requests of an instance at a server from half a second after it was
-	// turned away to the end of that backoff.
+	// worstInBackoff is the largest number of requests that one instance sent to a server between
+	// half a second after a rejection and the end of that backoff.
 	worstInBackoff int
-	// back is how long after shedding the servers have half of their usual load again.
+	// recovery is how long after shedding the servers have received half of a second's usual load.
 	recovery time.Duration
-	// again is how many requests servers turned away after they shed.
+	// rejectedAfter is how many requests servers rejected after shedding ended.
 	rejectedAfter int
 }
 
@@ -62,13 +62,13 @@
 	accepted int
 }
 
-// sentBy is a request of an instance.
+// arrival is a request of an instance that reached a server.
 type arrival struct {
 	instance int
 	at       time.Time
 }
 
-// run plays the load to its end.
+// run runs the model to its end.
 func (p sheddingModel) run() sheddingResult {
 	random := rand.New(rand.NewPCG(p.seed, 2))
 	begin := now
@@ -161,7 +161,7 @@
 	return result
 }
 
-// judge adds what servers saw.
+// addServerResults adds what the servers observed to the result.
 func (p sheddingModel) addServerResults(begin time.Time, servers map[fleet.InstanceID]*shedServer, out *sheddingResult) {
 	usual := p.utilization * float64(p.slots) / p.serviceTime.Seconds()
 	ended := begin.Add(shedFrom + shedFor)
@@ -199,7 +199,7 @@
 	}
 }
 
-// returning plays a load for some seeds and adds up what comes of it.
+// runSeeds runs the model with several seeds and combines the results.
 func (p sheddingModel) runSeeds(policy ResumePolicy, seeds uint64) sheddingResult {
 	var sum sheddingResult
 
@@ -218,24 +218,24 @@
 	return sum
 }
 
-// Guards against instances that return to a server all at once when its backoff ends, and
-// against callers who are refused to find out whether it takes requests again. WAYS=all also
-// plays many instances and other ways.
+// Guards against all instances resuming at the same time when a server's backoff ends, and
+// against refusing callers whose requests were used as trials. WAYS=all also runs larger numbers
+// of instances and other policies.
 func TestDefaultResumePolicyRefusesFewerCallers(t *testing.T) {
 	loads := []sheddingModel{
 		{instances: 9, servers: 10, sheddingServers: 3, utilization: 0.5},
 		{instances: 9, servers: 10, sheddingServers: 3, utilization: 0.65},
 		{instances: 9, servers: 10, utilization: 0.9},
 	}
-	policies := map[string]ResumePolicy{"all at its end": {}, "default": DefaultResumePolicy}
+	policies := map[string]ResumePolicy{"at backoff end": {}, "default": DefaultResumePolicy}
 
 	if os.Getenv("WAYS") == "all" {
 		loads = append(loads, sheddingModel{instances: 80, servers: 60, sheddingServers: 10, utilization: 0.5}, sheddingModel{instances: 195, servers: 78, sheddingServers: 15, utilization: 0.5},
 			sheddingModel{instances: 195, servers: 78, utilization: 0.9}, sheddingModel{instances: 410, servers: 300, sheddingServers: 50, utilization: 0.5})
-		policies["spread"] = ResumePolicy{Jitter: 0.2}
+		policies["jitter"] = ResumePolicy{Jitter: 0.2}
 		policies["half-open"] = ResumePolicy{HalfOpen: true}
-		policies["spread, half-open"] = ResumePolicy{Jitter: 0.2, HalfOpen: true}
-		policies["spread, spared"] = ResumePolicy{Jitter: 0.2, FinalDelay: time.Second}
+		policies["jitter, half-open"] = ResumePolicy{Jitter: 0.2, HalfOpen: true}
+		policies["jitter, final delay"] = ResumePolicy{Jitter: 0.2, FinalDelay: time.Second}
 	}
 
 	const seeds = 2
@@ -249,7 +249,7 @@
 			t.Logf("%d instances, %d of %d servers, load %.2f, %s: %+v", load.instances, load.sheddingServers, load.servers, load.utilization, name, got[name])
 		}
 
-		if byDefault, together := got["default"], got["all at its end"]; byDefault.refused >= together.refused || byDefault.worstInBackoff > 2 {
+		if byDefault, together := got["default"], got["at backoff end"]; byDefault.refused >= together.refused || byDefault.worstInBackoff > 2 {
 			t.Errorf("%d instances, load %.2f: got %+v, want fewer refused than %+v, and at most 2 within a backoff",
 				load.instances, load.utilization, byDefault, together)
 		}
--- a/scheduling/roles_test.go
+++ b/scheduling/roles_test.go
@@ -10,40 +10,40 @@
 	"monsoonlever/fleet"
 )
 
-// role is what an instance takes itself for: a relay, or one that turned to another.
+// role is the role that an instance assumes: a relay, or a subscriber of its uplink.
 type role struct {
 	relay  bool
 	uplink int
 }
 
-// ring are instances that hold any views of who is a relay, as after losses and starts.
+// instanceGroup is instances with arbitrary views of who is a relay, as after crashes and restarts.
 type instanceGroup struct {
 	now        time.Time
 	schedulers []*Scheduler
 	roles      []role
 }
 
-// tell lets an instance tell those that it takes for relays what waits at the server.
+// sendUpdate sends an instance's backlog at the server to those that it takes for relays.
 func (r *instanceGroup) sendUpdate(i int) {
 	r.schedulers[i].SetRelay(r.roles[i].relay)
-	news := r.schedulers[i].TakeUpdate(r.now, Upstream)
+	update := r.schedulers[i].TakeUpdate(r.now, Upstream)
 
 	for j, other := range r.schedulers {
 		switch {
 		case j == i:
 		case r.roles[i].relay && r.roles[j].relay:
-			other.ApplyUpdate(r.now, instanceID(i), Peer, news)
+			other.ApplyUpdate(r.now, instanceID(i), Peer, update)
 		case !r.roles[i].relay && r.roles[i].uplink == j:
-			other.ApplyUpdate(r.now, instanceID(i), Subscriber, news)
+			other.ApplyUpdate(r.now, instanceID(i), Subscriber, update)
 		}
 	}
 }
 
 func instanceID(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("entry-", i)) }
 
-// Whatever instances take each other for, and however that changes, what one of them counts
-// of the others stays bounded: each tells its own, and a relay that of those that turned to
-// it once more. Rings of instances that take each other for relays let nothing grow.
+// Whatever roles instances assume, and however these change, the backlog that one of them counts
+// for the others stays bounded: each sends its own backlog, and a relay adds those of its
+// subscribers once. Rings of instances that take each other for relays accumulate nothing.
 func TestHoldsBacklogsBoundedForAnyRoles(t *testing.T) {
 	const prompt = 1000
 
@@ -77,14 +77,14 @@
 			for j, s := range r.schedulers {
 				srv := s.servers["s-0"]
 				if got, most := srv.remotePending(r.now), int64(n*n*prompt); got > most {
-					t.Fatalf("at instance %d: got %d tokens, want at most %d of %d instances", j, got, most, n)
+					t.Fatalf("at instance %d: got %d tokens, want at most %d for %d instances", j, got, most, n)
 				}
 			}
 		}
 	})
 }
 
-// Three that each take the next for their relay tell their own alone.
+// Three instances that each have the next one as uplink send only their own backlogs.
 func TestUplinkRingDoesNotAccumulateBacklogs(t *testing.T) {
 	const prompt = 1000
 
@@ -109,7 +109,7 @@
 
 	for i, s := range r.schedulers {
 		if got, want := s.servers["s-0"].remotePending(r.now), int64(prompt); got != want {
-			t.Errorf("at instance %d: got %d tokens of others, want %d", i, got, want)
+			t.Errorf("at instance %d: got %d tokens of other instances, want %d", i, got, want)
 		}
 	}
 }
--- a/scheduling/scheduling_test.go
+++ b/scheduling/scheduling_test.go
@@ -12,7 +12,7 @@
 
 var now = time.Unix(1000, 0)
 
-// engines returns a scheduler in domain "a" of n engines with some slots each.
+// engines returns a scheduler in domain "a" with n engines of the given number of slots.
 func engines(n, slots int) *Scheduler {
 	s := &Scheduler{Domain: "a"}
 
@@ -45,7 +45,7 @@
 	return a
 }
 
-// All instances prefer the same server for a session, without a word between them.
+// All instances prefer the same server for a session without exchanging messages.
 func TestInstancesAgreeOnHomeOfSession(t *testing.T) {
 	here, there := engines(12, 64), engines(12, 64)
 	used := map[fleet.InstanceID]bool{}
@@ -55,7 +55,7 @@
 
 		got, want := pick(t, here, r).ID(), pick(t, there, r).ID()
 		if got != want {
-			t.Errorf("session %d: got %s and %s, want one home", i, got, want)
+			t.Errorf("session %d: got homes %s and %s, want the same", i, got, want)
 		}
 
 		used[got] = true
@@ -66,7 +66,8 @@
 	}
 }
 
-// A hot session leaves its home once the wait there costs more than reading again.
+// A session with many requests uses other servers once waiting at the home costs more than
+// reading the prefix again.
 func TestHotSessionSpreads(t *testing.T) {
 	s := engines(6, 64)
 	used := map[fleet.InstanceID]int{}
@@ -79,7 +80,7 @@
 
 	for id, n := range used {
 		if n > 15 {
-			t.Errorf("%s: got %d of 60 prompts at once, want at most 15", id, n)
+			t.Errorf("%s: got %d of 60 concurrent prompts, want at most 15", id, n)
 		}
 	}
 
@@ -101,7 +102,7 @@
 
 	for id, n := range used {
 		if n != 2 {
-			t.Errorf("%s: got %d requests in 2 places, want 2", id, n)
+			t.Errorf("%s: got %d requests in 2 slots, want 2", id, n)
 		}
 	}
 }
@@ -117,10 +118,10 @@
 	}
 
 	if got := pick(t, s, promptRequest("x")).ID(); got == bad {
-		t.Errorf("got %s, which fails all, want another", got)
+		t.Errorf("got %s, which fails all requests, want another", got)
 	}
 
-	// If all of them fail alike, that is the service's own doing.
+	// If all servers fail alike, the cause is the service itself.
 	s = engines(3, 64)
 	home := pick(t, s, promptRequest("x")).ID()
 
@@ -141,11 +142,11 @@
 	first.AnnouncedLeaving()
 
 	if first.Start(now) {
-		t.Error("start at a server that leaves: got true, want false")
+		t.Error("start at a leaving server: got true, want false")
 	}
 
 	if got := pick(t, s, promptRequest("x")).ID(); got == first.ID() {
-		t.Errorf("got %s, which leaves", got)
+		t.Errorf("got %s, which is leaving", got)
 	}
 }
 
@@ -166,7 +167,7 @@
 
 	srv := s.servers["i-0"]
 	if srv.running.Load() != 0 || srv.pendingTokens.Load() != 0 {
-		t.Errorf("after all ends: got %d running and %d pending, want 0", srv.running.Load(), srv.pendingTokens.Load())
+		t.Errorf("after all attempts ended: got %d running and %d pending, want 0", srv.running.Load(), srv.pendingTokens.Load())
 	}
 }
 
@@ -205,16 +206,16 @@
 	}
 }
 
-// What a server told one instance keeps another one from sending more there.
+// A load that a server reported to one instance keeps other instances from sending it more.
 func TestLoadsOfOtherInstancesAreUsed(t *testing.T) {
 	here, there := engines(2, 4), engines(2, 4)
 	r := Request{Service: "llm", Prompt: Prompt{Tokens: 500}}
 
 	there.RecordLoad(now, "i-0", Load{Running: 4, Waiting: 3, Slots: 4})
 
-	news := there.TakeUpdate(now.Add(50*time.Millisecond), Upstream)
-	if len(news.Loads) != 1 || news.Loads[0].Requests != 7 || news.Loads[0].AgeMs != 50 {
-		t.Fatalf("loads: got %+v, want 7 requests at i-0, 50 ms old", news.Loads)
+	update := there.TakeUpdate(now.Add(50*time.Millisecond), Upstream)
+	if len(update.Loads) != 1 || update.Loads[0].Requests != 7 || update.Loads[0].AgeMs != 50 {
+		t.Fatalf("loads: got %+v, want 7 requests at i-0, 50 ms old", update.Loads)
 	}
 
 	there.RecordLoad(now, "i-1", Load{Running: 1})
@@ -223,18 +224,18 @@
 		t.Errorf("loads after 2 s: got %+v, want none", stale.Loads)
 	}
 
-	here.ApplyUpdate(now, "entry-2", Peer, news)
+	here.ApplyUpdate(now, "entry-2", Peer, update)
 
 	for range 3 {
 		a := pick(t, here, r)
 		if a.ID() != "i-1" {
-			t.Errorf("placed: got %s, want i-1 beside a full server", a.ID())
+			t.Errorf("placed: got %s, want i-1, since the other server is full", a.ID())
 		}
 
 		a.Start(now)
 	}
 
-	// An older report than the newest changes nothing.
+	// A report older than the newest one changes nothing.
 	older := ServerUpdate{Loads: []ServerLoad{{Server: here.servers["i-0"].key, AgeMs: 1000}}}
 	here.ApplyUpdate(now, "entry-2", Peer, older)
 
@@ -243,10 +244,10 @@
 	}
 }
 
-// Many instances that know the same loads do not all take the same server.
+// Many instances that know the same loads do not all pick the same server.
 func TestInstancesDoNotHerd(t *testing.T) {
-	// Eight servers have no request; each of them is among three drawn ones for some
-	// 20 instances, with a deviation of 4.4.
+	// Eight servers have no request. Each of them is among the three sampled servers of about
+	// 20 instances, with a standard deviation of 4.4.
 	const instances, servers, maxPerServer = 600, 90, 50
 
 	var loads []ServerLoad
@@ -264,12 +265,12 @@
 
 	for id, n := range used {
 		if n > maxPerServer {
-			t.Errorf("%s: got %d of %d requests at once, want at most %d", id, n, instances, maxPerServer)
+			t.Errorf("%s: got %d of %d concurrent requests, want at most %d", id, n, instances, maxPerServer)
 		}
 	}
 }
 
-// The homes of a common part stay among the few servers that are compared.
+// The homes of a shared prefix are always among the few servers that are compared.
 func TestHomesAreAlwaysCompared(t *testing.T) {
 	s := engines(90, 16)
 	r := promptRequest("session")
@@ -282,7 +283,7 @@
 	}
 }
 
-// While a service has no server, a prompt with a common part is told so.
+// While a service has no server, Pick returns ErrNoServer for a prompt with a shared prefix.
 func TestPickFailsWithoutServers(t *testing.T) {
 	s := engines(0, 64)
 
--- a/scheduling/simulation_test.go
+++ b/scheduling/simulation_test.go
@@ -13,19 +13,19 @@
 	"monsoonlever/register"
 )
 
-// play is a load of prompts on engines that several instances place without asking each
-// other. Engines read prompts one after the other and keep what they have read.
+// simulation is a load of prompts on engines that several instances place without coordination.
+// Engines read prompts one after the other and cache what they have read.
 type simulation struct {
 	instances, engines int
-	// every is the mean time between two prompts.
+	// interval is the mean time between two prompts.
 	interval time.Duration
 	duration time.Duration
-	// told tells instances what the others do, late by delay.
+	// updates sends the instances each other's updates, delayed by delay.
 	updates bool
 	delay   time.Duration
-	// holds lets prompts be held back that can't begin in time.
+	// holding allows holding prompts that can't begin in time.
 	holding bool
-	// burst has prompts come this many times as often from burstFrom on, for burstFor.
+	// burst multiplies the arrival rate from burstFrom on, for burstFor.
 	burst float64
 	seed  uint64
 }
@@ -35,29 +35,28 @@
 	burstFor  = 5 * time.Second
 	// objective is the time to the first event that callers are promised.
 	objective = 800 * time.Millisecond
-	// patience is the time after which callers leave that were shown nothing.
+	// callerTimeout is the time after which callers disconnect that have received nothing.
 	callerTimeout = 4 * time.Second
 )
 
-// outcome is what callers and engines saw of a play.
+// simulationResult is what callers and engines observed in a simulation.
 type simulationResult struct {
-	// waits are the times from placing a prompt to its first event, in order of size.
+	// waits are the times from arrival of a prompt to its first event, sorted.
 	waits []time.Duration
-	// refused counts prompts that were sent away; they have no wait.
+	// refused counts prompts that were refused; they have no wait.
 	refused int
-	// again are the tokens of common parts that some engine had read before.
+	// reread are the tokens of shared segments that were read by engines that had not cached them.
 	reread int
 }
 
-// late returns the share of prompts that waited for longer than the objective, or were
-// refused.
-func (o simulationResult) late() float64 {
-	n, _ := slices.BinarySearch(o.waits, objective)
+// late returns the fraction of prompts that waited longer than the objective or were refused.
+func (r simulationResult) late() float64 {
+	n, _ := slices.BinarySearch(r.waits, objective)
 
-	return 1 - float64(n)/float64(len(o.waits)+o.refused)
+	return 1 - float64(n)/float64(len(r.waits)+r.refused)
 }
 
-// engine reads 40 tokens in a millisecond.
+// engine reads tokensPerMillisecond tokens in a millisecond.
 type engine struct {
 	busyUntil time.Time
 	cached    map[string]bool
@@ -65,24 +64,24 @@
 
 const tokensPerMillisecond = 40
 
-// warmUp is left out of outcomes: engines have read nothing at first.
+// warmUp is excluded from results, since the engines' caches are empty at first.
 const warmUp = 10 * time.Second
 
-// read returns when a prompt is read that comes at a time, and how many tokens of its
-// common part this took.
+// read returns when a prompt that arrives at a time is read, and how many tokens of its shared
+// segments had to be read for it.
 func (e *engine) read(now time.Time, p Prompt) (time.Time, int) {
 	shared, unread := 0, 0
 
-	for i, part := range p.Segments {
-		if i == len(p.Segments)-1 || !e.cached[part.ID] {
-			unread += part.Tokens
+	for i, segment := range p.Segments {
+		if i == len(p.Segments)-1 || !e.cached[segment.ID] {
+			unread += segment.Tokens
 
 			if i < len(p.Segments)-1 {
-				shared += part.Tokens
+				shared += segment.Tokens
 			}
 		}
 
-		e.cached[part.ID] = true
+		e.cached[segment.ID] = true
 	}
 
 	begin := now
@@ -95,7 +94,7 @@
 	return e.busyUntil, shared
 }
 
-// step is something that happens in a play.
+// event is an action in a simulation at a time.
 type event struct {
 	at time.Time
 	do func(now time.Time)
@@ -115,7 +114,7 @@
 	return last
 }
 
-// run plays the load to its end.
+// run runs the simulation to its end.
 func (p simulation) run(t *testing.T) simulationResult {
 	t.Helper()
 
@@ -144,7 +143,7 @@
 	begin := now
 
 	sendUpdate := func(now time.Time, from int) {
-		news := schedulers[from].TakeUpdate(now, Upstream)
+		update := schedulers[from].TakeUpdate(now, Upstream)
 		if !p.updates {
 			return
 		}
@@ -152,7 +151,7 @@
 		heap.Push(&events, event{at: now.Add(p.delay), do: func(now time.Time) {
 			for i, other := range schedulers {
 				if i != from {
-					other.ApplyUpdate(now, fleet.InstanceID(fmt.Sprint("entry-", from)), Peer, news)
+					other.ApplyUpdate(now, fleet.InstanceID(fmt.Sprint("entry-", from)), Peer, update)
 				}
 			}
 		}})
@@ -227,8 +226,8 @@
 	return result
 }
 
-// drawPrompt draws one of 63 conversations with a long common part, and a part of its
-// own whose sizes differ widely.
+// drawPrompt draws a prompt of one of 63 conversations: a long shared segment, and a segment of
+// its own whose size varies widely.
 func drawPrompt(random *rand.Rand, number int) Prompt {
 	conversation := random.IntN(63)
 	own := int(2000 * math.Exp(1.1*random.NormFloat64()))
--- a/scheduling/terminated_test.go
+++ b/scheduling/terminated_test.go
@@ -22,7 +22,7 @@
 	return s
 }
 
-// While any server of a pool fits, a request is placed, whatever is drawn.
+// A request is placed while any server of a pool is eligible, whichever servers are sampled.
 func TestRequestPlacedWhileAnyServerEligible(t *testing.T) {
 	const servers = 200
 
@@ -40,7 +40,7 @@
 
 		a, err := s.Pick(now, r)
 		if err != nil {
-			t.Fatalf("one of %d servers fits: got %v, want it", servers, err)
+			t.Fatalf("one of %d servers is eligible: got %v, want that server", servers, err)
 		}
 
 		if want := fleet.InstanceID(fmt.Sprint("s-", target)); a.ID() != want {
@@ -49,8 +49,9 @@
 	}
 }
 
-// A server that was found to have ended is passed over by every attempt, here and at
-// those that are told, until its entry should be gone. Where no other is left it is tried.
+// A server that was found to be terminated is avoided by all requests, on this instance and on
+// those that receive its updates, until its entry should have been removed. It is tried if no
+// other server is left.
 func TestTerminatedServersAreAvoided(t *testing.T) {
 	const servers = 60
 
@@ -67,12 +68,12 @@
 		a.End(now, Terminated)
 	}
 
-	relay.ApplyUpdate(now, "seer", Subscriber, observer.TakeUpdate(now, Upstream))
+	relay.ApplyUpdate(now, "observer", Subscriber, observer.TakeUpdate(now, Upstream))
 	subscriber.ApplyUpdate(now, "relay", Relay, relay.TakeUpdate(now, Downstream))
 
 	picked := map[fleet.InstanceID]bool{}
 
-	for name, s := range map[string]*Scheduler{"one that found it": observer, "relay": relay, "one that is told": subscriber} {
+	for name, s := range map[string]*Scheduler{"observer": observer, "relay": relay, "subscriber": subscriber} {
 		for range 100 {
 			a, err := s.Pick(now, Request{Service: "llm"})
 			if err != nil {
@@ -84,18 +85,17 @@
 	}
 
 	if len(picked) != 1 {
-		t.Errorf("picked: got %d servers, want the one that is left", len(picked))
+		t.Errorf("picked: got %d servers, want only the one that was not terminated", len(picked))
 	}
 
 	for id := range picked {
 		if _, err := subscriber.Pick(now, Request{Service: "llm", Excluded: []fleet.InstanceID{id}}); err != nil {
-			t.Errorf("all others have ended: got %v, want one tried", err)
+			t.Errorf("all others are terminated: got %v, want one of them picked", err)
 		}
 	}
 }
 
-// What was told once is not told again and again: a relay that hears it anew passes on
-// nothing.
+// A termination is published once: a relay that receives it again forwards nothing.
 func TestTerminationIsPublishedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	observer, relay := poolOf(3), poolOf(3)
@@ -108,22 +108,22 @@
 	a.Start(now)
 	a.End(now, Terminated)
 
-	news := observer.TakeUpdate(now, Upstream)
-	relay.ApplyUpdate(now, "seer", Peer, news)
-	relay.ApplyUpdate(now, "seer", Peer, news)
+	update := observer.TakeUpdate(now, Upstream)
+	relay.ApplyUpdate(now, "observer", Peer, update)
+	relay.ApplyUpdate(now, "observer", Peer, update)
 
 	if got := relay.TakeUpdate(now, Upstream).Ended; len(got) != 0 {
-		t.Errorf("a peer's news passed on to relays: got %v, want none", got)
+		t.Errorf("termination from a peer, forwarded to relays: got %v, want none", got)
 	}
 
 	if got := relay.TakeUpdate(now, Downstream).Ended; len(got) != 1 {
-		t.Errorf("passed on: got %v, want one end", got)
+		t.Errorf("forwarded: got %v, want one termination", got)
 	}
 
 	a.ReportTerminated(now.Add(time.Millisecond))
-	relay.ApplyUpdate(now.Add(time.Millisecond), "seer", Peer, news)
+	relay.ApplyUpdate(now.Add(time.Millisecond), "observer", Peer, update)
 
 	if got := relay.TakeUpdate(now, Downstream).Ended; len(got) != 0 {
-		t.Errorf("passed on again: got %v, want none", got)
+		t.Errorf("forwarded again: got %v, want none", got)
 	}
 }
--- a/scheduling/updates_test.go
+++ b/scheduling/updates_test.go
@@ -9,8 +9,8 @@
 	"monsoonlever/fleet"
 )
 
-// Eight instances place 40 prompts a second on nine engines. Without news of the others
-// 53 in 1,000 prompts wait for longer than 800 ms for their first event, with it 13.
+// Eight instances place 40 prompts a second on nine engines. Without updates of the others, 53 in
+// 1,000 prompts wait longer than 800 ms for their first event; with updates, 13 do.
 func TestUpdatesShortenPromptWaits(t *testing.T) {
 	var isolated, updated simulationResult
 
@@ -30,7 +30,7 @@
 	slices.Sort(updated.waits)
 
 	if got, before := updated.late(), isolated.late(); got > 0.05 || got > before/4 {
-		t.Errorf("prompts that wait for longer than %v: got %.3f with news and %.3f without, want a quarter and 0.05 at most",
+		t.Errorf("prompts that wait for longer than %v: got %.3f with updates and %.3f without, want a quarter and 0.05 at most",
 			objective, got, before)
 	}
 }
@@ -51,41 +51,41 @@
 	server, idle := here.servers[a.ID()], here.servers[other]
 
 	if got, want := server.remotePending(now), int64(a.uncachedTokens); got != want {
-		t.Errorf("waiting there: got %d, want %d", got, want)
+		t.Errorf("remote backlog: got %d, want %d", got, want)
 	}
 
 	if got, want := server.cachedTokens(now, r.Prompt.keys(), r.Prompt), r.Prompt.sharedTokens(); got != want {
-		t.Errorf("held there while it is being read: got %d, want the common %d", got, want)
+		t.Errorf("cached while the prompt is read: got %d, want the shared %d", got, want)
 	}
 
 	if got := idle.remotePending(now) + int64(idle.cachedTokens(now, r.Prompt.keys(), r.Prompt)); got != 0 {
-		t.Errorf("at the other server: got %d tokens waiting and held, want 0", got)
+		t.Errorf("at the other server: got %d tokens waiting and cached, want 0", got)
 	}
 
 	a.FirstEventReceived(now)
 	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
 	if got := server.remotePending(now); got != 0 {
-		t.Errorf("waiting after it was read: got %d, want 0", got)
+		t.Errorf("remote backlog after the prompt was read: got %d, want 0", got)
 	}
 
 	if !there.TakeUpdate(now, Upstream).Empty() {
-		t.Error("news after it was told: got some, want none")
+		t.Error("update after all was sent: got some content, want none")
 	}
 }
 
-// An instance that ended tells no more that its prompts were read.
+// An instance that terminated no longer reports that its prompts were read.
 func TestBacklogExpiresWithoutUpdates(t *testing.T) {
 	s := engines(1, 64)
 	server := s.servers["i-0"]
 	s.ApplyUpdate(now, "entry-2", Peer, ServerUpdate{Backlogs: []Backlog{{Server: server.key, Tokens: 9000}}})
 
 	if got := server.remotePending(now.Add(backlogTTL)); got != 9000 {
-		t.Errorf("waiting at the end of its life: got %d, want 9000", got)
+		t.Errorf("backlog at the end of its TTL: got %d, want 9000", got)
 	}
 
 	if got := server.remotePending(now.Add(backlogTTL + time.Millisecond)); got != 0 {
-		t.Errorf("waiting after its life: got %d, want 0", got)
+		t.Errorf("backlog after its TTL: got %d, want 0", got)
 	}
 }
 
@@ -99,11 +99,11 @@
 	here.ApplyUpdate(now, "entry-2", Peer, there.TakeUpdate(now, Upstream))
 
 	if got := here.servers["i-0"].remotePending(now); got != 0 {
-		t.Errorf("waiting after the attempt failed: got %d, want 0", got)
+		t.Errorf("remote backlog after the attempt failed: got %d, want 0", got)
 	}
 }
 
-// What nobody takes must not grow without bound.
+// Guards against unbounded growth of an outbox whose updates are not taken.
 func TestUnsentUpdatesAreBounded(t *testing.T) {
 	s := engines(1, 64)
 
@@ -115,6 +115,6 @@
 	}
 
 	if got := len(s.TakeUpdate(now, Upstream).Holdings); got > maxQueuedSegments {
-		t.Errorf("holdings: got %d, want at most %d", got, maxQueuedSegments)
+		t.Errorf("entries of cached segments: got %d, want at most %d", got, maxQueuedSegments)
 	}
 }
--- a/scheduling/utilization_test.go
+++ b/scheduling/utilization_test.go
@@ -12,16 +12,16 @@
 	s.RecordLoad(now, "s-0", Load{Running: 4, Waiting: 2, Slots: 8})
 
 	if got, known := s.Utilization(now, "llm"); known {
-		t.Errorf("one of four told: got %v, want it not known", got)
+		t.Errorf("one of four servers reported: got %v, want unknown", got)
 	}
 
 	s.RecordLoad(now, "s-1", Load{Running: 2, Slots: 8})
 
 	if got, known := s.Utilization(now, "llm"); !known || got != 0.5 {
-		t.Errorf("two of four told: got %v and %t, want 0.5", got, known)
+		t.Errorf("two of four servers reported: got %v and %t, want 0.5", got, known)
 	}
 
 	if _, known := s.Utilization(now.Add(loadReportTTL), "llm"); known {
-		t.Error("after the life of reports: got it known, want it not")
+		t.Error("after loadReportTTL: got a known utilization, want unknown")
 	}
 }
--- a/scheduling/versions_test.go
+++ b/scheduling/versions_test.go
@@ -9,8 +9,8 @@
 	"monsoonlever/register"
 )
 
-// Requests go to the versions that may take them, those of a share to a like part of the
-// new version's servers.
+// Requests go only to allowed versions; those of a trial share go to the same fraction of the new
+// version's servers.
 func TestRequestsUseAllowedVersions(t *testing.T) {
 	const perVersion = 40
 
@@ -33,10 +33,10 @@
 		want    fleet.Version
 		most    int
 	}{
-		"all but the new one":          {request: Request{AvoidVersions: []fleet.Version{"v2"}}, want: "v1", most: perVersion},
-		"a tenth at the new one":       {request: Request{OnlyVersion: "v2", VersionFraction: 0.1}, want: "v2", most: perVersion / 10},
-		"hardly any at the new one":    {request: Request{OnlyVersion: "v2", VersionFraction: 0.001}, want: "v2", most: 1},
-		"all at the new one, in trial": {request: Request{OnlyVersion: "v2", VersionFraction: 1}, want: "v2", most: perVersion},
+		"avoids the new version":             {request: Request{AvoidVersions: []fleet.Version{"v2"}}, want: "v1", most: perVersion},
+		"a tenth to the new version":         {request: Request{OnlyVersion: "v2", VersionFraction: 0.1}, want: "v2", most: perVersion / 10},
+		"a tiny fraction to the new version": {request: Request{OnlyVersion: "v2", VersionFraction: 0.001}, want: "v2", most: 1},
+		"all to the new version":             {request: Request{OnlyVersion: "v2", VersionFraction: 1}, want: "v2", most: perVersion},
 	} {
 		tt.request.Service = "llm"
 		used := make(map[fleet.InstanceID]bool)
@@ -60,6 +60,6 @@
 	}
 
 	if _, err := s.Pick(now, Request{Service: "llm", OnlyVersion: "v3"}); err == nil {
-		t.Error("a version that nobody runs: got a server, want none")
+		t.Error("a version that no server runs: got a server, want none")
 	}
 }
