--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,12 +1,12 @@
-// Package gossip passes small news between entry instances in datagrams.
+// Package gossip sends small state messages between entry instances as datagrams.
 //
-// Each instance sends its newest word to every other at a steady pace. A datagram
-// that is lost is made good by the next, so that a word has to stand by itself.
-// The pace slows with the number of instances, which bounds the messages of each.
+// Each instance sends its newest state to every peer at regular intervals. A lost datagram is
+// not repeated; the next one replaces it, so every message must be complete in itself. The
+// interval grows with the number of peers, which bounds the messages that one instance sends.
 //
 // # Usage
 //
-//	e := &gossip.Exchange{Conn: conn, Clock: clk, Peers: addresses, Words: words, Receive: receive}
+//	e := &gossip.Exchange{Conn: conn, Clock: clk, Peers: peers, Messages: messages, Receive: receive}
 //	e.Run(ctx)
 package gossip
 
@@ -24,34 +24,34 @@
 )
 
 const (
-	// MaxMessageBytes bounds a word to what a datagram holds without being split.
+	// MaxMessageBytes bounds a message to a datagram that is not fragmented.
 	MaxMessageBytes = 1400
-	// IntervalPerPeer is the time between two words per peer: at most some 170 datagrams a
-	// second leave an instance, however many there are.
+	// IntervalPerPeer is the time between two messages per peer. It bounds the rate of an
+	// instance to about 170 datagrams a second for any number of peers.
 	IntervalPerPeer = 6 * time.Millisecond
-	// minInterval keeps few instances from waking each other more often than the news
-	// is worth.
+	// minInterval bounds the rate in small fleets, where more frequent messages would cost more
+	// wake-ups than the state is worth.
 	minInterval = 150 * time.Millisecond
 )
 
-// Interval returns the time between two words of an instance with n peers.
+// Interval returns the time between two messages to a peer for an instance with n peers.
 func Interval(n int) time.Duration {
 	return max(time.Duration(n)*IntervalPerPeer, minInterval)
 }
 
-// Exchange sends and receives. Its fields are set before Run.
+// Exchange sends and receives messages. Its fields are set before Run.
 type Exchange struct {
 	Conn  net.PacketConn
 	Clock clock.Clock
 	// Peers return the current receivers and their addresses, in groups. Each group has its own
-	// pace, which follows from its size.
+	// interval, which follows from its size.
 	Peers []func(now time.Time) map[fleet.InstanceID]netip.AddrPort
-	// Messages prepares the newest words of a round, and returns what makes those for one
-	// instance, of at most MaxWord bytes each.
+	// Messages prepares the messages of a round and returns a function that encodes those for
+	// one instance, each of at most MaxMessageBytes.
 	Messages func(now time.Time) func(to fleet.InstanceID) ([][]byte, error)
-	// Receive takes a word in, with where it came from. The bytes are valid until it
+	// Receive handles a message and the address of its sender. The bytes are valid until it
 	// returns.
-	Receive func(now time.Time, from netip.AddrPort, word []byte)
+	Receive func(now time.Time, from netip.AddrPort, message []byte)
 }
 
 // Run sends and receives until ctx ends, and closes the connection.
@@ -80,7 +80,8 @@
 	}
 }
 
-// Send sends one datagram at once. It may be lost like any other.
+// Send sends one datagram immediately. It may be lost like any other; the error is that of the
+// local socket.
 func (e *Exchange) Send(to netip.AddrPort, data []byte) error {
 	_, err := e.Conn.WriteTo(data, net.UDPAddrFromAddrPort(to))
 
@@ -92,30 +93,30 @@
 		return
 	}
 
-	wordsFor := e.Messages(e.Clock.Now())
+	messagesFor := e.Messages(e.Clock.Now())
 
 	for id, address := range peers {
-		words, err := wordsFor(id)
+		messages, err := messagesFor(id)
 		if err != nil {
-			klog.ErrorS(err, "words are not sent", "to", id)
+			klog.ErrorS(err, "gossip messages not sent", "to", id)
 
 			continue
 		}
 
-		for _, word := range words {
-			if len(word) > MaxMessageBytes {
-				klog.ErrorS(nil, "word is not sent: it is too long", "to", id, "bytes", len(word))
+		for _, message := range messages {
+			if len(message) > MaxMessageBytes {
+				klog.ErrorS(nil, "gossip message not sent: too long", "to", id, "bytes", len(message))
 
 				continue
 			}
 
-			// A peer that is gone or cut off hears the next word or none.
-			_ = e.Send(address, word)
+			// An unreachable peer misses this message; the next round sends a new one.
+			_ = e.Send(address, message)
 		}
 	}
 }
 
-// addressOf returns the address of a datagram's sender; the zero value is not known.
+// addressOf returns the address of a datagram's sender, or the zero value if it is unknown.
 func addressOf(a net.Addr) netip.AddrPort {
 	if udp, ok := a.(*net.UDPAddr); ok {
 		at := udp.AddrPort()
@@ -133,7 +134,7 @@
 		n, from, err := e.Conn.ReadFrom(buffer)
 		if err != nil {
 			if ctx.Err() == nil {
-				klog.ErrorS(err, "gossip is not received")
+				klog.ErrorS(err, "gossip receive failed")
 				clock.Sleep(ctx, e.Clock, minInterval)
 			}
 
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRunClosesSocketBeforeReturning(t *testing.T) {
-	const turns = 500
+	const rounds = 500
 
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -20,11 +20,11 @@
 
 	address := conn.LocalAddr().String()
 
-	for turn := range turns {
+	for round := range rounds {
 		ctx, cancel := context.WithCancel(t.Context())
 		exchange := &Exchange{
 			Conn: conn, Clock: clock.NewSteady(),
-			// A datagram that comes with the stop ends the exchange without an error of the socket.
+			// Cancels on a datagram, so that Run ends without an error of the socket.
 			Receive: func(time.Time, netip.AddrPort, []byte) { cancel() },
 		}
 
@@ -36,7 +36,7 @@
 		cancel()
 
 		if conn, err = net.ListenPacket("udp4", address); err != nil {
-			t.Fatalf("turn %d: got %v, want the address free", turn, err)
+			t.Fatalf("round %d: got %v, want the address free", round, err)
 		}
 	}
 
--- a/gossip/requests.go
+++ b/gossip/requests.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// ReplyTimeout is how long a reply is waited for: some ten round trips between
-	// failure domains, and little against the objective of a large request.
+	// ReplyTimeout is how long Do waits for a reply: about ten round trips between failure
+	// domains, and little compared with the latency objective of a large request.
 	ReplyTimeout = 60 * time.Millisecond
-	// silentRetryDelay is how long an instance that did not reply is not asked again: it may be
-	// gone, and each question would wait for it.
+	// silentRetryDelay is how long no request is sent to an instance that did not reply. It may
+	// have terminated, and each request would wait for the timeout.
 	silentRetryDelay = 300 * time.Millisecond
 )
 
-// Requests asks other instances and matches their replies, of type T. Requests and
+// Requests sends requests to other instances and matches their replies, of type T. Requests and
 // replies are datagrams, any of which may be lost. The zero value is ready for use.
 type Requests[T any] struct {
 	mu      sync.Mutex
 	number  uint64
 	pending map[uint64]chan T
-	// silentSince are the instances that did not reply, and when.
+	// silentSince is when each silent instance last failed to reply.
 	silentSince map[fleet.InstanceID]time.Time
 }
 
-// Do has send ask another instance a question with a number, and returns the reply. It
-// returns false if none comes in time, if the instance did not reply a moment ago, or if
-// ctx ends.
+// Do calls send with a new request number to send a request to another instance, and returns
+// the reply. It returns false if no reply arrives within ReplyTimeout, if the instance failed
+// to reply less than silentRetryDelay ago, or if ctx ends.
 func (r *Requests[T]) Do(ctx context.Context, clk clock.Clock, to fleet.InstanceID, send func(number uint64)) (T, bool) {
 	var none T
 
@@ -55,7 +55,8 @@
 	return none, false
 }
 
-// Reply takes the reply to a question in. One that comes too late is dropped.
+// Reply delivers the reply to the request with the given number. A late or repeated reply is
+// discarded.
 func (r *Requests[T]) Reply(number uint64, reply T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 
 	r.number++
-	// The buffer lets a reply go that nobody waits for any more.
+	// The buffer lets Reply return when no caller waits for the reply any more.
 	replies := make(chan T, 1)
 	r.pending[r.number] = replies
 
--- a/gossip/requests_test.go
+++ b/gossip/requests_test.go
@@ -11,13 +11,13 @@
 
 func TestDoReturnsMatchingReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q Requests[string]
+		var requests Requests[string]
 
-		got, ok := q.Do(t.Context(), clock.System{}, "entry-2", func(number uint64) {
+		got, ok := requests.Do(t.Context(), clock.System{}, "entry-2", func(number uint64) {
 			go func() {
-				q.Reply(number+1, "another")
-				q.Reply(number, "yes")
-				q.Reply(number, "again")
+				requests.Reply(number+1, "another")
+				requests.Reply(number, "yes")
+				requests.Reply(number, "again")
 			}()
 		})
 		if !ok || got != "yes" {
@@ -26,53 +26,54 @@
 	})
 }
 
-// One that does not reply is waited for once, and then not asked for a while.
+// An instance that does not reply causes one wait. Requests to it are skipped until
+// silentRetryDelay has passed.
 func TestDoSkipsSilentInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q Requests[string]
+		var requests Requests[string]
 
-		asked := 0
-		ask := func() time.Duration {
+		sent := 0
+		request := func() time.Duration {
 			began := time.Now()
 
-			if got, ok := q.Do(t.Context(), clock.System{}, "entry-2", func(uint64) { asked++ }); ok {
+			if got, ok := requests.Do(t.Context(), clock.System{}, "entry-2", func(uint64) { sent++ }); ok {
 				t.Errorf("got %q, want no reply", got)
 			}
 
 			return time.Since(began)
 		}
 
-		if got := ask(); got != ReplyTimeout {
+		if got := request(); got != ReplyTimeout {
 			t.Errorf("first wait: got %v, want %v", got, ReplyTimeout)
 		}
 
-		if got := ask(); got != 0 || asked != 1 {
-			t.Errorf("next wait: got %v after %d questions, want none after 1", got, asked)
+		if got := request(); got != 0 || sent != 1 {
+			t.Errorf("next wait: got %v after %d requests, want none after 1", got, sent)
 		}
 
 		time.Sleep(silentRetryDelay)
-		ask()
+		request()
 
-		if asked != 2 {
-			t.Errorf("questions after a while: got %d, want 2", asked)
+		if sent != 2 {
+			t.Errorf("requests after the delay: got %d, want 2", sent)
 		}
 	})
 }
 
-// A caller that leaves says nothing of the instance that was asked.
+// A caller that cancels before the reply is no evidence that the instance is silent.
 func TestCanceledCallerDoesNotMarkSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q Requests[string]
+		var requests Requests[string]
 
-		gone, leave := context.WithCancel(t.Context())
-		leave()
-		q.Do(gone, clock.System{}, "entry-2", func(uint64) {})
+		canceled, cancel := context.WithCancel(t.Context())
+		cancel()
+		requests.Do(canceled, clock.System{}, "entry-2", func(uint64) {})
 
-		asked := false
-		q.Do(t.Context(), clock.System{}, "entry-2", func(uint64) { asked = true })
+		sent := false
+		requests.Do(t.Context(), clock.System{}, "entry-2", func(uint64) { sent = true })
 
-		if !asked {
-			t.Error("after a caller that left: got no question, want one")
+		if !sent {
+			t.Error("after a canceled call: got no request, want one")
 		}
 	})
 }
