--- a/board/board.go
+++ b/board/board.go
@@ -1,18 +1,19 @@
-// Package board lets the entry instances tell each other what they know, over one
-// topic of the platform's log that all of them write to and read.
+// Package board shares state between the entry instances over one topic of the platform's log,
+// which all instances write and read.
 //
-// Each instance appends a Record at a steady pace and reads what the others wrote.
-// All read the same records in the same order, so that what is decided by the
-// order, as a lease or a fixed report, is decided alike for all. No instance calls
-// another: their number adds nothing to the calls of each.
+// Each instance appends a Record at regular intervals and reads the records of all. All
+// instances read the same records in the same order, so that they come to the same result for
+// everything that depends on the order, such as a lease or a final report. No instance calls
+// another through the board: the number of calls of an instance does not depend on the number
+// of instances.
 //
 // # Usage
 //
 //	b := &board.Board{
-//		Log: log, Clock: clk, Every: every, Soon: soonest,
-//		Write:   func(now time.Time) board.Record { … },
-//		Receive: func(now time.Time, r board.Record) { … },
-//		Reached: func(now time.Time) { … },
+//		Log: log, Clock: clk, Interval: interval, MinInterval: minInterval,
+//		Write:    func(now time.Time) board.Record { … },
+//		Receive:  func(now time.Time, r board.Record) { … },
+//		CaughtUp: func(now time.Time) { … },
 //	}
 //	b.Run(ctx)
 package board
@@ -39,99 +40,102 @@
 	"monsoonlever/usage"
 )
 
-// Record is what one instance writes at once.
+// Record is what one instance writes in one round.
 type Record struct {
 	Instance    fleet.InstanceID  `msgpack:"i"`
 	Incarnation fleet.Incarnation `msgpack:"n"`
-	// Era is the era of the store in which the writer wrote it. A record at a position of a
-	// later era is one of the copy from which the store came back.
+	// Era is the era of the store in which the record was written. A record at a position of a
+	// later era belongs to the older copy that the store was restored from.
 	Era uint64 `msgpack:"e,omitempty"`
-	// Clock is the writer's steady clock, which tells the time between its records.
+	// Clock is the reading of the writer's steady clock, which gives the time between its
+	// records.
 	Clock int64 `msgpack:"t"`
-	// Address is where the instance hears gossip, Domain its failure domain and Cores its
+	// Address is where the instance receives gossip, Domain its failure domain and Cores its
 	// share of processor cores.
 	Address string              `msgpack:"a"`
 	Domain  fleet.FailureDomain `msgpack:"f"`
 	Cores   float64             `msgpack:"c"`
 	// Leaving is set in the last record of an instance that stops.
 	Leaving bool `msgpack:"q,omitempty"`
-	// Consumption is what this instance has spent of the limits of client accounts.
+	// Consumption is this instance's consumption of the limits of client accounts.
 	Consumption []quota.Consumption `msgpack:"d,omitempty"`
-	// GlobalConsumption is what all instances have spent, told by those that lead.
+	// GlobalConsumption is the consumption of all instances, published by the leaders.
 	GlobalConsumption []quota.GlobalConsumption `msgpack:"k,omitempty"`
-	// Work is what all instances measured of services of model engines, told by those that
-	// lead.
+	// Work is what all instances measured of the services of model engines, published by the
+	// leaders.
 	Work []scheduling.Work `msgpack:"w,omitempty"`
 	// Usage are this instance's counts of the newest windows.
 	Usage []usage.Count `msgpack:"u,omitempty"`
-	// Losses are backend servers that ended under requests which are held off, and those
-	// that this instance has just seen.
+	// Losses are backend servers that crashed under quarantined requests, and those that this
+	// instance has just detected.
 	Losses []quarantine.Loss `msgpack:"z,omitempty"`
-	// Rollouts is what was decided on new versions, told by those that lead.
+	// Rollouts are the decisions on new versions, published by the leaders.
 	Rollouts []rollout.State `msgpack:"v,omitempty"`
-	// Lease is the state of the role as this instance knows it, for those that
-	// start later; Leases are new records of the role.
+	// Lease is the state of the role's lease as this instance knows it, for instances that
+	// start later. Leases are new records of the lease.
 	Lease  lease.Snapshot `msgpack:"s"`
 	Leases []lease.Record `msgpack:"l,omitempty"`
-	// Reports are reports of usage that are fixed herewith.
+	// Reports are usage reports that become final with this record.
 	Reports []usage.Report `msgpack:"r,omitempty"`
-	// Plans are the wanted backend servers, told by the instance that orders them.
+	// Plans are the wanted backend servers, published by the instance that orders them.
 	Plans []capacity.Plan `msgpack:"p,omitempty"`
 
-	// Offset is the place of the record, from 1, and Copied tells that it is one of an older
-	// copy; both are set by the reader.
+	// Offset is the position of the record, from 1, and FromOldCopy reports that the record
+	// belongs to an older copy of the store. The reader sets both.
 	Offset      provider.Offset `msgpack:"-"`
 	FromOldCopy bool            `msgpack:"-"`
 }
 
 // Log is one topic of the platform's log.
 type Log interface {
-	// Append adds one record.
+	// Append appends one record.
 	Append(ctx context.Context, data []byte) error
-	// Changes reads from a position on, without waiting. Keys are empty.
+	// Changes reads records from a position on. The board passes a wait of zero. The keys of the
+	// entries are empty.
 	Changes(ctx context.Context, from feed.Position, wait time.Duration) (feed.Changes, error)
-	// First returns the oldest position that is kept.
+	// First returns the oldest position that is retained.
 	First(ctx context.Context) (feed.Position, error)
 }
 
 const (
-	// callTimeout bounds one call; the store answers in some milliseconds.
+	// callTimeout bounds one call; the store responds within a few milliseconds.
 	callTimeout = time.Second
-	// firstReadTimeout bounds a call until the board was first read to its end: what is
-	// kept takes a second on a slow link, and more while all instances read it.
+	// firstReadTimeout bounds a read until the board was first read to its end: reading the
+	// retained records takes a second on a slow link, and longer while all instances read them.
 	firstReadTimeout = 5 * time.Second
 	// maxReadsPerRound bounds the reads of one round.
 	maxReadsPerRound = 8
-	// inactivePollInterval is how often an instance that takes no part looks whether it does.
+	// inactivePollInterval is how often an inactive instance calls Active.
 	inactivePollInterval = 500 * time.Millisecond
 )
 
-// Board writes and reads. Its exported fields are set before Run.
+// Board writes and reads records. Its exported fields are set before Run.
 type Board struct {
 	Log   Log
 	Clock clock.Clock
-	// Interval is the time between two rounds, and Soon the least.
+	// Interval is the time between two rounds, and MinInterval the least pause after a round,
+	// also if Wake is called.
 	Interval    func() time.Duration
 	MinInterval func() time.Duration
 	// ReadInterval is the least time between two reads; nil reads in each round.
 	ReadInterval func() time.Duration
-	// BeforeFirstRound ends before the first round, so that what callers wait for first is not
-	// held up by what is kept of the board; it may be nil.
+	// BeforeFirstRound returns before the first round starts, so that the calls that callers
+	// wait for first are not delayed by reading the retained records; it may be nil.
 	BeforeFirstRound func(ctx context.Context)
-	// Active reports whether this instance writes and reads now; nil is always.
+	// Active reports whether this instance currently writes and reads; nil means always.
 	Active func() bool
-	// Write makes the next record.
+	// Write returns the next record.
 	Write func(now time.Time) Record
-	// Receive takes a record in, also those of this instance.
+	// Receive handles a record that was read, including those of this instance.
 	Receive func(now time.Time, r Record)
-	// CaughtUp is told when a round has read to the end.
+	// CaughtUp is called when a round has read to the end.
 	CaughtUp func(now time.Time)
 
 	wake         feed.Signal
 	nextPosition feed.Position
 	positioned   bool
 	unavailable  bool
-	// lastReadAt is when the board was last read.
+	// lastReadAt is when the board was last read to its end.
 	lastReadAt time.Time
 }
 
@@ -158,7 +162,8 @@
 	}
 }
 
-// active reports whether a round is to be made, and waits for a moment otherwise.
+// active reports whether to run a round, and otherwise waits for inactivePollInterval or a call
+// of Wake.
 func (b *Board) active(ctx context.Context) bool {
 	if b.Active == nil || b.Active() {
 		return true
@@ -177,10 +182,11 @@
 	return b.lastReadAt.IsZero() || b.ReadInterval == nil || now.Sub(b.lastReadAt) >= b.ReadInterval()
 }
 
-// Wake asks for the next round to be made soon.
+// Wake requests that the next round runs soon, after MinInterval.
 func (b *Board) Wake() { b.wake.Send() }
 
-// pause waits for the next round, which is made sooner if it was asked for.
+// pause waits for the next round, for Interval or until Wake is called, but at least for
+// MinInterval.
 func (b *Board) pause(ctx context.Context, began time.Time) {
 	clock.Sleep(ctx, b.Clock, b.MinInterval())
 
@@ -270,7 +276,7 @@
 	for _, e := range entries {
 		var r Record
 		if err := codec.Unmarshal(e.Data, &r); err != nil {
-			klog.ErrorS(err, "record of the board can't be decoded", "offset", e.At, "bytes", len(e.Data))
+			klog.ErrorS(err, "board record could not be decoded", "offset", e.At, "bytes", len(e.Data))
 
 			continue
 		}
