--- a/forward/forward.go
+++ b/forward/forward.go
@@ -95,10 +95,13 @@
 // Forwarder runs the requests of one entry instance. Its exported fields are set
 // before its first use.
 type Forwarder struct {
-	Clock     clock.Clock
-	Rules     *atomic.Pointer[ruleset.Ruleset]
-	Currency  *currency.Tracker
-	Limits    Limits
+	Clock clock.Clock
+	// Rules holds nil until the first rules are read. Currency tells whether they are
+	// confirmed as current.
+	Rules    *atomic.Pointer[ruleset.Ruleset]
+	Currency *currency.Tracker
+	Limits   Limits
+	// Retries limits the attempts after the first one, by service.
 	Retries   *retry.Budgets
 	Scheduler *scheduling.Scheduler
 	Pool      *upstream.Pool
@@ -124,9 +127,9 @@
 	// defaultTimeout bounds requests for which neither the caller nor the route sets a
 	// timeout.
 	defaultTimeout = 30 * time.Second
-	// answerMargin is the part of a timeout that is reserved for writing a refusal to the
+	// refusalMargin is the part of a timeout that is reserved for writing a refusal to the
 	// caller.
-	answerMargin = 20 * time.Millisecond
+	refusalMargin = 20 * time.Millisecond
 	// maxPriority is the least urgent priority that a model engine knows.
 	maxPriority = 9
 	// routePriorities is the number of route priorities within one priority of an account.
--- a/forward/job.go
+++ b/forward/job.go
@@ -85,7 +85,7 @@
 // run sends the request to one backend server after another until one responds or no further
 // attempt is allowed. It returns nil if the sink has the complete response.
 func (f *Forwarder) run(ctx context.Context, j *job, sink Sink) *Refusal {
-	limited, cancel := context.WithTimeout(ctx, j.deadline.Sub(f.Clock.Now())-answerMargin)
+	limited, cancel := context.WithTimeout(ctx, j.deadline.Sub(f.Clock.Now())-refusalMargin)
 	defer cancel()
 
 	for {
--- a/forward/trial.go
+++ b/forward/trial.go
@@ -16,7 +16,7 @@
 	counter *rollout.Counter
 	service fleet.Service
 	route   string
-	// orderPlace is the place of the order for the new version.
+	// orderPlace identifies the order for the new version by its place among all orders.
 	orderPlace uint64
 	// newVersion is set if the server runs the new version.
 	newVersion bool
--- a/retry/drain.go
+++ b/retry/drain.go
@@ -93,8 +93,7 @@
 	}
 }
 
-// RetryAfterSeconds returns d in whole seconds, rounded up, as the header
-// Retry-After holds it.
-func RetryAfterSeconds(d time.Duration) int {
+// CeilSeconds returns d in whole seconds, rounded up, for a Retry-After header.
+func CeilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/retry/drain_test.go
+++ b/retry/drain_test.go
@@ -32,7 +32,7 @@
 	most := 0
 
 	for range callers {
-		second := RetryAfterSeconds(d.RetryAfter(testStart, random, 0))
+		second := CeilSeconds(d.RetryAfter(testStart, random, 0))
 		returns[second]++
 		most = max(most, returns[second])
 	}
--- a/retry/hedge.go
+++ b/retry/hedge.go
@@ -6,7 +6,7 @@
 )
 
 // HedgeAt returns when a hedge of the call should begin: once its first attempt,
-// which began at began, has taken the usual latency. It returns false if the call is
+// which started at began, has taken the usual latency. It returns false if the call is
 // not hedged: it is not idempotent, an attempt failed, it was hedged before, a hedge
 // can't finish before the deadline, or the utilisation of the service is so high that
 // more load would slow it further.
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -185,7 +185,8 @@
 
 // reserve returns the idle connection that was used last, or a new one, already counted
 // as open, that the caller has to dial. With fresh set it returns only an idle
-// connection that was used within maxFreshIdle.
+// connection that was used within maxFreshIdle. The error wraps ErrConnectionLimit if the
+// server's limit is reached.
 func (p *Pool) reserve(id fleet.InstanceID, fresh bool) (*connection, error) {
 	now := p.Clock.Now()
 
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -80,7 +80,8 @@
 
 	response *http.Response
 	// written is set once the whole request was written to the connection.
-	written  atomic.Bool
+	written atomic.Bool
+	// bodyRead is set once the body was read to its end.
 	bodyRead bool
 	once     sync.Once
 }
