--- a/scheduling/announcements.go
+++ b/scheduling/announcements.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// AnnouncedBackoff records that the server rejected this attempt and requested that this
-// instance sends it nothing for the duration of backoff.
+// AnnouncedBackoff records that the server rejected this attempt and asked this instance to send
+// it no requests for the duration of backoff.
 func (a *Assignment) AnnouncedBackoff(now time.Time, backoff time.Duration) {
 	s := a.scheduler
 	if a.server.announcements.setBackoff(now, backoff, s.Resume) && s.OnBackoff != nil {
--- a/scheduling/assignment.go
+++ b/scheduling/assignment.go
@@ -120,7 +120,8 @@
 	return true
 }
 
-// FirstEventReceived records that the server has read the prompt.
+// FirstEventReceived records that the first event was received, so that the server has read the
+// prompt.
 func (a *Assignment) FirstEventReceived(now time.Time) {
 	if !a.started || a.answerBegun {
 		return
--- a/scheduling/backoff.go
+++ b/scheduling/backoff.go
@@ -47,7 +47,7 @@
 func (b *backoff) active(now time.Time) bool { return b != nil && now.Before(b.resumeAt) }
 
 // blocks reports whether a request has to wait for the end of the backoff, for a trial in flight
-// or, if it is final, for FinalDelay.
+// or, if it is final, until FinalDelay has passed.
 func (b *backoff) blocks(now time.Time, r *Request) bool {
 	if b == nil {
 		return false
--- a/scheduling/home.go
+++ b/scheduling/home.go
@@ -48,8 +48,8 @@
 	return max(p.Tokens-cached, 1)
 }
 
-// affinity returns the ID of the segment by which the home is chosen: the last one that other
-// requests may share.
+// affinity returns the ID of the segment by which the home is chosen: the last segment that other
+// requests may share, or the only segment.
 func (p Prompt) affinity() string {
 	switch n := len(p.Segments); n {
 	case 0:
--- a/scheduling/limit_test.go
+++ b/scheduling/limit_test.go
@@ -85,37 +85,37 @@
 // If all servers have limits, a request that can begin in time waits. One that can't is refused
 // immediately, with the time to retry.
 func TestRequestWaitsForRoomOrIsRefused(t *testing.T) {
-	const wait = 200 * time.Millisecond
+	const roomAfter = 200 * time.Millisecond
 
 	for name, tt := range map[string]struct {
 		wait   time.Duration
 		served bool
 	}{
-		"room in time":     {wait: wait, served: true},
-		"room too late":    {wait: wait - 1},
+		"room in time":     {wait: roomAfter, served: true},
+		"room too late":    {wait: roomAfter - 1},
 		"no time to wait":  {},
 		"room long before": {wait: time.Minute, served: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
-				p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": began.Add(wait), "i-1": began.Add(2 * wait)}}
+				p := &scriptedPermits{roomAt: map[fleet.InstanceID]time.Time{"i-0": began.Add(roomAfter), "i-1": began.Add(2 * roomAfter)}}
 				s := limitedEngines(2, p, "i-0", "i-1")
 
 				a, err := place(t, s, Request{Service: "llm", WaitUntil: began.Add(tt.wait)})
 				took := time.Since(began)
 
 				if tt.served {
-					if err != nil || a.ID() != "i-0" || took != wait {
-						t.Errorf("got %v, %v after %v, want i-0 after %v", a, err, took, wait)
+					if err != nil || a.ID() != "i-0" || took != roomAfter {
+						t.Errorf("got %v, %v after %v, want i-0 after %v", a, err, took, roomAfter)
 					}
 
 					return
 				}
 
 				var limit *NoRoomError
-				if !errors.As(err, &limit) || limit.RetryAfter < wait || took != 0 {
-					t.Errorf("got %v after %v, want a NoRoomError immediately, with a retry after at least %v", err, took, wait)
+				if !errors.As(err, &limit) || limit.RetryAfter < roomAfter || took != 0 {
+					t.Errorf("got %v after %v, want a NoRoomError immediately, with a retry after at least %v", err, took, roomAfter)
 				}
 
 				if got, want := len(p.requested), 2; got != want {
--- a/scheduling/removed.go
+++ b/scheduling/removed.go
@@ -16,23 +16,23 @@
 	announcements *simplelru.LRU[register.Process, *announcements]
 }
 
-func (d *removedServers) add(process register.Process, a *announcements) {
-	if d.announcements == nil {
+func (r *removedServers) add(process register.Process, a *announcements) {
+	if r.announcements == nil {
 		// NewLRU only fails if the size is not positive.
-		d.announcements, _ = simplelru.NewLRU[register.Process, *announcements](maxRemovedServers, nil)
+		r.announcements, _ = simplelru.NewLRU[register.Process, *announcements](maxRemovedServers, nil)
 	}
 
-	d.announcements.Add(process, a)
+	r.announcements.Add(process, a)
 }
 
 // take removes and returns the announcements of a server process, or returns nil.
-func (d *removedServers) take(process register.Process) *announcements {
-	if d.announcements == nil {
+func (r *removedServers) take(process register.Process) *announcements {
+	if r.announcements == nil {
 		return nil
 	}
 
-	a, _ := d.announcements.Peek(process)
-	d.announcements.Remove(process)
+	a, _ := r.announcements.Peek(process)
+	r.announcements.Remove(process)
 
 	return a
 }
