--- a/arrivals/arrivals.go
+++ b/arrivals/arrivals.go
@@ -1,16 +1,16 @@
-// Package arrivals adds up what arrives at services of model engines over all entry
-// instances.
+// Package arrivals adds up the work that arrives at the services of model engines over all
+// entry instances.
 //
-// Each instance says what arrives at it alone, to those that plan for all, and a Table keeps
-// the newest report of each. Sums are made where they are used and never travel: a sum that
-// is passed on and added up again counts instances twice as soon as one of those that pass
-// it on changes its role.
+// Each instance reports only the work that arrives at itself to the instances that plan
+// capacity, and a Table keeps the newest report of each. Sums are computed where they are
+// used and are never sent: forwarded sums that are added up again would count instances twice
+// as soon as a forwarding instance changes its role.
 //
 // # Usage
 //
 //	var t arrivals.Table
-//	t.Record(now, arrivals.Report{Instance: "entry-2", Incarnation: 7, At: 1, Work: work})
-//	total := t.Total(now, life, ownWork)
+//	t.Record(now, arrivals.Report{Instance: "entry-2", Incarnation: 7, SentAt: 1, Work: work})
+//	total := t.Total(now, ttl, ownWork)
 package arrivals
 
 import (
@@ -23,37 +23,37 @@
 	"monsoonlever/scheduling"
 )
 
-// Report is what one instance says of itself: of all services, or some of them.
+// Report is the work that arrives at one instance, for all services or some of them.
 type Report struct {
 	Instance    fleet.InstanceID
 	Incarnation fleet.Incarnation
-	// SentAt is the sender's clock in nanoseconds, which tells the order of its reports.
+	// SentAt is the sender's clock in nanoseconds; it orders the reports of one incarnation.
 	SentAt int64
 	Work   []scheduling.Work
 }
 
-// Table holds the newest reports of each other instance. The zero value is empty; it is safe
+// Table holds the newest reports of all other instances. The zero value is empty; it is safe
 // for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	sources map[fleet.InstanceID]*source
 }
 
-// source is one start of an instance.
+// source holds the reports of one incarnation of an instance.
 type source struct {
 	incarnation fleet.Incarnation
 	services    map[fleet.Service]workReport
 }
 
-// workReport is what a source reported last of one service.
+// workReport is a source's newest report on one service.
 type workReport struct {
 	work       scheduling.Work
 	sentAt     int64
 	receivedAt time.Time
 }
 
-// Record takes a report in. One of an earlier start, or that another has overtaken, changes
-// nothing.
+// Record records a report. Reports of an earlier incarnation and reports that arrive after a
+// newer one have no effect.
 func (t *Table) Record(now time.Time, r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// Total returns what arrives here and at all others, by service. Reports that came
-// longer than life ago do not count and are forgotten.
+// Total returns the work that arrives at this and at all other instances, by service. Reports
+// received longer than ttl ago are expired and removed.
 func (t *Table) Total(now time.Time, ttl time.Duration, own []scheduling.Work) []scheduling.Work {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,8 +102,8 @@
 	return sumByService(all)
 }
 
-// sumByService adds up what arrives by service. Its speed is the middle one: what single instances
-// measured of few answers may lie far off.
+// sumByService adds up the arriving work by service. The speed is the median, because a speed
+// that one instance measured on few answers may be far off.
 func sumByService(all []scheduling.Work) []scheduling.Work {
 	speeds := make(map[fleet.Service][]float64)
 
@@ -130,7 +130,7 @@
 	return sums
 }
 
-// median returns the middle one of some numbers, or zero.
+// median returns the median of the numbers, or zero if there are none.
 func median(numbers []float64) float64 {
 	if len(numbers) == 0 {
 		return 0
--- a/arrivals/arrivals_test.go
+++ b/arrivals/arrivals_test.go
@@ -76,13 +76,12 @@
 	}
 }
 
-// simulation is a fleet whose instances tell those that plan what arrives at them, over messages
-// that are lost, late, repeated and overtaken, while instances end, start again and change
-// whom they tell.
+// simulation is a fleet whose instances report their arriving work to planners. Messages are
+// lost, delayed, repeated and reordered; instances restart and report to changing planners.
 type simulation struct {
 	now    time.Time
 	tables [2]Table
-	// rate is what arrives at each instance at a time.
+	// rate is the current arrival rate at each instance.
 	rate        []float64
 	incarnation []fleet.Incarnation
 	inFlight    []message
@@ -93,8 +92,10 @@
 	report Report
 }
 
-// No instance counts for more than the most that it said of late, however often it is told
-// and to whom; and where all messages come, each counts for what it said last.
+// Guards against counting an instance more than once: the total never exceeds the highest rate
+// times the number of instances, however often and to whichever planner they report. Once a
+// planner has received a current report of each instance, the total is exact, even if delayed
+// reports follow.
 func TestHoldsNoInstanceCountsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "instances")
@@ -144,12 +145,12 @@
 	})
 }
 
-// currentReport returns what an instance says now.
+// currentReport returns the current report of an instance.
 func (m *simulation) currentReport(i int) Report {
 	return report(fleet.InstanceID(fmt.Sprint("entry-", i)), m.incarnation[i], m.now.UnixNano(), m.rate[i])
 }
 
-// deliver lets one of the messages that are on their way arrive, maybe not for the last time.
+// deliver delivers a random message in flight, which may be delivered again later.
 func (m *simulation) deliver(t *rapid.T) {
 	if len(m.inFlight) == 0 {
 		return
