--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,21 +1,20 @@
 // Package capacity decides how many backend servers of a service are ordered in
 // which failure domain.
 //
-// It answers a load of prompts: the work that arrives, in tokens that have to be
-// read, against the speed at which an idle server reads. Reclaimable servers cost
-// a small part of the others, so that they carry the load with room for the loss
-// of a failure domain, and others are ordered only where reclaimable ones are not
-// to be had.
+// The load of a service is the arriving work, in prompt tokens per second, compared with the
+// rate at which an idle server processes them. Reclaimable servers cost a fraction of the
+// price of on-demand servers, so they carry the load with spare capacity for the loss of
+// failure domains. On-demand servers are ordered only where reclaimable ones are unavailable.
 //
-// Plan is a step: what is known goes in, orders come out. Orders are absolute and
-// given again only if what they ask for has not come about.
+// Plan runs one planning step: it takes the state of a service and returns orders. Orders
+// state absolute numbers and are repeated only if they have not taken effect.
 //
 // # Usage
 //
 //	planner := &capacity.Planner{}
 //	for _, order := range planner.Plan(now, state) {
 //		err := cloud.Order(order)
-//		planner.Answered(now, order, err)
+//		planner.RecordResult(now, order, err == nil, errors.Is(err, platform.ErrNoneAvailable))
 //	}
 package capacity
 
@@ -28,7 +27,7 @@
 	"monsoonlever/fleet"
 )
 
-// Order is the wanted number of servers of a service in a failure domain.
+// Order is the requested number of servers of a service in a failure domain.
 type Order struct {
 	Service     fleet.Service
 	Domain      fleet.FailureDomain
@@ -36,34 +35,35 @@
 	Servers     int
 }
 
-// DomainState is one failure domain in which a service may have servers.
+// DomainState is a failure domain in which a service may have servers.
 type DomainState struct {
 	Domain fleet.FailureDomain
 	Price  float64
-	// OnDemand and Reclaimable are the servers that take requests.
+	// OnDemand and Reclaimable count the servers that accept requests.
 	OnDemand    int
 	Reclaimable int
 }
 
-// ServiceState is what is known of one service.
+// ServiceState is the planner's input for one service.
 type ServiceState struct {
 	Service fleet.Service
-	// MinPerDomain and MaxPerDomain bound the servers of a failure domain, both kinds together.
+	// MinPerDomain and MaxPerDomain bound the servers of a failure domain, on-demand and
+	// reclaimable ones together.
 	MinPerDomain, MaxPerDomain int
-	// BootTime is the time from an order to the first request.
+	// BootTime is the time from an order to the server's first request.
 	BootTime time.Duration
 	Domains  []DomainState
-	// ArrivalRate is the work that arrives in a second, and Speed what an idle server
-	// does in a second. Zero is not known.
+	// ArrivalRate is the work that arrives per second, and ServerRate the work that an idle
+	// server processes per second. Zero means unknown.
 	ArrivalRate float64
 	ServerRate  float64
-	// Occupancy is the part of the servers' places that is in use or waited for, as most of
-	// them said of late, if TakenKnown.
+	// Occupancy is the fraction of the servers' request slots that is in use or waited for, as
+	// most servers reported recently. It is valid if OccupancyKnown is set.
 	Occupancy      float64
 	OccupancyKnown bool
 }
 
-// Plan is the wanted number of servers of a service, in all failure domains.
+// Plan is the wanted number of servers of a service in all failure domains.
 type Plan struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Service  fleet.Service
@@ -71,38 +71,42 @@
 }
 
 const (
-	// maxUtilizationAfterLosses is the part of a server's speed that is used once two failure domains
-	// were reclaimed. With four of them it makes 0.31 at the usual load, at which a prompt
-	// waits for half as long as it takes itself, and with six 0.41.
+	// maxUtilizationAfterLosses is the utilization of the remaining servers after two failure
+	// domains were reclaimed. With four domains this gives a utilization of 0.31 at the usual
+	// load, at which a prompt waits for half of its own processing time, and with six domains
+	// 0.41.
 	maxUtilizationAfterLosses = 0.62
-	// toleratedDomainLosses is how many failure domains may be reclaimed at a time, and mostLost the part
-	// of the servers that is planned for where there are few of them.
+	// toleratedDomainLosses is the number of failure domains that may be reclaimed at the same
+	// time. maxLostShare limits the share of servers that is planned to be lost where there
+	// are few domains.
 	toleratedDomainLosses = 2
 	maxLostShare          = 0.5
-	// peakWindow is how long the highest load counts: a wave of users. Servers that are
-	// given back too early cost more than those that are kept: they may not be had
-	// again, and new ones have read nothing.
+	// peakWindow is how long the highest load counts, the duration of a wave of users.
+	// Releasing servers too early costs more than keeping them: replacements may be
+	// unavailable and start with empty caches.
 	peakWindow = 45 * time.Second
-	// orderSettleTime is added to the boot of servers before an order is given again: the
-	// register and the calls have their delays.
+	// orderSettleTime is added to the boot time before an order is repeated, to allow for
+	// delays of the register and of the calls.
 	orderSettleTime = 4 * time.Second
-	// refusalBackoff is how long a failure domain that had none is not asked again.
+	// refusalBackoff is how long no order is sent to a failure domain that had no servers
+	// available.
 	refusalBackoff = 4 * time.Second
-	// shortageWindow is how long after such an answer reclaimable servers count as short.
+	// shortageWindow is how long after such a refusal reclaimable servers count as short.
 	shortageWindow = 8 * time.Second
-	// criticalShare is the part of the servers wanted of late below which lasting ones are
-	// ordered while no reclaimable ones are to be had: one failure domain after the
-	// other may be reclaimed before there are any again.
+	// criticalShare is the share of the recently wanted servers below which on-demand servers
+	// are ordered during a shortage of reclaimable ones: further failure domains may be
+	// reclaimed before the shortage ends.
 	criticalShare = 0.66
-	// recentWindow is the time in which servers count as wanted of late. Lasting servers
-	// cost many times what reclaimable ones cost, and are had at any time.
+	// recentWindow is the window of the recently wanted servers, which on-demand servers are
+	// ordered for. It is shorter than peakWindow because on-demand servers cost several times
+	// as much as reclaimable ones and are always available.
 	recentWindow = 12 * time.Second
 )
 
-// Planner remembers what was ordered. It is not safe for concurrent use.
+// Planner plans orders and remembers the last ones. It is not safe for concurrent use.
 type Planner struct {
 	lastOrders map[orderKey]lastOrder
-	// peaks are the highest loads of late, by service.
+	// peaks holds the recent peaks of the wanted servers by service.
 	peaks map[fleet.Service]*peaks
 }
 
@@ -115,11 +119,11 @@
 type lastOrder struct {
 	servers int
 	at      time.Time
-	// refusedAt is when no such servers were to be had.
+	// refusedAt is when such servers were last unavailable.
 	refusedAt time.Time
 }
 
-// Plan returns the orders to give now for one service.
+// Plan returns the orders to send now for one service.
 func (p *Planner) Plan(now time.Time, s ServiceState) []Order {
 	if p.lastOrders == nil {
 		p.lastOrders = make(map[orderKey]lastOrder)
@@ -152,7 +156,8 @@
 	return orders
 }
 
-// appendOrder adds an appendOrder where what is wanted is not what was ordered or has not come.
+// appendOrder appends an order if the wanted number differs from the last order, or if the
+// last order has not taken effect in time.
 func (p *Planner) appendOrder(
 	now time.Time, s ServiceState, orders []Order, domain fleet.FailureDomain, reclaimable bool, wanted, present int,
 ) []Order {
@@ -176,8 +181,8 @@
 	return append(orders, Order{Service: s.Service, Domain: domain, Reclaimable: reclaimable, Servers: wanted})
 }
 
-// RecordResult takes in how an order was answered. none is set where no such servers
-// were to be had; ok is not set where it is not known whether the order took effect.
+// RecordResult records the result of an order. unavailable is set if no such servers were
+// available; ok is unset if it is unknown whether the order took effect.
 func (p *Planner) RecordResult(now time.Time, o Order, ok, unavailable bool) {
 	k := orderKey{o.Service, o.Domain, o.Reclaimable}
 	last := p.lastOrders[k]
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -9,14 +9,14 @@
 	"monsoonlever/fleet"
 )
 
-// fakeCloud is a platform that carries orders out: servers take a time to boot, and at
-// times no reclaimable ones are to be had.
+// fakeCloud carries out orders: servers take time to boot, and reclaimable ones may be
+// unavailable.
 type fakeCloud struct {
 	boot      time.Duration
 	exhausted bool
 	servers   map[orderKey][]time.Time // when each server takes requests
 	orders    int
-	// cost is the price of all servers so far, in seconds of a lasting one.
+	// cost is the accumulated price of all servers, in seconds of an on-demand server.
 	cost float64
 }
 
@@ -66,7 +66,7 @@
 	return s
 }
 
-// apply carries an order out and tells whether there were none.
+// apply carries out an order and reports whether such servers were unavailable.
 func (m *fakeCloud) apply(now time.Time, o Order) (none bool) {
 	m.orders++
 
@@ -96,7 +96,7 @@
 	return lasting, reclaimable
 }
 
-// simulate plans for a span and calls each at every tick.
+// simulate runs the planner for a duration and calls each at every tick.
 func simulate(m *fakeCloud, p *Planner, from time.Time, span time.Duration, arriving float64, each func(time.Time)) time.Time {
 	for now := from; now.Before(from.Add(span)); now = now.Add(tick) {
 		for _, o := range p.Plan(now, m.state(now, arriving)) {
@@ -114,7 +114,7 @@
 	return from.Add(span)
 }
 
-// neededServers is how many servers of the market carry a load.
+// neededServers returns the number of servers that a load requires.
 func neededServers(arriving float64) int {
 	return int(math.Ceil(arriving / (50_000 * targetUtilization(len(domains)))))
 }
@@ -184,7 +184,7 @@
 			name := fmt.Sprint(o.Domain, o.Reclaimable)
 			lost[name]++
 
-			// The first order of each kind has no effect, although it is accepted.
+			// The first order for each domain and kind is accepted but has no effect.
 			if lost[name] > 1 {
 				m.apply(now, o)
 			}
@@ -208,8 +208,8 @@
 	}
 }
 
-// A holder that takes over, or starts with all others, knows no load yet: it must not
-// give servers back for that.
+// A planner that takes over, or starts together with all instances, does not know the load yet
+// and must not release servers for that reason.
 func TestNewPlannerReleasesNoServers(t *testing.T) {
 	m, p := newFakeCloud(), &Planner{}
 	now := simulate(m, p, begin, 30*time.Second, 150_000, nil)
@@ -222,7 +222,7 @@
 	})
 }
 
-// While there are too few, a place that still has reclaimable servers keeps them.
+// During a shortage, a failure domain that still has reclaimable servers must keep them.
 func TestShortageReleasesNoReclaimableServers(t *testing.T) {
 	m, p := newFakeCloud(), &Planner{}
 	now := simulate(m, p, begin, 20*time.Second, 150_000, nil)
@@ -243,8 +243,8 @@
 	m, last := newFakeCloud(), &Planner{}
 	now := simulate(m, last, begin, 20*time.Second, 180_000, nil)
 
-	// All instances start anew while a failure domain is reclaimed: little is there,
-	// and no load is known yet.
+	// All instances restart while a failure domain is reclaimed: few servers are left and the
+	// load is not known yet.
 	delete(m.servers, orderKey{service, "a", true})
 	m.exhausted = true
 
@@ -266,7 +266,8 @@
 	m, p := newFakeCloud(), &Planner{}
 	now := simulate(m, p, begin, 20*time.Second, 300_000, nil)
 
-	// The wave is over before the reclaims, and no others are to be had.
+	// The load drops before the failure domains are reclaimed, and no reclaimable servers are
+	// available.
 	now = simulate(m, p, now, recentWindow+time.Second, 60_000, nil)
 	m.exhausted = true
 
@@ -282,8 +283,8 @@
 	}
 }
 
-// With more failure domains, less is lost with two of them, and fewer servers carry the
-// same load after it.
+// With more failure domains, the loss of two of them takes a smaller share of the servers, so
+// fewer servers carry the same load after it.
 func TestMoreFailureDomainsNeedFewerServers(t *testing.T) {
 	const arriving = 300_000
 
--- a/capacity/contradiction.go
+++ b/capacity/contradiction.go
@@ -1,23 +1,24 @@
 package capacity
 
 const (
-	// impossibleLoadFactor is how many times what all servers read that has to arrive before it
-	// is held against what they say: prompts then pile up at them within a second.
+	// impossibleLoadFactor is the ratio of the arriving work to the service rate of all
+	// servers above which the load is checked against their occupancy: at this ratio, prompts
+	// would queue at the servers within a second.
 	impossibleLoadFactor = 1.5
-	// idleOccupancy is the part of the servers' places below which nothing piles up there.
+	// idleOccupancy is the occupancy below which no prompts are queueing at the servers.
 	idleOccupancy = 0.5
 )
 
-// Contradicted tells whether the servers' own answers contradict the load: it would fill
-// their places in no time, and most of these are free. What was told of the load, or
-// measured of the servers' speed, is wrong then.
+// Contradicted reports whether the occupancy that the servers report contradicts the load: the
+// load would fill their slots almost immediately, but most slots are free. Then the reported
+// load or the measured server rate is wrong.
 func (s ServiceState) Contradicted() bool {
 	serviceRate := s.ServerRate * float64(s.serverCount())
 
 	return s.OccupancyKnown && serviceRate > 0 && s.ArrivalRate > impossibleLoadFactor*serviceRate && s.Occupancy < idleOccupancy
 }
 
-// serverCount returns how many serverCount take requests.
+// serverCount returns the number of servers that accept requests.
 func (s ServiceState) serverCount() int {
 	n := 0
 	for _, domain := range s.Domains {
--- a/capacity/contradiction_test.go
+++ b/capacity/contradiction_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A load that was told many times over is not ordered for while the servers say that most
-// of their places are free. One that fills them is.
+// Guards against orders for a load that was reported several times its size: no servers are
+// ordered for it while the servers report that most of their slots are free. A load that fills
+// the slots is ordered for.
 func TestContradictedLoadOrdersNoServers(t *testing.T) {
 	const load = 4 * 9 * 50_000
 
--- a/capacity/distribution.go
+++ b/capacity/distribution.go
@@ -7,9 +7,9 @@
 	"monsoonlever/fleet"
 )
 
-// distribute divides the wanted servers over the places that have reclaimable ones,
-// evenly, since all of a place are lost at once. While there are too few, none is
-// given back: it might not be had again.
+// distribute divides the wanted servers over the failure domains that have reclaimable ones,
+// evenly, because all servers of a domain are lost together. While there are too few
+// reclaimable servers, none is released, because a replacement may be unavailable.
 func (p *Planner) distribute(now time.Time, s ServiceState, places []DomainState, wanted int) []int {
 	counts := make([]int, len(places))
 	left := wanted
@@ -45,7 +45,7 @@
 	return counts
 }
 
-// reclaimableServers returns the reclaimable servers of all places.
+// reclaimableServers returns the number of reclaimable servers in all failure domains.
 func reclaimableServers(places []DomainState) int {
 	n := 0
 	for _, place := range places {
@@ -59,15 +59,15 @@
 	return now.Sub(p.lastOrders[orderKey{service, place.Domain, true}].refusedAt) < refusalBackoff
 }
 
-// onDemandServers returns how many servers that are not reclaimable each place keeps: no
-// more than what reclaimable ones leave open, and new ones where these are not to be
-// had.
+// onDemandServers returns the number of on-demand servers of each failure domain: existing
+// ones up to the number that reclaimable servers leave uncovered, and new ones during a
+// shortage of reclaimable servers.
 func (p *Planner) onDemandServers(now time.Time, s ServiceState, places []DomainState, wanted int) []int {
 	counts := make([]int, len(places))
-	// While the load is lower than it was, lasting servers are not what is kept for it.
+	// After a load peak, on-demand servers are kept for recentWindow only.
 	open := min(wanted, p.peaksOf(s.Service).highest(now, recentWindow)) - reclaimableServers(places)
 
-	// The dearest places come last, and give theirs back first.
+	// The most expensive domains come last, so they release their servers first.
 	for i, place := range places {
 		counts[i] = min(max(place.OnDemand, p.pendingServers(now, s, place, false)), max(open, 0))
 		open -= counts[i]
@@ -102,8 +102,8 @@
 	return n
 }
 
-// missingOnDemand returns how many lasting servers are needed while reclaimable ones are
-// short, those that were ordered and are on their way counted as there.
+// missingOnDemand returns the number of on-demand servers needed during a shortage of
+// reclaimable ones. Ordered servers that are still booting count as present.
 func (p *Planner) missingOnDemand(now time.Time, s ServiceState, places []DomainState) int {
 	short := false
 	expected := 0
@@ -122,7 +122,8 @@
 	return max(int(math.Ceil(criticalShare*float64(wanted)))-expected, 0)
 }
 
-// pendingServers returns the servers of a place that were ordered and may still start.
+// pendingServers returns the number of servers of the last order for a failure domain while
+// they may still be booting.
 func (p *Planner) pendingServers(now time.Time, s ServiceState, place DomainState, reclaimable bool) int {
 	last := p.lastOrders[orderKey{s.Service, place.Domain, reclaimable}]
 	if now.Sub(last.at) < s.BootTime+orderSettleTime {
--- a/capacity/peaks.go
+++ b/capacity/peaks.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// peaks holds the numbers of wanted servers of late as far as a later one is not as
-// high. Its numbers fall, its times rise.
+// peaks holds the recent numbers of wanted servers that no later one has reached. Its entries
+// are in order of falling numbers and rising times.
 type peaks struct {
 	entries []peak
 }
@@ -24,7 +24,7 @@
 	p.entries = append(p.entries[:n], peak{wanted: wanted, at: now})
 }
 
-// highest returns the highest number within a span of at most the memory.
+// highest returns the highest number within a window, which is at most peakWindow.
 func (p *peaks) highest(now time.Time, window time.Duration) int {
 	for len(p.entries) > 0 && now.Sub(p.entries[0].at) >= peakWindow {
 		p.entries = p.entries[1:]
--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -9,7 +9,8 @@
 	"monsoonlever/fleet"
 )
 
-// updateWanted returns the number of servers for the highest load of late.
+// updateWanted adds the number of servers for the current load to the peaks and returns the
+// highest number within peakWindow.
 func (p *Planner) updateWanted(now time.Time, s ServiceState) int {
 	onDemand, reclaimable := 0, 0
 	for _, domain := range s.Domains {
@@ -18,7 +19,7 @@
 	}
 
 	if onDemand+reclaimable == 0 && s.ServerRate == 0 {
-		// The servers that are there at the start have not registered yet.
+		// The existing servers have not registered yet.
 		return 0
 	}
 
@@ -28,8 +29,8 @@
 	case s.ServerRate > 0 && s.ArrivalRate > 0:
 		n = max(n, int(math.Ceil(s.ArrivalRate/(s.ServerRate*targetUtilization(len(s.Domains))))))
 	default:
-		// Nothing is known of the load yet: what is there was meant for it. One kind
-		// takes the place of the other, so that their sum is no measure.
+		// The load is not known yet, so the existing servers are kept. Reclaimable and
+		// on-demand servers replace each other, so that their sum would count servers twice.
 		n = max(n, onDemand, reclaimable)
 	}
 
@@ -39,8 +40,8 @@
 	}
 
 	if peaks.empty() {
-		// A planner that is new and heard of no plan knows no load of the time before:
-		// what is there was ordered for it.
+		// A new planner without restored plans does not know the earlier load, for which the
+		// existing servers were ordered.
 		n = max(n, onDemand, reclaimable)
 	}
 
@@ -49,15 +50,15 @@
 	return min(peaks.highest(now, peakWindow), len(s.Domains)*s.MaxPerDomain)
 }
 
-// targetUtilization returns the part of a server's speed that is used at the usual load. The more
-// failure domains there are, the less is lost with two of them.
+// targetUtilization returns the utilization of a server at the usual load. With more failure
+// domains, the loss of two of them takes a smaller share of the servers.
 func targetUtilization(domains int) float64 {
 	lost := min(toleratedDomainLosses/float64(max(domains, 1)), maxLostShare)
 
 	return maxUtilizationAfterLosses * (1 - lost)
 }
 
-// peaksOf returns the loads of a service.
+// peaksOf returns the peaks of a service.
 func (p *Planner) peaksOf(service fleet.Service) *peaks {
 	if p.peaks == nil {
 		p.peaks = make(map[fleet.Service]*peaks)
@@ -72,15 +73,16 @@
 	return servicePeaks
 }
 
-// Wanted returns how many servers of a service are wanted, and how many were wanted
-// of late.
+// Wanted returns the number of wanted servers of a service, and the number wanted within
+// recentWindow.
 func (p *Planner) Wanted(now time.Time, service fleet.Service) (wanted, recent int) {
 	peaks := p.peaksOf(service)
 
 	return peaks.highest(now, peakWindow), peaks.highest(now, recentWindow)
 }
 
-// Plans returns what is wanted at present, for the planner of the next holder.
+// Plans returns the current plans of all services, to be restored by the planner of the next
+// duty holder.
 func (p *Planner) Plans(now time.Time) []Plan {
 	var plans []Plan
 
@@ -93,8 +95,8 @@
 	return plans
 }
 
-// Restore takes in what another planner wanted. One that takes over after all
-// instances have started anew would else know only the load since then.
+// Restore adds the plans of another planner. Without them, a planner that takes over after a
+// restart of all instances would know only the load since the restart.
 func (p *Planner) Restore(now time.Time, plans []Plan) {
 	for _, plan := range plans {
 		p.peaksOf(plan.Service).add(now, plan.Wanted)
