--- a/quarantine/false_positive_test.go
+++ b/quarantine/false_positive_test.go
@@ -9,24 +9,24 @@
 	"monsoonlever/register"
 )
 
-// The play of requests beside one that ends servers: its step, how long prompts are read,
-// and how long the first event takes then and all of a stream. A harmful stream ends its
-// server within its first event, or lateCrash in the stream.
+// Parameters of the simulation: its step, the time to process a prompt, the time of the first
+// event after that, and the time of the whole stream. A harmful stream crashes its server
+// within its first event (earlyCrash), or later in the stream (lateCrash).
 const (
 	stepInterval   = 10 * time.Millisecond
 	prefillTime    = 300 * time.Millisecond
 	firstEventTime = 30 * time.Millisecond
 	streamTime     = 3 * time.Second
 	earlyCrash     = prefillTime + firstEventTime/2
-	// propagationTime is the time in which all instances know of an end.
+	// propagationTime is the time within which all instances know of a server loss.
 	propagationTime = time.Second
 	lateCrash       = prefillTime + firstEventTime + 800*time.Millisecond
-	// maxSends is how often one stream is sent at most: three servers, and once more when its
-	// caller comes back.
+	// maxSends is how often one stream is sent at most: to three servers, and once more when
+	// its caller repeats it.
 	maxSends = 4
 )
 
-// stream is a request that may be resumed.
+// stream is a resumable request.
 type stream struct {
 	content Fingerprint
 	server  int
@@ -35,24 +35,25 @@
 	harmful bool
 }
 
-// simulation is a service whose servers end under harmful requests, and by themselves.
+// simulation is a service whose servers crash under harmful requests and are also lost for
+// other reasons.
 type simulation struct {
 	t       *testing.T
 	random  *rand.Rand
 	ledger  Ledger
 	now     time.Time
 	servers int
-	// generation counts the starts of each server.
+	// generation counts the processes of each server.
 	generation []int
 	streams    []*stream
 	next       Fingerprint
-	// harmless and refused count streams that end no servers, and sends of them that were
-	// refused; crashes counts servers that crashes under a harmful one.
+	// harmless counts streams that crash no server, and refused counts refused sends of them;
+	// crashes counts servers crashed by harmful streams.
 	harmless, refused, crashes int
-	// crashAfter is when in its life a harmful stream ends its server.
+	// crashAfter is the time from the send of a harmful stream to the crash of its server.
 	crashAfter time.Duration
-	// lossTimes are the times at which servers ended under each harmful request, and later counts
-	// its sends after the third.
+	// lossTimes holds the times at which servers crashed under each harmful request. lateSends
+	// counts sends more than propagationTime after the third crash.
 	lossTimes map[Fingerprint][]time.Time
 	lateSends map[Fingerprint]int
 }
@@ -61,7 +62,8 @@
 	return register.Process{ID: fleet.InstanceID(rune(server)), Incarnation: fleet.Incarnation(p.generation[server])}
 }
 
-// send sends a stream to a server drawn at random, unless it is held off.
+// send sends a stream to a random server unless the stream is quarantined, and reports whether
+// it was sent.
 func (p *simulation) send(s *stream) bool {
 	if _, held := p.ledger.Quarantined(p.now, s.content); held {
 		if !s.harmful {
@@ -85,7 +87,8 @@
 	return true
 }
 
-// loseServer ends a server with all that runs there; announced ends do not count.
+// loseServer terminates a server with all streams that run there. Announced terminations are
+// not recorded as losses.
 func (p *simulation) loseServer(server int, announced bool) {
 	kept := p.streams[:0]
 
@@ -120,7 +123,7 @@
 	}
 }
 
-// step plays one step, in which streams arrive, end, and end their servers.
+// step simulates one step, in which streams arrive, complete and crash their servers.
 func (p *simulation) step(perSecond float64) {
 	p.now = p.now.Add(stepInterval)
 
@@ -161,12 +164,12 @@
 	}
 }
 
-// Beside harmful requests, of which a new one comes every few seconds, and one more copy of
-// it every 0.7 s, with a fifth of the servers lost at once without notice every ten seconds
-// and a third reclaimed with notice every seven, no other request is refused. A harmful one
-// that ends its servers at its begin ends three, and what it had been sent to before the
-// third ended; whenever it does, it is sent three times more at most once the instances have
-// had a second to tell each other.
+// Guards against false positives: requests that run beside harmful ones must not be refused. A
+// new harmful request comes every few seconds and is repeated every 0.7 s; a fifth of the
+// servers is lost without notice every ten seconds and a third is reclaimed with notice every
+// seven. A harmful request that crashes servers early must be sent at most maxEarlySends
+// times, and any harmful request at most maxLateSends times once propagationTime has passed
+// since the third crash.
 func TestRequestsBesideHarmfulOnesAreNotQuarantined(t *testing.T) {
 	for name, tt := range map[string]struct {
 		crashAfter, interval time.Duration
@@ -178,16 +181,17 @@
 	}
 }
 
-// simulateHarmfulStreams plays harmful streams that end their servers at a time of their life, with a
-// new one every so often.
+// simulateHarmfulStreams simulates harmful streams that crash their servers crashAfter their
+// send, with a new harmful request at each interval.
 func simulateHarmfulStreams(t *testing.T, crashAfter, interval time.Duration) {
 	t.Helper()
 
 	const (
 		duration         = 60 * time.Second
 		streamsPerSecond = 40.0
-		// maxEarlySends is how often one that ends its servers at its begin is sent, and
-		// mostLater how often any is once told has passed since it ended the third.
+		// maxEarlySends limits the sends of each harmful request that crashes its servers
+		// early, and maxLateSends the sends of any harmful request once propagationTime has
+		// passed since its third crash.
 		maxEarlySends = 4
 		maxLateSends  = 3
 	)
@@ -239,7 +243,7 @@
 	}
 }
 
-// injectServerLosses ends servers for other reasons than a harmful request.
+// injectServerLosses terminates servers for reasons other than a harmful request.
 func (p *simulation) injectServerLosses(at time.Duration) {
 	if at%(10*time.Second) == 5*time.Second {
 		for range max(p.servers/5, 1) {
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -9,17 +9,17 @@
 	"monsoonlever/fleet"
 )
 
-// Fingerprint names what a caller asks for, whichever attempt it is: each attempt has an
-// id of its own. Two of a million requests share one in ten million days.
+// Fingerprint identifies the content of a request across attempts, each of which has its own
+// id. With a million requests, a collision is expected once in ten million days.
 type Fingerprint uint64
 
-// FingerprintOf returns the fingerprint of a request: the same one for the same account,
-// method, host, target and body. The account is empty where callers need no key.
+// FingerprintOf returns the fingerprint of a request, derived from its account, method, host,
+// target and body. The account is empty where callers need no key.
 func FingerprintOf(account fleet.Account, method, host, target string, body []byte) Fingerprint {
 	d := sha256.New()
 
 	for _, field := range []string{string(account), method, host, target} {
-		// The length keeps fields apart. Writing to a hash never fails.
+		// The length prefix separates the fields. Writing to a hash never fails.
 		_, _ = d.Write([]byte(strconv.Itoa(len(field)) + ":" + field))
 	}
 
@@ -28,5 +28,5 @@
 	return Fingerprint(binary.BigEndian.Uint64(d.Sum(nil)))
 }
 
-// String returns the fingerprint as it stands in logs.
+// String returns the fingerprint as logged.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
--- a/quarantine/loss.go
+++ b/quarantine/loss.go
@@ -8,34 +8,36 @@
 	"monsoonlever/register"
 )
 
-// Evidence says how much the end of a server speaks against a request that ran there.
+// Evidence is how strongly a server loss counts against a request that ran on the server.
 type Evidence uint8
 
 const (
-	// Weak is that the request waited there, or that events of its answer had come.
+	// Weak means that the request was still waiting on the server, or that events of its
+	// answer had arrived.
 	Weak Evidence = iota
-	// Strong is that its answer had begun and nothing of it had come whole, or that it is of
-	// a kind that does not show when it begins.
+	// Strong means that the answer had begun and none of its events had arrived completely, or
+	// that the request is of a kind whose begin is not visible.
 	Strong
 )
 
-// Loss is that one server ended under one request, or that this has turned out not to be
-// the request's doing.
+// Loss reports that a server was lost while it processed a request, or, with Cleared, that
+// this loss no longer counts against the request.
 type Loss struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Request  Fingerprint
 	Server   ServerKey
 	Evidence Evidence
-	// Cleared is set once the request was answered elsewhere.
+	// Cleared is set once the request has been answered completely by another server.
 	Cleared bool
-	// AgeMs is how long ago the server ended, in milliseconds, when this was told.
+	// AgeMs is the time in milliseconds from the loss of the server to the sending of this
+	// message.
 	AgeMs uint32
 }
 
-// MaxLossBytes is what a loss takes in a message at most.
+// MaxLossBytes is the largest encoded size of a Loss.
 const MaxLossBytes = 27
 
-// ServerKey names one start of a backend server.
+// ServerKey identifies one process of a backend server.
 type ServerKey uint64
 
 func keyOf(s register.Process) ServerKey {
@@ -44,7 +46,7 @@
 
 func (l Loss) age() time.Duration { return time.Duration(l.AgeMs) * time.Millisecond }
 
-// withAge returns the loss as it is told at a time.
+// withAge returns the loss with its age at the time of sending.
 func (l Loss) withAge(now, at time.Time) Loss {
 	l.AgeMs = uint32(min(max(now.Sub(at), 0), suspectTTL).Milliseconds())
 
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,31 +1,31 @@
-// Package quarantine keeps requests from backend servers that end each server which
-// begins them.
+// Package quarantine refuses requests that crash each backend server that starts to process
+// them.
 //
-// Such a request (a poison message) comes again under another id, at any entry instance,
-// so that neither ids nor one instance's memory tell it from others. A Ledger counts, by
-// Fingerprint, the servers that ended while a request ran there, and exchanges what it
-// counts with the ledgers of the other instances. A request under which three servers
-// ended as it began, or five at any time of its answer, is held off.
+// Callers repeat such a request (a poison message) under a new id and at any entry instance,
+// so neither its id nor the memory of a single instance identifies it. A Ledger counts, by
+// Fingerprint, the servers that were lost while they processed a request, and exchanges its
+// losses with the ledgers of the other instances. A request is quarantined after three
+// servers were lost at the begin of its answer, or five at any time of its answer.
 //
-// Requests that ran beside it share its time and its servers and are innocent. Nothing
-// counts against a request but the end of a server that had not said it would leave, and
-// most of all an end at the very begin of the request's answer; and one whole answer to it
-// clears it of all that was counted, at all instances.
+// Harmless requests that ran on the same servers are lost at the same time. Therefore only
+// the loss of a server that had not announced to leave counts against a request, and a loss
+// at the begin of the request's answer counts most. One complete answer to the request clears
+// all its losses at all instances.
 //
 // # Usage
 //
 //	var l quarantine.Ledger
 //	f := quarantine.FingerprintOf(account, method, host, target, body)
-//	if left, held := l.Held(now, f); held {
+//	if left, quarantined := l.Quarantined(now, f); quarantined {
 //		return refuse(left)
 //	}
-//	// Its server ended under it:
-//	l.Lost(now, f, start, quarantine.Strong)
-//	// Its whole answer came:
-//	l.Answered(now, f)
-//	// What others should know, and what they say:
-//	send(l.News(now))
-//	l.Hear(now, losses, relay)
+//	// The server crashed while it processed the request:
+//	l.RecordLoss(now, f, process, quarantine.Strong)
+//	// The complete answer arrived:
+//	l.RecordAnswer(now, f)
+//	// Exchange losses with the other instances:
+//	send(l.PendingLosses(now))
+//	l.Merge(now, losses, relay)
 package quarantine
 
 import (
@@ -40,48 +40,52 @@
 )
 
 const (
-	// minStrongLosses is how many servers have to end at a request's begin before it is held
-	// off, as operators bear, and anyEnds how many at any time of its answer: one more than
-	// a stream beside harmful requests loses, which is resumed and asked for again
-	// (TestRequestsBesideAHarmfulOneAreServed).
+	// minStrongLosses is the number of server losses at the begin of a request's answer that
+	// quarantine the request; operators tolerate this many. minLosses is the number of losses
+	// at any time of the answer: one more than a stream that runs beside harmful requests
+	// suffers, including its resumptions and its caller's repetition
+	// (TestRequestsBesideHarmfulOnesAreNotQuarantined).
 	minStrongLosses = 3
 	minLosses       = 5
-	// quarantineDuration is how long after the newest end a request is held off. A caller that repeats
-	// it is long gone by then, or has been told so for as long; it may then end one more
-	// server before it is held off again.
+	// quarantineDuration is how long a request is quarantined after its newest loss. By then,
+	// a caller that repeats the request has left or has been refused all that time. The
+	// request may then crash one more server before it is quarantined again.
 	quarantineDuration = 10 * time.Minute
-	// suspectTTL is how long a request is remembered after the newest end under it.
+	// suspectTTL is how long a request is remembered after its newest loss.
 	suspectTTL = 2 * quarantineDuration
-	// maxSuspects bounds the requests that are remembered, to 1.5 MB: with a server go all
-	// requests that run there, some dozens, and each body may be new.
+	// maxSuspects bounds the remembered requests, to 1.5 MB of memory. Each lost server adds
+	// all requests that ran there, some dozens, and each may have a new body.
 	maxSuspects = 2048
-	// evictionDivisor is the part of them that goes at once when there are more.
+	// evictionDivisor sets the fraction of the suspects, 1/evictionDivisor, that is evicted
+	// when there are more than maxSuspects.
 	evictionDivisor = 4
-	// sweepInterval is how often old suspects are dropped: far less than they are kept.
+	// sweepInterval is the interval of the removal of expired suspects, much shorter than
+	// suspectTTL.
 	sweepInterval = time.Minute
 )
 
-// Ledger remembers what ended under which request. The zero value is empty; it is safe for
-// concurrent use.
+// Ledger records which servers were lost while they processed which requests. The zero value
+// is empty; it is safe for concurrent use.
 type Ledger struct {
-	// OnQuarantined is told when one more request is held off, and must not wait; it may be nil.
-	// It is set before the first use.
+	// OnQuarantined is called when a request becomes quarantined. It must not block, may be
+	// nil, and is set before the first use.
 	OnQuarantined func()
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
 	outbox   outbox
-	// lastSweep is when old suspects were last dropped.
+	// lastSweep is when expired suspects were last removed.
 	lastSweep time.Time
 
-	// quarantineEnds is what the path of requests reads, without a lock: until when each suspect
-	// with ends that count is held off, a time.Time by Fingerprint.
+	// quarantineEnds maps the Fingerprint of each suspect with uncleared losses to the
+	// time.Time at which its quarantine ends, zero if it is not quarantined. The request path
+	// reads it without a lock.
 	quarantineEnds sync.Map
 
 	wake feed.Signal
 }
 
-// Quarantined tells whether a request is held off, and for how much longer.
+// Quarantined reports whether a request is quarantined, and for how much longer.
 func (l *Ledger) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
 	value, suspected := l.quarantineEnds.Load(f)
 	if !suspected {
@@ -93,7 +97,7 @@
 	return until.Sub(now), until.After(now)
 }
 
-// QuarantinedCount returns how many requests are held off.
+// QuarantinedCount returns the number of quarantined requests.
 func (l *Ledger) QuarantinedCount(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,8 +113,8 @@
 	return n
 }
 
-// RecordLoss takes in that a server ended under a request. The caller has made sure that the
-// server has ended and had not said that it would.
+// RecordLoss records that a server was lost while it processed a request. The caller has
+// verified that the server's process has ended without having announced that it would leave.
 func (l *Ledger) RecordLoss(now time.Time, f Fingerprint, s register.Process, e Evidence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +122,7 @@
 	l.merge(now, Loss{Request: f, Server: keyOf(s), Evidence: e}, observedHere)
 }
 
-// RecordAnswer takes in that a request was answered as a whole, so that it ends no servers.
+// RecordAnswer records that a request was answered completely, which clears all its losses.
 func (l *Ledger) RecordAnswer(now time.Time, f Fingerprint) {
 	if _, suspected := l.quarantineEnds.Load(f); !suspected {
 		return
@@ -139,8 +143,8 @@
 	}
 }
 
-// Merge takes in what another instance tells, or has recorded. What is new is told on if
-// this instance passes news on.
+// Merge merges losses that another instance sent or stored. With forward set, this instance
+// sends new ones on to its own peers.
 func (l *Ledger) Merge(now time.Time, losses []Loss, forward bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,19 +159,19 @@
 	}
 }
 
-// origin says how this instance knows of a loss.
+// origin is how this instance learned of a loss.
 type origin int
 
 const (
-	// received losses are known to all that have to be told by whoever saw them.
+	// received losses are sent to all other instances by their sender or its relays.
 	received origin = iota
-	// receivedByRelay ones are told on.
+	// receivedByRelay losses were received by this instance as a relay, which forwards them.
 	receivedByRelay
-	// observedHere ones were seen by this instance.
+	// observedHere losses were observed by this instance.
 	observedHere
 )
 
-// merge takes one loss in.
+// merge merges one loss.
 func (l *Ledger) merge(now time.Time, loss Loss, from origin) {
 	if l.suspects == nil {
 		l.suspects = make(map[Fingerprint]*suspect)
@@ -198,7 +202,7 @@
 	l.sweep(now)
 }
 
-// publish tells the path of requests of a suspect.
+// publish updates quarantineEnds for a suspect.
 func (l *Ledger) publish(f Fingerprint, s *suspect) {
 	if all, _ := s.countLosses(); all == 0 {
 		l.quarantineEnds.Delete(f)
@@ -207,7 +211,7 @@
 	}
 }
 
-// sweep drops suspects that are old or too many.
+// sweep removes expired suspects, and evicts some if there are too many.
 func (l *Ledger) sweep(now time.Time) {
 	if now.Sub(l.lastSweep) >= sweepInterval {
 		l.lastSweep = now
@@ -229,7 +233,8 @@
 	l.quarantineEnds.Delete(f)
 }
 
-// evict drops those with the fewest ends, the oldest of them first.
+// evict removes suspects with the fewest losses, and among equals those whose newest loss is
+// oldest.
 func (l *Ledger) evict() {
 	order := slices.SortedFunc(maps.Keys(l.suspects), func(a, b Fingerprint) int {
 		x, y := l.suspects[a], l.suspects[b]
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -14,7 +14,7 @@
 	"monsoonlever/register"
 )
 
-// quarantineThreshold servers that end at its begin hold a request off.
+// quarantineThreshold is the number of strong losses that quarantine a request.
 const quarantineThreshold = minStrongLosses
 
 var begin = time.Unix(1000, 0)
@@ -50,7 +50,8 @@
 		t.Error("another request: got it held off, want it served")
 	}
 
-	// It is tried again in the end, and held off again by one more server that ends.
+	// The request is served again when its quarantine ends, and one more loss quarantines it
+	// again.
 	later := begin.Add(quarantineDuration + time.Second)
 	if quarantined(&l, later, 1) {
 		t.Error("after its time: got it held off, want it tried")
@@ -73,7 +74,7 @@
 	old := l.StoredLosses(begin)
 	l.RecordAnswer(begin, 1)
 	other.Merge(begin, l.PendingLosses(begin), false)
-	// What was told before the answer may come after it.
+	// Messages sent before the answer may arrive after it.
 	other.Merge(begin.Add(time.Second), old, false)
 	l.Merge(begin.Add(time.Second), old, false)
 
@@ -90,8 +91,8 @@
 	}
 }
 
-// What instances count alike, in whatever order they tell each other and how often, they
-// judge alike.
+// Ledgers that receive the same losses must reach the same verdict, whatever the order and the
+// number of deliveries.
 func TestHoldsSameVerdictInAnyMessageOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		losses := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Loss {
@@ -121,8 +122,8 @@
 	})
 }
 
-// Every request that runs on a server that ends is new: memory is bounded, and those under
-// which most ended are kept.
+// Each request that runs on a lost server may be new. Memory must stay bounded, and eviction
+// must keep the requests with the most losses.
 func TestHoldsMemoryBounded(t *testing.T) {
 	var l Ledger
 
@@ -172,8 +173,8 @@
 	}
 }
 
-// A record brings all that is held off back after a loss of all instances, and what one saw
-// to those that hear nothing from it.
+// Stored losses restore the quarantine after a failure of all instances, and carry losses to
+// instances that receive no messages from the observer.
 func TestStoredLossesRestoreQuarantine(t *testing.T) {
 	var one, two, next Ledger
 
@@ -233,9 +234,9 @@
 	}
 }
 
-// A request that is not suspected costs the path of requests one look without a lock.
-// Measured on one core: 16 to 24 ns, and 226 to 238 ns for its fingerprint with a body of 1 KB; 3.5 µs to
-// take a loss in while as many requests are suspected as are remembered.
+// A request that is not suspected costs the request path one lock-free lookup. Measured on one
+// core: 16 to 24 ns, and 226 to 238 ns for its fingerprint with a body of 1 KB; 3.5 µs to
+// record a loss with the maximum number of suspects.
 func BenchmarkQuarantined(b *testing.B) {
 	var l Ledger
 
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// maxLossesPerSuspect bounds the ends that are remembered of one request: more than are needed to hold
-// it off, so that those that were cleared are known again when they are told late.
+// maxLossesPerSuspect bounds the losses that are remembered of one request. It exceeds the
+// number needed for a quarantine, so that cleared losses are still recognized when they are
+// received late.
 const maxLossesPerSuspect = 16
 
-// suspect is a request under which servers have ended.
+// suspect is a request whose servers were lost.
 type suspect struct {
 	losses map[ServerKey]serverLoss
-	// lastLoss is when the last of them ended.
+	// lastLoss is the time of the newest loss.
 	lastLoss time.Time
 }
 
-// serverLoss is the serverLoss of one server under a request.
+// serverLoss is the loss of one server process that ran the request.
 type serverLoss struct {
 	lostAt   time.Time
 	evidence Evidence
-	// cleared ends do not count, observed ones were observed by this instance.
+	// cleared losses do not count; observed losses were observed by this instance.
 	cleared, observed bool
 }
 
-// merge takes an end in, and tells whether that is news. One that was cleared stays so, and
-// strong evidence is not weakened, whatever is told later: instances tell each other in any
-// order, and more than once.
+// merge merges a loss and reports whether it changed the suspect. A cleared loss stays cleared
+// and strong evidence stays strong, because messages arrive in any order and more than once.
 func (s *suspect) merge(at time.Time, loss Loss, observed bool) bool {
 	known, ok := s.losses[loss.Server]
 	if ok && (known.cleared || !loss.Cleared && loss.Evidence <= known.evidence) {
@@ -51,7 +51,8 @@
 	return true
 }
 
-// makeRoom makes makeRoom for one more end among those that are cleared.
+// makeRoom reports whether there is room for another loss, and discards a cleared loss if
+// needed.
 func (s *suspect) makeRoom() bool {
 	if len(s.losses) < maxLossesPerSuspect {
 		return true
@@ -68,7 +69,8 @@
 	return false
 }
 
-// countLosses returns how many ends countLosses against the request, and how many of them strongly.
+// countLosses returns the number of losses that count against the request, and how many of
+// them are strong.
 func (s *suspect) countLosses() (all, strong int) {
 	for _, e := range s.losses {
 		if e.cleared {
@@ -85,7 +87,8 @@
 	return all, strong
 }
 
-// quarantinedUntil returns until when the request is held off; zero is not at all.
+// quarantinedUntil returns when the quarantine of the request ends, or the zero time if the
+// request is not quarantined.
 func (s *suspect) quarantinedUntil() time.Time {
 	if all, strong := s.countLosses(); all < minLosses && strong < minStrongLosses {
 		return time.Time{}
--- a/quarantine/updates.go
+++ b/quarantine/updates.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// sendsPerLoss is how often a loss is told to the others: of 100 datagrams some are lost,
-	// and of three in a row hardly any.
+	// sendsPerLoss is how often each loss is sent to the peers: a few of 100 datagrams are
+	// lost, but hardly ever three in a row.
 	sendsPerLoss = 3
-	// maxStoredLosses bounds what a record for all holds, to a kilobyte.
+	// maxStoredLosses bounds the losses in a stored record, to a kilobyte.
 	maxStoredLosses = 40
-	// storedLossTTL is how long an end that this instance saw stands in its records: some
-	// rounds of them, so that instances which hear nothing from each other learn of it.
+	// storedLossTTL is how long a loss that this instance observed stays in its stored
+	// records: several record intervals, so that instances without a connection to it read the
+	// loss there.
 	storedLossTTL = 10 * time.Second
 )
 
-// lossKey names a loss or its clearing.
+// lossKey identifies a loss or its clearing.
 type lossKey struct {
 	request Fingerprint
 	server  ServerKey
 	cleared bool
 }
 
-// outbox holds what is still to be told. The zero value is empty.
+// outbox holds the losses still to be sent. The zero value is empty.
 type outbox struct {
 	remainingSends map[lossKey]int
 }
@@ -38,11 +39,11 @@
 	o.remainingSends[lossKey{l.Request, l.Server, l.Cleared}] = sendsPerLoss
 }
 
-// Ready returns a channel that is told when there is news.
+// Ready returns a channel that receives a value when there are losses to send.
 func (l *Ledger) Ready() <-chan struct{} { return l.wake.C() }
 
-// PendingLosses returns what the others are to be told now. It is called again, at the pace of
-// messages, until nothing is left.
+// PendingLosses returns the losses to send to the peers now. The caller repeats the call at
+// the interval of its messages until nothing is left.
 func (l *Ledger) PendingLosses(now time.Time) []Loss {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,8 +67,9 @@
 	return pending
 }
 
-// StoredLosses returns what outlives a loss of all instances, and reaches those that hear no
-// others: the losses of requests that are held off, and what this instance saw lately.
+// StoredLosses returns the losses for the stored record, which survives a failure of all
+// instances and reaches instances that receive no messages: those of quarantined requests and
+// those that this instance observed recently.
 func (l *Ledger) StoredLosses(now time.Time) []Loss {
 	l.mu.Lock()
 	defer l.mu.Unlock()
