--- a/rollout/count.go
+++ b/rollout/count.go
@@ -10,7 +10,7 @@
 	"monsoonlever/fleet"
 )
 
-// Count is what one instance counted for a route while a version is tried.
+// Count holds the counts of one instance for a route during a trial.
 type Count struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Service  fleet.Service
@@ -19,30 +19,32 @@
 	Old, New Answers
 }
 
-// Answers are those of one version.
+// Answers holds the counts of the requests to the old versions or to the new version.
 type Answers struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
-	// Sent counts requests that were sent, Answered those that a server ended, and Failed
-	// those of them that it failed.
+	// Sent counts requests sent, Answered those that a server finished, and Failed the
+	// answered requests that the server failed.
 	Sent, Answered, Failed uint32
-	// Paces counts the others by what they took, in steps of paceStep.
+	// Paces is a histogram of the durations of the other answers, by bucket: each bucket is
+	// longer than the one before by the factor paceFactor.
 	Paces map[uint8]uint32
 }
 
 const (
-	// paceFactor is the factor between two paces that are counted apart, and fastest the first.
+	// paceFactor is the ratio of two successive buckets of Paces, and fastestPace the lower
+	// bound of the first.
 	paceFactor  = 1.5
 	fastestPace = 100 * time.Microsecond
 )
 
-// paceOf returns the step of what an answer took.
+// paceOf returns the bucket of a duration.
 func paceOf(took time.Duration) uint8 {
 	step := math.Log(float64(took)/float64(fastestPace)) / math.Log(paceFactor)
 
 	return uint8(min(max(step, 0), math.MaxUint8))
 }
 
-// combine joins the numbers of two counts.
+// combine merges two counts number by number.
 func (a Answers) combine(b Answers, with func(x, y uint32) uint32) Answers {
 	combined := Answers{
 		Sent: with(a.Sent, b.Sent), Answered: with(a.Answered, b.Answered), Failed: with(a.Failed, b.Failed),
@@ -58,15 +60,15 @@
 	return combined
 }
 
-// copy returns counts that don't change any more.
+// copy returns a copy that shares no map with the original.
 func (a Answers) copy() Answers { return a.combine(Answers{}, sum) }
 
 func sum(x, y uint32) uint32 { return x + y }
 
-// maximum is how counts of one source are joined: they only grow.
+// maximum merges two counts of the same source, whose numbers only grow.
 func maximum(x, y uint32) uint32 { return max(x, y) }
 
-// timedAnswers returns how many answers have a pace.
+// timedAnswers returns the number of answers with a known duration.
 func (a Answers) timedAnswers() uint32 {
 	n := uint32(0)
 	for _, answers := range a.Paces {
@@ -76,7 +78,7 @@
 	return n
 }
 
-// slowerThan returns how many answers took longer than a pace.
+// slowerThan returns the number of answers in buckets above a limit.
 func (a Answers) slowerThan(limit uint8) uint32 {
 	n := uint32(0)
 
@@ -89,7 +91,7 @@
 	return n
 }
 
-// medianPace returns the pace in the medianPace of all.
+// medianPace returns the bucket of the median duration.
 func (a Answers) medianPace() uint8 {
 	left := a.timedAnswers() / 2
 
@@ -104,7 +106,8 @@
 	return 0
 }
 
-// Counter counts at one instance. The zero value is empty; it is safe for concurrent use.
+// Counter counts the requests and answers of one instance during trials. The zero value is
+// empty; it is safe for concurrent use.
 type Counter struct {
 	mu     sync.Mutex
 	counts map[countKey]*versionCounts
@@ -120,16 +123,16 @@
 	old, new Answers
 }
 
-// CountSent counts a request that is sent.
+// CountSent counts a request that was sent to a server of the new version or of an old one.
 func (c *Counter) CountSent(service fleet.Service, place uint64, route string, newVersion bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at(service, place, route).answers(newVersion).Sent++
 }
 
-// CountAnswer counts an answer. took is what is held against others of the route: the time of a
-// whole answer, or the mean time between events, which does not depend on what a server's
-// cache holds; zero is not known.
+// CountAnswer counts an answer. took is compared with other answers of the route: the duration
+// of the whole answer, or the mean time between events of a stream, which does not depend on
+// the server's cache. Zero means that it is unknown.
 func (c *Counter) CountAnswer(service fleet.Service, place uint64, route string, newVersion, failed bool, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,7 +160,7 @@
 	return &c.old
 }
 
-// at returns the counts of a route. Those of earlier orders of the service go.
+// at returns the counts of a route, and removes those of earlier orders of the service.
 func (c *Counter) at(service fleet.Service, place uint64, route string) *versionCounts {
 	if c.counts == nil {
 		c.counts = make(map[countKey]*versionCounts)
@@ -180,7 +183,7 @@
 	return created
 }
 
-// Counts returns what was counted.
+// Counts returns a copy of all counts.
 func (c *Counter) Counts() []Count {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,14 +198,14 @@
 	return counts
 }
 
-// Table holds what all instances counted. The zero value is empty; it is safe for
-// concurrent use.
+// Table holds the counts of all instances. The zero value is empty; it is safe for concurrent
+// use.
 type Table struct {
 	mu       sync.Mutex
 	bySource map[source]map[string]Count
 }
 
-// source is what one start of an instance counted for an order.
+// source identifies the counts of one incarnation of an instance for an order.
 type source struct {
 	instance    fleet.InstanceID
 	incarnation fleet.Incarnation
@@ -210,8 +213,8 @@
 	place       uint64
 }
 
-// Record takes counts of an instance in. Counts of an earlier start stay: what it sent was
-// sent.
+// Record merges the counts of an instance. The counts of an earlier incarnation remain, since
+// its requests were sent.
 func (t *Table) Record(id fleet.InstanceID, incarnation fleet.Incarnation, counts []Count) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -232,8 +235,8 @@
 	}
 }
 
-// Routes returns the sums of all instances for an order, by route, and forgets earlier
-// orders of the service.
+// Routes returns the sums over all instances for an order, by route, and removes the counts of
+// earlier orders of the service.
 func (t *Table) Routes(o Order) map[string]Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/rollout/detector.go
+++ b/rollout/detector.go
@@ -3,43 +3,44 @@
 import "math"
 
 const (
-	// falseAlarmProbability is the probability, at most, with which a good version is taken for a bad
-	// one on a route within alarmAnswers answers, by failures or by their pace.
+	// falseAlarmProbability is the highest probability that a good version is judged bad on a
+	// route within falseAlarmAnswers answers, by failures or by latency.
 	falseAlarmProbability = 0.01
 	falseAlarmAnswers     = 2000
-	// detectableIncrease is the part of the answers that the old version ends well and a bad one does
-	// not, at least, which the test is made for.
+	// detectableIncrease is the share of answers that succeed on the old version and fail on a
+	// bad one. The test is designed for at least this increase.
 	detectableIncrease = 0.15
-	// slowPaceSteps is how many steps of pace above the usual an answer has to be to count as
-	// slow, some three times as long: a cold cache or a full server makes some answers twice
-	// as slow. usualAnswers is how many answers of the old version show what is usual.
+	// slowPaceSteps is how many steps of Paces above the old version's median an answer counts
+	// as slow, about three times the duration: a cold cache or a full server doubles the
+	// duration of some answers. baselineAnswers is the number of answers of the old version
+	// needed for the median.
 	slowPaceSteps   = 3
 	baselineAnswers = 20
-	// minBadRate is the least rate of bad answers that a version may have: no old version
-	// was seen often enough to show a lower one.
+	// minBadRate is the smallest assumed rate of bad answers of the old version; too few
+	// answers are observed to establish a lower one.
 	minBadRate = 0.01
-	// allRoutes names all routes of a service together.
+	// allRoutes is the route of a verdict that is based on all routes of a service together.
 	allRoutes = "all routes"
 )
 
-// alarmThreshold is the level at which the sum of a sequential test (Page's cumulative sum) tells a
-// bad version: a sum of logarithms of likelihood ratios passes it within n answers of a
-// good one with a probability of n times its inverse exponential at most.
+// alarmThreshold is the level at which Page's cumulative sum test reports a bad version. For a
+// good version, the sum of log-likelihood ratios exceeds a level h within n answers with a
+// probability of at most n*exp(-h).
 var alarmThreshold = math.Log(falseAlarmAnswers / falseAlarmProbability) //nolint:gochecknoglobals // it is constant
 
-// detector holds a version against the old one on the same routes at the same time. The zero
-// value has seen nothing.
+// detector compares the new version with the old one on the same routes over the same time.
+// The zero value has no observations.
 type detector struct {
 	failures, paces map[string]*routeTest
-	// allFailures and allPaces add up the evidence of all routes: a version that is bad on
-	// each of many routes shows it on none soon.
+	// allFailures and allPaces accumulate the evidence of all routes. A version that is bad on
+	// each of many routes takes too long to show on any single one.
 	allFailures, allPaces cusum
-	// slow are the paces beyond which answers are slow on each route, once the old version has shown what
-	// is usual.
+	// slow holds, by route, the pace above which answers are slow. It is set once the old
+	// version has given enough answers on the route.
 	slow map[string]uint8
 }
 
-// routeTest is the sequential routeTest of one route.
+// routeTest is the sequential test of one route.
 type routeTest struct {
 	n, bad uint32
 	cusum
@@ -50,8 +51,8 @@
 	sum float64
 }
 
-// evidence is what answers add to a sequence: the logarithms of the likelihood ratios of
-// those that ended well, which lower it, and of the others.
+// evidence holds the log-likelihood ratios that answers add to a cusum: good answers lower the
+// sum, bad answers raise it.
 type evidence struct {
 	good, bad float64
 }
@@ -60,21 +61,21 @@
 	return evidence{good: e.good + other.good, bad: e.bad + other.bad}
 }
 
-// add adds evidence and reports whether the sequence alarms.
+// add adds evidence and reports whether the sum has reached the alarm threshold.
 func (s *cusum) add(e evidence) bool {
 	s.sum = math.Max(s.sum+e.good, 0) + e.bad
 
 	return s.sum >= alarmThreshold
 }
 
-// verdict is what a judge says of the new version.
+// verdict is the detector's result for the new version.
 type verdict struct {
 	bad bool
-	// route and reason say what gave it away.
+	// route and reason name where and why the version was found bad.
 	route, reason string
 }
 
-// update takes the newest counts in and returns the verdict.
+// update processes the newest counts and returns the verdict.
 func (j *detector) update(routes map[string]Count) verdict {
 	if j.failures == nil {
 		j.failures, j.paces, j.slow = make(map[string]*routeTest), make(map[string]*routeTest), make(map[string]uint8)
@@ -109,7 +110,8 @@
 	return j.updateAll(v, failures, paces)
 }
 
-// updateAll adds the evidence of all routes and returns the verdict, which rather names one route.
+// updateAll adds the evidence of all routes and returns the verdict. A verdict on a single
+// route takes precedence.
 func (j *detector) updateAll(v verdict, failures, paces evidence) verdict {
 	failing, slow := j.allFailures.add(failures), j.allPaces.add(paces)
 
@@ -125,7 +127,7 @@
 	}
 }
 
-// slowPace returns the pace beyond which answers of a route are slow.
+// slowPace returns the pace above which answers of a route are slow, and whether it is known.
 func (j *detector) slowPace(route string, old Answers) (uint8, bool) {
 	if slow, known := j.slow[route]; known {
 		return slow, true
@@ -140,8 +142,8 @@
 	return j.slow[route], true
 }
 
-// baselineRate returns the rate of bad answers that the old version may have: a good deal above
-// what was seen where little was.
+// baselineRate returns the assumed rate of bad answers of the old version: the observed rate
+// plus a standard deviation, which is large for few answers.
 func baselineRate(bad, n uint32) float64 {
 	seen := float64(bad) / math.Max(float64(n), 1)
 	spread := math.Sqrt((seen*(1-seen) + minBadRate) / math.Max(float64(n), 1))
@@ -149,8 +151,8 @@
 	return math.Min(math.Max(seen+spread, minBadRate), 1-detectableIncrease)
 }
 
-// updateTest adds what was answered since to a route's test. It returns the evidence, and whether the
-// test alarms.
+// updateTest adds the answers since the last update to a route's test. It returns their
+// evidence and whether the test raises an alarm.
 func updateTest(tests map[string]*routeTest, route string, baseline float64, n, bad uint32) (evidence, bool) {
 	t := tests[route]
 	if t == nil {
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -11,42 +11,45 @@
 	"monsoonlever/fleet"
 )
 
-// Choice is which versions a request may be sent to. The zero value is all.
+// Choice restricts the versions that a request may be sent to. The zero value allows all
+// versions.
 type Choice struct {
-	// Only is the new version, if the request is one of its share; Part is the part of its
-	// servers that take that share, so that each carries what it would carry in the end.
+	// Only is the new version if the request belongs to its share, otherwise empty.
+	// ServerShare is the fraction of its servers that receive such requests, so that each of
+	// them carries the load that it would carry after completion.
 	Only        fleet.Version
 	ServerShare float64
-	// Avoid are versions that it may not be sent to.
+	// Avoid lists the versions that the request must not be sent to.
 	Avoid []fleet.Version
 }
 
-// Gate says at one instance which versions requests are sent to. The zero value knows no
-// order; it is safe for concurrent use, and Choose takes no lock.
+// Gate decides at one instance which versions requests may be sent to. The zero value has no
+// orders; it is safe for concurrent use, and Choose takes no lock.
 type Gate struct {
-	// GrantTTL is how long a decision to send to a new version counts; it is set before the first
-	// use.
+	// GrantTTL is how long a decision to send requests to a new version remains valid. It is
+	// set before the first use.
 	GrantTTL time.Duration
-	// Random draws from [0, 1) which requests are tried at the new version; nil draws from the
-	// default source.
+	// Random returns numbers in [0, 1) that select the requests for the new version; nil uses
+	// the default source.
 	Random func() float64
 
 	mu      sync.Mutex
 	current atomic.Pointer[map[fleet.Service]serviceState]
 }
 
-// serviceState is what an instance knows of one service.
+// serviceState is the newest order and decision of one service.
 type serviceState struct {
 	order Order
-	// firstSeen is when the order was first seen, here or by another instance.
+	// firstSeen is when this or another instance first saw the order.
 	firstSeen time.Time
 	state     State
-	// decidedAt is when the holder made the decision, or before; zero is that it counts for no share.
+	// decidedAt is a lower bound of the time at which the holder made the decision. With the
+	// zero time, the decision's share has no effect.
 	decidedAt time.Time
 }
 
-// AddOrder takes an order in and tells whether it is news. Until the holder's decision comes, the
-// new version gets nothing.
+// AddOrder adds an order and reports whether it is new. The new version receives no requests
+// until the holder's first decision arrives.
 func (g *Gate) AddOrder(now time.Time, o Order) bool {
 	return g.update(o.Service, func(k *serviceState) bool {
 		if o.Place <= k.order.Place {
@@ -69,7 +72,7 @@
 	})
 }
 
-// changePlace puts what is known of an order under the place at which it was written again.
+// changePlace moves the state of an order to the place at which the order was reissued.
 func (k *serviceState) changePlace(place uint64) {
 	if k.state.Place == k.order.Place {
 		k.state.Place = place
@@ -79,8 +82,8 @@
 	k.order.Place = place
 }
 
-// Apply takes a decision in that the holder made at a time, or later. One whose age is not
-// known has the zero time.
+// Apply applies a decision that the holder made at or after a time; the zero time means that
+// its age is unknown.
 func (g *Gate) Apply(now time.Time, s State, at time.Time) {
 	g.update(s.Service, func(k *serviceState) bool {
 		switch {
@@ -100,7 +103,7 @@
 	})
 }
 
-// update puts a changed picture in place of the one before, and tells whether it changed.
+// update replaces the state of a service with a changed copy and reports whether it changed.
 func (g *Gate) update(service fleet.Service, apply func(*serviceState) bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -123,7 +126,7 @@
 	return true
 }
 
-// lookup returns what is known lookup a service.
+// lookup returns the state of a service.
 func (g *Gate) lookup(service fleet.Service) (serviceState, bool) {
 	all := g.current.Load()
 	if all == nil {
@@ -157,8 +160,8 @@
 	return rand.Float64()
 }
 
-// ChooseRetry returns which versions a further send of a request may go to: a request that was
-// tried once is not tried at the new version again.
+// ChooseRetry returns which versions a repeated attempt of a request may be sent to. The new
+// version is not among them during its trial.
 func (g *Gate) ChooseRetry(service fleet.Service) Choice {
 	k, ok := g.lookup(service)
 	if !ok {
@@ -168,10 +171,10 @@
 	return k.oldVersionChoice()
 }
 
-// undecided tells whether the holder has said nothing of the newest order yet.
+// undecided reports whether no decision on the newest order has arrived yet.
 func (k serviceState) undecided() bool { return k.order.Place > k.state.Place }
 
-// oldVersionChoice returns the choice of a request that is none of the new version's share.
+// oldVersionChoice returns the choice for requests outside of the new version's share.
 func (k serviceState) oldVersionChoice() Choice {
 	if k.undecided() {
 		return Choice{Avoid: addVersions(k.state.Avoid, k.order.Target)}
@@ -184,7 +187,8 @@
 	return Choice{Avoid: addVersions(k.state.Avoid, k.state.Target)}
 }
 
-// InTrial returns the order of a service whose new version is being tried.
+// InTrial returns the version and the place of the service's newest order, and whether the
+// version is in its trial.
 func (g *Gate) InTrial(service fleet.Service) (target fleet.Version, place uint64, trial bool) {
 	k, ok := g.lookup(service)
 	if !ok {
@@ -198,14 +202,15 @@
 	return k.state.Target, k.state.Place, k.state.Phase == Trial
 }
 
-// Update is a state and how long ago, at most, the holder made it; negative is not known.
+// Update is a state and the maximum time since the holder decided on it; a negative Age means
+// that it is unknown.
 type Update struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	State    State
 	Age      time.Duration
 }
 
-// Updates returns what this instance tells others.
+// Updates returns the states that this instance sends to other instances.
 func (g *Gate) Updates(now time.Time) []Update {
 	all := g.current.Load()
 	if all == nil {
@@ -244,7 +249,7 @@
 }
 
 // Task is the newest order of a service, when it was first seen, and the newest state of the
-// service, which may be one of an earlier order.
+// service, which may belong to an earlier order.
 type Task struct {
 	Order     Order
 	FirstSeen time.Time
--- a/rollout/gate_test.go
+++ b/rollout/gate_test.go
@@ -8,7 +8,7 @@
 	"monsoonlever/fleet"
 )
 
-// choices returns whether some of many requests go to the new version alone, and whether all
+// choices reports whether any of many requests go to the new version only, and whether all
 // others avoid it.
 func choices(g *Gate, now time.Time) (some, avoided bool) {
 	avoided = true
@@ -22,7 +22,8 @@
 	return some, avoided
 }
 
-// An instance sends to a new version by the holder's decision alone, and for its life only.
+// An instance sends requests to a new version only while it has a valid decision of the duty
+// holder.
 func TestNewVersionGetsNoTrafficWithoutCurrentDecision(t *testing.T) {
 	const life = 2 * time.Second
 
@@ -64,7 +65,8 @@
 	}
 }
 
-// Once it is completed, all may go to the new version and none to those that it replaced.
+// After completion, requests may go to the new version and to none of the versions that it
+// replaced.
 func TestCompletedVersionReplacesEarlierOnes(t *testing.T) {
 	g := &Gate{GrantTTL: time.Second}
 	g.AddOrder(begin, Order{Service: service, Target: target, Duration: time.Minute, Place: 7})
@@ -78,8 +80,8 @@
 	}
 }
 
-// Operators write again what the platform lost: the order is the one before, whatever its
-// place.
+// Operators write an order again when the platform has lost it. It must keep its state under
+// its new place.
 func TestReissuedOrderKeepsItsState(t *testing.T) {
 	g := &Gate{GrantTTL: time.Second}
 	order := Order{Service: service, Target: target, Duration: time.Minute, Place: 7}
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -1,21 +1,22 @@
 // Package rollout moves the traffic of a service to a new version of its backend servers,
 // or back.
 //
-// Operators order it with a deadline. Until it is decided the new version gets a small part
-// of the requests, which all instances together keep within a budget whatever the version
-// is and whenever it turns bad. The holder of the duty plans: counts of answers by version
-// and route go in, the share and in the end the verdict come out. The others send by the
-// newest decision they heard, and to the old version alone once that decision is too old: an
-// instance that hears nobody tries nothing.
+// Operators order a roll-out with a deadline. During the trial, the new version receives a
+// small share of the requests. All instances together keep this share within a budget, even
+// if the version is bad or turns bad at any time. The duty holder plans: from the counts of
+// answers by version and route, it decides on the share and finally on completing or
+// reverting the roll-out. The other instances follow the newest decision that they received.
+// Once that decision has expired, they send requests to the old version only, so an instance
+// that receives no updates sends nothing to the new version.
 //
 // # Usage
 //
-//	var gate rollout.Gate // at each instance, on the path of requests
-//	gate.AddOrder(order)
+//	var gate rollout.Gate // at each instance, on the request path
+//	gate.AddOrder(now, order)
 //	choice := gate.Choose(now, service)
 //
-//	p := &rollout.Planner{Policy: policy, Order: order} // at the holder of the duty
-//	state := p.Step(now, picture)
+//	p := &rollout.Planner{Policy: policy, Order: order, FirstSeen: now} // at the duty holder
+//	state, complete := p.Step(now, fence, observation)
 package rollout
 
 import (
@@ -25,38 +26,40 @@
 	"monsoonlever/fleet"
 )
 
-// Order is what operators ask for: that the traffic of a service be moved to a version
-// within a time.
+// Order is an operator's request to move the traffic of a service to a version.
 type Order struct {
 	Service  fleet.Service
 	Target   fleet.Version
 	Duration time.Duration
-	// Place is that of the order among all; a later one of a service replaces the earlier.
+	// Place is the position of the order among all orders; a later order of a service replaces
+	// an earlier one.
 	Place uint64
 }
 
-// reissues tells whether an order is an earlier one that operators wrote reissues because the
-// platform lost it.
+// reissues reports whether the order repeats an earlier one that operators wrote again, at a
+// later era of the log, because the platform had lost it.
 func (o Order) reissues(earlier Order) bool {
 	return o.Service == earlier.Service && o.Target == earlier.Target && o.Duration == earlier.Duration &&
 		feed.Position(o.Place-1).Era() > feed.Position(earlier.Place-1).Era()
 }
 
-// Policy bounds what a new version may get before it is known to be good.
+// Policy limits the requests that a new version may receive before it is known to be good.
 type Policy struct {
-	// Share and Slack are the part of all requests of the service from the order to its
-	// deadline, and how many more, that a bad version may get over all instances.
+	// Share and Slack limit the requests that a bad version may receive from all instances: a
+	// share of the service's requests from the order to its deadline, plus a fixed number.
 	Share float64
 	Slack float64
-	// StopTimeout is the time after which nobody may send to a version that has shown itself bad.
+	// StopTimeout is the time after which no instance may send requests to a version that was
+	// found bad.
 	StopTimeout time.Duration
 }
 
-// grantStopShare is the part of the time to stop for which a decision to send to the new version
-// counts. Noticing and telling take the rest.
+// grantStopShare is the share of StopTimeout for which a decision to send requests to the new
+// version remains valid. Detecting a bad version and sending the update take the rest.
 const grantStopShare = 0.5
 
-// GrantTTL is how long a decision to send to the new version counts after it was made.
+// GrantTTL returns how long a decision to send requests to the new version remains valid after
+// it was made.
 func (p Policy) GrantTTL() time.Duration {
 	return time.Duration(grantStopShare * float64(p.StopTimeout))
 }
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -7,38 +7,40 @@
 )
 
 const (
-	// trialBudgetShare is the part of the budget that is spent on trying the version; the rest is
-	// for what it gets between the end of the roll-out and the deadline.
+	// trialBudgetShare is the share of the budget available to the trial. The rest covers
+	// requests that the new version receives between the completion record and the deadline.
 	trialBudgetShare = 0.45
-	// completionBudgetShare is the part of the budget that the end may use up.
+	// completionBudgetShare is the share of the budget that may be consumed by the deadline if
+	// the version turns bad right after its completion.
 	completionBudgetShare = 0.9
-	// maxLeadTime is how long before the deadline the end is written at most: some calls of
-	// the store, and the pace of the holder's steps.
+	// maxLeadTime is the longest time before the deadline at which the completion is written.
+	// It covers a few store calls and the interval between the holder's steps.
 	maxLeadTime = 1200 * time.Millisecond
-	// minShare is the least share of a version that gets any, and the first one; from step
-	// to step it grows by growth at most, since the rate of requests is known better each
-	// time.
+	// minShare is the first share and the smallest above zero. The share grows by at most the
+	// factor maxShareGrowth per step, because the estimate of the request rate improves with
+	// each step.
 	minShare       = 0.01
 	maxShareGrowth = 2
-	// rateSurge is how many times the rate that was seen may come until the counts show it.
+	// rateSurge is the factor by which the request rate may rise before the counts show it.
 	rateSurge = 1.5
-	// minVerdictAnswers is how many answers of the new version make a verdict, where the
-	// service has traffic, and fewRequests is a service with hardly any.
+	// minVerdictAnswers is the number of answers of the new version required to complete the
+	// roll-out. A service with fewer requests than lowTrafficRequests is completed without
+	// them.
 	minVerdictAnswers  = 30
 	lowTrafficRequests = 100
-	// undecidedDurations is after how many times its span an order is reverted that could not be
-	// decided.
+	// undecidedDurations is the number of order durations after which a trial with too few
+	// answers is reverted.
 	undecidedDurations = 2
 )
 
-// Observation is what the holder of the duty knows at a step.
+// Observation is the input of the duty holder to one planning step.
 type Observation struct {
 	Routes map[string]Count
-	// OldServers and NewServers are the servers of either version that take requests, and OldVersions
-	// their versions.
+	// OldServers and NewServers count the servers of the old versions and of the new version
+	// that accept requests; OldVersions lists the old versions.
 	OldServers, NewServers int
 	OldVersions            []fleet.Version
-	// CountDelay is the time in which the counts of all instances come here.
+	// CountDelay is the time within which the counts of all instances reach the duty holder.
 	CountDelay time.Duration
 }
 
@@ -52,28 +54,29 @@
 
 	state    State
 	detector detector
-	// requestRate is how many requests the service gets in a second, and reached and at are what
-	// it was last seen from.
+	// requestRate is the estimated number of requests per second of the service. It is derived
+	// from the change of the request count since lastReached, read at lastCountAt.
 	requestRate float64
 	lastReached uint64
 	lastCountAt time.Time
-	// completing is set once the end is to be written.
+	// completing is set while the completion record has to be written.
 	completing bool
 	reason     string
 }
 
-// Resume goes on from what an earlier holder has decided on the order.
+// Resume continues from the state that an earlier duty holder decided on.
 func (p *Planner) Resume(s State) {
 	if s.Replaces(p.state) || p.state.Place == 0 {
 		p.state = s
 	}
 }
 
-// Reason says what decided the end, or the share last.
+// Reason returns the reason for the completion or the reversion, empty during the trial.
 func (p *Planner) Reason() string { return p.reason }
 
-// Step returns the state from now on, and whether the end is to be written as completed:
-// the state says so once Completed was called. fence is the holder's.
+// Step returns the new state and whether the caller must write the completion record. The
+// state's phase becomes Completed only after a call of MarkCompleted. fence is the fence of
+// the duty holder.
 func (p *Planner) Step(now time.Time, fence uint64, observed Observation) (s State, complete bool) {
 	p.startStep(now, fence, observed)
 
@@ -98,19 +101,21 @@
 	return p.state, p.completing
 }
 
-// MarkCompleted takes in that the end was written.
+// MarkCompleted records that the completion was written and excludes the old versions from
+// further requests.
 func (p *Planner) MarkCompleted(old []fleet.Version) {
 	p.state.Phase, p.state.Share, p.completing = Completed, 1, false
 	p.state.Avoid = removeVersion(addVersions(p.state.Avoid, old...), p.Order.Target)
 	p.state.Step++
 }
 
-// startStep begins with an order that no holder has seen, and goes on with another's.
+// startStep initializes the state for a new order, or continues the state of an earlier
+// holder, and numbers the step.
 func (p *Planner) startStep(now time.Time, fence uint64, observed Observation) {
 	if p.state.Place < p.Order.Place {
 		avoid := p.state.Avoid
 		if p.state.Place > 0 && p.state.Phase != Completed {
-			// The order before was given up.
+			// The previous order was abandoned, so its version receives no more requests.
 			avoid = addVersions(avoid, p.state.Target)
 		}
 
@@ -121,7 +126,7 @@
 	}
 
 	if p.state.Step == 0 && observed.OldServers == 0 && observed.NewServers > 0 && p.state.Phase == Trial && p.state.Fence == 0 {
-		// Nothing but the new version runs: the roll-out ended before anyone here began.
+		// Only the new version runs: the roll-out ended before any holder planned it.
 		p.state.Phase, p.reason = Completed, "no other version runs"
 	}
 
@@ -133,7 +138,8 @@
 	p.state.Elapsed = now.Sub(p.FirstSeen)
 }
 
-// updateCounts takes in what the service and the new version have got.
+// updateCounts updates the request counts of the service and of the new version, and the
+// request rate.
 func (p *Planner) updateCounts(now time.Time, observed Observation) {
 	reached, exposed := p.state.ReachedBefore, p.state.ExposedBefore
 
@@ -149,7 +155,7 @@
 	}
 
 	p.lastReached, p.lastCountAt = reached, now
-	// What instances counted that are gone is known from the holder before.
+	// The previous holder's state includes counts of instances that are gone.
 	p.state.Reached, p.state.Exposed = max(p.state.Reached, reached), max(p.state.Exposed, exposed)
 }
 
@@ -158,7 +164,7 @@
 	p.state.Avoid = addVersions(p.state.Avoid, p.Order.Target)
 }
 
-// decide ends the trial once it is time to.
+// decide completes or reverts the trial once its deadline is near.
 func (p *Planner) decide(now time.Time, observed Observation) {
 	deadline := p.FirstSeen.Add(p.Order.Duration)
 	if now.Before(deadline.Add(-p.leadTime())) {
@@ -182,26 +188,26 @@
 	}
 }
 
-// requiredAnswers returns how many answers make a verdict: fewer where the budget allows no more.
+// requiredAnswers returns the number of answers required for a verdict, reduced where the
+// budget allows fewer.
 func (p *Planner) requiredAnswers() float64 {
 	return min(minVerdictAnswers, p.budget()*trialBudgetShare/2)
 }
 
-// budget returns how many requests the new version may have got by now.
+// budget returns the number of requests that the new version may have received so far.
 func (p *Planner) budget() float64 {
 	return p.Policy.Share*float64(p.state.Reached) + p.Policy.Slack
 }
 
-// nextShare returns the part of the requests that the new version gets. It is such that what
-// would still be sent until all instances have stopped, if the version turned bad now,
-// stays within the budget.
+// nextShare returns the share of requests for the new version. If the version turned bad now,
+// the requests sent to it until all instances stop would still stay within the trial's budget.
 func (p *Planner) nextShare(observed Observation) float64 {
 	if observed.NewServers == 0 {
 		return 0
 	}
 
-	// Of what is sent now, the counts come after Told, and a decision to stop counts at
-	// instances that hear nobody after the life of the last one.
+	// Requests sent now are counted after CountDelay, and an instance that receives no updates
+	// keeps sending until its last decision expires after GrantTTL.
 	uncounted := rateSurge * p.requestRate * (observed.CountDelay + p.Policy.GrantTTL()).Seconds()
 	left := p.budget()*trialBudgetShare - float64(p.state.Exposed)
 
@@ -210,7 +216,7 @@
 	}
 
 	if uncounted <= 0 {
-		// The service has no traffic: whatever comes is within the slack.
+		// The service has no traffic, so any request is covered by the slack.
 		return minShare
 	}
 
@@ -222,8 +228,9 @@
 	return share
 }
 
-// leadTime returns how long before the deadline the end may be written. A version that turns
-// bad then has all requests until the deadline, which is within the budget too.
+// leadTime returns how long before the deadline the completion may be written. A version that
+// turns bad after that receives all requests until the deadline, which stays within the budget
+// too.
 func (p *Planner) leadTime() time.Duration {
 	left := p.budget()*completionBudgetShare - float64(p.state.Exposed)
 	duration := time.Duration(left / max(p.requestRate, 1) * float64(time.Second))
--- a/rollout/simulation_test.go
+++ b/rollout/simulation_test.go
@@ -17,7 +17,7 @@
 	before  fleet.Version = "v1"
 
 	stepInterval = 100 * time.Millisecond
-	// planInterval is the pace of the holder's steps.
+	// planInterval is the time between two steps of the duty holder.
 	planInterval = 400 * time.Millisecond
 	// answerTime is how long a server takes to answer.
 	answerTime = 100 * time.Millisecond
@@ -28,18 +28,18 @@
 	policy = Policy{Share: 0.1, Slack: 50, StopTimeout: 5 * time.Second}
 )
 
-// defect is what is wrong with a version: the part of its answers that fail or are slow, from
-// a time on, on one route or all, and only where its servers carry a load.
+// defect describes a bad version: the fraction of its answers that fail or are slow, from a
+// time on, on one route or on all, and only above a share of the traffic.
 type defect struct {
 	rate        float64
 	slow        bool
 	startsAfter time.Duration
 	route       string
-	// minShare is the share of the traffic from which on it shows.
+	// minShare is the share of the traffic from which on the defect shows.
 	minShare float64
 }
 
-// simulation is a service whose instances try a version.
+// simulation is a service whose instances roll out a version.
 type simulation struct {
 	random      *rand.Rand
 	now         time.Time
@@ -55,17 +55,19 @@
 	table   Table
 	planner *Planner
 	fence   uint64
-	// frozenUntil is until when the holder stands still, and holderlessUntil until when there is none.
+	// The duty holder is paused until frozenUntil, and there is no holder until
+	// holderlessUntil.
 	frozenUntil, holderlessUntil time.Time
 	completed                    bool
 
 	answers []pendingAnswer
 	updates []pendingUpdate
-	// reached and exposed are all requests until the deadline, bad the times of bad answers,
-	// and late how many requests were sent too late after the fiftieth.
+	// reached and exposed count the requests until the deadline, of the service and of the new
+	// version; bad holds the times of bad answers. late counts the requests sent to the new
+	// version later than StopTimeout after the fiftieth bad answer.
 	reached, exposed, late int
 	bad                    []time.Time
-	// lastExposed is the part of the last step's requests that the new version got.
+	// lastExposed is the fraction of the last step's requests that the new version received.
 	lastExposed float64
 }
 
@@ -105,7 +107,7 @@
 
 func (w *simulation) deadline() time.Time { return begin.Add(w.order.Duration) }
 
-// step plays one step of the day.
+// step simulates one step.
 func (w *simulation) step(t fataler) {
 	w.now = w.now.Add(stepInterval)
 	w.send()
@@ -164,7 +166,7 @@
 func (w *simulation) serve(i int, route string, isNew bool) {
 	took := time.Duration(float64(answerTime) * (0.7 + 0.6*w.random.Float64()))
 	one := pendingAnswer{at: w.now.Add(answerTime), instance: i, route: route, tried: isNew, took: took}
-	// One route fails by its nature, whatever the version, and caches are cold at first.
+	// Route r0 fails on every version, and the caches of the new version are cold at first.
 	one.failed = route == "r0" && w.random.Float64() < 0.14
 
 	if isNew && w.random.Float64() < 0.3 {
@@ -207,7 +209,7 @@
 	w.answers = kept
 }
 
-// reportCounts lets some instances reportCounts what they counted.
+// reportCounts sends the counts of a random part of the instances to the duty holder.
 func (w *simulation) reportCounts() {
 	for i, c := range w.counters {
 		due := w.random.Float64() < stepInterval.Seconds()/w.countDelay.Seconds()
@@ -217,7 +219,7 @@
 	}
 }
 
-// plan lets the holder take a step and tell its decision to all.
+// plan runs a step of the duty holder and sends its decision to all instances.
 func (w *simulation) plan() {
 	if w.now.Sub(begin)%planInterval != 0 || w.now.Before(w.frozenUntil) || w.now.Before(w.holderlessUntil) {
 		return
@@ -241,7 +243,7 @@
 	}
 }
 
-// deliverUpdates delivers messages, which may overtake each other.
+// deliverUpdates delivers due messages, which may arrive out of order.
 func (w *simulation) deliverUpdates() {
 	kept := w.updates[:0]
 
@@ -258,7 +260,7 @@
 	w.updates = kept
 }
 
-// replaceHolder lets the duty go over to another instance, which knows what was recorded.
+// replaceHolder moves the duty to another instance, which resumes from the recorded state.
 func (w *simulation) replaceHolder(after time.Duration) {
 	w.fence++
 	w.holderlessUntil = w.now.Add(after)
@@ -267,10 +269,9 @@
 	w.planner.Resume(recorded)
 }
 
-// Whatever is wrong with a version and whenever it shows, at any number of instances, with
-// messages lost and late, instances cut off and the holder lost or frozen in its step, the
-// new version gets no more than its budget, and nothing later than the time to stop after
-// its fiftieth bad answer.
+// Guards against a bad version that exceeds its budget, or receives requests later than
+// StopTimeout after its fiftieth bad answer. The defect may show at any time, while messages
+// are lost or delayed, instances are partitioned, and the duty holder is lost or paused.
 func TestHoldsBadVersionWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 9, 80, 195, 410}).Draw(t, "instances")
@@ -308,7 +309,8 @@
 			w.step(t)
 
 			if w.completed {
-				// What a version does after the deadline is not the roll-out's.
+				// After the deadline, the version's answers are outside the roll-out's
+				// control.
 				if w.now.After(w.deadline()) {
 					break
 				}
@@ -324,7 +326,7 @@
 	})
 }
 
-// versions are those that operators may order, and what becomes of each by its deadline.
+// versions returns the versions under test and the phase that each must reach by its deadline.
 func versions() map[string]struct {
 	flaw defect
 	want Phase
@@ -344,8 +346,8 @@
 	}
 }
 
-// A good version is completed by its deadline, also where a route fails by its nature and
-// caches are cold, and a bad one is reverted before.
+// A good version must be completed by its deadline, even with a route that fails on every
+// version and cold caches; a bad version must be reverted.
 func TestVersionIsDecidedByDeadline(t *testing.T) {
 	for name, tt := range versions() {
 		for _, n := range []int{9, 80, 195, 410} {
@@ -365,7 +367,8 @@
 	}
 }
 
-// A version that fails on every route is reverted also where few of its answers are known of each.
+// A version that fails on every route must be reverted although each route has few answers:
+// the evidence of all routes is combined.
 func TestVersionFailingOnAllRoutesIsReverted(t *testing.T) {
 	for seed := range uint64(12) {
 		w := newSimulation(seed, 410, 400, 20*time.Second, defect{rate: 0.2})
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -7,26 +7,27 @@
 	"monsoonlever/fleet"
 )
 
-// Phase is how far a roll-out is.
+// Phase is the phase of a roll-out.
 type Phase uint8
 
-// The phases. A later one is never followed by an earlier one of the same order.
+// The phases. Within an order, the phase never decreases.
 const (
-	// Trial gives the new version a share of the requests.
+	// Trial sends a share of the requests to the new version.
 	Trial Phase = iota
-	// Completed gives it all; the old servers stop at once.
+	// Completed sends all requests to the new version; the old servers receive none from then
+	// on.
 	Completed
-	// Reverted gives it none; its servers go.
+	// Reverted sends no requests to the new version; its servers are removed.
 	Reverted
 )
 
-// String returns the phase as it stands in logs.
+// String returns the phase as logged.
 func (p Phase) String() string {
 	return [...]string{"trial", "completed", "reverted"}[min(p, Reverted)]
 }
 
-// State is what the holder of the duty has decided on an order. It travels between
-// instances and stands in their records.
+// State is the duty holder's decision on an order. Instances exchange it and store it in their
+// records.
 type State struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Service  fleet.Service
@@ -36,23 +37,23 @@
 	// Fence and Step order the messages of all holders on one order.
 	Fence uint64
 	Step  uint32
-	// Share is the part of the requests that the new version gets.
+	// Share is the share of the requests that the new version receives.
 	Share float64
-	// Avoid are versions that get nothing: those that were reverted or given up before, and
-	// once the roll-out is completed those that it replaced.
+	// Avoid lists versions that receive no requests: those reverted or abandoned earlier and,
+	// once the roll-out is completed, those that it replaced.
 	Avoid []fleet.Version
-	// Elapsed is how long ago the order was first seen when this was decided. Times of day
-	// differ between instances.
+	// Elapsed is the time from when the order was first seen to this decision. It is a
+	// duration because clocks differ between instances.
 	Elapsed time.Duration
-	// Reached and Exposed are the requests that the service and the new version got until
-	// then, so that the next holder counts on.
+	// Reached and Exposed count the requests of the service and of the new version until the
+	// decision, so that the next holder continues from them.
 	Reached, Exposed uint64
-	// ReachedBefore and ExposedBefore are those that were counted under another place of the
-	// order.
+	// ReachedBefore and ExposedBefore are the requests counted under an earlier place of the
+	// same order.
 	ReachedBefore, ExposedBefore uint64
 }
 
-// Replaces tells whether a state takes the place of another one of the same service.
+// Replaces reports whether s supersedes another state of the same service.
 func (s State) Replaces(other State) bool {
 	if s.Place != other.Place {
 		return s.Place > other.Place
@@ -69,11 +70,11 @@
 	return s.Step > other.Step
 }
 
-// maxAvoidedVersions bounds the versions that are remembered as getting nothing: servers of older ones
-// are long gone.
+// maxAvoidedVersions bounds the list of avoided versions; no servers of older versions remain.
 const maxAvoidedVersions = 8
 
-// addVersions adds versions to those that get nothing, the newest last.
+// addVersions appends versions that are not in the list yet, and drops the oldest entries
+// above maxAvoidedVersions.
 func addVersions(versions []fleet.Version, more ...fleet.Version) []fleet.Version {
 	all := slices.Clone(versions)
 
@@ -86,7 +87,7 @@
 	return all[max(len(all)-maxAvoidedVersions, 0):]
 }
 
-// removeVersion takes a version out of those that get nothing.
+// removeVersion returns the list without a version.
 func removeVersion(versions []fleet.Version, version fleet.Version) []fleet.Version {
 	return slices.DeleteFunc(slices.Clone(versions), func(v fleet.Version) bool { return v == version })
 }
