--- a/directory/planner_test.go
+++ b/directory/planner_test.go
@@ -45,14 +45,14 @@
 		reports[i] = Report{Relay: r, Sizes: map[fleet.FailureDomain]int{r.Domain: 1}}
 	}
 
-	turn := 0
+	nextRelay := 0
 
 	for _, m := range members {
 		if slices.Contains(relays, m) {
 			continue
 		}
 
-		chosen := turn % len(relays)
+		chosen := nextRelay % len(relays)
 
 		for range relays {
 			if relays[chosen].Domain == m.Domain {
@@ -62,7 +62,7 @@
 			chosen = (chosen + 1) % len(relays)
 		}
 
-		turn++
+		nextRelay++
 		reports[chosen].Sizes[m.Domain]++
 
 		if len(reports[chosen].Candidates) < 8 {
@@ -169,7 +169,7 @@
 	current, _ := settle(t, &Directory{Relays: topology.RelaysOf(topology.Rank(members)), Count: len(members)}, members)
 
 	lost := current.Relays[0]
-	left := slices.DeleteFunc(slices.Clone(members), func(m topology.Member) bool { return m == lost })
+	remaining := slices.DeleteFunc(slices.Clone(members), func(m topology.Member) bool { return m == lost })
 
 	var planner Planner
 
@@ -177,7 +177,7 @@
 		now := begin.Add(time.Duration(round) * time.Second)
 
 		others := slices.DeleteFunc(slices.Clone(current.Relays), func(m topology.Member) bool { return m == lost })
-		for _, r := range reportsOf(others, left) {
+		for _, r := range reportsOf(others, remaining) {
 			planner.AddReport(now, r)
 		}
 
--- a/register/deltas_test.go
+++ b/register/deltas_test.go
@@ -17,7 +17,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var r Register
 
-		followed := make(map[fleet.InstanceID]Server)
+		reconstructed := make(map[fleet.InstanceID]Server)
 		version := uint64(0)
 
 		draw := func() Change {
@@ -53,13 +53,13 @@
 
 			for _, d := range deltas {
 				if d.After == nil {
-					delete(followed, d.Before.ID)
+					delete(reconstructed, d.Before.ID)
 				} else {
-					followed[d.After.ID] = *d.After
+					reconstructed[d.After.ID] = *d.After
 				}
 			}
 
-			want := slices.SortedFunc(maps.Values(followed), byID)
+			want := slices.SortedFunc(maps.Values(reconstructed), byID)
 			if got := r.Servers(); !slices.Equal(got, want) {
 				t.Fatalf("servers: got %v, want %v", got, want)
 			}
--- a/topology/churn_model_test.go
+++ b/topology/churn_model_test.go
@@ -35,9 +35,9 @@
 	c.view = func(node *modelNode) []Member {
 		return slices.DeleteFunc(slices.Clone(c.members), func(m Member) bool {
 			pair := [2]fleet.InstanceID{node.member.ID, m.ID}
-			gone, ends := c.removalReadAt[pair]
+			removedAt, terminated := c.removalReadAt[pair]
 
-			return c.now.Before(c.joinReadAt[pair]) || ends && !c.now.Before(gone)
+			return c.now.Before(c.joinReadAt[pair]) || terminated && !c.now.Before(removedAt)
 		})
 	}
 
--- a/topology/links.go
+++ b/topology/links.go
@@ -150,7 +150,7 @@
 
 // MessageReceived records a message that came directly from a member, and the relation that the
 // member sent it under.
-func (l *Links) MessageReceived(now time.Time, m Member, as Relation) {
+func (l *Links) MessageReceived(now time.Time, m Member, relation Relation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
@@ -163,7 +163,7 @@
 	delete(l.subscribers, m.ID)
 	delete(l.otherRelays, m.ID)
 
-	switch as {
+	switch relation {
 	case BetweenRelays:
 		l.otherRelays[m.ID], l.addressedAsRelayAt = seenMember{member: m, at: now}, now
 	case ToRelay:
@@ -579,15 +579,15 @@
 func (l *Links) activeMembers(now time.Time, seen map[fleet.InstanceID]seenMember, exclude []Member) []Member {
 	var members []Member
 
-	for id, h := range seen {
-		if now.Sub(h.at) > subscriptionTTL {
+	for id, last := range seen {
+		if now.Sub(last.at) > subscriptionTTL {
 			delete(seen, id)
 
 			continue
 		}
 
 		if !slices.ContainsFunc(exclude, func(m Member) bool { return m.ID == id }) {
-			members = append(members, h.member)
+			members = append(members, last.member)
 		}
 	}
 
--- a/topology/model_test.go
+++ b/topology/model_test.go
@@ -167,7 +167,7 @@
 
 // ageQuantile returns a quantile of the age of the state that each live node knows of each
 // other live node.
-func (m *model) ageQuantile(share float64) time.Duration {
+func (m *model) ageQuantile(quantile float64) time.Duration {
 	var ages []time.Duration
 
 	for i, node := range m.nodes {
@@ -184,7 +184,7 @@
 
 	slices.SortFunc(ages, cmp.Compare)
 
-	return ages[int(share*float64(len(ages)-1))]
+	return ages[int(quantile*float64(len(ages)-1))]
 }
 
 // maxSentPerSecond returns the largest number of messages a second that any relay, or any node
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -134,11 +134,11 @@
 		t.Errorf("plan of another instance: got %v, want five leaders without %s", got, leader)
 	}
 
-	few := fleetOf(FullMeshMax, 4)
-	l = &Links{Self: few[0]}
+	fullMesh := fleetOf(FullMeshMax, 4)
+	l = &Links{Self: fullMesh[0]}
 	l.StepDown()
 
-	if plan := l.Plan(begin, few); !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
+	if plan := l.Plan(begin, fullMesh); !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
 		t.Errorf("stopping instance of a full mesh: got relay %t with %d peers, want all", plan.Relay, len(plan.Relays))
 	}
 }
@@ -146,17 +146,17 @@
 // In a full mesh an instance that stops still shares the limits, but must neither lead nor
 // grant.
 func TestStoppedPeerInFullMeshIsNoLeader(t *testing.T) {
-	few := fleetOf(4, 2)
-	leading := planOf(few[0], few).Leaders[0]
-	other := few[slices.IndexFunc(few, func(m Member) bool { return m.ID != leading })]
+	fullMesh := fleetOf(4, 2)
+	leader := planOf(fullMesh[0], fullMesh).Leaders[0]
+	other := fullMesh[slices.IndexFunc(fullMesh, func(m Member) bool { return m.ID != leader })]
 
 	l := &Links{Self: other}
-	l.Plan(begin, few)
-	l.PeerStopped(leading)
+	l.Plan(begin, fullMesh)
+	l.PeerStopped(leader)
 
-	plan := l.Plan(begin, few)
-	if plan.IsLeader(leading) || len(plan.Relays) != len(few)-1 {
-		t.Errorf("got leaders %v and %d relays, want %s as relay but not as leader", plan.Leaders, len(plan.Relays), leading)
+	plan := l.Plan(begin, fullMesh)
+	if plan.IsLeader(leader) || len(plan.Relays) != len(fullMesh)-1 {
+		t.Errorf("got leaders %v and %d relays, want %s as relay but not as leader", plan.Leaders, len(plan.Relays), leader)
 	}
 }
 
