--- a/directory/planner_test.go
+++ b/directory/planner_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// fleetOf returns n members in some failure domains, of which every sixteenth has more cores.
+// fleetOf returns n members that are distributed over the failure domains in turn. One of
+// sixteen members of each domain has more cores.
 func fleetOf(n, domains int) []topology.Member {
 	members := make([]topology.Member, 0, n)
 
@@ -36,22 +37,22 @@
 	return members
 }
 
-// reportsOf has each member turn to a relay of its domain, or to any where it has none, and
-// returns what the relays report.
+// reportsOf subscribes each member to a relay of its failure domain, or to any relay if the
+// domain has none, and returns the relays' reports.
 func reportsOf(relays, members []topology.Member) []Report {
 	reports := make([]Report, len(relays))
 	for i, r := range relays {
 		reports[i] = Report{Relay: r, Sizes: map[fleet.FailureDomain]int{r.Domain: 1}}
 	}
 
-	turn := 0
+	nextRelay := 0
 
 	for _, m := range members {
 		if slices.Contains(relays, m) {
 			continue
 		}
 
-		chosen := turn % len(relays)
+		chosen := nextRelay % len(relays)
 
 		for range relays {
 			if relays[chosen].Domain == m.Domain {
@@ -61,7 +62,7 @@
 			chosen = (chosen + 1) % len(relays)
 		}
 
-		turn++
+		nextRelay++
 		reports[chosen].Sizes[m.Domain]++
 
 		if len(reports[chosen].Candidates) < 8 {
@@ -72,12 +73,11 @@
 	return reports
 }
 
-// settle has a keeper decide until nothing changes, and returns the directory and after how
-// many changes.
+// settle runs a planner for 30 rounds and returns the last directory and the number of changes.
 func settle(t *testing.T, current *Directory, members []topology.Member) (*Directory, int) {
 	t.Helper()
 
-	var keeper Planner
+	var planner Planner
 
 	changes := 0
 
@@ -86,10 +86,10 @@
 
 		for _, r := range reportsOf(current.Relays, members) {
 			r.Candidates = topology.Rank(r.Candidates)
-			keeper.AddReport(now, r)
+			planner.AddReport(now, r)
 		}
 
-		if next, changed := keeper.Next(now, current); changed {
+		if next, changed := planner.Next(now, current); changed {
 			current = next
 			changes++
 		}
@@ -98,7 +98,7 @@
 	return current, changes
 }
 
-func TestTheFirstDirectoryHasEnoughRelaysInEachDomain(t *testing.T) {
+func TestFirstDirectoryHasEnoughRelaysPerDomain(t *testing.T) {
 	for _, n := range []int{13, 30, 80, 195, 410, 986, 2000} {
 		members := fleetOf(n, 6)
 		first := members[0]
@@ -108,11 +108,11 @@
 			sizes[m.Domain]++
 		}
 
-		var keeper Planner
+		var planner Planner
 
-		keeper.AddReport(begin, Report{Relay: first, Sizes: sizes, Candidates: members[1:]})
+		planner.AddReport(begin, Report{Relay: first, Sizes: sizes, Candidates: members[1:]})
 
-		got, changed := keeper.Next(begin, &Directory{Relays: []topology.Member{first}, Count: 1, Forming: true})
+		got, changed := planner.Next(begin, &Directory{Relays: []topology.Member{first}, Count: 1, Forming: true})
 		if !changed || got.Forming || got.Count != n {
 			t.Errorf("%d instances: got %d, forming %t, want all of them", n, got.Count, got.Forming)
 		}
@@ -132,23 +132,23 @@
 		}
 
 		if large := got.Relays[0].Cores; large != 0.8 {
-			t.Errorf("%d instances: got a first relay of %.1f cores, want the largest", n, large)
+			t.Errorf("%d instances: got a first relay with %.1f cores, want the largest", n, large)
 		}
 	}
 }
 
 func TestFewInstancesNeedNoRelays(t *testing.T) {
-	var keeper Planner
+	var planner Planner
 
-	keeper.AddReport(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
+	planner.AddReport(begin, Report{Relay: member(0, 0, 1), Sizes: map[fleet.FailureDomain]int{"domain-0": 6}})
 
-	got, changed := keeper.Next(begin, &Directory{Count: 1, Forming: true})
+	got, changed := planner.Next(begin, &Directory{Count: 1, Forming: true})
 	if !changed || !got.FullMesh() || len(got.Relays) != 0 {
-		t.Errorf("got %+v, changed %t, want few without relays", got, changed)
+		t.Errorf("got %+v, changed %t, want a full mesh without relays", got, changed)
 	}
 }
 
-func TestADirectoryGrowsWithTheFleet(t *testing.T) {
+func TestDirectoryGrowsWithFleet(t *testing.T) {
 	members := fleetOf(986, 6)
 	few := members[:100]
 
@@ -169,48 +169,48 @@
 	current, _ := settle(t, &Directory{Relays: topology.RelaysOf(topology.Rank(members)), Count: len(members)}, members)
 
 	lost := current.Relays[0]
-	left := slices.DeleteFunc(slices.Clone(members), func(m topology.Member) bool { return m == lost })
+	remaining := slices.DeleteFunc(slices.Clone(members), func(m topology.Member) bool { return m == lost })
 
-	var keeper Planner
+	var planner Planner
 
 	for round := range 20 {
 		now := begin.Add(time.Duration(round) * time.Second)
 
 		others := slices.DeleteFunc(slices.Clone(current.Relays), func(m topology.Member) bool { return m == lost })
-		for _, r := range reportsOf(others, left) {
-			keeper.AddReport(now, r)
+		for _, r := range reportsOf(others, remaining) {
+			planner.AddReport(now, r)
 		}
 
-		next, changed := keeper.Next(now, current)
+		next, changed := planner.Next(now, current)
 		if changed {
 			current = next
 		}
 
-		if now.Sub(begin) < silentAfter && !current.HasRelay(lost.ID) {
-			t.Fatalf("after %v: got the relay replaced, want it kept for %v", now.Sub(begin), silentAfter)
+		if now.Sub(begin) < reportTimeout && !current.HasRelay(lost.ID) {
+			t.Fatalf("after %v: got the relay replaced, want it retained for %v", now.Sub(begin), reportTimeout)
 		}
 	}
 
 	if current.HasRelay(lost.ID) {
-		t.Error("a silent relay: got it kept, want it replaced")
+		t.Error("silent relay: got it retained, want it replaced")
 	}
 }
 
-// An instance that has just begun to lead knows few reports, and must not take that for a loss.
-func TestANewLeaderDropsNobodyBeforeItCouldHear(t *testing.T) {
+// A new leader has received few reports and must not take the missing ones for lost relays.
+func TestNewLeaderKeepsRelaysBeforeReports(t *testing.T) {
 	members := fleetOf(986, 6)
 	current, _ := settle(t, &Directory{Relays: topology.RelaysOf(topology.Rank(members)), Count: len(members)}, members)
 
-	var keeper Planner
+	var planner Planner
 
-	for _, after := range []time.Duration{0, time.Second, silentAfter - time.Millisecond} {
-		if next, changed := keeper.Next(begin.Add(after), current); changed {
+	for _, after := range []time.Duration{0, time.Second, reportTimeout - time.Millisecond} {
+		if next, changed := planner.Next(begin.Add(after), current); changed {
 			t.Errorf("after %v without reports: got %d instances and %d relays, want nothing changed", after, next.Count, len(next.Relays))
 		}
 	}
 }
 
-func TestADirectoryIsDecodedAsItWasEncoded(t *testing.T) {
+func TestMarshalRoundTrip(t *testing.T) {
 	want := &Directory{Relays: fleetOf(20, 3), Count: 400, Forming: true}
 
 	data, err := want.Marshal()
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -216,7 +216,7 @@
 		Clock: e.Clock, Rules: &p.rules, Currency: p.currency, Limits: p.loans, Retries: p.retries,
 		Scheduler: p.scheduler, Pool: p.pool, Protocol: platform.Protocol{Fields: &p.unknownFields}, Usage: p.counter,
 		Versions: &p.rollouts.gate, Trials: &p.rollouts.counter,
-		Quarantine: p.quarantine, Counters: forward.NewCounters(set), MaxAnswerBytes: maxAnswerBytes, Observe: e.logOutcome,
+		Quarantine: p.quarantine, Counters: forward.NewCounters(set), MaxResponseBytes: maxAnswerBytes, Observe: e.logOutcome,
 	}
 	p.handler = &platform.Handler{Clock: e.Clock, Serve: p.serve, BodyBytes: p.bodyBytes}
 	p.board = &board.Board{
@@ -305,7 +305,7 @@
 
 func newRetries(b settings.Bounds) *retry.Budgets {
 	return retry.NewBudgets(retry.BudgetPolicy{
-		Window: b.RetryWindow, Share: b.RetryShare * retryMargin, Least: b.Retries(),
+		Window: b.RetryWindow, Share: b.RetryShare * retryMargin, MinRetries: b.Retries(),
 	})
 }
 
@@ -396,9 +396,9 @@
 		return
 	}
 
-	klog.InfoS("request", "id", r.ID, "outcome", o.Reason.String(), "route", o.Route, "account", o.Account, "content", o.Content,
-		"rules", o.Rules, "rulesAge", o.RulesAge, "notRun", o.NotRun, "servers", o.Servers, "events", o.Events,
-		"held", o.Held, "took", o.Took, "cause", o.Cause)
+	klog.InfoS("request", "id", r.ID, "outcome", o.Reason.String(), "route", o.Route, "account", o.Account, "content", o.Fingerprint,
+		"rules", o.RulesVersion, "rulesAge", o.RulesAge, "notRun", o.NotRun, "servers", o.Servers, "events", o.Events,
+		"held", o.Queued, "took", o.Duration, "cause", o.Cause)
 }
 
 // self is this instance.
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -14,25 +14,25 @@
 	"monsoonlever/upstream"
 )
 
-// Errors of attempts.
+// Errors of attempts whose response header was received.
 var (
-	errUnsigned    = merry.Sentinel("answer is not signed by a backend server")
-	errFailed      = merry.Sentinel("backend server failed the request")
-	errCallerWrite = merry.Sentinel("answer could not be written to the caller")
+	errUnsignedResponse = merry.Sentinel("response is not signed by a backend server")
+	errServerFailed     = merry.Sentinel("backend server failed the request")
+	errCallerWrite      = merry.Sentinel("response could not be written to the caller")
 )
 
-// wholeAnswer is an answer that is not a stream.
-type wholeAnswer struct {
+// bufferedResponse is a complete response that was not relayed as a stream.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// attempt sends the request to one server and relays what comes.
+// attempt sends the request to one backend server and relays its response to the sink.
 func (f *Forwarder) attempt(ctx context.Context, j *job, sink Sink) error {
 	began := f.Clock.Now()
-	assignment, err := f.Scheduler.Place(ctx, f.Clock, j.placing())
-	j.held += f.Clock.Now().Sub(began)
+	assignment, err := f.Scheduler.Place(ctx, f.Clock, j.schedulingRequest())
+	j.queued += f.Clock.Now().Sub(began)
 
 	if err != nil {
 		return err
@@ -41,63 +41,67 @@
 	j.excluded = append(j.excluded, assignment.ID())
 
 	if !assignment.Start(f.Clock.Now()) {
-		return merry.Wrap(backend.ErrNotSent, merry.WithCause(errBlocked))
+		return merry.Wrap(backend.ErrNotSent, merry.WithCause(errServerBlocked))
 	}
 
 	server := upstream.Server{ID: assignment.ID(), Address: assignment.Address()}
-	j.beginTrial(assignment)
+	j.startTrial(assignment)
 
-	answer, err := f.Pool.Send(ctx, server, j.message(assignment))
+	response, err := f.Pool.Send(ctx, server, j.upstreamRequest(assignment))
 	if err != nil {
 		f.endAttempt(ctx, j, assignment, err)
-		f.lostWith(ctx, j, assignment, false, err)
+		f.recordLoss(ctx, j, assignment, false, err)
 
-		return j.sendFailed(server, err)
+		return j.recordSendFailure(server, err)
 	}
-	defer answer.Close()
+	defer response.Close()
 
 	j.sent++
-	j.servers = append(j.servers, string(server.ID))
-	err = f.receive(ctx, j, assignment, answer, sink)
+	j.sentTo = append(j.sentTo, string(server.ID))
+	err = f.relayResponse(ctx, j, assignment, response, sink)
 	f.endAttempt(ctx, j, assignment, err)
-	f.lostWith(ctx, j, assignment, true, err)
+	f.recordLoss(ctx, j, assignment, true, err)
 
 	return err
 }
 
-// endAttempt tells the scheduler, and whoever tries a new version, how an attempt ended.
+// endAttempt reports the result of an attempt to the scheduler and to the trial of a new
+// version.
 func (f *Forwarder) endAttempt(ctx context.Context, j *job, a *scheduling.Assignment, err error) {
 	now, result := f.Clock.Now(), resultOf(ctx, err)
 	a.End(now, result)
 	j.trial.end(now, result, err)
 }
 
-func (j *job) sendFailed(server upstream.Server, err error) error {
+// recordSendFailure records that no response header was received from a server, and
+// returns err. If the request may have been sent, the server counts as used.
+func (j *job) recordSendFailure(server upstream.Server, err error) error {
 	if errors.Is(err, backend.ErrNotSent) {
 		return err
 	}
 
 	j.sent++
-	j.servers = append(j.servers, string(server.ID))
+	j.sentTo = append(j.sentTo, string(server.ID))
 	j.mayHaveRun = true
 
 	if !j.route.Generative {
-		// A plain service begins at once. An engine begins with the first token, and
-		// says so with the header of its answer, which has not come.
-		j.countBegin()
+		// A plain service runs a request as soon as it is received. A model engine sends
+		// the header of its response when it begins to generate, and none was received.
+		j.countUsage()
 	}
 
 	return err
 }
 
-// countBegin counts the request as begun for the account's usage, once.
-func (j *job) countBegin() {
-	if !j.began && j.account != nil {
-		j.began = true
+// countUsage counts the request as started in the usage of its client account, once.
+func (j *job) countUsage() {
+	if !j.usageCounted && j.account != nil {
+		j.usageCounted = true
 		j.forwarder.Usage.RequestStarted(j.account.Name)
 	}
 }
 
+// resultOf returns what the error of an attempt means for the scheduler.
 func resultOf(ctx context.Context, err error) scheduling.Result {
 	switch {
 	case err == nil:
@@ -105,7 +109,7 @@
 	case errors.Is(err, backend.ErrRefused):
 		return scheduling.Rejected
 	case errors.Is(err, errCallerWrite), errors.Is(err, errRevoked), errors.Is(err, errQuarantined),
-		errors.Is(err, errBlocked), errors.Is(err, scheduling.ErrNoServer):
+		errors.Is(err, errServerBlocked), errors.Is(err, scheduling.ErrNoServer):
 		return scheduling.Cancelled
 	case errors.Is(err, unix.ECONNREFUSED):
 		return scheduling.Terminated
@@ -118,11 +122,11 @@
 	}
 }
 
-// receive reads an answer whose header has come.
-func (f *Forwarder) receive(
-	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Answer, sink Sink,
+// relayResponse evaluates the header of a response and relays the response.
+func (f *Forwarder) relayResponse(
+	ctx context.Context, j *job, assignment *scheduling.Assignment, response *upstream.Response, sink Sink,
 ) error {
-	reading := f.Protocol.Inspect(answer.Status(), answer.Header())
+	reading := f.Protocol.Inspect(response.Status(), response.Header())
 
 	if reading.Load != nil {
 		f.Scheduler.RecordLoad(f.Clock.Now(), assignment.ID(), *reading.Load)
@@ -145,48 +149,50 @@
 	}
 
 	if reading.NotRun {
-		// The body says nothing more, but reading it keeps the connection.
-		_, _ = answer.ReadAll(f.MaxAnswerBytes)
+		// The body is read only so that the connection can be reused.
+		_, _ = response.ReadAll(f.MaxResponseBytes)
 
 		return merry.Prepend(backend.ErrRefused, string(assignment.ID()))
 	}
 
 	j.mayHaveRun = true
-	j.countBegin()
+	j.countUsage()
 
-	if j.route.Kind == ruleset.Streaming && answer.Status() == http.StatusOK && reading.Signed {
-		return f.relayStream(ctx, j, assignment, answer, sink)
+	if j.route.Kind == ruleset.Streaming && response.Status() == http.StatusOK && reading.Signed {
+		return f.relayStream(ctx, j, assignment, response, sink)
 	}
 
-	return f.relayWhole(j, answer, reading, sink)
+	return f.relayBuffered(j, response, reading, sink)
 }
 
-// relayWhole passes an answer on that is not a stream, once it is whole.
-func (f *Forwarder) relayWhole(j *job, answer *upstream.Answer, reading Reading, sink Sink) error {
-	body, err := answer.ReadAll(f.MaxAnswerBytes)
+// relayBuffered reads a response that is not a stream and writes it to the sink once it is
+// complete. A response of status 500 or above is kept as lastFailure instead, unless the
+// caller has events of a stream already.
+func (f *Forwarder) relayBuffered(j *job, response *upstream.Response, reading Reading, sink Sink) error {
+	body, err := response.ReadAll(f.MaxResponseBytes)
 	if err != nil {
 		return err
 	}
 
-	// The connection serves the next request while this answer is written.
-	answer.Close()
+	// Close first: other requests can use the connection while this response is written.
+	response.Close()
 
 	if !reading.Signed {
-		return merry.Prependf(errUnsigned, "status %d", answer.Status())
+		return merry.Prependf(errUnsignedResponse, "status %d", response.Status())
 	}
 
-	if answer.Status() >= http.StatusInternalServerError && j.stream.count == 0 {
-		j.last = &wholeAnswer{status: answer.Status(), header: answer.Header(), body: body}
+	if response.Status() >= http.StatusInternalServerError && j.stream.events == 0 {
+		j.lastFailure = &bufferedResponse{status: response.Status(), header: response.Header(), body: body}
 
-		return merry.Prependf(errFailed, "status %d", answer.Status())
+		return merry.Prependf(errServerFailed, "status %d", response.Status())
 	}
 
 	if j.stream.begun {
-		return merry.Prependf(errFailed, "status %d instead of the rest of a stream", answer.Status())
+		return merry.Prependf(errServerFailed, "status %d instead of the rest of a stream", response.Status())
 	}
 
-	if err := sink.Answer(answer.Status(), answer.Header(), body); err != nil {
-		return merry.Prepend(errCallerWrite, "write answer", merry.WithCause(err))
+	if err := sink.WriteResponse(response.Status(), response.Header(), body); err != nil {
+		return merry.Prepend(errCallerWrite, "write response", merry.WithCause(err))
 	}
 
 	return nil
--- a/forward/guards_test.go
+++ b/forward/guards_test.go
@@ -11,14 +11,14 @@
 	"monsoonlever/scheduling"
 )
 
-func answerAll(_ string, _ int, r *http.Request) string { return whole(r, http.StatusOK) }
+func respondOK(_ string, _ int, r *http.Request) string { return signedResponse(r, http.StatusOK) }
 
-// A machine may sleep, or the store be away, while a connection is being made. Rules
-// that grew too old meanwhile allow nothing.
-func TestNothingIsSentOnceTheRulesGrewOld(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.dialling = func(string) { s.clock.Advance(bound + time.Millisecond) }
+// Guards against a send under rules that became stale while the connection was dialled, as
+// when the machine sleeps or the store is unreachable.
+func TestSendIsBlockedByStaleRules(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.onDial = func(string) { s.clock.Advance(rulesMaxAge + time.Millisecond) }
 
 	outcome, got := s.call("once", "r-1")
 
@@ -27,42 +27,43 @@
 	}
 
 	if outcome.Reason != StaleRules || !outcome.NotRun || len(got.refusals) != 1 || got.refusals[0].RetryAfter <= 0 {
-		t.Errorf("outcome: got %+v and %+v, want one refusal as stale, not run, with when to come back", outcome, got)
+		t.Errorf("outcome: got %+v and %+v, want one refusal StaleRules, not run, with a Retry-After", outcome, got)
 	}
 }
 
-func TestNothingIsSentOnceTheKeyWasTakenAway(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.dialling = func(string) { s.rules.Store(rulesWith(t, 2, "other")) }
+func TestSendIsBlockedByRevokedKey(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.onDial = func(string) { s.rules.Store(rulesWith(t, 2, "other")) }
 
 	outcome, _ := s.call("once", "r-1")
 
 	if len(s.arrivals()) != 0 || outcome.Reason != StaleRules || !outcome.NotRun {
-		t.Errorf("got %v and %+v, want no arrival and a refusal that says not run", s.arrivals(), outcome)
+		t.Errorf("got %v and %+v, want no arrival and a refusal StaleRules, not run", s.arrivals(), outcome)
 	}
 }
 
-// Newer rules that leave the key alone change nothing for a request that waits.
-func TestARequestGoesOnUnderNewerRulesThatAllowIt(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.dialling = func(string) { s.rules.Store(rulesWith(t, 2, "key")) }
+// Guards against refusing a waiting request because newer rules were published that still
+// allow it.
+func TestSendSucceedsUnderNewRulesWithSameKey(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.onDial = func(string) { s.rules.Store(rulesWith(t, 2, "key")) }
 
 	if outcome, got := s.call("once", "r-1"); outcome.Reason != Answered || got.status != http.StatusOK {
 		t.Errorf("outcome: got %+v with status %d, want it answered", outcome, got.status)
 	}
 }
 
-func TestAServerThatBeganToLeaveIsSentNothing(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
+func TestSendSkipsServerThatStartsLeaving(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
 
 	first := ""
-	s.dialling = func(address string) {
+	s.onDial = func(address string) {
 		if first == "" {
 			first = address
-			s.leave("api", address)
+			s.announceLeaving("api", address)
 		}
 	}
 
@@ -70,16 +71,18 @@
 	seen := s.arrivals()
 
 	if outcome.Reason != Answered || len(seen) != 1 || seen[0].address == first {
-		t.Errorf("got %+v and arrivals %v, want one at the server that does not leave, %s does", outcome, seen, first)
+		t.Errorf("got %+v and arrivals %v, want one at the server that does not leave; %s leaves", outcome, seen, first)
 	}
 }
 
-// Servers that all fail must not be sent twice the load.
-func TestFurtherSendsKeepToTheirBudget(t *testing.T) {
+// Guards against retries that double the load of a service whose servers all fail.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	const requests, budget = 20, 3
 
-	s := newSite(t, budget)
-	s.answer = func(_ string, _ int, r *http.Request) string { return whole(r, http.StatusInternalServerError) }
+	s := newFixture(t, budget)
+	s.respond = func(_ string, _ int, r *http.Request) string {
+		return signedResponse(r, http.StatusInternalServerError)
+	}
 
 	for i := range requests {
 		s.call("safe", fmt.Sprint("r-", i))
@@ -90,7 +93,7 @@
 	}
 }
 
-func TestOnlyWhatMayBeRepeatedIs(t *testing.T) {
+func TestRetryRequiresIdempotentOrUnprocessedRequest(t *testing.T) {
 	const cut = ""
 
 	tests := []struct {
@@ -100,27 +103,27 @@
 		reason      Reason
 		notRun      bool
 	}{
-		{"an unsafe call whose answer is lost", "once", func(*http.Request) string { return cut }, 1, Lost, false},
+		{"an unsafe call whose response is lost", "once", func(*http.Request) string { return cut }, 1, ResponseLost, false},
 		{"an unsafe call that a server did not run", "once", func(r *http.Request) string {
-			return whole(r, http.StatusServiceUnavailable, notRunHeader+": yes\r\n")
+			return signedResponse(r, http.StatusServiceUnavailable, notRunHeader+": yes\r\n")
 		}, 2, Overloaded, true},
-		{"a safe call whose answer is lost", "safe", func(*http.Request) string { return cut }, 2, Lost, false},
-		{"a stream that may not be resumed and is lost", "tell", func(*http.Request) string { return cut }, 1, Lost, false},
-		{"a stream that may not be resumed and is cut", "tell", func(r *http.Request) string {
-			return stream(r, 1, 2, true)
-		}, 1, Broken, false},
-		{"an answer that nobody signed", "once", func(r *http.Request) string {
+		{"a safe call whose response is lost", "safe", func(*http.Request) string { return cut }, 2, ResponseLost, false},
+		{"a stream that is not resumable and is lost", "tell", func(*http.Request) string { return cut }, 1, ResponseLost, false},
+		{"a stream that is not resumable and is cut", "tell", func(r *http.Request) string {
+			return signedStream(r, 1, 2, true)
+		}, 1, StreamBroken, false},
+		{"a response without a signature", "once", func(r *http.Request) string {
 			return "HTTP/1.1 200 OK\r\n" + idHeader + ": " + r.Header.Get(idHeader) + "\r\nContent-Length: 0\r\n\r\n"
-		}, 1, Lost, false},
-		{"an answer to another request", "once", func(*http.Request) string {
+		}, 1, ResponseLost, false},
+		{"a response to another request", "once", func(*http.Request) string {
 			return "HTTP/1.1 200 OK\r\n" + idHeader + ": other\r\n" + signHeader +
 				": yes\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-		}, 1, Lost, false},
+		}, 1, ResponseLost, false},
 	}
 
 	for _, test := range tests {
-		s := newSite(t, 10)
-		s.answer = func(_ string, _ int, r *http.Request) string {
+		s := newFixture(t, 10)
+		s.respond = func(_ string, _ int, r *http.Request) string {
 			return test.answer(r)
 		}
 
@@ -137,22 +140,22 @@
 	}
 }
 
-// A stream goes on at another server after the last whole event, each event once.
-func TestAStreamIsResumedAfterItsLastWholeEvent(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = func(_ string, n int, r *http.Request) string {
+// Guards against lost or repeated events when a stream is resumed at another server.
+func TestStreamResumesAfterLastCompleteEvent(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = func(_ string, n int, r *http.Request) string {
 		if n == 1 {
-			return stream(r, 1, 2, true)
+			return signedStream(r, 1, 2, true)
 		}
 
-		return stream(r, 3, 4, false)
+		return signedStream(r, 3, 4, false)
 	}
 
 	outcome, got := s.call("talk", "r-1")
 	seen := s.arrivals()
 
 	if outcome.Reason != Answered || len(seen) != 2 || seen[1].resume != "2" || seen[0].address == seen[1].address {
-		t.Fatalf("got %+v and arrivals %v, want a second server asked for what follows event 2", outcome, seen)
+		t.Fatalf("got %+v and arrivals %v, want the stream resumed after event 2 at a second server", outcome, seen)
 	}
 
 	for i, event := range got.events {
@@ -166,36 +169,37 @@
 	}
 
 	if began := s.usage.began.Load(); began != 1 {
-		t.Errorf("begun for usage: got %d, want 1", began)
+		t.Errorf("requests counted in the usage: got %d, want 1", began)
 	}
 }
 
-// An event that repeats or skips what the caller has breaks the stream off.
-func TestAStreamThatGoesOnWronglyIsBrokenOff(t *testing.T) {
+// Guards against passing on a resumed stream that repeats or skips events.
+func TestResumedStreamWithGapOrRepeatIsAborted(t *testing.T) {
 	for name, from := range map[string]int{"repeats": 2, "skips": 4} {
-		s := newSite(t, 10)
-		s.answer = func(_ string, n int, r *http.Request) string {
+		s := newFixture(t, 10)
+		s.respond = func(_ string, n int, r *http.Request) string {
 			if n == 1 {
-				return stream(r, 1, 2, true)
+				return signedStream(r, 1, 2, true)
 			}
 
-			return stream(r, from, from+1, false)
+			return signedStream(r, from, from+1, false)
 		}
 
 		outcome, got := s.call("talk", "r-1")
-		if outcome.Reason != Broken || len(got.events) != 2 || len(got.refusals) != 1 {
-			t.Errorf("a server that %s: got %v with %d events, want it broken off after 2", name, outcome.Reason, len(got.events))
+		if outcome.Reason != StreamBroken || len(got.events) != 2 || len(got.refusals) != 1 {
+			t.Errorf("a server that %s: got %v with %d events, want it aborted after 2", name, outcome.Reason, len(got.events))
 		}
 	}
 }
 
-// A prompt that is held back until its server has room is judged by the rules of then.
-func TestAHeldPromptIsJudgedOnceMore(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = func(_ string, _ int, r *http.Request) string { return stream(r, 1, 1, false) }
-	// The prompt could begin after 1.5 s: too late for its objective of 0.5 s, and before
-	// its caller leaves after 2 s.
-	waiting := s.overload(60_000)
+// Guards against sending a prompt that was queued for a busy server under rules that changed
+// meanwhile.
+func TestQueuedPromptIsRecheckedAgainstNewRules(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = func(_ string, _ int, r *http.Request) string { return signedStream(r, 1, 1, false) }
+	// The prompt could start after 1.5 s: too late for its objective of 0.5 s, but before its
+	// caller abandons it after 2 s.
+	waiting := s.overloadEngines(60_000)
 
 	done := make(chan Outcome)
 
@@ -206,7 +210,7 @@
 
 	select {
 	case outcome := <-done:
-		t.Fatalf("outcome: got %+v, want the prompt to be held", outcome)
+		t.Fatalf("outcome: got %+v, want the prompt to be queued", outcome)
 	case <-time.After(50 * time.Millisecond):
 	}
 
@@ -216,18 +220,18 @@
 		a.End(s.clock.Now(), scheduling.Cancelled)
 	}
 
-	outcome := s.await(done)
-	if outcome.Held <= 0 {
-		t.Errorf("held: got %v, want some time", outcome.Held)
+	outcome := s.awaitOutcome(done)
+	if outcome.Queued <= 0 {
+		t.Errorf("queued: got %v, want more than 0", outcome.Queued)
 	}
 
 	if outcome.Reason != StaleRules || !outcome.NotRun || len(s.arrivals()) != 0 {
-		t.Errorf("got %+v and arrivals %v, want a refusal that says not run", outcome, s.arrivals())
+		t.Errorf("got %+v and arrivals %v, want no arrival and a refusal StaleRules, not run", outcome, s.arrivals())
 	}
 }
 
-// await moves the clock on in small steps until a request has ended.
-func (s *site) await(done <-chan Outcome) Outcome {
+// awaitOutcome advances the clock in small steps until a request has ended.
+func (s *fixture) awaitOutcome(done <-chan Outcome) Outcome {
 	for {
 		select {
 		case outcome := <-done:
@@ -238,8 +242,9 @@
 	}
 }
 
-// overload gives each engine some tokens to read, at 40,000 a second.
-func (s *site) overload(tokens int) []*scheduling.Assignment {
+// overloadEngines assigns each engine a prompt of the given number of tokens, after its rate
+// was measured as 40,000 tokens per second.
+func (s *fixture) overloadEngines(tokens int) []*scheduling.Assignment {
 	s.t.Helper()
 
 	rates := scheduling.Request{Service: "llm", Prompt: scheduling.Prompt{Tokens: 40_000}}
@@ -269,67 +274,68 @@
 	return waiting
 }
 
-// What can't begin before its caller leaves is refused at once, with when to come back.
-func TestAPromptThatCanNotBeginInTimeForItsCallerIsRefused(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.overload(400_000)
+// Guards against queueing a prompt that can not start before its caller abandons it, instead
+// of refusing it immediately.
+func TestPromptThatStartsTooLateIsRefused(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.overloadEngines(400_000)
 
 	outcome, got := s.call("talk", "r-1")
 
 	if outcome.Reason != Overloaded || !outcome.NotRun || len(s.arrivals()) != 0 || len(got.refusals) != 1 {
-		t.Fatalf("got %+v, %d arrivals and %d final answers, want one refusal that says not run", outcome, len(s.arrivals()),
+		t.Fatalf("got %+v, %d arrivals and %d final answers, want one refusal Overloaded, not run", outcome, len(s.arrivals()),
 			len(got.refusals))
 	}
 
-	// Ten seconds of work wait: half of it to all and a half of it.
+	// Ten seconds of work are queued: the Retry-After is 0.5 to 1.5 times that.
 	if after := got.refusals[0].RetryAfter; after < 5*time.Second || after > 15*time.Second {
-		t.Errorf("when to come back: got %v, want 5 s to 15 s", after)
+		t.Errorf("Retry-After: got %v, want 5 s to 15 s", after)
 	}
 }
 
-// A caller that is gone gets no further server.
-func TestACallerThatIsGoneIsNotServedAnyMore(t *testing.T) {
-	s := newSite(t, 10)
+// Guards against a retry for a caller that has disconnected.
+func TestDisconnectedCallerIsNotRetried(t *testing.T) {
+	s := newFixture(t, 10)
 	ctx, leave := context.WithCancel(t.Context())
-	s.answer = func(string, int, *http.Request) string {
+	s.respond = func(string, int, *http.Request) string {
 		leave()
 
 		return ""
 	}
 
 	outcome := s.Serve(ctx, &Request{
-		ID: "r-1", Method: http.MethodGet, Host: "a.example", Target: "/safe/x", Path: "/safe/x", Key: "key",
+		ID: "r-1", Method: http.MethodGet, Host: "a.example", Target: "/safe/x", Path: "/safe/x", APIKey: "key",
 		Arrived: s.clock.Now(),
-	}, &caught{})
+	}, &recordingSink{})
 
 	if outcome.Reason != CallerGone || len(s.arrivals()) != 1 {
-		t.Errorf("got %+v and %d arrivals, want the caller gone after 1", outcome, len(s.arrivals()))
+		t.Errorf("got %+v and %d arrivals, want CallerGone after 1", outcome, len(s.arrivals()))
 	}
 }
 
-// A request that nothing can come of costs no backend server a connection.
-func TestNoConnectionIsMadeWhileRulesAreOld(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = answerAll
-	s.dialling = func(address string) { t.Errorf("connection to %s: got one, want none", address) }
-	s.clock.Advance(bound + time.Millisecond)
+// Guards against dialling a server for a request that stale rules refuse anyway.
+func TestStaleRulesPreventDial(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = respondOK
+	s.onDial = func(address string) { t.Errorf("connection to %s: got one, want none", address) }
+	s.clock.Advance(rulesMaxAge + time.Millisecond)
 
 	if outcome, _ := s.call("once", "r-1"); outcome.Reason != StaleRules || !outcome.NotRun {
-		t.Errorf("outcome: got %+v, want a refusal as stale that says not run", outcome)
+		t.Errorf("outcome: got %+v, want a refusal StaleRules, not run", outcome)
 	}
 }
 
-// A server that lost an answer is not asked again, although the other one took no
-// connection a moment ago.
-func TestAFurtherSendGoesToAnotherServer(t *testing.T) {
-	s := newSite(t, 10)
-	s.answer = func(_ string, n int, r *http.Request) string {
+// Guards against a retry at the server that lost the response, picked because the other server
+// was unreachable a moment ago.
+func TestRetryGoesToAnotherServer(t *testing.T) {
+	s := newFixture(t, 10)
+	s.respond = func(_ string, n int, r *http.Request) string {
 		if n == 1 {
 			return ""
 		}
 
-		return whole(r, http.StatusOK)
+		return signedResponse(r, http.StatusOK)
 	}
 
 	a, err := s.Scheduler.Pick(s.clock.Now(), scheduling.Request{Service: "api", Excluded: []fleet.InstanceID{"api-1"}})
@@ -341,6 +347,6 @@
 
 	outcome, _ := s.call("safe", "r-1")
 	if seen := s.arrivals(); outcome.Reason != Answered || len(seen) != 2 || seen[0].address == seen[1].address {
-		t.Errorf("got %+v and arrivals %v, want it answered by another server", outcome, seen)
+		t.Errorf("got %+v and arrivals %v, want it answered by the other server", outcome, seen)
 	}
 }
--- /dev/null
+++ b/forward/loss.go
@@ -0,0 +1,77 @@
+package forward
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"k8s.io/klog/v2"
+
+	"monsoonlever/clock"
+	"monsoonlever/quarantine"
+	"monsoonlever/ruleset"
+	"monsoonlever/scheduling"
+	"monsoonlever/upstream"
+)
+
+// terminationDelay is the time that a terminating process takes from closing its first
+// connection until it accepts no new ones.
+const terminationDelay = 20 * time.Millisecond
+
+// recordLoss checks in the background whether the server crashed while it served the
+// request, and records that in the quarantine ledger. A server that announced it would leave
+// does not count, nor does one that aborts a response and keeps running: both say nothing
+// about the request. A crash counts however long the response has been streamed. It is
+// strong evidence at the start of a response, when few other requests are in the same state,
+// and weak evidence otherwise. headerReceived reports whether the header of the response was
+// received.
+func (f *Forwarder) recordLoss(ctx context.Context, j *job, a *scheduling.Assignment, headerReceived bool, err error) {
+	if !errors.Is(err, upstream.ErrGarbled) || ctx.Err() != nil || a.Leaving() {
+		return
+	}
+
+	evidence := quarantine.Weak
+	if j.route.Kind != ruleset.Streaming || headerReceived && !a.AnswerBegun() {
+		evidence = quarantine.Strong
+	}
+
+	fingerprint, id := j.fingerprint, j.request.ID
+	checkCtx := context.WithoutCancel(ctx)
+
+	go func() {
+		if !f.terminated(checkCtx, a) {
+			return
+		}
+
+		now := f.Clock.Now()
+		f.Quarantine.RecordLoss(now, fingerprint, a.Server(), evidence)
+		_, quarantined := f.Quarantine.Quarantined(now, fingerprint)
+		klog.InfoS("backend server ended under a request", "server", a.ID(), "id", id, "content", fingerprint,
+			"atBegin", evidence == quarantine.Strong, "held", quarantined)
+	}()
+}
+
+// terminated reports whether the process of a server has terminated without announcing that
+// it would leave. Requests that are lost together share one check, and a loss that is
+// detected after the check uses the result that the scheduler has recorded.
+func (f *Forwarder) terminated(ctx context.Context, a *scheduling.Assignment) bool {
+	server := upstream.Server{ID: a.ID(), Address: a.Address()}
+
+	terminated, _, _ := f.terminationChecks.Do(string(server.ID), func() (any, error) {
+		if a.KnownTerminated(f.Clock.Now()) {
+			return !a.Leaving(), nil
+		}
+
+		clock.Sleep(ctx, f.Clock, terminationDelay)
+
+		if a.Leaving() || !f.Pool.Terminated(ctx, server) || a.Leaving() {
+			return false, nil
+		}
+
+		a.ReportTerminated(f.Clock.Now())
+
+		return true, nil
+	})
+
+	return terminated == true
+}
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -13,48 +13,50 @@
 	"monsoonlever/upstream"
 )
 
-// relay is how far the stream of one request has come, over all its servers.
-type relay struct {
-	// begun is set once the caller has the header.
+// streamProgress is the progress of the stream of one request, over all its servers.
+type streamProgress struct {
+	// begun is set once the header was written to the caller.
 	begun bool
-	// last is the id of the newest event that the caller has.
-	last  string
-	count int
+	// lastEventID is the id of the last event that was accepted.
+	lastEventID string
+	// events counts the accepted events.
+	events int
 }
 
-// ErrOutOfOrder means that an event is missing, repeated or has no usable id.
+// ErrOutOfOrder means that an event is missing or repeated, or that its id is not a number.
 var ErrOutOfOrder = merry.Sentinel("event is out of order")
 
-// accept takes an event with an id in, if it is the next one.
-func (r *relay) accept(id string) error {
+// accept records an event by its id. The error wraps ErrOutOfOrder if the event does not
+// follow the last one.
+func (r *streamProgress) accept(id string) error {
 	number, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return merry.Prependf(ErrOutOfOrder, "id %q", id)
 	}
 
-	if r.last != "" {
-		last, err := strconv.ParseUint(r.last, 10, 64)
+	if r.lastEventID != "" {
+		last, err := strconv.ParseUint(r.lastEventID, 10, 64)
 		if err != nil || number != last+1 {
-			return merry.Prependf(ErrOutOfOrder, "id %q after %q", id, r.last)
+			return merry.Prependf(ErrOutOfOrder, "id %q after %q", id, r.lastEventID)
 		}
 	}
 
-	r.last = id
-	r.count++
+	r.lastEventID = id
+	r.events++
 
 	return nil
 }
 
-// relayStream passes whole events on as they come.
+// relayStream writes complete events to the sink as they are received.
 func (f *Forwarder) relayStream(
-	ctx context.Context, j *job, assignment *scheduling.Assignment, answer *upstream.Answer, sink Sink,
+	ctx context.Context, j *job, assignment *scheduling.Assignment, response *upstream.Response, sink Sink,
 ) error {
-	events := &eventReader{reader: bufio.NewReaderSize(answer, eventBuffer)}
+	events := &eventReader{reader: bufio.NewReaderSize(response, eventBuffer)}
 
 	for {
 		event, id, err := events.next()
 		if errors.Is(err, io.EOF) {
-			return f.endStream(j, answer, sink)
+			return f.endStream(j, response, sink)
 		}
 
 		if err != nil {
@@ -63,13 +65,13 @@
 
 		now := f.Clock.Now()
 		assignment.FirstEventReceived(now)
-		j.trial.event(now)
+		j.trial.recordEvent(now)
 
 		if err := j.stream.accept(id); err != nil {
 			return err
 		}
 
-		if err := f.pass(j, answer, sink, event); err != nil {
+		if err := f.writeEvent(j, response, sink, event); err != nil {
 			return err
 		}
 
@@ -79,30 +81,32 @@
 	}
 }
 
-// pass writes one event, after the header of the first server's answer.
-func (f *Forwarder) pass(j *job, answer *upstream.Answer, sink Sink, event []byte) error {
+// writeEvent writes one event, preceded by the response header if it is the first event of
+// the request.
+func (f *Forwarder) writeEvent(j *job, response *upstream.Response, sink Sink, event []byte) error {
 	if !j.stream.begun {
-		if err := sink.Begin(answer.Status(), answer.Header()); err != nil {
+		if err := sink.BeginStream(response.Status(), response.Header()); err != nil {
 			return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
 		}
 
 		j.stream.begun = true
 	}
 
-	if err := sink.Event(event); err != nil {
+	if err := sink.WriteEvent(event); err != nil {
 		return merry.Prepend(errCallerWrite, "write event", merry.WithCause(err))
 	}
 
 	return nil
 }
 
-func (f *Forwarder) endStream(j *job, answer *upstream.Answer, sink Sink) error {
+// endStream completes a stream whose response has ended.
+func (f *Forwarder) endStream(j *job, response *upstream.Response, sink Sink) error {
 	if j.stream.begun {
 		return nil
 	}
 
-	// A stream may be empty, as one that is resumed after its last event.
-	if err := sink.Begin(answer.Status(), answer.Header()); err != nil {
+	// A stream may be empty: the caller may have resumed it after its last event.
+	if err := sink.BeginStream(response.Status(), response.Header()); err != nil {
 		return merry.Prepend(errCallerWrite, "write header", merry.WithCause(err))
 	}
 
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,31 +1,31 @@
-// Package quarantine keeps requests from backend servers that end each server which
-// begins them.
+// Package quarantine refuses requests that crash each backend server that starts to process
+// them.
 //
-// Such a request (a poison message) comes again under another id, at any entry instance,
-// so that neither ids nor one instance's memory tell it from others. A Ledger counts, by
-// Fingerprint, the servers that ended while a request ran there, and exchanges what it
-// counts with the ledgers of the other instances. A request under which three servers
-// ended as it began, or five at any time of its answer, is held off.
+// Callers repeat such a request (a poison message) under a new id and at any entry instance,
+// so neither its id nor the memory of a single instance identifies it. A Ledger counts, by
+// Fingerprint, the servers that were lost while they processed a request, and exchanges its
+// losses with the ledgers of the other instances. A request is quarantined after three
+// servers were lost at the begin of its answer, or five at any time of its answer.
 //
-// Requests that ran beside it share its time and its servers and are innocent. Nothing
-// counts against a request but the end of a server that had not said it would leave, and
-// most of all an end at the very begin of the request's answer; and one whole answer to it
-// clears it of all that was counted, at all instances.
+// Harmless requests that ran on the same servers are lost at the same time. Therefore only
+// the loss of a server that had not announced to leave counts against a request, and a loss
+// at the begin of the request's answer counts most. One complete answer to the request clears
+// all its losses at all instances.
 //
 // # Usage
 //
 //	var l quarantine.Ledger
 //	f := quarantine.FingerprintOf(account, method, host, target, body)
-//	if left, held := l.Held(now, f); held {
+//	if left, quarantined := l.Quarantined(now, f); quarantined {
 //		return refuse(left)
 //	}
-//	// Its server ended under it:
-//	l.Lost(now, f, start, quarantine.Strong)
-//	// Its whole answer came:
-//	l.Answered(now, f)
-//	// What others should know, and what they say:
-//	send(l.News(now))
-//	l.Hear(now, losses, relay)
+//	// The server crashed while it processed the request:
+//	l.RecordLoss(now, f, process, quarantine.Strong)
+//	// The complete answer arrived:
+//	l.RecordAnswer(now, f)
+//	// Exchange losses with the other instances:
+//	send(l.PendingLosses(now))
+//	l.Merge(now, losses, relay)
 package quarantine
 
 import (
@@ -40,50 +40,54 @@
 )
 
 const (
-	// strongEnds is how many servers have to end at a request's begin before it is held
-	// off, as operators bear, and anyEnds how many at any time of its answer: one more than
-	// a stream beside harmful requests loses, which is resumed and asked for again
-	// (TestRequestsBesideAHarmfulOneAreServed).
-	strongEnds = 3
-	anyEnds    = 5
-	// hold is how long after the newest end a request is held off. A caller that repeats
-	// it is long gone by then, or has been told so for as long; it may then end one more
-	// server before it is held off again.
-	hold = 10 * time.Minute
-	// kept is how long a request is remembered after the newest end under it.
-	kept = 2 * hold
-	// maxSuspects bounds the requests that are remembered, to 1.5 MB: with a server go all
-	// requests that run there, some dozens, and each body may be new.
+	// minStrongLosses is the number of server losses at the begin of a request's answer that
+	// quarantine the request; operators tolerate this many. minLosses is the number of losses
+	// at any time of the answer: one more than a stream that runs beside harmful requests
+	// suffers, including its resumptions and its caller's repetition
+	// (TestRequestsBesideHarmfulOnesAreNotQuarantined).
+	minStrongLosses = 3
+	minLosses       = 5
+	// quarantineDuration is how long a request is quarantined after its newest loss. By then,
+	// a caller that repeats the request has left or has been refused all that time. The
+	// request may then crash one more server before it is quarantined again.
+	quarantineDuration = 10 * time.Minute
+	// suspectTTL is how long a request is remembered after its newest loss.
+	suspectTTL = 2 * quarantineDuration
+	// maxSuspects bounds the remembered requests, to 1.5 MB of memory. Each lost server adds
+	// all requests that ran there, some dozens, and each may have a new body.
 	maxSuspects = 2048
-	// forgotten is the part of them that goes at once when there are more.
-	forgotten = 4
-	// sweepEvery is how often old suspects are dropped: far less than they are kept.
-	sweepEvery = time.Minute
+	// evictionDivisor sets the fraction of the suspects, 1/evictionDivisor, that is evicted
+	// when there are more than maxSuspects.
+	evictionDivisor = 4
+	// sweepInterval is the interval of the removal of expired suspects, much shorter than
+	// suspectTTL.
+	sweepInterval = time.Minute
 )
 
-// Ledger remembers what ended under which request. The zero value is empty; it is safe for
-// concurrent use.
+// Ledger records which servers were lost while they processed which requests. The zero value
+// is empty; it is safe for concurrent use.
 type Ledger struct {
-	// OnQuarantined is told when one more request is held off, and must not wait; it may be nil.
-	// It is set before the first use.
+	// OnQuarantined is called when a request becomes quarantined. It must not block, may be
+	// nil, and is set before the first use.
 	OnQuarantined func()
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
 	outbox   outbox
-	// swept is when old suspects were last dropped.
-	swept time.Time
+	// lastSweep is when expired suspects were last removed.
+	lastSweep time.Time
 
-	// counted is what the path of requests reads, without a lock: until when each suspect
-	// with ends that count is held off, a time.Time by Fingerprint.
-	counted sync.Map
+	// quarantineEnds maps the Fingerprint of each suspect with uncleared losses to the
+	// time.Time at which its quarantine ends, zero if it is not quarantined. The request path
+	// reads it without a lock.
+	quarantineEnds sync.Map
 
 	wake feed.Signal
 }
 
-// Quarantined tells whether a request is held off, and for how much longer.
+// Quarantined reports whether a request is quarantined, and for how much longer.
 func (l *Ledger) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
-	value, suspected := l.counted.Load(f)
+	value, suspected := l.quarantineEnds.Load(f)
 	if !suspected {
 		return 0, false
 	}
@@ -93,15 +97,15 @@
 	return until.Sub(now), until.After(now)
 }
 
-// QuarantinedCount returns how many requests are held off.
+// QuarantinedCount returns the number of quarantined requests.
 func (l *Ledger) QuarantinedCount(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	n := 0
 
-	for _, one := range l.suspects {
-		if one.heldUntil().After(now) {
+	for _, s := range l.suspects {
+		if s.quarantinedUntil().After(now) {
 			n++
 		}
 	}
@@ -109,137 +113,138 @@
 	return n
 }
 
-// RecordLoss takes in that a server ended under a request. The caller has made sure that the
-// server has ended and had not said that it would.
+// RecordLoss records that a server was lost while it processed a request. The caller has
+// verified that the server's process has ended without having announced that it would leave.
 func (l *Ledger) RecordLoss(now time.Time, f Fingerprint, s register.Process, e Evidence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	l.take(now, Loss{Request: f, Server: keyOf(s), Evidence: e}, here)
+	l.merge(now, Loss{Request: f, Server: keyOf(s), Evidence: e}, observedHere)
 }
 
-// RecordAnswer takes in that a request was answered as a whole, so that it ends no servers.
+// RecordAnswer records that a request was answered completely, which clears all its losses.
 func (l *Ledger) RecordAnswer(now time.Time, f Fingerprint) {
-	if _, suspected := l.counted.Load(f); !suspected {
+	if _, suspected := l.quarantineEnds.Load(f); !suspected {
 		return
 	}
 
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	one := l.suspects[f]
-	if one == nil {
+	s := l.suspects[f]
+	if s == nil {
 		return
 	}
 
-	for key, e := range one.ends {
+	for key, e := range s.losses {
 		if !e.cleared {
-			l.take(now, Loss{Request: f, Server: key, Cleared: true}, here)
+			l.merge(now, Loss{Request: f, Server: key, Cleared: true}, observedHere)
 		}
 	}
 }
 
-// Merge takes in what another instance tells, or has recorded. What is new is told on if
-// this instance passes news on.
-func (l *Ledger) Merge(now time.Time, losses []Loss, passOn bool) {
+// Merge merges losses that another instance sent or stored. With forward set, this instance
+// sends new ones on to its own peers.
+func (l *Ledger) Merge(now time.Time, losses []Loss, forward bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	from := heard
-	if passOn {
-		from = relayed
+	from := received
+	if forward {
+		from = receivedByRelay
 	}
 
 	for _, loss := range losses {
-		l.take(now, loss, from)
+		l.merge(now, loss, from)
 	}
 }
 
-// origin says how this instance knows of a loss.
+// origin is how this instance learned of a loss.
 type origin int
 
 const (
-	// heard losses are known to all that have to be told by whoever saw them.
-	heard origin = iota
-	// relayed ones are told on.
-	relayed
-	// here ones were seen by this instance.
-	here
+	// received losses are sent to all other instances by their sender or its relays.
+	received origin = iota
+	// receivedByRelay losses were received by this instance as a relay, which forwards them.
+	receivedByRelay
+	// observedHere losses were observed by this instance.
+	observedHere
 )
 
-// take takes one loss in.
-func (l *Ledger) take(now time.Time, loss Loss, from origin) {
+// merge merges one loss.
+func (l *Ledger) merge(now time.Time, loss Loss, from origin) {
 	if l.suspects == nil {
 		l.suspects = make(map[Fingerprint]*suspect)
 	}
 
-	one := l.suspects[loss.Request]
-	if one == nil {
-		one = &suspect{}
-		l.suspects[loss.Request] = one
+	s := l.suspects[loss.Request]
+	if s == nil {
+		s = &suspect{}
+		l.suspects[loss.Request] = s
 	}
 
-	before := one.heldUntil()
-	if !one.take(now.Add(-loss.ago()), loss, from == here) {
+	before := s.quarantinedUntil()
+	if !s.merge(now.Add(-loss.age()), loss, from == observedHere) {
 		return
 	}
 
-	if from != heard {
+	if from != received {
 		l.outbox.add(loss)
 		l.wake.Send()
 	}
 
-	l.show(loss.Request, one)
+	l.publish(loss.Request, s)
 
-	if before.IsZero() && !one.heldUntil().IsZero() && l.OnQuarantined != nil {
+	if before.IsZero() && !s.quarantinedUntil().IsZero() && l.OnQuarantined != nil {
 		l.OnQuarantined()
 	}
 
 	l.sweep(now)
 }
 
-// show tells the path of requests of a suspect.
-func (l *Ledger) show(f Fingerprint, one *suspect) {
-	if all, _ := one.count(); all == 0 {
-		l.counted.Delete(f)
+// publish updates quarantineEnds for a suspect.
+func (l *Ledger) publish(f Fingerprint, s *suspect) {
+	if all, _ := s.countLosses(); all == 0 {
+		l.quarantineEnds.Delete(f)
 	} else {
-		l.counted.Store(f, one.heldUntil())
+		l.quarantineEnds.Store(f, s.quarantinedUntil())
 	}
 }
 
-// sweep drops suspects that are old or too many.
+// sweep removes expired suspects, and evicts some if there are too many.
 func (l *Ledger) sweep(now time.Time) {
-	if now.Sub(l.swept) >= sweepEvery {
-		l.swept = now
+	if now.Sub(l.lastSweep) >= sweepInterval {
+		l.lastSweep = now
 
-		for f, one := range l.suspects {
-			if now.Sub(one.newest) > kept {
-				l.drop(f)
+		for f, s := range l.suspects {
+			if now.Sub(s.lastLoss) > suspectTTL {
+				l.remove(f)
 			}
 		}
 	}
 
 	if len(l.suspects) > maxSuspects {
-		l.forget()
+		l.evict()
 	}
 }
 
-func (l *Ledger) drop(f Fingerprint) {
+func (l *Ledger) remove(f Fingerprint) {
 	delete(l.suspects, f)
-	l.counted.Delete(f)
+	l.quarantineEnds.Delete(f)
 }
 
-// forget drops those with the fewest ends, the oldest of them first.
-func (l *Ledger) forget() {
+// evict removes suspects with the fewest losses, and among equals those whose newest loss is
+// oldest.
+func (l *Ledger) evict() {
 	order := slices.SortedFunc(maps.Keys(l.suspects), func(a, b Fingerprint) int {
 		x, y := l.suspects[a], l.suspects[b]
-		ofX, _ := x.count()
-		ofY, _ := y.count()
+		lossesX, _ := x.countLosses()
+		lossesY, _ := y.countLosses()
 
-		return cmp.Or(cmp.Compare(ofX, ofY), x.newest.Compare(y.newest))
+		return cmp.Or(cmp.Compare(lossesX, lossesY), x.lastLoss.Compare(y.lastLoss))
 	})
 
-	for _, f := range order[:len(order)/forgotten] {
-		l.drop(f)
+	for _, f := range order[:len(order)/evictionDivisor] {
+		l.remove(f)
 	}
 }
--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// maxDoublings keeps the backoff from overflowing.
+// maxDoublings keeps the doubled delay from overflowing a time.Duration.
 const maxDoublings = 16
 
-// Backoff is a wait that doubles with each attempt and is random in full, so
-// that calls which failed together don't come back together. A zero field
-// stands for its default.
+// Backoff is an exponential backoff with full jitter: calls that failed at the
+// same time are not retried at the same time. A zero field selects its default.
 type Backoff struct {
-	First  time.Duration
-	AtMost time.Duration
+	// Initial bounds the delay after the first failed attempt: 20 ms by default.
+	Initial time.Duration
+	// Max bounds every delay: 2 s by default.
+	Max time.Duration
 }
 
-// Wait returns the wait after the given number of failed attempts.
-func (b Backoff) Wait(random Random, failed int) time.Duration {
-	first := cmp.Or(b.First, 20*time.Millisecond)
-	atMost := cmp.Or(b.AtMost, 2*time.Second)
+// Delay returns a random delay before the next attempt, after the given number
+// of failed attempts.
+func (b Backoff) Delay(random Random, failed int) time.Duration {
+	first := cmp.Or(b.Initial, 20*time.Millisecond)
+	atMost := cmp.Or(b.Max, 2*time.Second)
 	doublings := min(max(failed-1, 0), maxDoublings)
 
-	return upTo(random, min(first<<doublings, atMost))
+	return randomBelow(random, min(first<<doublings, atMost))
 }
--- a/retry/call.go
+++ b/retry/call.go
@@ -7,65 +7,67 @@
 	"monsoonlever/backend"
 )
 
-// Call is what is known of one call over its attempts. One goroutine at a time
-// may use it.
+// Call is the state of one call over all its attempts. It is not safe for
+// concurrent use.
 type Call struct {
-	scope      Scope
-	idempotent bool
-	deadline   time.Time
-	expected   time.Duration
-
-	failed     int
-	mayHaveRun bool
-	hedged     bool
+	scope            Scope
+	idempotent       bool
+	deadline         time.Time
+	expectedDuration time.Duration
+
+	failedAttempts int
+	mayHaveRun     bool
+	hedged         bool
 }
 
-// NewCall returns a call that was not attempted yet.
+// NewCall returns a call without attempts.
 func NewCall(s Scope, idempotent bool) *Call {
 	return &Call{scope: s, idempotent: idempotent}
 }
 
-// WithDeadline sets the time after which an answer is of no use.
+// WithDeadline sets the time by which the caller needs the answer, and returns c.
+// A call without it has no deadline.
 func (c *Call) WithDeadline(deadline time.Time) *Call {
 	c.deadline = deadline
 
 	return c
 }
 
-// WithExpected sets how long an attempt is expected to take.
-func (c *Call) WithExpected(expected time.Duration) *Call {
-	c.expected = expected
+// WithExpectedDuration sets how long an attempt is expected to take, and returns c.
+func (c *Call) WithExpectedDuration(expected time.Duration) *Call {
+	c.expectedDuration = expected
 
 	return c
 }
 
-// Idempotent tells whether the call may be repeated.
+// Idempotent reports whether the call is idempotent.
 func (c *Call) Idempotent() bool { return c.idempotent }
 
-// Failed returns how many attempts have failed.
-func (c *Call) Failed() int { return c.failed }
+// FailedAttempts returns the number of failed attempts.
+func (c *Call) FailedAttempts() int { return c.failedAttempts }
 
-// MayHaveRun tells whether an attempt that failed may have run. The caller is
-// told "not run" only where this is false.
+// MayHaveRun reports whether a server may have run a failed attempt. Only if it is
+// false may the caller get the result "not run".
 func (c *Call) MayHaveRun() bool { return c.mayHaveRun }
 
-// canFinish tells whether an attempt that begins at a time can be done before
-// the deadline.
+// canFinish reports whether an attempt that begins at the given time is expected to
+// finish before the deadline.
 func (c *Call) canFinish(begin time.Time) bool {
-	return c.deadline.IsZero() || !begin.Add(c.expected).After(c.deadline)
+	return c.deadline.IsZero() || !begin.Add(c.expectedDuration).After(c.deadline)
 }
 
-// note takes the error of an attempt in.
-func (c *Call) note(err error) {
-	c.failed++
+// recordFailure counts a failed attempt and updates MayHaveRun from its error.
+func (c *Call) recordFailure(err error) {
+	c.failedAttempts++
 
 	if !certainlyNotRun(err) {
 		c.mayHaveRun = true
 	}
 }
 
-// certainlyNotRun tells whether an attempt did not run and won't. A connection
-// that ends without an answer doesn't say so: its request may have been read.
+// certainlyNotRun reports whether err proves that the attempt has not run and never
+// will. A connection that closes without an answer proves nothing: the server may
+// have read the request.
 func certainlyNotRun(err error) bool {
 	return errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrRefused)
 }
--- a/rollout/gate_test.go
+++ b/rollout/gate_test.go
@@ -8,7 +8,7 @@
 	"monsoonlever/fleet"
 )
 
-// choices returns whether some of many requests go to the new version alone, and whether all
+// choices reports whether any of many requests go to the new version only, and whether all
 // others avoid it.
 func choices(g *Gate, now time.Time) (some, avoided bool) {
 	avoided = true
@@ -22,28 +22,29 @@
 	return some, avoided
 }
 
-// An instance sends to a new version by the holder's decision alone, and for its life only.
-func TestANewVersionGetsNothingWithoutTheHoldersWord(t *testing.T) {
+// An instance sends requests to a new version only while it has a valid decision of the duty
+// holder.
+func TestNewVersionGetsNoTrafficWithoutCurrentDecision(t *testing.T) {
 	const life = 2 * time.Second
 
 	order := Order{Service: service, Target: target, Duration: time.Minute, Place: 7}
 	trial := State{Service: service, Target: target, Place: 7, Fence: 1, Step: 1, Share: 0.2}
 
 	for name, tt := range map[string]struct {
-		hear func(g *Gate)
-		at   time.Duration
-		some bool
+		apply func(g *Gate)
+		at    time.Duration
+		some  bool
 	}{
-		"an order without a decision": {hear: func(*Gate) {}},
-		"a young decision":            {hear: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life / 2, some: true},
-		"a decision that has lapsed":  {hear: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life},
-		"a decision of unknown age":   {hear: func(g *Gate) { g.Apply(begin, trial, time.Time{}) }},
-		"a decision on the order before": {hear: func(g *Gate) {
+		"an order without a decision": {apply: func(*Gate) {}},
+		"a young decision":            {apply: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life / 2, some: true},
+		"a decision that has lapsed":  {apply: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life},
+		"a decision of unknown age":   {apply: func(g *Gate) { g.Apply(begin, trial, time.Time{}) }},
+		"a decision on the order before": {apply: func(g *Gate) {
 			earlier := trial
 			earlier.Place = 6
 			g.Apply(begin, earlier, begin)
 		}},
-		"a revert that a late decision follows": {hear: func(g *Gate) {
+		"a revert that a late decision follows": {apply: func(g *Gate) {
 			reverted := trial
 			reverted.Phase = Reverted
 			g.Apply(begin, reverted, begin)
@@ -54,7 +55,7 @@
 	} {
 		g := &Gate{GrantTTL: life}
 		g.AddOrder(begin, order)
-		tt.hear(g)
+		tt.apply(g)
 
 		some, avoided := choices(g, begin.Add(tt.at))
 		if some != tt.some || !avoided {
@@ -64,8 +65,9 @@
 	}
 }
 
-// Once it is completed, all may go to the new version and none to those that it replaced.
-func TestACompletedVersionReplacesTheOthers(t *testing.T) {
+// After completion, requests may go to the new version and to none of the versions that it
+// replaced.
+func TestCompletedVersionReplacesEarlierOnes(t *testing.T) {
 	g := &Gate{GrantTTL: time.Second}
 	g.AddOrder(begin, Order{Service: service, Target: target, Duration: time.Minute, Place: 7})
 	g.Apply(begin, State{
@@ -78,9 +80,9 @@
 	}
 }
 
-// Operators write again what the platform lost: the order is the one before, whatever its
-// place.
-func TestAnOrderThatIsWrittenAgainIsTheSame(t *testing.T) {
+// Operators write an order again when the platform has lost it. It must keep its state under
+// its new place.
+func TestReissuedOrderKeepsItsState(t *testing.T) {
 	g := &Gate{GrantTTL: time.Second}
 	order := Order{Service: service, Target: target, Duration: time.Minute, Place: 7}
 
--- a/scheduling/relayed_test.go
+++ b/scheduling/relays_test.go
@@ -8,16 +8,16 @@
 	"monsoonlever/fleet"
 )
 
-// relayed are schedulers of which two relays tell each other, and members a relay each.
-type relayed struct {
+// relayTopology is two relays that exchange updates, and members with one relay each.
+type relayTopology struct {
 	relays  map[fleet.InstanceID]*Scheduler
 	members map[fleet.InstanceID]*Scheduler
 	// relayOf is the relay of each member.
 	relayOf map[fleet.InstanceID]fleet.InstanceID
 }
 
-func newRelayed() *relayed {
-	r := &relayed{
+func newRelayTopology() *relayTopology {
+	r := &relayTopology{
 		relays: make(map[fleet.InstanceID]*Scheduler), members: make(map[fleet.InstanceID]*Scheduler),
 		relayOf: map[fleet.InstanceID]fleet.InstanceID{"a-1": "relay-a", "a-2": "relay-a", "b-1": "relay-b"},
 	}
@@ -30,36 +30,37 @@
 	return r
 }
 
-// exchange passes all news on.
-func (r *relayed) exchange(now time.Time) {
+// exchange sends all pending updates.
+func (r *relayTopology) exchange(now time.Time) {
 	for id, member := range r.members {
 		r.relays[r.relayOf[id]].ApplyUpdate(now, id, Subscriber, member.TakeUpdate(now, Upstream))
 	}
 
 	for id, relay := range r.relays {
-		news := relay.TakeUpdate(now, Upstream)
+		update := relay.TakeUpdate(now, Upstream)
 
 		for other, peer := range r.relays {
 			if other != id {
-				peer.ApplyUpdate(now, id, Peer, news)
+				peer.ApplyUpdate(now, id, Peer, update)
 			}
 		}
 	}
 
 	for id, relay := range r.relays {
-		news := relay.TakeUpdate(now, Downstream)
+		update := relay.TakeUpdate(now, Downstream)
 
 		for member, s := range r.members {
 			if r.relayOf[member] == id {
-				s.ApplyUpdate(now, id, Relay, news)
+				s.ApplyUpdate(now, id, Relay, update)
 			}
 		}
 	}
 }
 
-// Told in sums, each instance knows what all others have waiting, and counts its own once.
-func TestBacklogsToldInSumsCountOnce(t *testing.T) {
-	r := newRelayed()
+// With backlogs summed by relays, each instance knows what all others have waiting and counts
+// its own backlog once.
+func TestRelayedBacklogsAreCountedOnce(t *testing.T) {
+	r := newRelayTopology()
 	all := []*Scheduler{r.members["a-1"], r.members["a-2"], r.members["b-1"], r.relays["relay-a"], r.relays["relay-b"]}
 	assignments := make([]*Assignment, 0, len(all))
 	sum := int64(0)
@@ -75,7 +76,7 @@
 
 	for i, s := range all {
 		server := s.servers["i-0"]
-		if got := server.pending.Load() + server.waiting(now); got != sum {
+		if got := server.pendingTokens.Load() + server.remotePending(now); got != sum {
 			t.Errorf("instance %d: got %d tokens waiting, want %d", i, got, sum)
 		}
 	}
@@ -91,16 +92,16 @@
 	r.exchange(now)
 
 	for i, s := range all {
-		if got := s.servers["i-0"].waiting(now); got != 0 {
+		if got := s.servers["i-0"].remotePending(now); got != 0 {
 			t.Errorf("instance %d after all were read: got %d tokens waiting, want none", i, got)
 		}
 	}
 }
 
-// What a server holds reaches all instances once, and is not told again for a while.
-func TestHoldingsAreToldOnce(t *testing.T) {
-	r := newRelayed()
-	p := prompt("session")
+// Cached segments of a server reach all instances once, and are not published again for a while.
+func TestCachedSegmentsArePublishedOnce(t *testing.T) {
+	r := newRelayTopology()
+	p := promptRequest("session")
 
 	for range 3 {
 		a := pick(t, r.members["a-1"], p)
@@ -109,8 +110,8 @@
 		a.End(now, Served)
 	}
 
-	if got := len(r.members["a-1"].outboxes[Upstream].holdings); got != 2 {
-		t.Errorf("holdings to tell: got %d, want that of the common parts and that of all", got)
+	if got := len(r.members["a-1"].outboxes[Upstream].segments); got != 2 {
+		t.Errorf("queued entries of cached segments: got %d, want one of the shared segments and one of all", got)
 	}
 
 	r.exchange(now)
@@ -118,8 +119,8 @@
 	keys := p.Prompt.keys()
 
 	for id, s := range r.members {
-		if got := s.servers["i-0"].held(now, keys, p.Prompt); got != p.Prompt.Tokens {
-			t.Errorf("%s: got %d tokens held, want %d", id, got, p.Prompt.Tokens)
+		if got := s.servers["i-0"].cachedTokens(now, keys, p.Prompt); got != p.Prompt.Tokens {
+			t.Errorf("%s: got %d tokens cached, want %d", id, got, p.Prompt.Tokens)
 		}
 	}
 
@@ -128,13 +129,13 @@
 	again.FirstEventReceived(now)
 
 	if got := r.members["b-1"].TakeUpdate(now, Upstream).Holdings; len(got) != 0 {
-		t.Errorf("holdings told again: got %v, want none", got)
+		t.Errorf("cached segments published again: got %v, want none", got)
 	}
 }
 
-// The load that a server told one instance reaches all.
-func TestLoadsReachAllThroughRelays(t *testing.T) {
-	r := newRelayed()
+// A load that a server reported to one instance reaches all of them.
+func TestLoadsReachAllInstancesThroughRelays(t *testing.T) {
+	r := newRelayTopology()
 	r.members["b-1"].RecordLoad(now, "i-0", Load{Running: 5, Waiting: 2})
 	r.exchange(now)
 
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -10,15 +10,15 @@
 	"monsoonlever/fleet"
 )
 
-func instance(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("entry-", i)) }
+func instanceID(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("entry-", i)) }
 
-// fleetOf returns n members in some failure domains, in any order.
+// fleetOf returns n members that are distributed over the failure domains in turn.
 func fleetOf(n, domains int) []Member {
 	members := make([]Member, 0, n)
 
 	for i := range n {
 		members = append(members, Member{
-			ID: instance(i), Domain: fleet.FailureDomain(fmt.Sprint("domain-", i%domains)), Cores: 0.2,
+			ID: instanceID(i), Domain: fleet.FailureDomain(fmt.Sprint("domain-", i%domains)), Cores: 0.2,
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7600),
 		})
 	}
@@ -30,28 +30,28 @@
 	return (&Links{Self: self}).Plan(begin, members)
 }
 
-func TestFewLeadAndAllNameTheSame(t *testing.T) {
+func TestAllInstancesComputeSameLeaders(t *testing.T) {
 	if plan := planOf(Member{ID: "entry-3"}, nil); !plan.IsLeader("entry-3") {
-		t.Error("nobody is known: got no lead, want one")
+		t.Error("no members known: got not leader, want leader")
 	}
 
 	members := fleetOf(40, 4)
 	want := planOf(members[0], members).Leaders
 
-	if len(want) != leaders {
-		t.Errorf("leading: got %d, want %d", len(want), leaders)
+	if len(want) != maxLeaders {
+		t.Errorf("leaders: got %d, want %d", len(want), maxLeaders)
 	}
 
 	slices.Reverse(members)
 
 	for _, self := range members {
 		if got := planOf(self, members).Leaders; !slices.Equal(got, want) {
-			t.Errorf("leaders by %s: got %v, want %v", self.ID, got, want)
+			t.Errorf("leaders computed by %s: got %v, want %v", self.ID, got, want)
 		}
 	}
 }
 
-func TestLeadersAreSpreadOverFailureDomains(t *testing.T) {
+func TestLeadersSpreadOverFailureDomains(t *testing.T) {
 	members := fleetOf(60, 6)
 
 	domains := make(map[fleet.FailureDomain]int)
@@ -61,41 +61,41 @@
 		}
 	}
 
-	if len(domains) != leaders {
-		t.Errorf("failure domains with leaders: got %v, want %d with one each", domains, leaders)
+	if len(domains) != maxLeaders {
+		t.Errorf("failure domains with leaders: got %v, want %d with one leader each", domains, maxLeaders)
 	}
 }
 
-func TestLargerInstancesLeadFirst(t *testing.T) {
+func TestLargestInstanceIsFirstLeader(t *testing.T) {
 	members := fleetOf(60, 6)
 	members[17].Cores = 0.8
 
 	if got := planOf(members[3], members).Leaders; got[0] != members[17].ID {
-		t.Errorf("leaders: got %v, want the larger %s first", got, members[17].ID)
+		t.Errorf("leaders: got %v, want the largest instance %s first", got, members[17].ID)
 	}
 }
 
-func TestEnoughLeadInAnyNumberOfFailureDomains(t *testing.T) {
+func TestLeaderCountIsIndependentOfFailureDomains(t *testing.T) {
 	for domains := range 8 {
 		members := fleetOf(40, domains+1)
-		if got := len(planOf(members[0], members).Leaders); got != leaders {
-			t.Errorf("%d failure domains: got %d that lead, want %d", domains+1, got, leaders)
+		if got := len(planOf(members[0], members).Leaders); got != maxLeaders {
+			t.Errorf("%d failure domains: got %d leaders, want %d", domains+1, got, maxLeaders)
 		}
 	}
 }
 
-func TestFewInstancesTellEachOther(t *testing.T) {
+func TestFewInstancesFormFullMesh(t *testing.T) {
 	members := fleetOf(FullMeshMax, 4)
 
 	for _, self := range members {
 		plan := planOf(self, members)
 		if !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
-			t.Errorf("%s: got relay %t with %d others, want all to tell each other", self.ID, plan.Relay, len(plan.Relays))
+			t.Errorf("%s: got relay %t with %d peers, want a full mesh", self.ID, plan.Relay, len(plan.Relays))
 		}
 	}
 }
 
-func TestManyInstancesHaveFewRelays(t *testing.T) {
+func TestManyInstancesUseFewRelays(t *testing.T) {
 	for _, tt := range []struct{ instances, domains, relays int }{{13, 4, 8}, {80, 4, 8}, {195, 6, 12}, {410, 5, 25}} {
 		members := fleetOf(tt.instances, tt.domains)
 		relays := 0
@@ -105,7 +105,7 @@
 			if plan.Relay {
 				relays++
 			} else if got := plan.Relays[0]; got.Domain != self.Domain {
-				t.Errorf("%s in %s: got a relay in %s, want one of its own domain", self.ID, self.Domain, got.Domain)
+				t.Errorf("%s in %s: got a relay in %s, want a relay in its own domain", self.ID, self.Domain, got.Domain)
 			}
 		}
 
@@ -115,9 +115,9 @@
 	}
 }
 
-// One of many that stops neither relays nor leads, while it can still answer; few go on
-// telling each other.
-func TestAnInstanceThatStopsIsReplacedAtOnce(t *testing.T) {
+// In a large fleet an instance that stops is neither relay nor leader while it can still
+// respond. In a full mesh it stays a relay.
+func TestStoppingLeaderIsReplacedImmediately(t *testing.T) {
 	members := fleetOf(80, 4)
 	leader := planOf(members[0], members).Leaders[0]
 	self := members[slices.IndexFunc(members, func(m Member) bool { return m.ID == leader })]
@@ -125,43 +125,44 @@
 	l := &Links{Self: self}
 	l.StepDown()
 
-	if plan := l.Plan(begin, members); plan.Relay || plan.IsLeader(leader) || len(plan.Leaders) != leaders {
-		t.Errorf("while it stops: got relay %t, leaders %v, want others to lead", plan.Relay, plan.Leaders)
+	if plan := l.Plan(begin, members); plan.Relay || plan.IsLeader(leader) || len(plan.Leaders) != maxLeaders {
+		t.Errorf("plan of the stopping leader: got relay %t, leaders %v, want others as leaders", plan.Relay, plan.Leaders)
 	}
 
 	others := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.ID == leader })
-	if got := planOf(others[0], others).Leaders; slices.Contains(got, leader) || len(got) != leaders {
-		t.Errorf("by others: got %v, want five without %s", got, leader)
+	if got := planOf(others[0], others).Leaders; slices.Contains(got, leader) || len(got) != maxLeaders {
+		t.Errorf("plan of another instance: got %v, want five leaders without %s", got, leader)
 	}
 
-	few := fleetOf(FullMeshMax, 4)
-	l = &Links{Self: few[0]}
+	fullMesh := fleetOf(FullMeshMax, 4)
+	l = &Links{Self: fullMesh[0]}
 	l.StepDown()
 
-	if plan := l.Plan(begin, few); !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
-		t.Errorf("one of few that stops: got relay %t with %d others, want all", plan.Relay, len(plan.Relays))
+	if plan := l.Plan(begin, fullMesh); !plan.Relay || len(plan.Relays) != FullMeshMax-1 {
+		t.Errorf("stopping instance of a full mesh: got relay %t with %d peers, want all", plan.Relay, len(plan.Relays))
 	}
 }
 
-// Among few instances one that stops still shares limits, and must neither lead nor grant.
-func TestAStoppingInstanceOfFewLeadsNoLonger(t *testing.T) {
-	few := fleetOf(4, 2)
-	leading := planOf(few[0], few).Leaders[0]
-	other := few[slices.IndexFunc(few, func(m Member) bool { return m.ID != leading })]
+// In a full mesh an instance that stops still shares the limits, but must neither lead nor
+// grant.
+func TestStoppedPeerInFullMeshIsNoLeader(t *testing.T) {
+	fullMesh := fleetOf(4, 2)
+	leader := planOf(fullMesh[0], fullMesh).Leaders[0]
+	other := fullMesh[slices.IndexFunc(fullMesh, func(m Member) bool { return m.ID != leader })]
 
 	l := &Links{Self: other}
-	l.Plan(begin, few)
-	l.PeerStopped(leading)
+	l.Plan(begin, fullMesh)
+	l.PeerStopped(leader)
 
-	plan := l.Plan(begin, few)
-	if plan.IsLeader(leading) || len(plan.Relays) != len(few)-1 {
-		t.Errorf("got leaders %v and %d others, want %s to share and not to lead", plan.Leaders, len(plan.Relays), leading)
+	plan := l.Plan(begin, fullMesh)
+	if plan.IsLeader(leader) || len(plan.Relays) != len(fullMesh)-1 {
+		t.Errorf("got leaders %v and %d relays, want %s as relay but not as leader", plan.Leaders, len(plan.Relays), leader)
 	}
 }
 
-// Instances are replaced for as long as one runs: what it remembers of those that are gone
-// does not grow.
-func TestLinksForgetThoseThatAreGone(t *testing.T) {
+// Guards against entries of removed instances that accumulate: instances are replaced for as
+// long as one runs.
+func TestLinksEvictRemovedMembers(t *testing.T) {
 	members := fleetOf(80, 4)
 	l := &Links{Self: members[0]}
 	now := begin
@@ -176,13 +177,13 @@
 		l.Plan(now, members)
 	}
 
-	if got, most := len(l.heard)+len(l.silent), rememberedPerMember*(len(members)+1); got > most {
-		t.Errorf("remembered: got %d times and marks, want at most %d", got, most)
+	if got, most := len(l.lastReceived)+len(l.silentSince), maxEntriesPerMember*(len(members)+1); got > most {
+		t.Errorf("entries: got %d, want at most %d", got, most)
 	}
 }
 
-// One that has just started knows itself and names itself; nobody believes it.
-func TestOneThatKnowsFewIsNotBelievedWhoLeads(t *testing.T) {
+// An instance that has just started knows only itself and names itself as leader.
+func TestViewOfStartingInstanceIsIgnored(t *testing.T) {
 	members := fleetOf(80, 4)
 	want := planOf(members[0], members).Leaders
 	self := members[slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(want, m.ID) })]
@@ -193,18 +194,18 @@
 	l.LeadersReported(begin, members[79].ID, starting, 1)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, want) {
-		t.Errorf("leaders after one that knows itself has spoken: got %v, want %v", got, want)
+		t.Errorf("leaders after a view of an instance that knows only itself: got %v, want %v", got, want)
 	}
 
 	l.LeadersReported(begin, members[79].ID, starting, 80)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, starting) {
-		t.Errorf("leaders after one that knows all has spoken: got %v, want %v", got, starting)
+		t.Errorf("leaders after a view of an instance that knows all: got %v, want %v", got, starting)
 	}
 }
 
-// Guards against an instance that takes the views of two that lead in turn.
-func TestOneOfTwoViewsIsKept(t *testing.T) {
+// Guards against an instance that alternates between the views of two leaders.
+func TestConflictingViewsResolveByRank(t *testing.T) {
 	members := fleetOf(9, 4)
 	all := planOf(members[0], members).Leaders
 	self := members[slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(all, m.ID) })]
@@ -217,20 +218,20 @@
 		l.LeadersReported(begin, from, views[round%2], len(members))
 
 		if got := l.Plan(begin, members).Leaders; !slices.Equal(got, all) {
-			t.Fatalf("after %s spoke: got %v, want the view of the first in rank, %v", from, got, all)
+			t.Fatalf("after a view of %s: got %v, want the view of the highest-ranked leader, %v", from, got, all)
 		}
 	}
 
-	later := begin.Add(viewLife + time.Second)
+	later := begin.Add(viewTTL + time.Second)
 	l.LeadersReported(later, all[1], views[1], len(members))
 
 	if got := l.Plan(later, members).Leaders; !slices.Equal(got, views[1]) {
-		t.Errorf("after the first is not heard any more: got %v, want %v", got, views[1])
+		t.Errorf("after the view of the highest-ranked leader expired: got %v, want %v", got, views[1])
 	}
 }
 
-// Two sets of leaders that made each other give way would leave none.
-func TestLeadersGiveWayOnlyToThoseThatLeadWithThem(t *testing.T) {
+// Two sets of leaders that made each other yield would leave no leader.
+func TestLeaderYieldsOnlyToCoLeaders(t *testing.T) {
 	members := fleetOf(80, 4)
 	leaders := planOf(members[0], members).Leaders
 	self := members[slices.IndexFunc(members, func(m Member) bool { return m.ID == leaders[0] })]
@@ -241,13 +242,13 @@
 	l.LeadersReported(begin, outsider, []fleet.InstanceID{outsider}, 80)
 
 	if !l.Plan(begin, members).IsLeader(self.ID) {
-		t.Error("after one that does not lead with it has named others: got no lead, want one")
+		t.Error("after a view of an outsider without it: got not leader, want leader")
 	}
 
 	others := append(slices.Clone(leaders[1:]), outsider)
 	l.LeadersReported(begin, leaders[1], others, 80)
 
 	if got := l.Plan(begin, members).Leaders; !slices.Equal(got, others) {
-		t.Errorf("after one that leads with it has named others: got %v, want %v", got, others)
+		t.Errorf("after a view of a co-leader without it: got %v, want %v", got, others)
 	}
 }
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -16,46 +16,50 @@
 	"monsoonlever/backend"
 )
 
-// ErrGarbled means that what came back is no answer to the request.
+// ErrGarbled means that no valid response to the request was received: the connection
+// ended early, the message could not be parsed, or it belongs to another request.
 var ErrGarbled = merry.Sentinel("answer is garbled")
 
 const (
-	// maxStray is how many answers to earlier requests are skipped on a connection.
-	maxStray = 2
-	// maxStrayBytes bounds the body of an answer that is skipped.
+	// maxStrayResponses bounds the responses to other requests and the informational
+	// responses (1xx) that are skipped on a connection.
+	maxStrayResponses = 2
+	// maxStrayBytes bounds the body of a response that is skipped.
 	maxStrayBytes = 64 << 10
-	// inlineBody is the size up to which a request is written before its answer is
-	// read; it fits into the send buffer of a connection.
-	inlineBody = 2 << 10
+	// maxInlineMessage is the size in bytes up to which a request is written before its
+	// response is read; it fits into the send buffer of a connection.
+	maxInlineMessage = 2 << 10
 )
 
-// Send sends a request and returns its answer once the header has come. Ending
-// ctx closes the connection, so that the backend server stops its work.
-func (p *Pool) Send(ctx context.Context, s Server, r *Request) (*Answer, error) {
+// Send sends a request and returns its response once the header has been received.
+// Cancelling ctx closes the connection, so that the backend server stops its work. The
+// error wraps backend.ErrNotSent if no byte was sent, otherwise ErrGarbled or the error
+// of ctx. The caller must close the response.
+func (p *Pool) Send(ctx context.Context, s Server, r *Request) (*Response, error) {
 	message, err := r.encode()
 	if err != nil {
 		return nil, merry.Prepend(backend.ErrNotSent, "encode request", merry.WithCause(err))
 	}
 
-	conn, err := p.get(ctx, s, r.Fresh)
+	conn, err := p.get(ctx, s, r.RequireFresh)
 	if err != nil {
 		return nil, err
 	}
 
-	if r.Permit != nil {
-		if err := r.Permit(); err != nil {
-			p.drop(conn)
+	if r.BeforeSend != nil {
+		if err := r.BeforeSend(); err != nil {
+			p.closeConnection(conn)
 
-			return nil, merry.Prepend(backend.ErrNotSent, "permit", merry.WithCause(err))
+			return nil, merry.Prepend(backend.ErrNotSent, "check before send", merry.WithCause(err))
 		}
 	}
 
-	a := &Answer{pool: p, conn: conn}
-	a.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
-	a.write(message)
+	resp := &Response{pool: p, conn: conn}
+	resp.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
+	resp.write(message)
 
-	if err := a.readHeader(r); err != nil {
-		a.Close()
+	if err := resp.readHeader(r); err != nil {
+		resp.Close()
 
 		if ctx.Err() != nil {
 			return nil, merry.Prepend(ctx.Err(), "send to "+s.Address)
@@ -64,49 +68,51 @@
 		return nil, merry.Prepend(err, "send to "+s.Address)
 	}
 
-	return a, nil
+	return resp, nil
 }
 
-// Answer is an answer whose header has come.
-type Answer struct {
+// Response is a response whose header has been received. Its body is read by one
+// goroutine at a time.
+type Response struct {
 	pool *Pool
 	conn *connection
 	stop func() bool
 
 	response *http.Response
-	// written is set once the whole request was handed to the connection.
+	// written is set once the whole request was written to the connection.
 	written atomic.Bool
-	whole   bool
-	once    sync.Once
+	// bodyRead is set once the body was read to its end.
+	bodyRead bool
+	once     sync.Once
 }
 
-// write hands the message to the connection. A long one is written beside the
-// reading, since a server may answer before it has read it all.
-func (a *Answer) write(message []byte) {
-	if len(message) <= inlineBody {
-		a.writeAll(message)
+// write writes the message to the connection. A long message is written concurrently
+// with reading the response, since a server may respond before it has read all of it.
+func (resp *Response) write(message []byte) {
+	if len(message) <= maxInlineMessage {
+		resp.writeAll(message)
 
 		return
 	}
 
-	go a.writeAll(message)
+	go resp.writeAll(message)
 }
 
-func (a *Answer) writeAll(message []byte) {
-	if _, err := a.conn.Write(message); err == nil {
-		a.written.Store(true)
+func (resp *Response) writeAll(message []byte) {
+	if _, err := resp.conn.Write(message); err == nil {
+		resp.written.Store(true)
 	}
 }
 
-func (a *Answer) readHeader(r *Request) error {
+func (resp *Response) readHeader(r *Request) error {
 	request := &http.Request{Method: r.Method}
 
-	for range maxStray + 1 {
-		response, err := http.ReadResponse(a.conn.reader, request)
+	for range maxStrayResponses + 1 {
+		response, err := http.ReadResponse(resp.conn.reader, request)
 		if err != nil {
-			a.pool.Counters.garbledAnswer()
+			resp.pool.Counters.garbledResponse()
 
-			return merry.Prepend(ErrGarbled, "read answer", merry.WithCause(err))
+			return merry.Prepend(ErrGarbled, "read response", merry.WithCause(err))
 		}
 
 		if response.StatusCode < http.StatusOK {
@@ -114,92 +120,93 @@
 		}
 
 		if response.Header.Get(r.IDHeader) == r.ID {
-			a.response = response
+			resp.response = response
 
 			return nil
 		}
 
-		a.pool.Counters.strayAnswer()
+		resp.pool.Counters.strayResponse()
 
-		if err := skip(response); err != nil {
+		if err := discardResponse(response); err != nil {
 			return err
 		}
 	}
 
-	return merry.Prepend(ErrGarbled, "too many answers to other requests")
+	return merry.Prepend(ErrGarbled, "too many responses to other requests")
 }
 
-// skip reads an answer that belongs to an earlier request to its end.
-func skip(response *http.Response) error {
+// discardResponse reads a response to another request to its end.
+func discardResponse(response *http.Response) error {
 	defer response.Body.Close() //nolint:errcheck // it was read to its end or fails below
 
 	if response.ContentLength < 0 || response.ContentLength > maxStrayBytes {
-		return merry.Prepend(ErrGarbled, "answer to another request has no bounded length")
+		return merry.Prepend(ErrGarbled, "response to another request is too long or has no length")
 	}
 
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return merry.Prepend(ErrGarbled, "answer to another request", merry.WithCause(err))
+		return merry.Prepend(ErrGarbled, "read response to another request", merry.WithCause(err))
 	}
 
 	return nil
 }
 
 // Status returns the status code.
-func (a *Answer) Status() int { return a.response.StatusCode }
+func (resp *Response) Status() int { return resp.response.StatusCode }
 
 // Header returns the header fields.
-func (a *Answer) Header() http.Header { return a.response.Header }
+func (resp *Response) Header() http.Header { return resp.response.Header }
 
 // ContentLength returns the length of the body, or -1 where it is not known.
-func (a *Answer) ContentLength() int64 { return a.response.ContentLength }
+func (resp *Response) ContentLength() int64 { return resp.response.ContentLength }
 
-// Read reads the body. It returns io.EOF only after the last byte of a body that
-// is whole.
-func (a *Answer) Read(b []byte) (int, error) {
-	n, err := a.response.Body.Read(b)
+// Read reads the body. It returns io.EOF only if the body is complete.
+func (resp *Response) Read(b []byte) (int, error) {
+	n, err := resp.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		resp.bodyRead = true
 	}
 
 	return n, err
 }
 
-// ReadAll reads the whole body, of at most limit bytes.
-func (a *Answer) ReadAll(limit int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a, limit+1))
+// ReadAll reads the whole body, of at most limit bytes. Its errors wrap ErrGarbled.
+func (resp *Response) ReadAll(limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(resp, limit+1))
 	if err != nil {
-		return nil, merry.Prepend(ErrGarbled, "read body", merry.WithCause(err))
+		return nil, merry.Prepend(ErrGarbled, "read response body", merry.WithCause(err))
 	}
 
 	if int64(len(body)) > limit {
-		return nil, merry.Prepend(ErrGarbled, "body is too long")
+		return nil, merry.Prepend(ErrGarbled, "response body is too long")
 	}
 
 	return body, nil
 }
 
-// Close ends the answer. Its connection is kept if the body was read to its end
-// and nothing else came; else it is closed, and the backend server stops.
-func (a *Answer) Close() {
-	a.once.Do(func() {
-		// A stop that comes too late means that the connection is being closed.
-		if !a.stop() || !a.reusable() {
-			a.pool.drop(a.conn)
+// Close releases the connection. It is kept for further requests if the body was read to
+// its end and no other bytes were received; otherwise it is closed, which makes the
+// backend server stop its work.
+func (resp *Response) Close() {
+	resp.once.Do(func() {
+		// If it is too late to stop the context's function, that closes the connection.
+		if !resp.stop() || !resp.reusable() {
+			resp.pool.closeConnection(resp.conn)
 
 			return
 		}
 
-		a.pool.put(a.conn, idleTime(a.response.Header.Get("Keep-Alive")))
+		resp.pool.putIdle(resp.conn, idleTimeout(resp.response.Header.Get("Keep-Alive")))
 	})
 }
 
-func (a *Answer) reusable() bool {
-	return a.response != nil && a.whole && a.written.Load() && !a.response.Close &&
-		a.response.ProtoAtLeast(1, 1) && a.conn.reader.Buffered() == 0
+func (resp *Response) reusable() bool {
+	return resp.response != nil && resp.bodyRead && resp.written.Load() && !resp.response.Close &&
+		resp.response.ProtoAtLeast(1, 1) && resp.conn.reader.Buffered() == 0
 }
 
-// idleTime returns how long a connection may idle, from a Keep-Alive header.
-func idleTime(header string) time.Duration {
+// idleTimeout returns how long a connection may be idle and still be reused, from the
+// value of a Keep-Alive header, whose timeout is in seconds.
+func idleTimeout(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -207,9 +214,9 @@
 		}
 
 		if seconds, err := strconv.Atoi(strings.TrimSpace(value)); err == nil && seconds >= 0 {
-			return time.Duration(float64(seconds) * idleShare * float64(time.Second))
+			return time.Duration(float64(seconds) * idleTimeoutShare * float64(time.Second))
 		}
 	}
 
-	return defaultIdle
+	return defaultIdleTimeout
 }
