--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -51,12 +51,12 @@
 // take requests cost from an instance, and then from its lenders if there are any.
 func (g *group) take(now time.Time, i int, cost float64) Decision {
 	d := g.quotas[i].Take(now, "a", cost)
-	for _, holder := range g.quotas[i].Lenders("a") {
+	for _, lender := range g.quotas[i].Lenders("a") {
 		if d.Granted {
 			break
 		}
 
-		d.Granted = g.quotas[slices.Index(g.ids, holder)].Lend(now, "a", cost).Granted
+		d.Granted = g.quotas[slices.Index(g.ids, lender)].Lend(now, "a", cost).Granted
 	}
 
 	return d
