--- a/quota/quota.go
+++ b/quota/quota.go
@@ -200,7 +200,7 @@
 // Decision is the result of Take and Lend.
 type Decision struct {
 	Granted bool
-	// RetryAfter is when capacity may be available, if nothing was granted.
+	// RetryAfter is the delay after which capacity may be available, if nothing was granted.
 	RetryAfter time.Duration
 	// Remaining is what was left of the allowance, and Share how much of it this instance
 	// could consume. Both are for logs.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -358,7 +358,7 @@
 
 		var grants []increment
 
-		ask := func(now time.Time) {
+		requestLoad := func(now time.Time) {
 			for range random.IntN(int(2*load) + 1) {
 				cost := 1000 + random.ExpFloat64()*10_000
 				if g.take(now, random.IntN(n), cost).Granted {
@@ -380,7 +380,7 @@
 		for tick := range 130 {
 			now = start.Add(time.Duration(tick) * 100 * time.Millisecond)
 			g.exchange(now, tick)
-			ask(now)
+			requestLoad(now)
 
 			for i, q := range g.quotas {
 				if tick%20 == i || asked[i] && tick%3 == 0 {
@@ -413,7 +413,7 @@
 		for tick := range 130 {
 			later := now.Add(time.Duration(tick+10) * 100 * time.Millisecond)
 			g.exchange(later, tick)
-			ask(later)
+			requestLoad(later)
 		}
 
 		if got := maxInWindow(grants); got > amount {
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -119,21 +119,21 @@
 		quotas[id] = q
 	}
 
-	holder := quotas["entry-1"].Lenders("a")[0]
-	other := ids[0]
+	lender := quotas["entry-1"].Lenders("a")[0]
+	borrower := ids[0]
 
 	for _, id := range ids {
-		if id != holder && id != quotas["entry-1"].Lenders("a")[1] {
-			other = id
+		if id != lender && id != quotas["entry-1"].Lenders("a")[1] {
+			borrower = id
 		}
 	}
 
-	d.lender = &Limiter{Quota: quotas[holder], Clock: clk, Self: holder}
-	d.borrower = &Limiter{Quota: quotas[other], Clock: clk, Self: other, Send: func(to fleet.InstanceID, ask LoanRequest) {
+	d.lender = &Limiter{Quota: quotas[lender], Clock: clk, Self: lender}
+	d.borrower = &Limiter{Quota: quotas[borrower], Clock: clk, Self: borrower, Send: func(to fleet.InstanceID, request LoanRequest) {
 		d.requests++
 
-		if to == holder && !d.dropRequests {
-			d.borrower.HandleResponse(d.lender.HandleRequest(ask))
+		if to == lender && !d.dropRequests {
+			d.borrower.HandleResponse(d.lender.HandleRequest(request))
 		}
 	}}
 
@@ -191,10 +191,10 @@
 		t.Errorf("refused after %v, want at most %v", took, most)
 	}
 
-	asked := d.requests
+	sent := d.requests
 
-	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || d.requests != asked {
-		t.Errorf("right after: got %+v and %d requests, want a refusal without one", got, d.requests-asked)
+	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || d.requests != sent {
+		t.Errorf("right after: got %+v and %d requests, want a refusal without one", got, d.requests-sent)
 	}
 }
 
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// noGrantRetryDelay is when a request to a server is retried if no instance grants permits
-	// for the server now.
+	// noGrantRetryDelay is the delay before a request to a server is retried if no instance
+	// grants permits for the server now.
 	noGrantRetryDelay = 300 * time.Millisecond
 	// maxReservation bounds how far ahead tokens are reserved for the requests of other
 	// instances.
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -127,7 +127,7 @@
 	})
 }
 
-// A leader that ranks third grants nothing, whoever requests it.
+// A leader that ranks third grants nothing, whoever sends the permit request.
 func TestLowerRankedInstancesGrantNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b", "c", "d")
