--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -18,8 +18,8 @@
 	leaders := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 	server := register.Process{ID: "i-0123456789", Incarnation: 1_790_000_000_123}
 	self := RankLeaders(server, leaders)[0]
-	asker := &Limiter{Self: self, Clock: clock.NewSteady(), Announcements: &announcementStore{}, Granter: &Granter{Self: self}}
-	asker.Granter.SetLeaders(asker.Clock.Now(), leaders)
+	limiter := &Limiter{Self: self, Clock: clock.NewSteady(), Announcements: &announcementStore{}, Granter: &Granter{Self: self}}
+	limiter.Granter.SetLeaders(limiter.Clock.Now(), leaders)
 
 	message, err := msgpack.Marshal(&PermitRequest{
 		From: "entry-9", Number: 1, Server: server, Rate: 1.5, Age: time.Second, Patience: time.Millisecond,
@@ -36,8 +36,8 @@
 			b.Fatal(err)
 		}
 
-		reply := asker.HandleRequest(request)
-		if _, err := msgpack.Marshal(&reply); err != nil {
+		response := limiter.HandleRequest(request)
+		if _, err := msgpack.Marshal(&response); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/ratelimit/counters.go
+++ b/ratelimit/counters.go
@@ -16,10 +16,10 @@
 	}
 }
 
-func (c *Counters) record(permit Permit, answered bool) {
+func (c *Counters) record(permit Permit, responded bool) {
 	switch {
 	case c == nil:
-	case !answered:
+	case !responded:
 		c.unanswered.Inc()
 	case permit.Granted:
 		c.granted.Inc()
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -69,8 +69,8 @@
 // Acquire requests a permit for one request to a server that announced a limit. The request
 // can wait up to maxWait. If no granter responds, nothing is granted.
 func (l *Limiter) Acquire(ctx context.Context, server register.Process, limit Announcement, maxWait time.Duration) Permit {
-	permit, answered := l.acquire(ctx, server, limit, maxWait)
-	l.Counters.record(permit, answered)
+	permit, responded := l.acquire(ctx, server, limit, maxWait)
+	l.Counters.record(permit, responded)
 
 	return permit
 }
@@ -84,15 +84,15 @@
 			return l.Granter.Grant(l.Clock.Now(), server, limit.Rate, maxWait), true
 		}
 
-		reply, ok := l.requests.Do(ctx, l.Clock, granter, func(number uint64) {
+		response, ok := l.requests.Do(ctx, l.Clock, granter, func(number uint64) {
 			l.Send(granter, PermitRequest{
 				From: l.Self, Number: number, Server: server, Rate: limit.Rate, Age: l.Clock.Now().Sub(limit.At), Patience: maxWait,
 			})
 		})
 		if ok {
-			l.merge(server, reply.Rate, reply.Age)
+			l.merge(server, response.Rate, response.Age)
 
-			return Permit{Granted: reply.Granted, Wait: min(max(reply.Wait, 0), maxReservation)}, true
+			return Permit{Granted: response.Granted, Wait: min(max(response.Wait, 0), maxReservation)}, true
 		}
 
 		if ctx.Err() != nil {
@@ -107,14 +107,14 @@
 func (l *Limiter) HandleRequest(request PermitRequest) PermitResponse {
 	newest := l.merge(request.Server, request.Rate, request.Age)
 	now := l.Clock.Now()
-	reply := PermitResponse{Number: request.Number, Granted: true, Rate: newest.Rate, Age: now.Sub(newest.At)}
+	response := PermitResponse{Number: request.Number, Granted: true, Rate: newest.Rate, Age: now.Sub(newest.At)}
 
 	if newest.Rate != Unlimited {
 		permit := l.Granter.Grant(now, request.Server, newest.Rate, min(request.Patience, maxReservation))
-		reply.Granted, reply.Wait = permit.Granted, permit.Wait
+		response.Granted, response.Wait = permit.Granted, permit.Wait
 	}
 
-	return reply
+	return response
 }
 
 // merge merges the announcement that another instance sent, unless it is invalid, and returns
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -239,7 +239,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d, ranked := newLimiterGroup("a", "b", "c", "d")
 		granter := d.limiters[ranked[1]].Granter
-		grant := func(patience time.Duration) Permit { return granter.Grant(time.Now(), limited, 10, patience) }
+		grant := func(maxWait time.Duration) Permit { return granter.Grant(time.Now(), limited, 10, maxWait) }
 
 		time.Sleep(2 * handoverPeriod)
 		grant(0)
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestLimitIsLiftedOnlyByLaterRequest(t *testing.T) {
-	const answered = time.Second
+	const latency = time.Second
 
 	now := time.Unix(1000, 0)
 	limited := Announcement{Rate: 2, At: now}
@@ -16,16 +16,16 @@
 		sent time.Duration
 		want Announcement
 	}{
-		"a stricter limit of an earlier request":    {rate: 1, sent: -answered, want: Announcement{1, now.Add(answered)}},
-		"the same limit of an earlier request":      {rate: 2, sent: -answered, want: Announcement{2, now.Add(answered)}},
-		"a wider limit of an earlier request":       {rate: 3, sent: -answered, want: limited},
-		"no limit in response to an earlier one":    {rate: Unlimited, sent: -answered, want: limited},
+		"a stricter limit of an earlier request":    {rate: 1, sent: -latency, want: Announcement{1, now.Add(latency)}},
+		"the same limit of an earlier request":      {rate: 2, sent: -latency, want: Announcement{2, now.Add(latency)}},
+		"a wider limit of an earlier request":       {rate: 3, sent: -latency, want: limited},
+		"no limit in response to an earlier one":    {rate: Unlimited, sent: -latency, want: limited},
 		"no limit in response to one sent together": {rate: Unlimited, want: limited},
 		"a wider limit of a later request":          {rate: 3, sent: time.Millisecond, want: Announcement{3, now.Add(time.Millisecond)}},
 		"no limit in response to a later request":   {rate: Unlimited, sent: time.Millisecond, want: Announcement{Unlimited, now.Add(time.Millisecond)}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := limited.Observed(tt.rate, now.Add(tt.sent), now.Add(answered)); got != tt.want {
+			if got := limited.Observed(tt.rate, now.Add(tt.sent), now.Add(latency)); got != tt.want {
 				t.Errorf("got %+v, want %+v", got, tt.want)
 			}
 		})
