--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -161,7 +161,7 @@
 }
 
 // ChooseRetry returns which versions a repeated attempt of a request may be sent to. The new
-// version is not among them during its trial.
+// version is not among them unless its roll-out is completed.
 func (g *Gate) ChooseRetry(service fleet.Service) Choice {
 	k, ok := g.lookup(service)
 	if !ok {
--- a/rollout/gate_test.go
+++ b/rollout/gate_test.go
@@ -36,15 +36,15 @@
 		some  bool
 	}{
 		"an order without a decision": {apply: func(*Gate) {}},
-		"a young decision":            {apply: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life / 2, some: true},
-		"a decision that has lapsed":  {apply: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life},
+		"a valid decision":            {apply: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life / 2, some: true},
+		"an expired decision":         {apply: func(g *Gate) { g.Apply(begin, trial, begin) }, at: life},
 		"a decision of unknown age":   {apply: func(g *Gate) { g.Apply(begin, trial, time.Time{}) }},
-		"a decision on the order before": {apply: func(g *Gate) {
+		"a decision on an earlier order": {apply: func(g *Gate) {
 			earlier := trial
 			earlier.Place = 6
 			g.Apply(begin, earlier, begin)
 		}},
-		"a revert that a late decision follows": {apply: func(g *Gate) {
+		"a late decision after a revert": {apply: func(g *Gate) {
 			reverted := trial
 			reverted.Phase = Reverted
 			g.Apply(begin, reverted, begin)
@@ -59,7 +59,7 @@
 
 		some, avoided := choices(g, begin.Add(tt.at))
 		if some != tt.some || !avoided {
-			t.Errorf("%s: got some sent to the new version %t, avoided by the rest %t, want %t and true",
+			t.Errorf("%s: got requests to the new version %t, avoided by the rest %t, want %t and true",
 				name, some, avoided, tt.some)
 		}
 	}
@@ -76,7 +76,7 @@
 
 	c := g.Choose(begin.Add(time.Hour), service)
 	if c.Only != "" || !slices.Equal(c.Avoid, []fleet.Version{before}) {
-		t.Errorf("got %+v, want all but the version before", c)
+		t.Errorf("got %+v, want only the replaced version avoided", c)
 	}
 }
 
--- a/rollout/simulation_test.go
+++ b/rollout/simulation_test.go
@@ -335,14 +335,14 @@
 		flaw defect
 		want Phase
 	}{
-		"good":                {want: Completed},
-		"fails at once":       {flaw: defect{rate: 0.4}, want: Reverted},
-		"fails in part":       {flaw: defect{rate: 0.2}, want: Reverted},
-		"fails later":         {flaw: defect{rate: 0.4, startsAfter: 8 * time.Second}, want: Reverted},
-		"fails on one route":  {flaw: defect{rate: 0.5, route: "r3"}, want: Reverted},
-		"slow":                {flaw: defect{rate: 0.6, slow: true}, want: Reverted},
-		"slow on one route":   {flaw: defect{rate: 0.8, slow: true, route: "r2"}, want: Reverted},
-		"fails only if tried": {flaw: defect{rate: 0.5, minShare: 0.005}, want: Reverted},
+		"good":               {want: Completed},
+		"fails at once":      {flaw: defect{rate: 0.4}, want: Reverted},
+		"fails in part":      {flaw: defect{rate: 0.2}, want: Reverted},
+		"fails later":        {flaw: defect{rate: 0.4, startsAfter: 8 * time.Second}, want: Reverted},
+		"fails on one route": {flaw: defect{rate: 0.5, route: "r3"}, want: Reverted},
+		"slow":               {flaw: defect{rate: 0.6, slow: true}, want: Reverted},
+		"slow on one route":  {flaw: defect{rate: 0.8, slow: true, route: "r2"}, want: Reverted},
+		"fails under load":   {flaw: defect{rate: 0.5, minShare: 0.005}, want: Reverted},
 	}
 }
 
