--- a/quarantine/false_positive_test.go
+++ b/quarantine/false_positive_test.go
@@ -54,8 +54,8 @@
 	crashAfter time.Duration
 	// lossTimes holds the times at which servers crashed under each harmful request. lateSends
 	// counts sends more than propagationTime after the third crash.
-	lossTimes map[Fingerprint][]time.Time
-	lateSends map[Fingerprint]int
+	lossTimes           map[Fingerprint][]time.Time
+	sendsAfterThirdLoss map[Fingerprint]int
 }
 
 func (p *simulation) process(server int) register.Process {
@@ -65,7 +65,7 @@
 // send sends a stream to a random server unless the stream is quarantined, and reports whether
 // it was sent.
 func (p *simulation) send(s *stream) bool {
-	if _, held := p.ledger.Quarantined(p.now, s.content); held {
+	if _, quarantined := p.ledger.Quarantined(p.now, s.content); quarantined {
 		if !s.harmful {
 			p.refused++
 		}
@@ -77,8 +77,8 @@
 		return false
 	}
 
-	if ends := p.lossTimes[s.content]; len(ends) >= quarantineThreshold && p.now.Sub(ends[quarantineThreshold-1]) > propagationTime {
-		p.lateSends[s.content]++
+	if crashes := p.lossTimes[s.content]; len(crashes) >= quarantineThreshold && p.now.Sub(crashes[quarantineThreshold-1]) > propagationTime {
+		p.sendsAfterThirdLoss[s.content]++
 	}
 
 	s.sent++
@@ -174,8 +174,8 @@
 	for name, tt := range map[string]struct {
 		crashAfter, interval time.Duration
 	}{
-		"at its begin":       {crashAfter: earlyCrash, interval: 4 * time.Second},
-		"late in the stream": {crashAfter: lateCrash, interval: 12 * time.Second},
+		"early in the stream": {crashAfter: earlyCrash, interval: 4 * time.Second},
+		"late in the stream":  {crashAfter: lateCrash, interval: 12 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) { simulateHarmfulStreams(t, tt.crashAfter, tt.interval) })
 	}
@@ -203,7 +203,7 @@
 			p := &simulation{
 				t: t, random: rand.New(rand.NewPCG(seed, uint64(servers))), now: begin, servers: servers,
 				generation: make([]int, servers), next: 1 << 32, crashAfter: crashAfter,
-				lossTimes: make(map[Fingerprint][]time.Time), lateSends: make(map[Fingerprint]int),
+				lossTimes: make(map[Fingerprint][]time.Time), sendsAfterThirdLoss: make(map[Fingerprint]int),
 			}
 
 			copies := 0
@@ -225,9 +225,9 @@
 				t.Errorf("%d servers, seed %d: got %d sends of harmful requests, want at most %d", servers, seed, copies, most)
 			}
 
-			for content, later := range p.lateSends {
+			for content, later := range p.sendsAfterThirdLoss {
 				if later > maxLateSends {
-					t.Errorf("%d servers, seed %d, request %v: got %d sends after it had ended three, want at most %d",
+					t.Errorf("%d servers, seed %d, request %v: got %d late sends after its third crash, want at most %d",
 						servers, seed, content, later, maxLateSends)
 				}
 			}
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -17,19 +17,19 @@
 
 	base := requestFields{"acme", "POST", "a.example", "/talk/1", "hello"}
 	if got, want := of(base), of(base); got != want {
-		t.Errorf("again: got %v, want %v", got, want)
+		t.Errorf("same request: got %v, want %v", got, want)
 	}
 
 	for name, other := range map[string]requestFields{
-		"account":                      {"other", "POST", "a.example", "/talk/1", "hello"},
-		"method":                       {"acme", "PUT", "a.example", "/talk/1", "hello"},
-		"host":                         {"acme", "POST", "b.example", "/talk/1", "hello"},
-		"target":                       {"acme", "POST", "a.example", "/talk/1?x=1", "hello"},
-		"body":                         {"acme", "POST", "a.example", "/talk/1", "hello!"},
-		"the same bytes cut otherwise": {"acme", "POST", "a.example", "/talk/", "1hello"},
+		"account":                 {"other", "POST", "a.example", "/talk/1", "hello"},
+		"method":                  {"acme", "PUT", "a.example", "/talk/1", "hello"},
+		"host":                    {"acme", "POST", "b.example", "/talk/1", "hello"},
+		"target":                  {"acme", "POST", "a.example", "/talk/1?x=1", "hello"},
+		"body":                    {"acme", "POST", "a.example", "/talk/1", "hello!"},
+		"split of the same bytes": {"acme", "POST", "a.example", "/talk/", "1hello"},
 	} {
 		if of(other) == of(base) {
-			t.Errorf("another %s: got the same fingerprint, want another", name)
+			t.Errorf("different %s: got the same fingerprint, want a different one", name)
 		}
 	}
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -8,7 +8,7 @@
 // servers were lost at the begin of its answer, or five at any time of its answer.
 //
 // Harmless requests that ran on the same servers are lost at the same time. Therefore only
-// the loss of a server that had not announced to leave counts against a request, and a loss
+// the loss of a server that had not announced its stop counts against a request, and a loss
 // at the begin of the request's answer counts most. One complete answer to the request clears
 // all its losses at all instances.
 //
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -25,9 +25,9 @@
 }
 
 func quarantined(l *Ledger, now time.Time, f Fingerprint) bool {
-	_, held := l.Quarantined(now, f)
+	_, ok := l.Quarantined(now, f)
 
-	return held
+	return ok
 }
 
 func TestThreeStrongLossesQuarantineRequest(t *testing.T) {
@@ -35,32 +35,32 @@
 
 	for n := range quarantineThreshold {
 		if quarantined(&l, begin, 1) {
-			t.Fatalf("after %d ends: got it held off, want it served", n)
+			t.Fatalf("after %d losses: got the request quarantined, want it served", n)
 		}
 
 		l.RecordLoss(begin, 1, process(n), Strong)
 		l.RecordLoss(begin, 1, process(n), Strong)
 	}
 
-	if left, held := l.Quarantined(begin, 1); !held || left != quarantineDuration {
-		t.Errorf("after %d ends: got %v left and held off %t, want %v and true", quarantineThreshold, left, held, quarantineDuration)
+	if left, ok := l.Quarantined(begin, 1); !ok || left != quarantineDuration {
+		t.Errorf("after %d losses: got %v left and quarantined %t, want %v and true", quarantineThreshold, left, ok, quarantineDuration)
 	}
 
 	if quarantined(&l, begin, 2) {
-		t.Error("another request: got it held off, want it served")
+		t.Error("another request: got it quarantined, want it served")
 	}
 
 	// The request is served again when its quarantine ends, and one more loss quarantines it
 	// again.
 	later := begin.Add(quarantineDuration + time.Second)
 	if quarantined(&l, later, 1) {
-		t.Error("after its time: got it held off, want it tried")
+		t.Error("after the quarantine: got the request quarantined, want it served")
 	}
 
 	l.RecordLoss(later, 1, process(9), Strong)
 
 	if !quarantined(&l, later, 1) {
-		t.Error("after one more end: got it served, want it held off")
+		t.Error("after one more loss: got the request served, want it quarantined")
 	}
 }
 
@@ -78,15 +78,15 @@
 	other.Merge(begin.Add(time.Second), old, false)
 	l.Merge(begin.Add(time.Second), old, false)
 
-	for name, ledger := range map[string]*Ledger{"here": &l, "at another": &other} {
+	for name, ledger := range map[string]*Ledger{"this instance": &l, "another instance": &other} {
 		if quarantined(ledger, begin, 1) {
-			t.Errorf("%s: got it held off, want it served", name)
+			t.Errorf("%s: got the request quarantined, want it served", name)
 		}
 
 		ledger.RecordLoss(begin, 1, process(7), Strong)
 
 		if quarantined(ledger, begin, 1) {
-			t.Errorf("%s, after one more end: got it held off, want it served", name)
+			t.Errorf("%s, after one more loss: got the request quarantined, want it served", name)
 		}
 	}
 }
@@ -144,19 +144,19 @@
 	}
 
 	if got := len(l.suspects); got > maxSuspects {
-		t.Errorf("requests remembered: got %d, want at most %d", got, maxSuspects)
+		t.Errorf("suspects: got %d, want at most %d", got, maxSuspects)
 	}
 
 	if got := len(l.suspects[1].losses); got > maxLossesPerSuspect {
-		t.Errorf("ends of one request: got %d, want at most %d", got, maxLossesPerSuspect)
+		t.Errorf("losses of one request: got %d, want at most %d", got, maxLossesPerSuspect)
 	}
 
 	if !quarantined(&l, now, 1) {
-		t.Error("the request under which most ended: got it forgotten, want it held off")
+		t.Error("the request with the most losses: got it evicted, want it quarantined")
 	}
 
 	if got := len(l.StoredLosses(now)); got > maxStoredLosses {
-		t.Errorf("losses in a record: got %d, want at most %d", got, maxStoredLosses)
+		t.Errorf("stored losses: got %d, want at most %d", got, maxStoredLosses)
 	}
 
 	l.RecordLoss(now.Add(suspectTTL+sweepInterval), 2, process(0), Strong)
@@ -169,33 +169,33 @@
 	})
 
 	if len(l.suspects) != 1 || published != 1 {
-		t.Errorf("after %v: got %d requests remembered and %d shown, want 1", suspectTTL, len(l.suspects), published)
+		t.Errorf("after %v: got %d suspects and %d published, want 1", suspectTTL, len(l.suspects), published)
 	}
 }
 
 // Stored losses restore the quarantine after a failure of all instances, and carry losses to
 // instances that receive no messages from the observer.
 func TestStoredLossesRestoreQuarantine(t *testing.T) {
-	var one, two, next Ledger
+	var first, second, next Ledger
 
-	one.RecordLoss(begin, 1, process(0), Strong)
-	one.RecordLoss(begin, 1, process(1), Strong)
-	two.Merge(begin, one.StoredLosses(begin), false)
-	two.RecordLoss(begin, 1, process(2), Strong)
+	first.RecordLoss(begin, 1, process(0), Strong)
+	first.RecordLoss(begin, 1, process(1), Strong)
+	second.Merge(begin, first.StoredLosses(begin), false)
+	second.RecordLoss(begin, 1, process(2), Strong)
 
-	if !quarantined(&two, begin, 1) {
-		t.Error("one that reads records: got it served, want it held off")
+	if !quarantined(&second, begin, 1) {
+		t.Error("reader of stored losses: got the request served, want it quarantined")
 	}
 
 	later := begin.Add(quarantineDuration / 2)
-	next.Merge(later, two.StoredLosses(later), false)
+	next.Merge(later, second.StoredLosses(later), false)
 
-	if left, held := next.Quarantined(later, 1); !held || left != quarantineDuration/2 {
-		t.Errorf("after a start: got %v left and held off %t, want %v and true", left, held, quarantineDuration/2)
+	if left, ok := next.Quarantined(later, 1); !ok || left != quarantineDuration/2 {
+		t.Errorf("restored ledger: got %v left and quarantined %t, want %v and true", left, ok, quarantineDuration/2)
 	}
 
-	if got := len(one.StoredLosses(later)); got != 0 {
-		t.Errorf("losses of a request that is not held off: got %d recorded for good, want 0", got)
+	if got := len(first.StoredLosses(later)); got != 0 {
+		t.Errorf("losses of a request that is not quarantined: got %d stored, want 0", got)
 	}
 }
 
@@ -207,7 +207,7 @@
 	for range sendsPerLoss {
 		pending := observer.PendingLosses(begin)
 		if len(pending) != 1 {
-			t.Fatalf("news: got %d losses, want 1", len(pending))
+			t.Fatalf("pending losses: got %d, want 1", len(pending))
 		}
 
 		relay.Merge(begin, pending, true)
@@ -215,15 +215,15 @@
 	}
 
 	if got := len(observer.PendingLosses(begin)); got != 0 {
-		t.Errorf("news told %d times: got %d losses more, want none", sendsPerLoss, got)
+		t.Errorf("after %d sends: got %d more pending losses, want none", sendsPerLoss, got)
 	}
 
 	if got := len(relay.PendingLosses(begin)); got != 1 {
-		t.Errorf("a relay: got %d losses to pass on, want 1", got)
+		t.Errorf("relay: got %d losses to forward, want 1", got)
 	}
 
 	if got := len(last.PendingLosses(begin)); got != 0 {
-		t.Errorf("one that passes nothing on: got %d losses to tell, want none", got)
+		t.Errorf("receiver that is no relay: got %d losses to send, want none", got)
 	}
 }
 
@@ -270,7 +270,7 @@
 		l.RecordLoss(begin, 1, process(n), Strong)
 	}
 
-	_, held := l.Quarantined(begin, 1)
-	fmt.Println(held)
+	_, quarantined := l.Quarantined(begin, 1)
+	fmt.Println(quarantined)
 	// Output: true
 }
