--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -98,7 +98,7 @@
 	// reclaimed before the shortage ends.
 	criticalShare = 0.66
 	// recentWindow is the window of the recently wanted servers, which on-demand servers are
-	// ordered for. It is shorter than peakWindow because on-demand servers cost several times
+	// ordered for. It is shorter than peakWindow because on-demand servers cost many times
 	// as much as reclaimable ones and are always available.
 	recentWindow = 12 * time.Second
 )
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -130,15 +130,15 @@
 
 	lasting, reclaimable := m.count(begin.Add(time.Minute))
 	if lasting != 0 || reclaimable < neededServers(130_000) {
-		t.Errorf("after a minute: got %d lasting and %d reclaimable, want 0 and what the load needs", lasting, reclaimable)
+		t.Errorf("after a minute: got %d on-demand and %d reclaimable servers, want 0 and what the load needs", lasting, reclaimable)
 	}
 
 	if least < neededServers(130_000) {
-		t.Errorf("servers on the way: got %d, want never below %d", least, neededServers(130_000))
+		t.Errorf("fewest servers: got %d, want at least %d", least, neededServers(130_000))
 	}
 
 	if all := 9 * 60.0; m.cost > all/3 {
-		t.Errorf("price: got %.0f, want below a third of %.0f for lasting servers alone", m.cost, all)
+		t.Errorf("price: got %.0f, want below a third of %.0f for on-demand servers alone", m.cost, all)
 	}
 
 	if m.orders > 16 {
@@ -171,7 +171,7 @@
 	now = simulate(m, p, now, 25*time.Second, 150_000, nil)
 
 	if lasting, _ := m.count(now); lasting != 0 {
-		t.Errorf("once reclaimable ones are back: got %d lasting, want 0", lasting)
+		t.Errorf("after the shortage: got %d on-demand servers, want 0", lasting)
 	}
 }
 
@@ -194,7 +194,7 @@
 	}
 
 	if lasting, reclaimable := m.count(begin.Add(30 * time.Second)); lasting != 0 || reclaimable != 9 {
-		t.Errorf("got %d lasting and %d reclaimable, want 0 and 9", lasting, reclaimable)
+		t.Errorf("got %d on-demand and %d reclaimable servers, want 0 and 9", lasting, reclaimable)
 	}
 }
 
@@ -217,7 +217,7 @@
 
 	simulate(m, &Planner{}, now, 20*time.Second, 10_000, func(now time.Time) {
 		if lasting, reclaimable := m.count(now); lasting+reclaimable < before {
-			t.Fatalf("%v after the change: got %d servers, want %d", now.Sub(begin), lasting+reclaimable, before)
+			t.Fatalf("%v after the start: got %d servers, want %d", now.Sub(begin), lasting+reclaimable, before)
 		}
 	})
 }
@@ -253,12 +253,12 @@
 
 	for _, o := range next.Plan(now, m.state(now, 0)) {
 		if present := m.ready(now, orderKey{service, o.Domain, o.Reclaimable}); o.Reclaimable && o.Servers < present {
-			t.Errorf("order of the new holder: got %d servers in %s where %d are, want none given back", o.Servers, o.Domain, present)
+			t.Errorf("order of the restored planner: got %d servers in %s where %d are, want none released", o.Servers, o.Domain, present)
 		}
 	}
 
 	if wanted, _ := next.Wanted(now, service); wanted != neededServers(180_000) {
-		t.Errorf("wanted by the new holder: got %d, want %d as before", wanted, neededServers(180_000))
+		t.Errorf("wanted by the restored planner: got %d, want %d as before", wanted, neededServers(180_000))
 	}
 }
 
@@ -279,7 +279,7 @@
 
 	lasting, _ := m.count(now)
 	if most := len(domains) + neededServers(60_000); lasting > most || lasting < neededServers(60_000)/2 {
-		t.Errorf("lasting servers after the wave: got %d, want at most %d and at least half of what the load needs", lasting, most)
+		t.Errorf("on-demand servers after the peak: got %d, want at most %d and at least half of what the load needs", lasting, most)
 	}
 }
 
@@ -305,7 +305,7 @@
 
 		left := float64(wanted) * (1 - min(toleratedDomainLosses/float64(n), maxLostShare))
 		if use := arriving / 50_000 / left; use > maxUtilizationAfterLosses+0.01 {
-			t.Errorf("%d failure domains: got %.2f of the speed used after two are lost, want at most %.2f", n, use, maxUtilizationAfterLosses)
+			t.Errorf("%d failure domains: got a utilization of %.2f after two are lost, want at most %.2f", n, use, maxUtilizationAfterLosses)
 		}
 	}
 }
--- a/capacity/contradiction_test.go
+++ b/capacity/contradiction_test.go
@@ -12,13 +12,13 @@
 	const load = 4 * 9 * 50_000
 
 	for name, tt := range map[string]struct {
-		taken float64
-		known bool
-		more  bool
+		taken    float64
+		known    bool
+		wantMore bool
 	}{
-		"places are free":      {taken: 0.2, known: true},
-		"places are taken":     {taken: 0.9, known: true, more: true},
-		"servers told nothing": {more: true},
+		"slots are free":       {taken: 0.2, known: true},
+		"slots are occupied":   {taken: 0.9, known: true, wantMore: true},
+		"occupancy is unknown": {wantMore: true},
 	} {
 		m := newFakeCloud()
 		p := &Planner{}
@@ -41,8 +41,8 @@
 			most = max(most, wanted)
 		}
 
-		if more := most > before; more != tt.more {
-			t.Errorf("%s: got %d servers wanted of %d, want more: %t", name, most, before, tt.more)
+		if more := most > before; more != tt.wantMore {
+			t.Errorf("%s: got %d servers wanted of %d, want more: %t", name, most, before, tt.wantMore)
 		}
 	}
 }
