--- a/arrivals/arrivals_test.go
+++ b/arrivals/arrivals_test.go
@@ -50,15 +50,15 @@
 	table.Record(begin, report("a", 1, 9, 15))
 
 	if got, want := totalRate(table.Total(begin, reportTTL, report("", 0, 0, 4).Work)), 25.0; got != want {
-		t.Errorf("after a start of one, with what arrives here: got %v, want %v", got, want)
+		t.Errorf("after a restart, with the own work: got %v, want %v", got, want)
 	}
 
 	if got, want := totalRate(table.Total(begin.Add(reportTTL+1), reportTTL, nil)), 0.0; got != want {
-		t.Errorf("after their life: got %v, want %v", got, want)
+		t.Errorf("after expiry: got %v, want %v", got, want)
 	}
 
 	if got := len(table.sources); got != 0 {
-		t.Errorf("remembered after their life: got %d, want none", got)
+		t.Errorf("sources after expiry: got %d, want none", got)
 	}
 }
 
@@ -121,7 +121,7 @@
 
 			for planner := range m.tables {
 				if got, most := totalRate(m.tables[planner].Total(m.now, reportTTL, nil)), highest*float64(n); got > most {
-					t.Fatalf("at planner %d: got %v, want at most %v of %d instances", planner, got, most, n)
+					t.Fatalf("planner %d: got %v, want at most %v of %d instances", planner, got, most, n)
 				}
 			}
 		}
@@ -140,7 +140,7 @@
 		}
 
 		if got := totalRate(m.tables[0].Total(m.now, reportTTL, nil)); got != want {
-			t.Fatalf("after all were heard, late messages behind them: got %v, want %v", got, want)
+			t.Fatalf("after a report of each instance and late messages: got %v, want %v", got, want)
 		}
 	})
 }
