--- a/rollout/count.go
+++ b/rollout/count.go
@@ -38,8 +38,8 @@
 )
 
 // paceOf returns the bucket of a duration.
-func paceOf(took time.Duration) uint8 {
-	step := math.Log(float64(took)/float64(fastestPace)) / math.Log(paceFactor)
+func paceOf(duration time.Duration) uint8 {
+	step := math.Log(float64(duration)/float64(fastestPace)) / math.Log(paceFactor)
 
 	return uint8(min(max(step, 0), math.MaxUint8))
 }
@@ -123,7 +123,7 @@
 	old, new Answers
 }
 
-// CountSent counts a request that was sent to a server of the new version or of an old one.
+// CountSent counts a send of a request to a server of the new version or of an old one.
 func (c *Counter) CountSent(service fleet.Service, place uint64, route string, newVersion bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/rollout/simulation_test.go
+++ b/rollout/simulation_test.go
@@ -165,44 +165,44 @@
 
 func (w *simulation) serve(i int, route string, isNew bool) {
 	took := time.Duration(float64(answerTime) * (0.7 + 0.6*w.random.Float64()))
-	one := pendingAnswer{at: w.now.Add(answerTime), instance: i, route: route, tried: isNew, took: took}
+	answer := pendingAnswer{at: w.now.Add(answerTime), instance: i, route: route, tried: isNew, took: took}
 	// Route r0 fails on every version, and the caches of the new version are cold at first.
-	one.failed = route == "r0" && w.random.Float64() < 0.14
+	answer.failed = route == "r0" && w.random.Float64() < 0.14
 
 	if isNew && w.random.Float64() < 0.3 {
-		one.took *= 2
+		answer.took *= 2
 	}
 
 	shows := w.defect.rate > 0 && (w.defect.route == "" || w.defect.route == route) &&
 		w.now.Sub(begin) >= w.defect.startsAfter && w.lastExposed >= w.defect.minShare
 
 	if isNew && shows && w.random.Float64() < w.defect.rate {
-		one.bad = true
+		answer.bad = true
 
 		if w.defect.slow {
-			one.took *= 8
+			answer.took *= 8
 		} else {
-			one.failed = true
+			answer.failed = true
 		}
 	}
 
-	w.answers = append(w.answers, one)
+	w.answers = append(w.answers, answer)
 }
 
 func (w *simulation) answer() {
 	kept := w.answers[:0]
 
-	for _, one := range w.answers {
-		if one.at.After(w.now) {
-			kept = append(kept, one)
+	for _, answer := range w.answers {
+		if answer.at.After(w.now) {
+			kept = append(kept, answer)
 
 			continue
 		}
 
-		w.counters[one.instance].CountAnswer(service, w.order.Place, one.route, one.tried, one.failed, one.took)
+		w.counters[answer.instance].CountAnswer(service, w.order.Place, answer.route, answer.tried, answer.failed, answer.took)
 
-		if one.bad {
-			w.bad = append(w.bad, one.at)
+		if answer.bad {
+			w.bad = append(w.bad, answer.at)
 		}
 	}
 
@@ -247,14 +247,14 @@
 func (w *simulation) deliverUpdates() {
 	kept := w.updates[:0]
 
-	for _, one := range w.updates {
-		if one.at.After(w.now) {
-			kept = append(kept, one)
+	for _, update := range w.updates {
+		if update.at.After(w.now) {
+			kept = append(kept, update)
 
 			continue
 		}
 
-		w.gates[one.instance].Apply(w.now, one.state, one.decidedAt)
+		w.gates[update.instance].Apply(w.now, update.state, update.decidedAt)
 	}
 
 	w.updates = kept
@@ -276,11 +276,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 9, 80, 195, 410}).Draw(t, "instances")
 		rate := float64(rapid.SampledFrom([]int{5, 50, 400}).Draw(t, "requests a second"))
-		span := time.Duration(rapid.SampledFrom([]int{6, 12, 30}).Draw(t, "span")) * time.Second
+		span := time.Duration(rapid.SampledFrom([]int{6, 12, 30}).Draw(t, "duration")) * time.Second
 		f := defect{
-			rate: rapid.SampledFrom([]float64{0, 0.2, 0.5, 1}).Draw(t, "flaw"),
+			rate: rapid.SampledFrom([]float64{0, 0.2, 0.5, 1}).Draw(t, "defect"),
 			slow: rapid.Bool().Draw(t, "slow"), startsAfter: time.Duration(rapid.IntRange(0, 30).Draw(t, "after")) * time.Second,
-			minShare: rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "load"),
+			minShare: rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "min share"),
 		}
 
 		if rapid.Bool().Draw(t, "one route") {
@@ -289,19 +289,19 @@
 
 		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, rate, span, f)
 		w.lossRate = rapid.SampledFrom([]float64{0, 0.03, 0.3}).Draw(t, "loss")
-		trouble := begin.Add(time.Duration(rapid.IntRange(1, 25).Draw(t, "trouble at")) * time.Second)
-		kind := rapid.IntRange(0, 3).Draw(t, "trouble")
+		faultAt := begin.Add(time.Duration(rapid.IntRange(1, 25).Draw(t, "fault at")) * time.Second)
+		fault := rapid.IntRange(0, 3).Draw(t, "fault")
 
 		for !w.now.After(w.deadline().Add(8 * time.Second)) {
-			if w.now.Equal(trouble) {
-				switch kind {
+			if w.now.Equal(faultAt) {
+				switch fault {
 				case 1:
 					w.replaceHolder(time.Duration(rapid.IntRange(1, 6).Draw(t, "without a holder")) * time.Second)
 				case 2:
 					w.frozenUntil = w.now.Add(3 * time.Second)
 				case 3:
 					for i := range w.gates {
-						w.partitioned[i] = rapid.IntRange(0, 3).Draw(t, "cut off") == 0
+						w.partitioned[i] = rapid.IntRange(0, 3).Draw(t, "partitioned") == 0
 					}
 				}
 			}
@@ -319,7 +319,7 @@
 			}
 
 			if w.late > 0 {
-				t.Fatalf("%v after the order: got %d requests later than %v after the fiftieth bad answer, want none",
+				t.Fatalf("%v after the order: got %d requests sent later than %v after the fiftieth bad answer, want none",
 					w.now.Sub(begin), w.late, policy.StopTimeout)
 			}
 		}
