--- a/quarantine/false_positive_test.go
+++ b/quarantine/false_positive_test.go
@@ -52,8 +52,8 @@
 	harmless, refused, crashes int
 	// crashAfter is the time from the send of a harmful stream to the crash of its server.
 	crashAfter time.Duration
-	// lossTimes holds the times at which servers crashed under each harmful request. lateSends
-	// counts sends more than propagationTime after the third crash.
+	// lossTimes holds the times at which servers crashed under each harmful request.
+	// sendsAfterThirdLoss counts its sends more than propagationTime after the third crash.
 	lossTimes           map[Fingerprint][]time.Time
 	sendsAfterThirdLoss map[Fingerprint]int
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -111,7 +111,7 @@
 		a.Merge(begin, losses, false)
 
 		for _, loss := range shuffled {
-			b.Merge(begin, []Loss{loss}, rapid.Bool().Draw(t, "passed on"))
+			b.Merge(begin, []Loss{loss}, rapid.Bool().Draw(t, "forward"))
 		}
 
 		for f := range Fingerprint(4) {
