--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -67,7 +67,7 @@
 }
 
 // apply carries out an order and reports whether such servers were unavailable.
-func (m *fakeCloud) apply(now time.Time, o Order) (none bool) {
+func (m *fakeCloud) apply(now time.Time, o Order) (unavailable bool) {
 	m.orders++
 
 	k := orderKey{o.Service, o.Domain, o.Reclaimable}
@@ -84,34 +84,34 @@
 	return false
 }
 
-func (m *fakeCloud) count(now time.Time) (lasting, reclaimable int) {
+func (m *fakeCloud) count(now time.Time) (onDemand, reclaimable int) {
 	for k := range m.servers {
 		if k.reclaimable {
 			reclaimable += m.ready(now, k)
 		} else {
-			lasting += m.ready(now, k)
+			onDemand += m.ready(now, k)
 		}
 	}
 
-	return lasting, reclaimable
+	return onDemand, reclaimable
 }
 
 // simulate runs the planner for a duration and calls each at every tick.
-func simulate(m *fakeCloud, p *Planner, from time.Time, span time.Duration, arriving float64, each func(time.Time)) time.Time {
-	for now := from; now.Before(from.Add(span)); now = now.Add(tick) {
+func simulate(m *fakeCloud, p *Planner, from time.Time, duration time.Duration, arriving float64, each func(time.Time)) time.Time {
+	for now := from; now.Before(from.Add(duration)); now = now.Add(tick) {
 		for _, o := range p.Plan(now, m.state(now, arriving)) {
 			p.RecordResult(now, o, true, m.apply(now, o))
 		}
 
-		lasting, reclaimable := m.count(now)
-		m.cost += (float64(lasting) + 0.15*float64(reclaimable)) * tick.Seconds()
+		onDemand, reclaimable := m.count(now)
+		m.cost += (float64(onDemand) + 0.15*float64(reclaimable)) * tick.Seconds()
 
 		if each != nil {
 			each(now)
 		}
 	}
 
-	return from.Add(span)
+	return from.Add(duration)
 }
 
 // neededServers returns the number of servers that a load requires.
@@ -124,13 +124,13 @@
 	least := 99
 
 	simulate(m, p, begin, time.Minute, 130_000, func(now time.Time) {
-		lasting, reclaimable := m.count(now)
-		least = min(least, lasting+reclaimable)
+		onDemand, reclaimable := m.count(now)
+		least = min(least, onDemand+reclaimable)
 	})
 
-	lasting, reclaimable := m.count(begin.Add(time.Minute))
-	if lasting != 0 || reclaimable < neededServers(130_000) {
-		t.Errorf("after a minute: got %d on-demand and %d reclaimable servers, want 0 and what the load needs", lasting, reclaimable)
+	onDemand, reclaimable := m.count(begin.Add(time.Minute))
+	if onDemand != 0 || reclaimable < neededServers(130_000) {
+		t.Errorf("after a minute: got %d on-demand and %d reclaimable servers, want 0 and what the load needs", onDemand, reclaimable)
 	}
 
 	if least < neededServers(130_000) {
@@ -158,8 +158,8 @@
 	before := m.orders
 	now = simulate(m, p, now, 8*time.Second, 150_000, nil)
 
-	lasting, reclaimable := m.count(now)
-	if got, want := lasting+reclaimable, 5; got < want {
+	onDemand, reclaimable := m.count(now)
+	if got, want := onDemand+reclaimable, 5; got < want {
 		t.Errorf("8s after the second reclaim: got %d servers, want at least %d", got, want)
 	}
 
@@ -170,22 +170,22 @@
 	m.exhausted = false
 	now = simulate(m, p, now, 25*time.Second, 150_000, nil)
 
-	if lasting, _ := m.count(now); lasting != 0 {
-		t.Errorf("after the shortage: got %d on-demand servers, want 0", lasting)
+	if onDemand, _ := m.count(now); onDemand != 0 {
+		t.Errorf("after the shortage: got %d on-demand servers, want 0", onDemand)
 	}
 }
 
 func TestOrderWithoutEffectIsRepeated(t *testing.T) {
 	m, p := newFakeCloud(), &Planner{}
-	lost := map[string]int{}
+	orderCounts := map[string]int{}
 
 	for now := begin; now.Before(begin.Add(30 * time.Second)); now = now.Add(tick) {
 		for _, o := range p.Plan(now, m.state(now, 0)) {
 			name := fmt.Sprint(o.Domain, o.Reclaimable)
-			lost[name]++
+			orderCounts[name]++
 
 			// The first order for each domain and kind is accepted but has no effect.
-			if lost[name] > 1 {
+			if orderCounts[name] > 1 {
 				m.apply(now, o)
 			}
 
@@ -193,8 +193,8 @@
 		}
 	}
 
-	if lasting, reclaimable := m.count(begin.Add(30 * time.Second)); lasting != 0 || reclaimable != 9 {
-		t.Errorf("got %d on-demand and %d reclaimable servers, want 0 and 9", lasting, reclaimable)
+	if onDemand, reclaimable := m.count(begin.Add(30 * time.Second)); onDemand != 0 || reclaimable != 9 {
+		t.Errorf("got %d on-demand and %d reclaimable servers, want 0 and 9", onDemand, reclaimable)
 	}
 }
 
@@ -216,8 +216,8 @@
 	_, before := m.count(now)
 
 	simulate(m, &Planner{}, now, 20*time.Second, 10_000, func(now time.Time) {
-		if lasting, reclaimable := m.count(now); lasting+reclaimable < before {
-			t.Fatalf("%v after the start: got %d servers, want %d", now.Sub(begin), lasting+reclaimable, before)
+		if onDemand, reclaimable := m.count(now); onDemand+reclaimable < before {
+			t.Fatalf("%v after the start: got %d servers, want %d", now.Sub(begin), onDemand+reclaimable, before)
 		}
 	})
 }
@@ -277,9 +277,9 @@
 
 	now = simulate(m, p, now, 10*time.Second, 60_000, nil)
 
-	lasting, _ := m.count(now)
-	if most := len(domains) + neededServers(60_000); lasting > most || lasting < neededServers(60_000)/2 {
-		t.Errorf("on-demand servers after the peak: got %d, want at most %d and at least half of what the load needs", lasting, most)
+	onDemand, _ := m.count(now)
+	if most := len(domains) + neededServers(60_000); onDemand > most || onDemand < neededServers(60_000)/2 {
+		t.Errorf("on-demand servers after the peak: got %d, want at most %d and at least half of what the load needs", onDemand, most)
 	}
 }
 
--- a/capacity/contradiction_test.go
+++ b/capacity/contradiction_test.go
@@ -23,8 +23,8 @@
 		m := newFakeCloud()
 		p := &Planner{}
 
-		lasting, reclaimable := m.count(begin)
-		before := lasting + reclaimable
+		onDemand, reclaimable := m.count(begin)
+		before := onDemand + reclaimable
 		most := before
 
 		for at := time.Duration(0); at < 20*time.Second; at += tick {
@@ -33,8 +33,8 @@
 			s.Occupancy, s.OccupancyKnown = tt.taken, tt.known
 
 			for _, o := range p.Plan(now, s) {
-				none := m.apply(now, o)
-				p.RecordResult(now, o, !none, none)
+				unavailable := m.apply(now, o)
+				p.RecordResult(now, o, !unavailable, unavailable)
 			}
 
 			wanted, _ := p.Wanted(now, service)
