--- a/arrivals/arrivals_test.go
+++ b/arrivals/arrivals_test.go
@@ -106,7 +106,7 @@
 			m.now = m.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, n-1).Draw(t, "instance")
 
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "action") {
 			case 0:
 				m.rate[i] = float64(rapid.IntRange(0, 100).Draw(t, "rate"))
 				highest = max(highest, m.rate[i])
@@ -156,7 +156,7 @@
 		return
 	}
 
-	k := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "flight")
+	k := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "message")
 	msg := m.inFlight[k]
 	m.tables[msg.to].Record(m.now, msg.report)
 
