--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -10,7 +10,8 @@
 )
 
 // Fingerprint identifies the content of a request across attempts, each of which has its own
-// id. With a million requests, a collision is expected once in ten million days.
+// id. Among a million requests a day, two share a fingerprint on less than one day in ten
+// million.
 type Fingerprint uint64
 
 // FingerprintOf returns the fingerprint of a request, derived from its account, method, host,
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -7,14 +7,14 @@
 // received late.
 const maxLossesPerSuspect = 16
 
-// suspect is a request whose servers were lost.
+// suspect is a request that ran on servers when they were lost.
 type suspect struct {
 	losses map[ServerKey]serverLoss
 	// lastLoss is the time of the newest loss.
 	lastLoss time.Time
 }
 
-// serverLoss is the loss of one server process that ran the request.
+// serverLoss is the loss of one server process on which the request ran.
 type serverLoss struct {
 	lostAt   time.Time
 	evidence Evidence
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -49,8 +49,9 @@
 	// share of the service's requests from the order to its deadline, plus a fixed number.
 	Share float64
 	Slack float64
-	// StopTimeout is the time after which no instance may send requests to a version that was
-	// found bad.
+	// StopTimeout is the time within which all instances must stop sending requests to a
+	// version after it has shown itself bad. It covers the detection, the update and the
+	// expiry of earlier decisions.
 	StopTimeout time.Duration
 }
 
--- a/rollout/simulation_test.go
+++ b/rollout/simulation_test.go
@@ -166,7 +166,8 @@
 func (w *simulation) serve(i int, route string, isNew bool) {
 	took := time.Duration(float64(answerTime) * (0.7 + 0.6*w.random.Float64()))
 	answer := pendingAnswer{at: w.now.Add(answerTime), instance: i, route: route, tried: isNew, took: took}
-	// Route r0 fails at times on every version, and the caches of the new version are cold at first.
+	// Route r0 fails at times on every version, and the caches of the new version are cold at
+	// first.
 	answer.failed = route == "r0" && w.random.Float64() < 0.14
 
 	if isNew && w.random.Float64() < 0.3 {
@@ -346,8 +347,8 @@
 	}
 }
 
-// A good version must be completed by its deadline, even with a route that fails at times on every
-// version and cold caches; a bad version must be reverted.
+// A good version must be completed by its deadline, even with a route that fails at times on
+// every version and cold caches; a bad version must be reverted.
 func TestVersionIsDecidedByDeadline(t *testing.T) {
 	for name, tt := range versions() {
 		for _, n := range []int{9, 80, 195, 410} {
