--- a/quota/record.go
+++ b/quota/record.go
@@ -5,88 +5,89 @@
 	"time"
 )
 
-// spend counts cost as spent by this instance.
-func (q *Quota) spend(now time.Time, a *account, cost float64) {
-	a.own.add(now, cost)
-	a.known += cost
-	q.tell(now, a)
+// consume adds cost to what this instance has consumed.
+func (q *Quota) consume(now time.Time, a *account, cost float64) {
+	a.consumed.add(now, cost)
+	a.globalTotal += cost
+	q.requestRecord(now, a)
 }
 
-// tell asks for a record if much was spent that none tells. While others hear this
-// instance, it is enough that those record it who record for all.
-func (q *Quota) tell(now time.Time, a *account) {
-	if q.policy.RequestRecord == nil || q.recorded(now) {
+// requestRecord requests a record if much was consumed that no record contains. While the
+// recorders acknowledge the updates of this instance, their records are enough.
+func (q *Quota) requestRecord(now time.Time, a *account) {
+	if q.policy.RequestRecord == nil || q.recordedByOthers(now) {
 		return
 	}
 
-	own := a.own.total-a.recorded > recordPart*q.untold(a)
-	all := a.known-a.knownRecorded > recordPart*UnrecordedFraction*a.allowance.Amount
+	own := a.consumed.total-a.recordedTotal > recordThreshold*q.unrecordedLimit(a)
+	all := a.globalTotal-a.globalRecorded > recordThreshold*UnrecordedFraction*a.allowance.Amount
 
-	if own || all && q.recorder() {
+	if own || all && q.isRecorder() {
 		q.policy.RequestRecord()
 	}
 }
 
-// untold is this instance's part of what may be spent before it is recorded.
-func (q *Quota) untold(a *account) float64 {
-	held := q.held(a)
-	part := 1 / float64(max(len(q.members), 1))
+// unrecordedLimit is this instance's share of what may be consumed before it is recorded.
+func (q *Quota) unrecordedLimit(a *account) float64 {
+	reserve := q.reserveShare(a)
+	fraction := 1 / float64(max(len(q.members), 1))
 
 	if len(a.holders) > 0 {
-		part = (1-reservePart)*part + held
+		fraction = (1-reserveFraction)*fraction + reserve
 	}
 
-	return UnrecordedFraction * a.allowance.Amount * part
+	return UnrecordedFraction * a.allowance.Amount * fraction
 }
 
-// recorder tells whether this instance records what all have spent.
-func (q *Quota) recorder() bool {
+// isRecorder reports whether this instance records the consumption of all instances.
+func (q *Quota) isRecorder() bool {
 	return len(q.recorders) == 0 || slices.Contains(q.recorders, q.policy.Self)
 }
 
-// RecordedByOthers tells whether others record what this instance spends: most of those that
-// record for all hear it directly.
+// RecordedByOthers reports whether other instances record what this instance consumes: most
+// recorders acknowledge its updates directly.
 func (q *Quota) RecordedByOthers(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	return q.recorded(now)
+	return q.recordedByOthers(now)
 }
 
-func (q *Quota) recorded(now time.Time) bool {
-	if q.client {
-		// It has spent nothing that is not a keeper's.
+func (q *Quota) recordedByOthers(now time.Time) bool {
+	if q.delegated {
+		// All that it consumes is consumption of a coordinator.
 		return true
 	}
 
-	if q.policy.DirectDelay == nil || q.recorder() {
+	if q.policy.DirectDelay == nil || q.isRecorder() {
 		return false
 	}
 
-	hear := 0
-	span := q.policy.DirectDelay(len(q.members))
+	acknowledged := 0
+	delay := q.policy.DirectDelay(len(q.members))
 
 	for _, id := range q.recorders {
-		if at, ok := q.heard[id]; ok && now.Sub(at) <= span {
-			hear++
+		if at, ok := q.acknowledged[id]; ok && now.Sub(at) <= delay {
+			acknowledged++
 		}
 	}
 
-	return 2*hear > len(q.recorders)
+	return 2*acknowledged > len(q.recorders)
 }
 
-// Record returns what a record that outlives this instance should tell: what this
-// instance has spent, and what all have, as far as it is known here. One that others
-// hear leaves both to those that record for all.
+// Record returns the content of a durable record, which outlives this instance: what this
+// instance has consumed, and what all instances have consumed as far as it knows. A recorder
+// returns both. Another instance returns its own consumption, or nothing if the recorders
+// acknowledge its updates.
 func (q *Quota) Record(now time.Time) ([]Consumption, []GlobalConsumption) {
 	q.mu.Lock()
-	forAll, recorded := len(q.recorders) > 0 && q.recorder(), q.recorded(now)
+	forAll, byOthers := len(q.recorders) > 0 && q.isRecorder(), q.recordedByOthers(now)
 	q.mu.Unlock()
 
 	switch {
 	case forAll:
-		return q.recordOwn(now), q.recordAll(now)
-	case recorded:
+		return q.recordOwn(now), q.recordGlobal(now)
+	case byOthers:
 		return nil, nil
 	default:
 		return q.recordOwn(now), nil
@@ -94,22 +95,23 @@
 }
 
 func (q *Quota) recordOwn(now time.Time) []Consumption {
-	spent := q.Consumption(now)
+	consumption := q.Consumption(now)
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	for i, s := range spent {
+	for i, s := range consumption {
 		if a := q.accounts[s.Account]; a != nil {
-			a.recorded = s.Total
-			spent[i].Ages = a.own.ages(now, q.policy.Window)
+			a.recordedTotal = s.Total
+			consumption[i].Ages = a.consumed.buckets(now, q.policy.Window)
 		}
 	}
 
-	return spent
+	return consumption
 }
 
-// Consumption returns what this instance has spent since its start, for the others.
+// Consumption returns what this instance has consumed since it started, to be published to the
+// other instances.
 func (q *Quota) Consumption(now time.Time) []Consumption {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -119,9 +121,9 @@
 	window := now.Add(-q.policy.Window)
 
 	for name, a := range q.accounts {
-		if a.ownAsked.total > 0 || a.own.total > 0 {
+		if a.demand.total > 0 || a.consumed.total > 0 {
 			all = append(all, Consumption{
-				Account: name, Total: a.own.total, Recent: a.own.since(window), Asked: a.ownAsked.total,
+				Account: name, Total: a.consumed.total, Recent: a.consumed.since(window), Asked: a.demand.total,
 			})
 		}
 	}
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -12,31 +12,31 @@
 	"monsoonlever/register"
 )
 
-// BenchmarkAnswer is the cost of one question at the instance that grants, with its
-// message and its reply.
-func BenchmarkAnswer(b *testing.B) {
+// BenchmarkHandleRequest measures one permit request at the granter, including the decoding of
+// the request and the encoding of the response.
+func BenchmarkHandleRequest(b *testing.B) {
 	leaders := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 	server := register.Process{ID: "i-0123456789", Incarnation: 1_790_000_000_123}
 	self := RankLeaders(server, leaders)[0]
-	asker := &Limiter{Self: self, Clock: clock.NewSteady(), Announcements: &notes{}, Granter: &Granter{Self: self}}
+	asker := &Limiter{Self: self, Clock: clock.NewSteady(), Announcements: &announcementStore{}, Granter: &Granter{Self: self}}
 	asker.Granter.SetLeaders(asker.Clock.Now(), leaders)
 
-	question, err := msgpack.Marshal(&PermitRequest{
+	message, err := msgpack.Marshal(&PermitRequest{
 		From: "entry-9", Number: 1, Server: server, Rate: 1.5, Age: time.Second, Patience: time.Millisecond,
 	})
 	if err != nil {
 		b.Fatal(err)
 	}
 
-	b.ReportMetric(float64(len(question)), "question-B")
+	b.ReportMetric(float64(len(message)), "request-B")
 
 	for b.Loop() {
-		var ask PermitRequest
-		if err := codec.Unmarshal(question, &ask); err != nil {
+		var request PermitRequest
+		if err := codec.Unmarshal(message, &request); err != nil {
 			b.Fatal(err)
 		}
 
-		reply := asker.HandleRequest(ask)
+		reply := asker.HandleRequest(request)
 		if _, err := msgpack.Marshal(&reply); err != nil {
 			b.Fatal(err)
 		}
