--- a/capacity/contradiction_test.go
+++ b/capacity/contradiction_test.go
@@ -12,19 +12,19 @@
 	const load = 4 * 9 * 50_000
 
 	for name, tt := range map[string]struct {
-		taken float64
-		known bool
-		more  bool
+		taken    float64
+		known    bool
+		wantMore bool
 	}{
-		"places are free":      {taken: 0.2, known: true},
-		"places are taken":     {taken: 0.9, known: true, more: true},
-		"servers told nothing": {more: true},
+		"slots are free":       {taken: 0.2, known: true},
+		"slots are occupied":   {taken: 0.9, known: true, wantMore: true},
+		"occupancy is unknown": {wantMore: true},
 	} {
 		m := newFakeCloud()
 		p := &Planner{}
 
-		lasting, reclaimable := m.count(begin)
-		before := lasting + reclaimable
+		onDemand, reclaimable := m.count(begin)
+		before := onDemand + reclaimable
 		most := before
 
 		for at := time.Duration(0); at < 20*time.Second; at += tick {
@@ -33,16 +33,16 @@
 			s.Occupancy, s.OccupancyKnown = tt.taken, tt.known
 
 			for _, o := range p.Plan(now, s) {
-				none := m.apply(now, o)
-				p.RecordResult(now, o, !none, none)
+				unavailable := m.apply(now, o)
+				p.RecordResult(now, o, !unavailable, unavailable)
 			}
 
 			wanted, _ := p.Wanted(now, service)
 			most = max(most, wanted)
 		}
 
-		if more := most > before; more != tt.more {
-			t.Errorf("%s: got %d servers wanted of %d, want more: %t", name, most, before, tt.more)
+		if more := most > before; more != tt.wantMore {
+			t.Errorf("%s: got %d servers wanted of %d, want more: %t", name, most, before, tt.wantMore)
 		}
 	}
 }
