--- a/entry/entry.go
+++ b/entry/entry.go
@@ -32,9 +32,9 @@
 	Clock    clock.Clock
 	// Reload brings settings that were changed while the instance runs; it may be nil.
 	Reload <-chan settings.Entry
-	// Roomy tells whether there is room in the log for requests that went well; nil
+	// LogHasRoom tells whether there is room in the log for requests that went well; nil
 	// logs none of them.
-	Roomy func() bool
+	LogHasRoom func() bool
 }
 
 const (
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -392,7 +392,7 @@
 // logOutcome writes the one line of a request. Those that were answered by the first
 // server are left out where there is little room.
 func (e *Entry) logOutcome(r *forward.Request, o forward.Outcome) {
-	if o.Reason == forward.Answered && len(o.Servers) < 2 && (e.Roomy == nil || !e.Roomy()) {
+	if o.Reason == forward.Answered && len(o.Servers) < 2 && (e.LogHasRoom == nil || !e.LogHasRoom()) {
 		return
 	}
 
