--- a/entry/directory.go
+++ b/entry/directory.go
@@ -104,7 +104,7 @@
 	}
 
 	newest := entries[len(entries)-1]
-	p.store.Observe(newest.At.Era())
+	p.store.ObserveEra(newest.At.Era())
 
 	d, err := directory.Unmarshal(newest.Data)
 	if err != nil {
--- a/entry/eras.go
+++ b/entry/eras.go
@@ -89,7 +89,7 @@
 	}
 
 	if !p.direct() {
-		p.store.Observe(era)
+		p.store.ObserveEra(era)
 
 		return
 	}
