--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -75,7 +75,7 @@
 // receiveOrders takes the operators' orders in.
 func (r *rollouts) receiveOrders(entries []feed.Entry) {
 	for _, e := range entries {
-		if !platform.IsRollout(e.Key) {
+		if !platform.IsRolloutKey(e.Key) {
 			continue
 		}
 
