--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -85,7 +85,7 @@
 			continue
 		}
 
-		order, err := platform.DecodeRollout(e.Key, e.Data, uint64(e.At)+1)
+		order, err := platform.DecodeRolloutOrder(e.Key, e.Data, uint64(e.At)+1)
 		if err != nil {
 			klog.ErrorS(err, "order for a new version is not taken", "offset", e.At)
 
