--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -269,7 +269,7 @@
 		policy: rollout.Policy{Share: b.TrialShare, Slack: b.TrialSlack, StopTimeout: b.TrialStop},
 		clock:  p.clock, self: p.self(), register: p.register,
 		told:     func() time.Duration { return p.countsPace() + dutyEvery },
-		write:    p.store.WriteRollout,
+		write:    p.store.WriteRolloutStatus,
 		planners: make(map[fleet.Service]*rollout.Planner),
 	}
 	r.gate.GrantTTL = r.policy.GrantTTL()
