--- a/entry/restoration.go
+++ b/entry/restoration.go
@@ -89,7 +89,7 @@
 	}
 
 	if !p.readsStore() {
-		p.store.Observe(era)
+		p.store.ObserveEra(era)
 
 		return
 	}
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -75,7 +75,7 @@
 // receiveOrders takes the operators' orders in.
 func (r *rollouts) receiveOrders(entries []feed.Entry) {
 	for _, e := range entries {
-		if !platform.IsRollout(e.Key) {
+		if !platform.IsRolloutKey(e.Key) {
 			continue
 		}
 
@@ -85,7 +85,7 @@
 			continue
 		}
 
-		order, err := platform.DecodeRollout(e.Key, e.Data, uint64(e.At)+1)
+		order, err := platform.DecodeRolloutOrder(e.Key, e.Data, uint64(e.At)+1)
 		if err != nil {
 			klog.ErrorS(err, "order for a new version is not taken", "offset", e.At)
 
@@ -269,7 +269,7 @@
 		policy: rollout.Policy{Share: b.TrialShare, Slack: b.TrialSlack, StopTimeout: b.TrialStop},
 		clock:  p.clock, self: p.self(), register: p.register,
 		countDelay: func() time.Duration { return p.countsInterval() + dutyInterval },
-		write:      p.store.WriteRollout,
+		write:      p.store.WriteRolloutStatus,
 		planners:   make(map[fleet.Service]*rollout.Planner),
 	}
 	r.gate.GrantTTL = r.policy.GrantTTL()
--- a/quota/reserve_test.go
+++ b/quota/reserve_test.go
@@ -12,18 +12,19 @@
 	"monsoonlever/gossip"
 )
 
-// manyPolicy is that of many instances, whose words are slower.
-var manyPolicy = Policy{
+// largeFleetPolicy is the policy of a large fleet, in which updates take longer.
+var largeFleetPolicy = Policy{
 	Window: 8 * time.Second, PropagationDelay: 4500 * time.Millisecond,
 	DirectDelay: func(int) time.Duration { return 1500 * time.Millisecond },
 }
 
-// An account that asks many instances for half of its limit, now and then with a
-// fifteenth of the whole at once, finds room for almost all: no instance's part holds as much.
-func TestLargeRequestsFindRoomAtManyInstances(t *testing.T) {
+// An account that demands half of its limit at many instances, occasionally with a fifteenth
+// of the whole in one request, is almost always served, although no instance's share covers
+// such a request.
+func TestLargeRequestsAreServedInLargeFleet(t *testing.T) {
 	const instances = 80
 
-	g := newLendingGroup(instances, manyPolicy)
+	g := newLendingGroup(instances, largeFleetPolicy)
 	random := rand.New(rand.NewPCG(9, 9))
 	asked, refused, large, largeRefused := 0, 0, 0, 0
 
@@ -68,17 +69,17 @@
 	}
 }
 
-func TestAllInstancesNameTheSameHolders(t *testing.T) {
-	g := newLendingGroup(30, manyPolicy)
+func TestAllInstancesAgreeOnLenders(t *testing.T) {
+	g := newLendingGroup(30, largeFleetPolicy)
 	want := g.quotas[0].Lenders("a")
 
-	if len(want) != holders {
-		t.Fatalf("holders: got %v, want %d", want, holders)
+	if len(want) != reserveHolders {
+		t.Fatalf("lenders: got %v, want %d", want, reserveHolders)
 	}
 
 	for i, q := range g.quotas {
 		if got := q.Lenders("a"); got[0] != want[0] || got[1] != want[1] {
-			t.Errorf("holders by instance %d: got %v, want %v", i, got, want)
+			t.Errorf("lenders by instance %d: got %v, want %v", i, got, want)
 		}
 	}
 
@@ -94,19 +95,19 @@
 	g.quotas[3].SetMembers(left, recorders)
 
 	if got := g.quotas[3].Lenders("a"); got[0] != want[1] {
-		t.Errorf("holders after one has left: got %v, want %v to stay", got, want[1])
+		t.Errorf("lenders after one has left: got %v, want %v to stay", got, want[1])
 	}
 }
 
-// desks are the loans of two instances, of which the second one lends.
-type desks struct {
+// loanPair is a borrower and a lender.
+type loanPair struct {
 	borrower, lender *Limiter
-	asks             int
-	lose             bool
+	requests         int
+	dropRequests     bool
 }
 
-func newDesks(clk clock.Clock) *desks {
-	d := &desks{}
+func newLoanPair(clk clock.Clock) *loanPair {
+	d := &loanPair{}
 	quotas := make(map[fleet.InstanceID]*Quota)
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5"}
 
@@ -118,51 +119,51 @@
 		quotas[id] = q
 	}
 
-	holder := quotas["entry-1"].Lenders("a")[0]
-	other := ids[0]
+	lender := quotas["entry-1"].Lenders("a")[0]
+	borrower := ids[0]
 
 	for _, id := range ids {
-		if id != holder && id != quotas["entry-1"].Lenders("a")[1] {
-			other = id
+		if id != lender && id != quotas["entry-1"].Lenders("a")[1] {
+			borrower = id
 		}
 	}
 
-	d.lender = &Limiter{Quota: quotas[holder], Clock: clk, Self: holder}
-	d.borrower = &Limiter{Quota: quotas[other], Clock: clk, Self: other, Send: func(to fleet.InstanceID, ask LoanRequest) {
-		d.asks++
+	d.lender = &Limiter{Quota: quotas[lender], Clock: clk, Self: lender}
+	d.borrower = &Limiter{Quota: quotas[borrower], Clock: clk, Self: borrower, Send: func(to fleet.InstanceID, request LoanRequest) {
+		d.requests++
 
-		if to == holder && !d.lose {
-			d.borrower.HandleResponse(d.lender.HandleRequest(ask))
+		if to == lender && !d.dropRequests {
+			d.borrower.HandleResponse(d.lender.HandleRequest(request))
 		}
 	}}
 
 	return d
 }
 
-func TestWhatIsBorrowedIsSpentByTheLender(t *testing.T) {
+func TestLoanCountsAsConsumptionOfLender(t *testing.T) {
 	clk := clock.NewSteady()
-	d := newDesks(clk)
+	d := newLoanPair(clk)
 
 	got := d.borrower.Take(context.Background(), "a", amount/5)
 	if !got.Granted || got.Lender != d.lender.Self {
 		t.Fatalf("large request: got %+v, want it borrowed from %s", got, d.lender.Self)
 	}
 
-	if spent := d.lender.Quota.Consumption(clk.Now()); len(spent) != 1 || spent[0].Total != amount/5 {
-		t.Errorf("spent by the lender: got %+v, want %d", spent, amount/5)
+	if consumption := d.lender.Quota.Consumption(clk.Now()); len(consumption) != 1 || consumption[0].Total != amount/5 {
+		t.Errorf("consumed by the lender: got %+v, want %d", consumption, amount/5)
 	}
 
 	for _, s := range d.borrower.Quota.Consumption(clk.Now()) {
 		if s.Total != 0 {
-			t.Errorf("spent by the borrower: got %.0f, want 0", s.Total)
+			t.Errorf("consumed by the borrower: got %.0f, want 0", s.Total)
 		}
 	}
 }
 
-// One that is cut off and takes no requests itself lends nothing: others may have taken its
-// place.
-func TestALenderThatIsNotCurrentLendsNothing(t *testing.T) {
-	d := newDesks(clock.NewSteady())
+// An instance that is cut off and accepts no requests lends nothing: others may have replaced
+// it.
+func TestLenderThatIsNotCurrentLendsNothing(t *testing.T) {
+	d := newLoanPair(clock.NewSteady())
 	current := false
 	d.lender.Current = func() bool { return current }
 
@@ -177,29 +178,29 @@
 	}
 }
 
-func TestALostQuestionIsARefusalWithinItsPatience(t *testing.T) {
-	d := newDesks(clock.NewSteady())
-	d.lose = true
-	begun := time.Now()
+func TestLostLoanRequestIsRefusedWithinTimeout(t *testing.T) {
+	d := newLoanPair(clock.NewSteady())
+	d.dropRequests = true
+	started := time.Now()
 
 	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || got.RetryAfter <= 0 {
-		t.Errorf("nobody answers: got %+v, want a refusal with a time to come back", got)
+		t.Errorf("no response: got %+v, want a refusal with RetryAfter", got)
 	}
 
-	if took, most := time.Since(begun), (holders+1)*gossip.ReplyTimeout; took > most {
+	if took, most := time.Since(started), (reserveHolders+1)*gossip.ReplyTimeout; took > most {
 		t.Errorf("refused after %v, want at most %v", took, most)
 	}
 
-	asked := d.asks
+	sent := d.requests
 
-	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || d.asks != asked {
-		t.Errorf("right after: got %+v and %d questions, want a refusal without one", got, d.asks-asked)
+	if got := d.borrower.Take(context.Background(), "a", amount/5); got.Granted || d.requests != sent {
+		t.Errorf("right after: got %+v and %d requests, want a refusal without one", got, d.requests-sent)
 	}
 }
 
-// A request that comes to an instance before it has read what the others have spent
-// waits for that, and is not sent away for seconds.
-func TestARequestWaitsForTheFirstRead(t *testing.T) {
+// A request that arrives before the instance has read the records waits for them instead of
+// being refused for seconds.
+func TestRequestWaitsForFirstSync(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
 	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
@@ -212,7 +213,7 @@
 
 	select {
 	case d := <-decided:
-		t.Fatalf("before the first read: got %+v, want no decision yet", d)
+		t.Fatalf("before the first sync: got %+v, want no decision yet", d)
 	case <-time.After(20 * time.Millisecond):
 	}
 
@@ -220,12 +221,12 @@
 	q.MarkSynced(clk.Now())
 
 	if d := <-decided; !d.Granted {
-		t.Errorf("after the first read: got %+v, want it granted", d)
+		t.Errorf("after the first sync: got %+v, want it granted", d)
 	}
 }
 
-// A store that does not answer must not hold requests.
-func TestTheWaitForTheFirstReadIsBounded(t *testing.T) {
+// A store that does not respond must not delay requests without bound.
+func TestWaitForFirstSyncIsBounded(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
 	q := New(Policy{Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 100_000, Rate: 10_000}})
@@ -235,26 +236,27 @@
 
 	go func() { decided <- loans.Take(t.Context(), "acme", 100) }()
 
-	for waited := time.Duration(0); ; waited += readPatience / 10 {
+	for waited := time.Duration(0); ; waited += firstSyncTimeout / 10 {
 		select {
 		case d := <-decided:
 			if d.Granted || d.RetryAfter <= 0 {
-				t.Errorf("without a read: got %+v, want it refused with when to come back", d)
+				t.Errorf("without a sync: got %+v, want it refused with RetryAfter", d)
 			}
 
 			return
 		case <-time.After(time.Millisecond):
-			clk.Advance(readPatience / 10)
+			clk.Advance(firstSyncTimeout / 10)
 		}
 
-		if waited > 100*readPatience {
-			t.Fatal("decision: got none, want one after the time to wait")
+		if waited > 100*firstSyncTimeout {
+			t.Fatal("decision: got none, want one after the timeout")
 		}
 	}
 }
 
-// An account whose limit was lifted must not be refused to borrowers that have yet to get the new rules.
-func TestALenderThatNoLongerLimitsAnAccountLends(t *testing.T) {
+// The requests of an account whose limit was lifted must not be refused at borrowers that have
+// not received the new rules yet.
+func TestLenderWithoutLimitGrantsLoan(t *testing.T) {
 	q := New(Policy{Self: "entry-1", Window: 8 * time.Second, PropagationDelay: time.Second})
 	q.Configure([]Allowance{{Account: "acme", Amount: 1000}})
 	q.SetMembers([]fleet.InstanceID{"entry-1"}, nil)
