--- a/capacity/wanted.go
+++ b/capacity/wanted.go
@@ -9,83 +9,85 @@
 	"monsoonlever/fleet"
 )
 
-// wanted returns the number of servers for the highest load of late.
-func (p *Planner) wanted(now time.Time, s State) int {
-	lasting, reclaimable := 0, 0
-	for _, place := range s.Places {
-		lasting += place.Lasting
-		reclaimable += place.Reclaimable
+// updateWanted adds the number of servers for the current load to the peaks and returns the
+// highest number within peakWindow.
+func (p *Planner) updateWanted(now time.Time, s ServiceState) int {
+	onDemand, reclaimable := 0, 0
+	for _, domain := range s.Domains {
+		onDemand += domain.OnDemand
+		reclaimable += domain.Reclaimable
 	}
 
-	if lasting+reclaimable == 0 && s.Speed == 0 {
-		// The servers that are there at the start have not registered yet.
+	if onDemand+reclaimable == 0 && s.ServerRate == 0 {
+		// The existing servers have not registered yet.
 		return 0
 	}
 
-	n := len(s.Places) * max(s.Least, 1)
+	n := len(s.Domains) * max(s.MinPerDomain, 1)
 
 	switch {
-	case s.Speed > 0 && s.Arriving > 0:
-		n = max(n, int(math.Ceil(s.Arriving/(s.Speed*target(len(s.Places))))))
+	case s.ServerRate > 0 && s.ArrivalRate > 0:
+		n = max(n, int(math.Ceil(s.ArrivalRate/(s.ServerRate*targetUtilization(len(s.Domains))))))
 	default:
-		// Nothing is known of the load yet: what is there was meant for it. One kind
-		// takes the place of the other, so that their sum is no measure.
-		n = max(n, lasting, reclaimable)
+		// The load is not known yet, so the existing servers are kept. Reclaimable and
+		// on-demand servers replace each other, so that their sum would count servers twice.
+		n = max(n, onDemand, reclaimable)
 	}
 
 	peaks := p.peaksOf(s.Service)
 	if s.Contradicted() {
-		n = min(n, max(peaks.highest(now, memory), lasting, reclaimable))
+		n = min(n, max(peaks.highest(now, peakWindow), onDemand, reclaimable))
 	}
 
 	if peaks.empty() {
-		// A planner that is new and heard of no plan knows no load of the time before:
-		// what is there was ordered for it.
-		n = max(n, lasting, reclaimable)
+		// A new planner without restored plans does not know the earlier load, for which the
+		// existing servers were ordered.
+		n = max(n, onDemand, reclaimable)
 	}
 
-	peaks.add(now, min(n, len(s.Places)*s.Most))
+	peaks.add(now, min(n, len(s.Domains)*s.MaxPerDomain))
 
-	return min(peaks.highest(now, memory), len(s.Places)*s.Most)
+	return min(peaks.highest(now, peakWindow), len(s.Domains)*s.MaxPerDomain)
 }
 
-// target returns the part of a server's speed that is used at the usual load. The more
-// failure domains there are, the less is lost with two of them.
-func target(domains int) float64 {
-	lost := min(losses/float64(max(domains, 1)), mostLost)
+// targetUtilization returns the utilization of a server at the usual load. With more failure
+// domains, the loss of two of them takes a smaller share of the servers.
+func targetUtilization(domains int) float64 {
+	lost := min(toleratedDomainLosses/float64(max(domains, 1)), maxLostShare)
 
-	return afterLosses * (1 - lost)
+	return maxUtilizationAfterLosses * (1 - lost)
 }
 
-// peaksOf returns the loads of a service.
+// peaksOf returns the peaks of a service.
 func (p *Planner) peaksOf(service fleet.Service) *peaks {
 	if p.peaks == nil {
 		p.peaks = make(map[fleet.Service]*peaks)
 	}
 
-	one := p.peaks[service]
-	if one == nil {
-		one = &peaks{}
-		p.peaks[service] = one
+	servicePeaks := p.peaks[service]
+	if servicePeaks == nil {
+		servicePeaks = &peaks{}
+		p.peaks[service] = servicePeaks
 	}
 
-	return one
+	return servicePeaks
 }
 
-// Wanted returns how many servers of a service are wanted, and how many were wanted
-// of late.
-func (p *Planner) Wanted(now time.Time, service fleet.Service) (wanted, ofLate int) {
+// Wanted returns the number of wanted servers of a service, and the number wanted within
+// recentWindow.
+func (p *Planner) Wanted(now time.Time, service fleet.Service) (wanted, recent int) {
 	peaks := p.peaksOf(service)
 
-	return peaks.highest(now, memory), peaks.highest(now, lately)
+	return peaks.highest(now, peakWindow), peaks.highest(now, recentWindow)
 }
 
-// Plans returns what is wanted at present, for the planner of the next holder.
+// Plans returns the current plans of all services, to be restored by the planner of the next
+// duty holder.
 func (p *Planner) Plans(now time.Time) []Plan {
 	var plans []Plan
 
 	for _, service := range slices.Sorted(maps.Keys(p.peaks)) {
-		if wanted := p.peaks[service].highest(now, memory); wanted > 0 {
+		if wanted := p.peaks[service].highest(now, peakWindow); wanted > 0 {
 			plans = append(plans, Plan{Service: service, Wanted: wanted})
 		}
 	}
@@ -93,9 +95,9 @@
 	return plans
 }
 
-// Follow takes in what another planner wanted. One that takes over after all
-// instances have started anew would else know only the load since then.
-func (p *Planner) Follow(now time.Time, plans []Plan) {
+// Restore adds the plans of another planner. Without them, a planner that takes over after a
+// restart of all instances would know only the load since the restart.
+func (p *Planner) Restore(now time.Time, plans []Plan) {
 	for _, plan := range plans {
 		p.peaksOf(plan.Service).add(now, plan.Wanted)
 	}
--- /dev/null
+++ b/quarantine/updates.go
@@ -0,0 +1,101 @@
+package quarantine
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+const (
+	// sendsPerLoss is how often each loss is sent to the peers: a few of 100 datagrams are
+	// lost, but hardly ever three in a row.
+	sendsPerLoss = 3
+	// maxStoredLosses bounds the losses in a stored record, to a kilobyte.
+	maxStoredLosses = 40
+	// storedLossTTL is how long a loss that this instance observed stays in its stored
+	// records: several record intervals, so that instances without a connection to it read the
+	// loss there.
+	storedLossTTL = 10 * time.Second
+)
+
+// lossKey identifies a loss or its clearing.
+type lossKey struct {
+	request Fingerprint
+	server  ServerKey
+	cleared bool
+}
+
+// outbox holds the losses still to be sent. The zero value is empty.
+type outbox struct {
+	remainingSends map[lossKey]int
+}
+
+func (o *outbox) add(l Loss) {
+	if o.remainingSends == nil {
+		o.remainingSends = make(map[lossKey]int)
+	}
+
+	o.remainingSends[lossKey{l.Request, l.Server, l.Cleared}] = sendsPerLoss
+}
+
+// Ready returns a channel that receives a value when there are losses to send.
+func (l *Ledger) Ready() <-chan struct{} { return l.wake.C() }
+
+// PendingLosses returns the losses to send to the peers now. The caller repeats the call at
+// the interval of its messages until nothing is left.
+func (l *Ledger) PendingLosses(now time.Time) []Loss {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+
+	pending := make([]Loss, 0, len(l.outbox.remainingSends))
+
+	for key, left := range l.outbox.remainingSends {
+		if left == 1 {
+			delete(l.outbox.remainingSends, key)
+		} else {
+			l.outbox.remainingSends[key] = left - 1
+		}
+
+		if s := l.suspects[key.request]; s != nil {
+			e := s.losses[key.server]
+			loss := Loss{Request: key.request, Server: key.server, Evidence: e.evidence, Cleared: key.cleared}
+			pending = append(pending, loss.withAge(now, e.lostAt))
+		}
+	}
+
+	return pending
+}
+
+// StoredLosses returns the losses for the stored record, which survives a failure of all
+// instances and reaches instances that receive no messages: those of quarantined requests and
+// those that this instance observed recently.
+func (l *Ledger) StoredLosses(now time.Time) []Loss {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+
+	order := slices.SortedFunc(maps.Keys(l.suspects), func(a, b Fingerprint) int {
+		x, y := l.suspects[a], l.suspects[b]
+
+		return cmp.Or(y.quarantinedUntil().Compare(x.quarantinedUntil()), y.lastLoss.Compare(x.lastLoss), cmp.Compare(a, b))
+	})
+
+	var stored []Loss
+
+	for _, f := range order {
+		s := l.suspects[f]
+		quarantined := s.quarantinedUntil().After(now)
+
+		for key, e := range s.losses {
+			if len(stored) == maxStoredLosses {
+				return stored
+			}
+
+			if !e.cleared && (quarantined || e.observed && now.Sub(e.lostAt) <= storedLossTTL) {
+				stored = append(stored, Loss{Request: f, Server: key, Evidence: e.evidence}.withAge(now, e.lostAt))
+			}
+		}
+	}
+
+	return stored
+}
--- /dev/null
+++ b/quota/limiter.go
@@ -0,0 +1,165 @@
+package quota
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"monsoonlever/clock"
+	"monsoonlever/fleet"
+	"monsoonlever/gossip"
+)
+
+const (
+	// firstSyncTimeout is how long a request waits at an instance that has just started. Eight
+	// starting instances read the records within 300 ms; without the wait, 26 of 88 requests
+	// in that time were refused until 1.5 s later.
+	firstSyncTimeout = 500 * time.Millisecond
+	// refusedLoanBackoff is how long an instance that refused a loan is not asked for as much
+	// again. Otherwise accounts far beyond their limit would cause a loan request for each of
+	// their requests.
+	refusedLoanBackoff = 200 * time.Millisecond
+)
+
+// LoanRequest asks another instance to consume cost on behalf of the sender.
+type LoanRequest struct {
+	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
+	From     fleet.InstanceID
+	Number   uint64
+	Account  fleet.Account
+	Cost     float64
+}
+
+// LoanResponse is the response to a LoanRequest.
+type LoanResponse struct {
+	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
+	Number   uint64
+	Granted  bool
+}
+
+// Limiter takes from a Quota, and requests a loan from the lenders if this instance's share
+// does not cover a request. If the response to a granted loan is lost, the loan stays consumed
+// at the lender until it leaves the window; nothing is granted twice. Its exported fields are
+// set before its first use.
+type Limiter struct {
+	Quota *Quota
+	Clock clock.Clock
+	Self  fleet.InstanceID
+	// Send sends a loan request to another instance.
+	Send func(to fleet.InstanceID, request LoanRequest)
+	// Current reports whether this instance still accepts requests. One that is cut off lends
+	// nothing, since others may have replaced it. Nil means always.
+	Current func() bool
+
+	requests gossip.Requests[bool]
+
+	mu      sync.Mutex
+	refused map[loanKey]refusedLoan
+}
+
+type loanKey struct {
+	lender  fleet.InstanceID
+	account fleet.Account
+}
+
+type refusedLoan struct {
+	at   time.Time
+	cost float64
+}
+
+// Take consumes cost of an account's allowance, from the share of this instance or as a loan.
+func (l *Limiter) Take(ctx context.Context, name fleet.Account, cost float64) Decision {
+	l.awaitSync(ctx)
+
+	decision := l.Quota.Take(l.Clock.Now(), name, cost)
+	if decision.Granted {
+		return decision
+	}
+
+	for _, lender := range l.Quota.Lenders(name) {
+		if l.borrow(ctx, lender, name, cost) {
+			return Decision{Granted: true, Remaining: decision.Remaining, Share: decision.Share, Lender: lender}
+		}
+	}
+
+	return decision
+}
+
+// awaitSync waits briefly if this instance has just started and has not yet read what the
+// other instances have consumed.
+func (l *Limiter) awaitSync(ctx context.Context) {
+	select {
+	case <-l.Quota.Synced():
+		return
+	default:
+	}
+
+	select {
+	case <-l.Quota.Synced():
+	case <-l.Clock.After(firstSyncTimeout):
+	case <-ctx.Done():
+	}
+}
+
+// HandleRequest handles the loan request of another instance.
+func (l *Limiter) HandleRequest(request LoanRequest) LoanResponse {
+	if l.Current != nil && !l.Current() {
+		return LoanResponse{Number: request.Number}
+	}
+
+	return LoanResponse{Number: request.Number, Granted: l.Quota.LendTo(l.Clock.Now(), request.From, request.Account, request.Cost).Granted}
+}
+
+// HandleResponse delivers the response to a pending loan request. A response after the timeout
+// is discarded.
+func (l *Limiter) HandleResponse(response LoanResponse) {
+	l.requests.Reply(response.Number, response.Granted)
+}
+
+func (l *Limiter) borrow(ctx context.Context, lender fleet.InstanceID, name fleet.Account, cost float64) bool {
+	if lender == l.Self {
+		return l.Quota.Lend(l.Clock.Now(), name, cost).Granted
+	}
+
+	key := loanKey{lender: lender, account: name}
+	if l.refusedRecently(key, cost) {
+		return false
+	}
+
+	granted, responded := l.requests.Do(ctx, l.Clock, lender, func(number uint64) {
+		l.Send(lender, LoanRequest{From: l.Self, Number: number, Account: name, Cost: cost})
+	})
+	if responded {
+		l.recordOutcome(key, cost, granted)
+	}
+
+	return granted
+}
+
+// refusedRecently reports whether a lender refused the same or a smaller cost within
+// refusedLoanBackoff.
+func (l *Limiter) refusedRecently(key loanKey, cost float64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+
+	last, ok := l.refused[key]
+
+	return ok && cost >= last.cost && l.Clock.Now().Sub(last.at) < refusedLoanBackoff
+}
+
+func (l *Limiter) recordOutcome(key loanKey, cost float64, granted bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+
+	if granted {
+		delete(l.refused, key)
+
+		return
+	}
+
+	if l.refused == nil {
+		l.refused = make(map[loanKey]refusedLoan)
+	}
+
+	l.refused[key] = refusedLoan{at: l.Clock.Now(), cost: cost}
+}
--- a/ratelimit/counters.go
+++ b/ratelimit/counters.go
@@ -2,12 +2,12 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Counters count questions for permits by their outcome. A nil pointer counts nothing.
+// Counters count permit requests by outcome. A nil pointer counts nothing.
 type Counters struct {
 	granted, refused, unanswered *metrics.Counter
 }
 
-// NewCounters registers counters in a set.
+// NewCounters registers counters in a set of metrics.
 func NewCounters(set *metrics.Set) *Counters {
 	return &Counters{
 		granted:    set.NewCounter(`monsoonlever_ratelimit_permits_total{outcome="granted"}`),
@@ -16,10 +16,10 @@
 	}
 }
 
-func (c *Counters) asked(permit Permit, answered bool) {
+func (c *Counters) record(permit Permit, responded bool) {
 	switch {
 	case c == nil:
-	case !answered:
+	case !responded:
 		c.unanswered.Inc()
 	case permit.Granted:
 		c.granted.Inc()
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -10,32 +10,34 @@
 	"monsoonlever/backend"
 )
 
-// Policy decides about the attempts of calls. Its fields are set before its
-// first use; zero fields but Budgets stand for defaults.
+// Policy decides about retries and hedges of calls. Its fields are set before its
+// first use. Budgets is required; another zero field selects its default.
 type Policy struct {
 	Budgets *Budgets
 	Backoff Backoff
-	// Attempts is how often a call is tried at most.
-	Attempts int
-	// HedgeBelow is the utilisation of a service below which it is hedged.
-	HedgeBelow float64
+	// MaxAttempts bounds the attempts at one call, the first included: 3 by default.
+	MaxAttempts int
+	// MaxHedgeUtilisation is the utilisation of a service, from 0 to 1, at and above
+	// which its calls are not hedged: 0.7 by default.
+	MaxHedgeUtilisation float64
 	// Metrics receives the counters, unless it is nil.
 	Metrics *metrics.Set
 }
 
 const (
-	defaultAttempts   = 3
-	defaultHedgeBelow = 0.7
+	defaultMaxAttempts         = 3
+	defaultMaxHedgeUtilisation = 0.7
 )
 
-// Begin counts a call, before its first attempt.
-func (p *Policy) Begin(now time.Time, c *Call) {
-	p.Budgets.Of(c.scope).Request(now)
+// CountCall counts a call for its budget. It is called once, before the first attempt.
+func (p *Policy) CountCall(now time.Time, c *Call) {
+	p.Budgets.Of(c.scope).CountRequest(now)
 }
 
-// Decide takes in that an attempt failed and tells whether there is another.
+// Decide records that an attempt failed with err and decides whether the call is
+// retried.
 func (p *Policy) Decide(now time.Time, random Random, c *Call, err error) Decision {
-	c.note(err)
+	c.recordFailure(err)
 	d := p.decide(now, random, c, err)
 	p.count(d)
 
@@ -47,35 +49,35 @@
 		return Decision{reason: MayHaveRun}
 	}
 
-	if c.failed >= cmp.Or(p.Attempts, defaultAttempts) {
-		return Decision{reason: NoAttemptLeft}
+	if c.failedAttempts >= cmp.Or(p.MaxAttempts, defaultMaxAttempts) {
+		return Decision{reason: AttemptsExhausted}
 	}
 
 	unsent := errors.Is(err, backend.ErrNotSent)
-	after := p.wait(random, c, unsent)
+	delay := p.delay(random, c, unsent)
 
-	if !c.canFinish(now.Add(after)) {
-		return Decision{reason: TooLate}
+	if !c.canFinish(now.Add(delay)) {
+		return Decision{reason: DeadlineTooClose}
 	}
 
-	if !p.take(now, c, unsent) {
-		return Decision{reason: OverBudget}
+	if !p.takeRetry(now, c, unsent) {
+		return Decision{reason: BudgetExhausted}
 	}
 
-	return Decision{after: after}
+	return Decision{delay: delay}
 }
 
-// wait returns the wait before the next attempt. The first attempt that wasn't
-// sent needs none: the next goes to another server.
-func (p *Policy) wait(random Random, c *Call, unsent bool) time.Duration {
-	if unsent && c.failed == 1 {
+// delay returns the time to wait before the next attempt. There is none after a first
+// attempt that was not sent, since the next one goes to another server.
+func (p *Policy) delay(random Random, c *Call, unsent bool) time.Duration {
+	if unsent && c.failedAttempts == 1 {
 		return 0
 	}
 
-	return p.Backoff.Wait(random, c.failed)
+	return p.Backoff.Delay(random, c.failedAttempts)
 }
 
-func (p *Policy) take(now time.Time, c *Call, unsent bool) bool {
+func (p *Policy) takeRetry(now time.Time, c *Call, unsent bool) bool {
 	budget := p.Budgets.Of(c.scope)
 	if unsent {
 		return budget.TakeUnsent(now)
@@ -89,7 +91,7 @@
 		return
 	}
 
-	if d.Again() {
+	if d.Retry() {
 		p.Metrics.GetOrCreateCounter(`monsoonlever_retry_retries_total`).Inc()
 
 		return
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -11,66 +11,69 @@
 	"monsoonlever/fleet"
 )
 
-// Choice is which versions a request may be sent to. The zero value is all.
+// Choice restricts the versions that a request may be sent to. The zero value allows all
+// versions.
 type Choice struct {
-	// Only is the new version, if the request is one of its share; Part is the part of its
-	// servers that take that share, so that each carries what it would carry in the end.
-	Only fleet.Version
-	Part float64
-	// Avoid are versions that it may not be sent to.
+	// Only is the new version if the request belongs to its share, otherwise empty.
+	// ServerShare is the fraction of its servers that receive such requests, so that each of
+	// them carries the load that it would carry after completion.
+	Only        fleet.Version
+	ServerShare float64
+	// Avoid lists the versions that the request must not be sent to.
 	Avoid []fleet.Version
 }
 
-// Gate says at one instance which versions requests are sent to. The zero value knows no
-// order; it is safe for concurrent use, and Choose takes no lock.
+// Gate decides at one instance which versions requests may be sent to. The zero value has no
+// orders; it is safe for concurrent use, and Choose takes no lock.
 type Gate struct {
-	// Life is how long a decision to send to a new version counts; it is set before the first
-	// use.
-	Life time.Duration
-	// Random draws from [0, 1) which requests are tried at the new version; nil draws from the
-	// default source.
+	// GrantTTL is how long a decision to send requests to a new version remains valid. It is
+	// set before the first use.
+	GrantTTL time.Duration
+	// Random returns numbers in [0, 1) that select the requests for the new version; nil uses
+	// the default source.
 	Random func() float64
 
 	mu      sync.Mutex
-	current atomic.Pointer[map[fleet.Service]known]
+	current atomic.Pointer[map[fleet.Service]serviceState]
 }
 
-// known is what an instance knows of one service.
-type known struct {
+// serviceState is the newest order and decision of one service.
+type serviceState struct {
 	order Order
-	// begun is when the order was first seen, here or by another instance.
-	begun time.Time
-	state State
-	// at is when the holder made the decision, or before; zero is that it counts for no share.
-	at time.Time
+	// firstSeen is when this or another instance first saw the order.
+	firstSeen time.Time
+	state     State
+	// decidedAt is a lower bound of the time at which the holder made the decision. With the
+	// zero time, the decision's share has no effect.
+	decidedAt time.Time
 }
 
-// AddOrder takes an order in and tells whether it is news. Until the holder's decision comes, the
-// new version gets nothing.
+// AddOrder adds an order and reports whether it is new. The new version receives no requests
+// until the holder's first decision arrives.
 func (g *Gate) AddOrder(now time.Time, o Order) bool {
-	return g.change(o.Service, func(k *known) bool {
+	return g.update(o.Service, func(k *serviceState) bool {
 		if o.Place <= k.order.Place {
 			return false
 		}
 
-		if o.again(k.order) {
-			k.moveTo(o.Place)
+		if o.reissues(k.order) {
+			k.changePlace(o.Place)
 
 			return true
 		}
 
-		k.order, k.begun = o, now
+		k.order, k.firstSeen = o, now
 
 		if k.state.Place == o.Place {
-			k.begun = now.Add(-k.state.Elapsed)
+			k.firstSeen = now.Add(-k.state.Elapsed)
 		}
 
 		return true
 	})
 }
 
-// moveTo puts what is known of an order under the place at which it was written again.
-func (k *known) moveTo(place uint64) {
+// changePlace moves the state of an order to the place at which the order was reissued.
+func (k *serviceState) changePlace(place uint64) {
 	if k.state.Place == k.order.Place {
 		k.state.Place = place
 		k.state.ReachedBefore, k.state.ExposedBefore = k.state.Reached, k.state.Exposed
@@ -79,19 +82,19 @@
 	k.order.Place = place
 }
 
-// Apply takes a decision in that the holder made at a time, or later. One whose age is not
-// known has the zero time.
+// Apply applies a decision that the holder made at or after a time; the zero time means that
+// its age is unknown.
 func (g *Gate) Apply(now time.Time, s State, at time.Time) {
-	g.change(s.Service, func(k *known) bool {
+	g.update(s.Service, func(k *serviceState) bool {
 		switch {
 		case s.Replaces(k.state):
-			k.state, k.at = s, at
+			k.state, k.decidedAt = s, at
 
-			if begun := now.Add(-s.Elapsed); s.Place == k.order.Place && begun.Before(k.begun) {
-				k.begun = begun
+			if firstSeen := now.Add(-s.Elapsed); s.Place == k.order.Place && firstSeen.Before(k.firstSeen) {
+				k.firstSeen = firstSeen
 			}
-		case !k.state.Replaces(s) && at.After(k.at):
-			k.at = at
+		case !k.state.Replaces(s) && at.After(k.decidedAt):
+			k.decidedAt = at
 		default:
 			return false
 		}
@@ -100,16 +103,16 @@
 	})
 }
 
-// change puts a changed picture in place of the one before, and tells whether it changed.
-func (g *Gate) change(service fleet.Service, apply func(*known) bool) bool {
+// update replaces the state of a service with a changed copy and reports whether it changed.
+func (g *Gate) update(service fleet.Service, apply func(*serviceState) bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	var all map[fleet.Service]known
+	var all map[fleet.Service]serviceState
 	if p := g.current.Load(); p != nil {
 		all = maps.Clone(*p)
 	} else {
-		all = make(map[fleet.Service]known)
+		all = make(map[fleet.Service]serviceState)
 	}
 
 	k := all[service]
@@ -123,11 +126,11 @@
 	return true
 }
 
-// of returns what is known of a service.
-func (g *Gate) of(service fleet.Service) (known, bool) {
+// lookup returns the state of a service.
+func (g *Gate) lookup(service fleet.Service) (serviceState, bool) {
 	all := g.current.Load()
 	if all == nil {
-		return known{}, false
+		return serviceState{}, false
 	}
 
 	k, ok := (*all)[service]
@@ -137,16 +140,16 @@
 
 // Choose returns which versions a request may be sent to now.
 func (g *Gate) Choose(now time.Time, service fleet.Service) Choice {
-	k, ok := g.of(service)
+	k, ok := g.lookup(service)
 	if !ok {
 		return Choice{}
 	}
 
-	if !k.undecided() && k.state.Phase == Trial && now.Sub(k.at) < g.Life && g.draw() < k.state.Share {
-		return Choice{Only: k.state.Target, Part: k.state.Share}
+	if !k.undecided() && k.state.Phase == Trial && now.Sub(k.decidedAt) < g.GrantTTL && g.draw() < k.state.Share {
+		return Choice{Only: k.state.Target, ServerShare: k.state.Share}
 	}
 
-	return k.rest()
+	return k.oldVersionChoice()
 }
 
 func (g *Gate) draw() float64 {
@@ -157,36 +160,37 @@
 	return rand.Float64()
 }
 
-// Further returns which versions a further send of a request may go to: a request that was
-// tried once is not tried at the new version again.
-func (g *Gate) Further(service fleet.Service) Choice {
-	k, ok := g.of(service)
+// ChooseRetry returns which versions a repeated attempt of a request may be sent to. The new
+// version is not among them unless its roll-out is completed.
+func (g *Gate) ChooseRetry(service fleet.Service) Choice {
+	k, ok := g.lookup(service)
 	if !ok {
 		return Choice{}
 	}
 
-	return k.rest()
+	return k.oldVersionChoice()
 }
 
-// undecided tells whether the holder has said nothing of the newest order yet.
-func (k known) undecided() bool { return k.order.Place > k.state.Place }
+// undecided reports whether no decision on the newest order has arrived yet.
+func (k serviceState) undecided() bool { return k.order.Place > k.state.Place }
 
-// rest returns the choice of a request that is none of the new version's share.
-func (k known) rest() Choice {
+// oldVersionChoice returns the choice for requests outside of the new version's share.
+func (k serviceState) oldVersionChoice() Choice {
 	if k.undecided() {
-		return Choice{Avoid: avoided(k.state.Avoid, k.order.Target)}
+		return Choice{Avoid: addVersions(k.state.Avoid, k.order.Target)}
 	}
 
 	if k.state.Phase == Completed {
 		return Choice{Avoid: k.state.Avoid}
 	}
 
-	return Choice{Avoid: avoided(k.state.Avoid, k.state.Target)}
+	return Choice{Avoid: addVersions(k.state.Avoid, k.state.Target)}
 }
 
-// InTrial returns the order of a service whose new version is being tried.
+// InTrial returns the version and the place of the service's newest order, and whether the
+// version is in its trial.
 func (g *Gate) InTrial(service fleet.Service) (target fleet.Version, place uint64, trial bool) {
-	k, ok := g.of(service)
+	k, ok := g.lookup(service)
 	if !ok {
 		return "", 0, false
 	}
@@ -198,14 +202,15 @@
 	return k.state.Target, k.state.Place, k.state.Phase == Trial
 }
 
-// Update is a state and how long ago, at most, the holder made it; negative is not known.
+// Update is a state and the maximum time since the holder decided on it; a negative Age means
+// that it is unknown.
 type Update struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	State    State
 	Age      time.Duration
 }
 
-// Updates returns what this instance tells others.
+// Updates returns the states that this instance sends to other instances.
 func (g *Gate) Updates(now time.Time) []Update {
 	all := g.current.Load()
 	if all == nil {
@@ -221,8 +226,8 @@
 		}
 
 		update := Update{State: k.state, Age: -1}
-		if !k.at.IsZero() {
-			update.Age = now.Sub(k.at)
+		if !k.decidedAt.IsZero() {
+			update.Age = now.Sub(k.decidedAt)
 		}
 
 		updates = append(updates, update)
@@ -236,19 +241,19 @@
 	updates := g.Updates(time.Time{})
 	states := make([]State, 0, len(updates))
 
-	for _, w := range updates {
-		states = append(states, w.State)
+	for _, u := range updates {
+		states = append(states, u.State)
 	}
 
 	return states
 }
 
 // Task is the newest order of a service, when it was first seen, and the newest state of the
-// service, which may be one of an earlier order.
+// service, which may belong to an earlier order.
 type Task struct {
-	Order Order
-	Begun time.Time
-	State State
+	Order     Order
+	FirstSeen time.Time
+	State     State
 }
 
 // Tasks returns the newest orders of all services.
@@ -262,7 +267,7 @@
 
 	for _, service := range slices.Sorted(maps.Keys(*all)) {
 		if k := (*all)[service]; k.order.Place > 0 {
-			tasks = append(tasks, Task{Order: k.order, Begun: k.begun, State: k.state})
+			tasks = append(tasks, Task{Order: k.order, FirstSeen: k.firstSeen, State: k.state})
 		}
 	}
 
--- a/scheduling/place.go
+++ b/scheduling/place.go
@@ -10,55 +10,55 @@
 )
 
 const (
-	// shortBacklog is the backlog, as the time in which a server reads it, up to which any
-	// prompt is sent there: the server is not idle while news of it is on its way.
+	// shortBacklog is the backlog, as the time in which a server reads it, up to which each prompt
+	// is sent to the server. It keeps the server busy while updates about it are in flight.
 	shortBacklog = 100 * time.Millisecond
-	// giveUpMargin is how long before its caller would leave a prompt that was held is
-	// expected to begin: a rate of reading is off by a tenth.
-	giveUpMargin = 300 * time.Millisecond
-	// holdEvery is how often a prompt that is held is looked at again: half of the pace
-	// at which few instances tell each other of their backlogs.
-	holdEvery = 20 * time.Millisecond
+	// refuseMargin is the time before its caller's deadline by which a held prompt must be expected
+	// to begin; otherwise it is refused. Estimates from the read rate are off by a tenth.
+	refuseMargin = 300 * time.Millisecond
+	// holdInterval is how often a held prompt is checked again: half the interval at which few
+	// instances send each other their backlogs.
+	holdInterval = 20 * time.Millisecond
 )
 
-// verdict is what becomes of a prompt.
-type verdict int
+// decision is how Place treats a prompt.
+type decision int
 
 const (
-	// send sends the prompt on now.
-	send verdict = iota
-	// hold lets it wait here.
+	// send sends the prompt now.
+	send decision = iota
+	// hold keeps the prompt back on this instance.
 	hold
-	// refuse tells the caller to come back.
+	// refuse rejects the prompt; the caller should retry later.
 	refuse
 )
 
-// OverloadError means that no server can begin a prompt in time and that it can't be
+// OverloadError means that no server can begin a prompt in time and that the prompt can't be
 // held any longer.
 type OverloadError struct {
-	// RetryAfter is when the servers will have read most of what waits there now.
+	// RetryAfter is the time until the caller should retry. By then the servers will have read
+	// at least about half of their current backlog.
 	RetryAfter time.Duration
 }
 
-// Error says when there may be room.
+// Error includes RetryAfter.
 func (e *OverloadError) Error() string {
 	return "servers are busy for longer than the caller waits, try again in " + e.RetryAfter.String()
 }
 
-// Place chooses a server as Pick does, holds a prompt back that can't begin in time while
-// servers are busy with others that can, and returns an OverloadError once it has to be
-// given up. A server that limits its requests is chosen only with a permit; where no other
-// server is left the request waits for one, or gets a NoRoomError. Place waits until ctx
-// ends at most.
+// Place chooses a server as Pick does. It holds a prompt that can't begin in time while servers
+// are busy with prompts that can, and returns an OverloadError once the prompt has to be refused.
+// A server with a limit is chosen only with a permit. If no other server is left, the request
+// waits for a permit, or Place returns a NoRoomError. Place returns at the latest when ctx ends.
 func (s *Scheduler) Place(ctx context.Context, clk clock.Clock, r Request) (*Assignment, error) {
-	asked := 0
+	permitRequests := 0
 
 	for {
 		now := clk.Now()
 
 		a, err := s.Pick(now, r)
 		if errors.Is(err, ErrNoServer) {
-			if a, err := s.placeLast(ctx, clk, &r); a != nil || err != nil {
+			if a, err := s.placeWithoutServer(ctx, clk, &r); a != nil || err != nil {
 				return a, err
 			}
 
@@ -69,9 +69,9 @@
 			return nil, err
 		}
 
-		switch a.judge(now, r) {
+		switch a.decide(now, r) {
 		case send:
-			if s.permitted(ctx, clk, a) {
+			if s.acquirePermit(ctx, clk, a) {
 				return a, nil
 			}
 
@@ -79,74 +79,75 @@
 				return nil, ctx.Err()
 			}
 
-			asked++
-			r.withoutLimit = asked >= askedServers
+			permitRequests++
+			r.onlyUnlimited = permitRequests >= maxPermitRequests
 
 			continue
 		case refuse:
-			return nil, &OverloadError{RetryAfter: a.comeBack()}
+			return nil, &OverloadError{RetryAfter: a.retryAfter()}
 		case hold:
 		}
 
 		select {
-		case <-clk.After(holdEvery + rand.N(holdEvery)):
+		case <-clk.After(holdInterval + rand.N(holdInterval)):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// placeLast places a request that no server is left for at first: at one that it was to spare,
-// or at one that may have room in time. Without an assignment and an error the request is to
-// be placed anew.
-func (s *Scheduler) placeLast(ctx context.Context, clk clock.Clock, r *Request) (*Assignment, error) {
-	if r.Final && !r.mayTest {
-		r.mayTest = true
+// placeWithoutServer handles a request for which Pick found no server. A final request first gets
+// another pick in which it may be a trial. Otherwise the request waits for a server that may have
+// room in time. If it returns neither an assignment nor an error, the caller picks again.
+func (s *Scheduler) placeWithoutServer(ctx context.Context, clk clock.Clock, r *Request) (*Assignment, error) {
+	if r.Final && !r.allowTrial {
+		r.allowTrial = true
 
 		return nil, nil
 	}
 
-	r.withoutLimit = false
+	r.onlyUnlimited = false
 
 	return s.awaitRoom(ctx, clk, *r)
 }
 
-// judge decides what becomes of a prompt whose best server is that of the assignment. It
-// answers an overload, in which an engine that reads prompts in the order in which they
-// come lets each wait behind all others, and none begins in time. One that is late
-// already loses nothing by letting those go first that are not; if that takes until its
-// caller leaves, it is refused: sent on it would only make others late.
-func (a *Assignment) judge(now time.Time, r Request) verdict {
+// decide decides whether a prompt is sent to the server of the assignment, held or refused. It
+// handles overload: an engine reads prompts in order of arrival, so that each waits behind all
+// others and none begins in time. A prompt that is late in any case loses nothing if prompts that
+// can still be on time go first. If that takes until its caller disconnects, it is refused, since
+// sending it would only delay others.
+func (a *Assignment) decide(now time.Time, r Request) decision {
 	if a.meter == nil || r.Due.IsZero() {
 		return send
 	}
 
-	rate := a.meter.readRate()
+	rate := a.meter.medianReadRate()
 	if rate == 0 || readTime(a.backlog, rate) <= shortBacklog {
 		return send
 	}
 
-	begin := now.Add(readTime(a.backlog+int64(a.unread), rate))
+	begin := now.Add(readTime(a.backlog+int64(a.uncachedTokens), rate))
 
 	switch {
 	case !begin.After(r.Due):
 		return send
-	case now.After(r.HoldUntil) || begin.Add(giveUpMargin).After(r.GiveUp):
+	case now.After(r.HoldUntil) || begin.Add(refuseMargin).After(r.CallerDeadline):
 		return refuse
 	default:
 		return hold
 	}
 }
 
-// comeBack returns when a caller that is refused should come back: half of what waits now
-// is read by then, and those that are refused together come back apart.
-func (a *Assignment) comeBack() time.Duration {
-	backlog := max(readTime(a.backlog, a.meter.readRate()), shortBacklog)
+// retryAfter returns the time after which a refused caller should retry: half of the current
+// backlog is read by then, and a random time keeps callers that are refused together from
+// returning together.
+func (a *Assignment) retryAfter() time.Duration {
+	backlog := max(readTime(a.backlog, a.meter.medianReadRate()), shortBacklog)
 
 	return backlog/2 + rand.N(backlog)
 }
 
-// readTime returns the time in which tokens are read at a rate in tokens a second.
+// readTime returns the time to read tokens at a rate in tokens a second.
 func readTime(tokens int64, rate float64) time.Duration {
 	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
