--- a/entry/parts.go
+++ b/entry/parts.go
@@ -235,8 +235,8 @@
 
 // followFeeds makes what keeps up with the store, or with what other instances have read of it.
 func (p *parts) followFeeds() {
-	rulesLog, registerLog := &replica.Log{Clock: p.clock}, &replica.Log{Clock: p.clock, Same: sameServerEntry}
-	p.directoryLog = &replica.Log{Clock: p.clock, Same: sameEntry}
+	rulesLog, registerLog := &replica.Log{Clock: p.clock}, &replica.Log{Clock: p.clock, Equivalent: sameServerEntry}
+	p.directoryLog = &replica.Log{Clock: p.clock, Equivalent: sameEntry}
 
 	rules := newSource(feedRules, p.store.Rules(), rulesLog, p.upstream, p.relays)
 	servers := newSource(feedRegister, p.store.Register(), registerLog, p.upstream, p.relays)
--- a/replica/log.go
+++ b/replica/log.go
@@ -32,9 +32,9 @@
 // use.
 type Log struct {
 	Clock clock.Clock
-	// Same reports whether an entry says nothing that the one before did not say. Such an
+	// Equivalent reports whether an entry says nothing that the one before did not say. Such an
 	// entry is not passed on; nil passes all on.
-	Same func(before, after feed.Entry) bool
+	Equivalent func(before, after feed.Entry) bool
 
 	mu      sync.Mutex
 	loaded  bool
@@ -132,7 +132,7 @@
 		return
 	}
 
-	if known && l.Same != nil && len(e.Data) > 0 && l.Same(before, e) {
+	if known && l.Equivalent != nil && len(e.Data) > 0 && l.Equivalent(before, e) {
 		return
 	}
 
--- a/replica/log_test.go
+++ b/replica/log_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestEntriesThatSayNothingNewAreNotPassedOn(t *testing.T) {
-	l := &Log{Clock: clock.NewSteady(), Same: func(a, b feed.Entry) bool { return bytes.Equal(a.Data[:1], b.Data[:1]) }}
+	l := &Log{Clock: clock.NewSteady(), Equivalent: func(a, b feed.Entry) bool { return bytes.Equal(a.Data[:1], b.Data[:1]) }}
 	l.Replace([]feed.Entry{change("a", "x1", 0)}, feed.PositionOf(1, 1))
 	l.Append([]feed.Entry{change("a", "x2", 1), change("b", "y1", 2)}, feed.PositionOf(1, 3))
 
