--- a/replica/log.go
+++ b/replica/log.go
@@ -193,8 +193,8 @@
 	return entries, l.next, nil
 }
 
-// Follows reports whether all changes since a position are kept.
-func (l *Log) Follows(from feed.Position) bool {
+// HasChangesSince reports whether all changes since a position are kept.
+func (l *Log) HasChangesSince(from feed.Position) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/replica/whole.go
+++ b/replica/whole.go
@@ -27,7 +27,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	if w.frames != nil && now.Sub(w.made) <= wholeLife && l.Follows(w.next) {
+	if w.frames != nil && now.Sub(w.made) <= wholeLife && l.HasChangesSince(w.next) {
 		return w.frames, nil
 	}
 
