--- a/entry/parts.go
+++ b/entry/parts.go
@@ -240,7 +240,7 @@
 
 	rules := newSource(feedRules, p.store.Rules(), rulesLog, p.upstream, p.relays)
 	servers := newSource(feedRegister, p.store.Register(), registerLog, p.upstream, p.relays)
-	servers.Ahead = p.registerAhead
+	servers.NewerInstance = p.registerAhead
 	relays := newSource(feedDirectory, p.store.Directory(), p.directoryLog, p.directoryUpstream, nil)
 
 	p.rulesFeed = &feed.Follower{
--- a/replica/source.go
+++ b/replica/source.go
@@ -40,9 +40,9 @@
 	Log    *Log
 	// Upstream is asked before each read.
 	Upstream func() Upstream
-	// Ahead is asked before each read of changes at the origin: it returns an instance that is known
+	// NewerInstance is asked before each read of changes at the origin: it returns an instance that is known
 	// to have read newer ones, if there is one. The read goes there instead. Nil is none.
-	Ahead func() (netip.AddrPort, bool)
+	NewerInstance func() (netip.AddrPort, bool)
 	// Kept reports whether others read from this instance; without it the log stays empty. Nil is
 	// always.
 	Kept   func() bool
@@ -118,11 +118,11 @@
 }
 
 func (s *Source) ahead(up Upstream) (netip.AddrPort, bool) {
-	if !up.Origin || s.Ahead == nil {
+	if !up.Origin || s.NewerInstance == nil {
 		return netip.AddrPort{}, false
 	}
 
-	return s.Ahead()
+	return s.NewerInstance()
 }
 
 // catchUp reads changes from an instance that has newer ones than this one. Where that fails, the
--- a/replica/source_test.go
+++ b/replica/source_test.go
@@ -299,7 +299,7 @@
 	return &Source{
 		Feed: "rules", Origin: origin, Log: &Log{Clock: clock.NewSteady()}, Dialer: &net.Dialer{},
 		Upstream: func() Upstream { return Upstream{Origin: true} },
-		Ahead: func() (netip.AddrPort, bool) {
+		NewerInstance: func() (netip.AddrPort, bool) {
 			if asked {
 				return netip.AddrPort{}, false
 			}
