--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -76,7 +76,7 @@
 // may be older.
 func confirmDirect(s *replica.Source, confirm func(asked time.Time)) func(time.Time) {
 	return func(asked time.Time) {
-		if !s.Relayed() {
+		if !s.LastReadRelayed() {
 			confirm(asked)
 		}
 	}
--- a/replica/source.go
+++ b/replica/source.go
@@ -54,9 +54,9 @@
 	reader  *bufio.Reader
 }
 
-// Relayed reports whether the newest read went to another instance. Such a read does not show
+// LastReadRelayed reports whether the newest read went to another instance. Such a read does not show
 // that its content is the newest of the origin.
-func (s *Source) Relayed() bool { return s.relayed.Load() }
+func (s *Source) LastReadRelayed() bool { return s.relayed.Load() }
 
 // Snapshot returns the newest entry of each key.
 func (s *Source) Snapshot(ctx context.Context) ([]feed.Entry, feed.Position, error) {
--- a/replica/source_test.go
+++ b/replica/source_test.go
@@ -100,8 +100,8 @@
 	s := &Source{Feed: "rules", Origin: origin, Log: own, Upstream: func() Upstream { return up }, Dialer: &net.Dialer{}}
 
 	entries, next, err := s.Snapshot(t.Context())
-	if err != nil || len(entries) != 1 || !s.Relayed() {
-		t.Fatalf("whole: got %v, %v, relayed %t, want one entry of the other instance", entries, err, s.Relayed())
+	if err != nil || len(entries) != 1 || !s.LastReadRelayed() {
+		t.Fatalf("whole: got %v, %v, relayed %t, want one entry of the other instance", entries, err, s.LastReadRelayed())
 	}
 
 	go above.Append([]feed.Entry{change("b", "y", 1)}, feed.PositionOf(1, 2))
@@ -121,8 +121,8 @@
 
 	up = Upstream{Origin: true}
 
-	if _, _, err := s.Snapshot(t.Context()); err != nil || s.Relayed() || origin.reads.Load() != 1 {
-		t.Errorf("from the origin: got %v, relayed %t, %d reads, want one", err, s.Relayed(), origin.reads.Load())
+	if _, _, err := s.Snapshot(t.Context()); err != nil || s.LastReadRelayed() || origin.reads.Load() != 1 {
+		t.Errorf("from the origin: got %v, relayed %t, %d reads, want one", err, s.LastReadRelayed(), origin.reads.Load())
 	}
 }
 
@@ -319,12 +319,12 @@
 	s := sourceAhead(origin, serveLog(t, other))
 
 	changes, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0)
-	if err != nil || !s.Relayed() || len(changes.Entries) != 1 || changes.Next != feed.PositionOf(1, 2) {
-		t.Errorf("ahead: got %v, %v, relayed %t, want b from the other instance", changes, err, s.Relayed())
+	if err != nil || !s.LastReadRelayed() || len(changes.Entries) != 1 || changes.Next != feed.PositionOf(1, 2) {
+		t.Errorf("ahead: got %v, %v, relayed %t, want b from the other instance", changes, err, s.LastReadRelayed())
 	}
 
-	if _, err := s.Changes(t.Context(), changes.Next, 0); err != nil || s.Relayed() {
-		t.Errorf("after it: got %v, relayed %t, want a read of the origin", err, s.Relayed())
+	if _, err := s.Changes(t.Context(), changes.Next, 0); err != nil || s.LastReadRelayed() {
+		t.Errorf("after it: got %v, relayed %t, want a read of the origin", err, s.LastReadRelayed())
 	}
 }
 
@@ -339,8 +339,8 @@
 		t.Errorf("trimmed at the other: got %v, want an error that keeps the position", err)
 	}
 
-	if _, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0); err != nil || s.Relayed() {
-		t.Errorf("next read: got %v, relayed %t, want the origin", err, s.Relayed())
+	if _, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0); err != nil || s.LastReadRelayed() {
+		t.Errorf("next read: got %v, relayed %t, want the origin", err, s.LastReadRelayed())
 	}
 }
 
