--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -66,13 +66,13 @@
 }
 
 // rulesPace is how the rules are read now.
-func (p *parts) rulesPace() feed.Pace {
+func (p *parts) rulesPace() feed.PollTiming {
 	if pace, ok := p.memberPace(); ok {
 		return pace
 	}
 
 	if !p.leads() && !p.rulesStale() {
-		return feed.Pace{Wait: relaxedWait, Every: relaxedPause}
+		return feed.PollTiming{Wait: relaxedWait, Every: relaxedPause}
 	}
 
 	wait := min(rulesWait, time.Duration(float64(p.currency.Bound)*rulesShare))
@@ -81,23 +81,23 @@
 		wait /= 2
 	}
 
-	return feed.Pace{Wait: wait, Every: rulesPause}
+	return feed.PollTiming{Wait: wait, Every: rulesPause}
 }
 
 // registerPace is how the register is read now.
-func (p *parts) registerPace() feed.Pace {
+func (p *parts) registerPace() feed.PollTiming {
 	if pace, ok := p.memberPace(); ok {
 		return pace
 	}
 
 	if !p.leads() && !p.registerStale() {
-		return feed.Pace{Every: relaxedRegister}
+		return feed.PollTiming{Every: relaxedRegister}
 	}
 
 	// An age that is not known is zero. The read before may have been at another leader.
 	age, _ := p.registered.Age()
 
-	return feed.Pace{Every: max(p.registerTurn(registerShare)-age, 0)}
+	return feed.PollTiming{Every: max(p.registerTurn(registerShare)-age, 0)}
 }
 
 // registerTurn is the age of the register at which this instance reads it, where the first of those
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -91,12 +91,12 @@
 func sameEntry(before, after feed.Entry) bool { return bytes.Equal(before.Data, after.Data) }
 
 // directoryPace is how the directory is read now.
-func (p *parts) directoryPace() feed.Pace {
+func (p *parts) directoryPace() feed.PollTiming {
 	if pace, ok := p.memberPace(); ok && p.directory.Load() != nil {
 		return pace
 	}
 
-	return feed.Pace{Wait: relaxedWait, Every: rulesPause, MaxBackoff: p.unlinkedPause()}
+	return feed.PollTiming{Wait: relaxedWait, Every: rulesPause, MaxBackoff: p.unlinkedPause()}
 }
 
 // upstream returns where feeds are read now.
@@ -213,15 +213,15 @@
 // memberPace is the pace of any feed at one of many instances: of reads from another one, or of
 // the store where no relay is reachable. It returns false where an instance reads the store as one
 // of few, or as one that leads.
-func (p *parts) memberPace() (feed.Pace, bool) {
+func (p *parts) memberPace() (feed.PollTiming, bool) {
 	switch {
 	case !p.direct():
-		return feed.Pace{Wait: relayedWait, Every: relayedPause}, true
+		return feed.PollTiming{Wait: relayedWait, Every: relayedPause}, true
 	case !p.few() && !p.leads():
 		pause := p.unlinkedPause()
 
-		return feed.Pace{Every: pause, MaxBackoff: pause}, true
+		return feed.PollTiming{Every: pause, MaxBackoff: pause}, true
 	default:
-		return feed.Pace{}, false
+		return feed.PollTiming{}, false
 	}
 }
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -74,8 +74,8 @@
 	maxBackoff   = 700 * time.Millisecond
 )
 
-// Pace says how often a source is read.
-type Pace struct {
+// PollTiming says how often a source is read.
+type PollTiming struct {
 	// Wait is how long a read waits for a change, Every the pause between reads.
 	Wait, Every time.Duration
 	// MaxBackoff bounds the pause after failed reads where it is longer than the default: many
@@ -90,7 +90,7 @@
 	Source Source
 	Clock  clock.Clock
 	// Pace is asked before each read; nil is no wait and no pause.
-	Pace func() Pace
+	Pace func() PollTiming
 	// Due is asked once a pause is over: how long the next read may still wait, because
 	// others have read meanwhile. It may be nil.
 	Due func() time.Duration
@@ -147,9 +147,9 @@
 // that is under way: the source before may not answer.
 func (f *Follower) Redirect() { f.redirect.Send() }
 
-func (f *Follower) pace() Pace {
+func (f *Follower) pace() PollTiming {
 	if f.Pace == nil {
-		return Pace{}
+		return PollTiming{}
 	}
 
 	return f.Pace()
