--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -72,7 +72,7 @@
 	}
 
 	if !p.leads() && !p.rulesStale() {
-		return feed.PollTiming{Wait: relaxedWait, Every: relaxedPause}
+		return feed.PollTiming{Wait: relaxedWait, Interval: relaxedPause}
 	}
 
 	wait := min(rulesWait, time.Duration(float64(p.currency.Bound)*rulesShare))
@@ -81,7 +81,7 @@
 		wait /= 2
 	}
 
-	return feed.PollTiming{Wait: wait, Every: rulesPause}
+	return feed.PollTiming{Wait: wait, Interval: rulesPause}
 }
 
 // registerPace is how the register is read now.
@@ -91,13 +91,13 @@
 	}
 
 	if !p.leads() && !p.registerStale() {
-		return feed.PollTiming{Every: relaxedRegister}
+		return feed.PollTiming{Interval: relaxedRegister}
 	}
 
 	// An age that is not known is zero. The read before may have been at another leader.
 	age, _ := p.registered.Age()
 
-	return feed.PollTiming{Every: max(p.registerTurn(registerShare)-age, 0)}
+	return feed.PollTiming{Interval: max(p.registerTurn(registerShare)-age, 0)}
 }
 
 // registerTurn is the age of the register at which this instance reads it, where the first of those
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -96,7 +96,7 @@
 		return pace
 	}
 
-	return feed.PollTiming{Wait: relaxedWait, Every: rulesPause, MaxBackoff: p.unlinkedPause()}
+	return feed.PollTiming{Wait: relaxedWait, Interval: rulesPause, MaxBackoff: p.unlinkedPause()}
 }
 
 // upstream returns where feeds are read now.
@@ -216,11 +216,11 @@
 func (p *parts) memberPace() (feed.PollTiming, bool) {
 	switch {
 	case !p.direct():
-		return feed.PollTiming{Wait: relayedWait, Every: relayedPause}, true
+		return feed.PollTiming{Wait: relayedWait, Interval: relayedPause}, true
 	case !p.few() && !p.leads():
 		pause := p.unlinkedPause()
 
-		return feed.PollTiming{Every: pause, MaxBackoff: pause}, true
+		return feed.PollTiming{Interval: pause, MaxBackoff: pause}, true
 	default:
 		return feed.PollTiming{}, false
 	}
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -76,8 +76,8 @@
 
 // PollTiming says how often a source is read.
 type PollTiming struct {
-	// Wait is how long a read waits for a change, Every the pause between reads.
-	Wait, Every time.Duration
+	// Wait is how long a read waits for a change, Interval the pause between reads.
+	Wait, Interval time.Duration
 	// MaxBackoff bounds the pause after failed reads where it is longer than the default: many
 	// that read one source wait longer, so that all together do not ask more often.
 	MaxBackoff time.Duration
@@ -156,7 +156,7 @@
 }
 
 func (f *Follower) pause(ctx context.Context) {
-	for wait := f.pace().Every; f.await(ctx, wait); {
+	for wait := f.pace().Interval; f.await(ctx, wait); {
 		if wait = f.due(); wait <= 0 {
 			return
 		}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -199,7 +199,7 @@
 
 	asked := 0
 	f := &Follower{
-		Clock: clk, Pace: func() PollTiming { return PollTiming{Every: time.Second} },
+		Clock: clk, Pace: func() PollTiming { return PollTiming{Interval: time.Second} },
 		Due: func() time.Duration {
 			asked++
 
