--- a/entry/parts.go
+++ b/entry/parts.go
@@ -244,18 +244,18 @@
 	relays := newSource(feedDirectory, p.store.Directory(), p.directoryLog, p.directoryUpstream, nil)
 
 	p.rulesFeed = &feed.Follower{
-		Name: feedRules, Source: rules, Clock: p.clock, Pace: p.rulesPace,
+		Name: feedRules, Source: rules, Clock: p.clock, Timing: p.rulesPace,
 		Apply: p.applyRules, Confirm: confirmDirect(rules, func(asked time.Time) {
 			p.ownConfirmed.Store(asked.UnixNano())
 			p.confirmRules(asked)
 		}),
 	}
 	p.registerFeed = &feed.Follower{
-		Name: feedRegister, Source: servers, Clock: p.clock, Pace: p.registerPace, Due: p.registerDue,
+		Name: feedRegister, Source: servers, Clock: p.clock, Timing: p.registerPace, Due: p.registerDue,
 		Apply: p.applyRegister, Confirm: confirmDirect(servers, p.registered.Confirm),
 	}
 	p.directoryFeed = &feed.Follower{
-		Name: feedDirectory, Source: relays, Clock: p.clock, Pace: p.directoryPace, Apply: p.applyDirectory,
+		Name: feedDirectory, Source: relays, Clock: p.clock, Timing: p.directoryPace, Apply: p.applyDirectory,
 	}
 	p.kept = map[*feed.Follower]*replica.Log{p.rulesFeed: rulesLog, p.registerFeed: registerLog}
 	p.replicas = &replica.Server{Clock: p.clock, Feeds: map[string]*replica.Log{
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -89,8 +89,8 @@
 	Name   string
 	Source Source
 	Clock  clock.Clock
-	// Pace is asked before each read; nil is no wait and no pause.
-	Pace func() PollTiming
+	// Timing is asked before each read; nil is no wait and no pause.
+	Timing func() PollTiming
 	// Due is asked once a pause is over: how long the next read may still wait, because
 	// others have read meanwhile. It may be nil.
 	Due func() time.Duration
@@ -148,11 +148,11 @@
 func (f *Follower) Redirect() { f.redirect.Send() }
 
 func (f *Follower) pace() PollTiming {
-	if f.Pace == nil {
+	if f.Timing == nil {
 		return PollTiming{}
 	}
 
-	return f.Pace()
+	return f.Timing()
 }
 
 func (f *Follower) pause(ctx context.Context) {
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -101,7 +101,7 @@
 	confirmed := make(chan time.Time, 16)
 	f := &Follower{
 		Name: "rules", Source: source, Clock: clock.NewSteady(),
-		Pace:    func() PollTiming { return PollTiming{Wait: time.Minute} },
+		Timing:  func() PollTiming { return PollTiming{Wait: time.Minute} },
 		Apply:   func([]Entry, bool) {},
 		Confirm: func(asked time.Time) { confirmed <- asked },
 	}
@@ -157,7 +157,7 @@
 	source := &silent{reads: make(chan int)}
 	f := &Follower{
 		Name: "register", Source: source, Clock: clock.NewSteady(),
-		Pace: func() PollTiming { return PollTiming{} }, Apply: func([]Entry, bool) {},
+		Timing: func() PollTiming { return PollTiming{} }, Apply: func([]Entry, bool) {},
 	}
 
 	ctx, cancel := context.WithCancel(t.Context())
@@ -199,7 +199,7 @@
 
 	asked := 0
 	f := &Follower{
-		Clock: clk, Pace: func() PollTiming { return PollTiming{Interval: time.Second} },
+		Clock: clk, Timing: func() PollTiming { return PollTiming{Interval: time.Second} },
 		Due: func() time.Duration {
 			asked++
 
@@ -249,7 +249,7 @@
 	}}
 	f := &Follower{
 		Name: "test", Source: source, Clock: clock.NewManual(time.Unix(0, 0)),
-		Pace: func() PollTiming { return PollTiming{Wait: time.Second} }, Apply: func([]Entry, bool) {},
+		Timing: func() PollTiming { return PollTiming{Wait: time.Second} }, Apply: func([]Entry, bool) {},
 	}
 
 	for i := range 5 {
