--- a/entry/parts.go
+++ b/entry/parts.go
@@ -251,7 +251,7 @@
 		}),
 	}
 	p.registerFeed = &feed.Follower{
-		Name: feedRegister, Source: servers, Clock: p.clock, Timing: p.registerPace, Due: p.registerDue,
+		Name: feedRegister, Source: servers, Clock: p.clock, Timing: p.registerPace, ExtraDelay: p.registerDue,
 		Apply: p.applyRegister, Confirm: confirmDirect(servers, p.registered.Confirm),
 	}
 	p.directoryFeed = &feed.Follower{
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -91,9 +91,9 @@
 	Clock  clock.Clock
 	// Timing is asked before each read; nil is no wait and no pause.
 	Timing func() PollTiming
-	// Due is asked once a pause is over: how long the next read may still wait, because
+	// ExtraDelay is asked once a pause is over: how long the next read may still wait, because
 	// others have read meanwhile. It may be nil.
-	Due func() time.Duration
+	ExtraDelay func() time.Duration
 	// Apply takes entries in; whole tells that keys that are not among them are gone.
 	Apply func(entries []Entry, whole bool)
 	// Confirm is told the time before a read that reached the end; it may be nil.
@@ -180,11 +180,11 @@
 }
 
 func (f *Follower) due() time.Duration {
-	if f.Due == nil {
+	if f.ExtraDelay == nil {
 		return 0
 	}
 
-	return f.Due()
+	return f.ExtraDelay()
 }
 
 // call returns the context of one read and how long it waits. A wake-up ends the wait, a redirect the
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -200,7 +200,7 @@
 	asked := 0
 	f := &Follower{
 		Clock: clk, Timing: func() PollTiming { return PollTiming{Interval: time.Second} },
-		Due: func() time.Duration {
+		ExtraDelay: func() time.Duration {
 			asked++
 
 			// The others read until then.
