--- a/entry/directory.go
+++ b/entry/directory.go
@@ -189,7 +189,7 @@
 	now := p.clock.Now()
 
 	return !view.FullMesh() && !p.links.Connected(now) && !view.HasRelay(p.self()) && now.Sub(view.at) > directoryAbandoned &&
-		now.Sub(p.directoryFeed.Reached()) < directoryRefresh
+		now.Sub(p.directoryFeed.LastRead()) < directoryRefresh
 }
 
 // updateDirectory writes the directory where it has to say something else, or was not written
--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -183,7 +183,7 @@
 		return
 	}
 
-	if !p.leads() && now.Sub(p.rulesFeed.Reached()) < relaxedPause {
+	if !p.leads() && now.Sub(p.rulesFeed.LastRead()) < relaxedPause {
 		// The next heartbeat asks again.
 		return
 	}
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -135,7 +135,7 @@
 // then reads from these, since its subscribers have no other source.
 func (p *parts) behind(plan *topology.Plan) bool {
 	own := p.ownConfirmed.Load()
-	if own == 0 || p.clock.Now().Sub(p.directoryFeed.Reached()) < storeRegained {
+	if own == 0 || p.clock.Now().Sub(p.directoryFeed.LastRead()) < storeRegained {
 		return false
 	}
 
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -225,8 +225,8 @@
 	return call, cancel, wait
 }
 
-// Reached returns when the source was last read, or the zero time.
-func (f *Follower) Reached() time.Time {
+// LastRead returns when the source was last read, or the zero time.
+func (f *Follower) LastRead() time.Time {
 	if at := f.reached.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
