--- a/entry/eras.go
+++ b/entry/eras.go
@@ -137,7 +137,7 @@
 	go func() {
 		since, _ := p.restored.since(now)
 		clock.Sleep(context.Background(), p.clock, copySettles-since)
-		p.registerFeed.Reread()
+		p.registerFeed.RequestSnapshot()
 	}()
 
 	return p.register.Restore(changes)
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -67,7 +67,7 @@
 
 	for follower, log := range p.kept {
 		if !log.Loaded() {
-			follower.Reread()
+			follower.RequestSnapshot()
 		}
 	}
 }
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// Reread asks for the whole set at once, in place of changes.
-func (f *Follower) Reread() {
+// RequestSnapshot asks for the whole set at once, in place of changes.
+func (f *Follower) RequestSnapshot() {
 	f.again.Store(true)
 	f.wake.Send()
 }
