--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -221,7 +221,7 @@
 	plan := p.plan.Load()
 	if !plan.FullMesh && plan.IsLeader(p.self()) && plan.IsLeader(id) && now.Sub(f.aheadAt) >= differing {
 		f.ahead, f.aheadAt = id, now
-		p.registerFeed.Redirect()
+		p.registerFeed.SourceChanged()
 	}
 }
 
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -204,8 +204,8 @@
 
 	next := p.upstream()
 	if before := p.readsFrom.Swap(&next); before == nil || *before != next {
-		p.rulesFeed.Redirect()
-		p.registerFeed.Redirect()
+		p.rulesFeed.SourceChanged()
+		p.registerFeed.SourceChanged()
 		p.directoryFeed.Wake()
 	}
 }
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -143,9 +143,9 @@
 // Wake asks for a read at once, in place of a wait or a pause.
 func (f *Follower) Wake() { f.wake.Send() }
 
-// Redirect asks for a read at once because the source has changed. It also ends a read of changes
+// SourceChanged asks for a read at once because the source has changed. It also ends a read of changes
 // that is under way: the source before may not answer.
-func (f *Follower) Redirect() { f.redirect.Send() }
+func (f *Follower) SourceChanged() { f.redirect.Send() }
 
 func (f *Follower) pace() PollTiming {
 	if f.Timing == nil {
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -172,7 +172,7 @@
 
 	began := time.Now()
 
-	f.Redirect()
+	f.SourceChanged()
 	<-source.reads
 
 	if got, most := time.Since(began), callMargin/2; got > most {
