--- a/forward/forward.go
+++ b/forward/forward.go
@@ -212,7 +212,7 @@
 
 // authorize sets the client account of a request from its API key, if the route requires one.
 func (f *Forwarder) authorize(j *job) *Refusal {
-	if !j.rules.Keyed() || j.route.Public {
+	if !j.rules.RequiresKey() || j.route.Public {
 		return nil
 	}
 
--- a/ruleset/ruleset.go
+++ b/ruleset/ruleset.go
@@ -159,8 +159,8 @@
 // Services returns all services by their names. It must not be changed.
 func (r *Ruleset) Services() map[fleet.Service]*Service { return r.services }
 
-// Keyed tells whether requests have to bring the key of a client account.
-func (r *Ruleset) Keyed() bool { return len(r.accounts) > 0 }
+// RequiresKey tells whether requests have to bring the key of a client account.
+func (r *Ruleset) RequiresKey() bool { return len(r.accounts) > 0 }
 
 // AccountOf returns the client account that holds a key.
 func (r *Ruleset) AccountOf(key string) (*Account, bool) {
