--- a/forward/forward.go
+++ b/forward/forward.go
@@ -220,7 +220,7 @@
 		return notRunRefusal(StaleRules, unavailableRetryAfter)
 	}
 
-	account, ok := j.rules.AccountOf(j.request.APIKey)
+	account, ok := j.rules.AccountByKey(j.request.APIKey)
 	if !ok {
 		return &Refusal{Reason: Unauthorized, NotRun: true}
 	}
--- a/forward/job.go
+++ b/forward/job.go
@@ -230,7 +230,7 @@
 		return nil
 	}
 
-	if account, ok := rules.AccountOf(j.request.APIKey); !ok || account.Name != j.account.Name {
+	if account, ok := rules.AccountByKey(j.request.APIKey); !ok || account.Name != j.account.Name {
 		return merry.Prepend(errRevoked, "API key was revoked")
 	}
 
--- a/ruleset/ruleset.go
+++ b/ruleset/ruleset.go
@@ -162,8 +162,8 @@
 // RequiresKey tells whether requests have to bring the key of a client account.
 func (r *Ruleset) RequiresKey() bool { return len(r.accounts) > 0 }
 
-// AccountOf returns the client account that holds a key.
-func (r *Ruleset) AccountOf(key string) (*Account, bool) {
+// AccountByKey returns the client account that holds a key.
+func (r *Ruleset) AccountByKey(key string) (*Account, bool) {
 	a, ok := r.byKey[key]
 
 	return a, ok
