--- a/forward/forward.go
+++ b/forward/forward.go
@@ -204,7 +204,7 @@
 		return j, refusal
 	}
 
-	j.service = route.Target(rand.Float64())
+	j.service = route.PickService(rand.Float64())
 	f.Retries.Of(retry.NewScope(j.service, "")).CountRequest(f.Clock.Now())
 
 	return j, f.takeLimit(ctx, j)
--- a/ruleset/route.go
+++ b/ruleset/route.go
@@ -50,8 +50,8 @@
 	return max(r.MaxAttempts, 1)
 }
 
-// Target returns the service for a request; draw is uniform in [0, 1).
-func (r *Route) Target(draw float64) fleet.Service {
+// PickService returns the service for a request; draw is uniform in [0, 1).
+func (r *Route) PickService(draw float64) fleet.Service {
 	at := draw * float64(r.totalWeight)
 
 	for _, t := range r.Targets {
--- a/ruleset/ruleset_test.go
+++ b/ruleset/ruleset_test.go
@@ -56,7 +56,7 @@
 		draw float64
 		want string
 	}{{0, "ledger-llm"}, {0.74, "ledger-llm"}, {0.76, "payrun-api"}, {0.999, "payrun-api"}} {
-		if got := string(route.Target(tt.draw)); got != tt.want {
+		if got := string(route.PickService(tt.draw)); got != tt.want {
 			t.Errorf("draw %v: got %q, want %q", tt.draw, got, tt.want)
 		}
 	}
