--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -35,7 +35,7 @@
 	return &listener.Limit{
 		Listener: l,
 		Max:      int64(p.settings.Limits.MaxConnections),
-		Answer:   connectionRefusal(),
+		Refusal:  connectionRefusal(),
 		Refused:  refused.Inc,
 	}
 }
--- a/listener/limit.go
+++ b/listener/limit.go
@@ -24,8 +24,8 @@
 type Limit struct {
 	net.Listener
 	Max int64
-	// Answer is written to a connection over the bound.
-	Answer []byte
+	// Refusal is written to a connection over the bound.
+	Refusal []byte
 	// Refused is called for each connection over the bound; it may be nil.
 	Refused func()
 
@@ -62,7 +62,7 @@
 	// A caller that does not read its refusal must not hold up the others; the
 	// answer fits into the send buffer of a new connection.
 	_ = c.SetWriteDeadline(time.Now().Add(refusalTimeout))
-	_, _ = c.Write(l.Answer)
+	_, _ = c.Write(l.Refusal)
 	_ = c.Close()
 }
 
