--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -33,10 +33,10 @@
 	refused := p.metrics.NewCounter("monsoonlever_connections_refused_total")
 
 	return &listener.Limit{
-		Listener: l,
-		Max:      int64(p.settings.Limits.MaxConnections),
-		Refusal:  connectionRefusal(),
-		Refused:  refused.Inc,
+		Listener:  l,
+		Max:       int64(p.settings.Limits.MaxConnections),
+		Refusal:   connectionRefusal(),
+		OnRefused: refused.Inc,
 	}
 }
 
--- a/listener/limit.go
+++ b/listener/limit.go
@@ -26,8 +26,8 @@
 	Max int64
 	// Refusal is written to a connection over the bound.
 	Refusal []byte
-	// Refused is called for each connection over the bound; it may be nil.
-	Refused func()
+	// OnRefused is called for each connection over the bound; it may be nil.
+	OnRefused func()
 
 	open atomic.Int64
 }
@@ -55,8 +55,8 @@
 }
 
 func (l *Limit) refuse(c net.Conn) {
-	if l.Refused != nil {
-		l.Refused()
+	if l.OnRefused != nil {
+		l.OnRefused()
 	}
 
 	// A caller that does not read its refusal must not hold up the others; the
--- a/listener/limit_test.go
+++ b/listener/limit_test.go
@@ -16,7 +16,7 @@
 	refused := make(chan struct{}, 1)
 	l := &Limit{
 		Listener: inner, Max: 1, Refusal: []byte("busy"),
-		Refused: func() { refused <- struct{}{} },
+		OnRefused: func() { refused <- struct{}{} },
 	}
 	accepted := make(chan net.Conn, 2)
 
