--- a/logpipe/logpipe.go
+++ b/logpipe/logpipe.go
@@ -97,9 +97,9 @@
 	p.at = now
 }
 
-// Roomy tells whether there is room for lines that matter less: what went well is
+// HasSpareCapacity tells whether there is room for lines that matter less: what went well is
 // left out before what failed.
-func (p *Pipe) Roomy() bool {
+func (p *Pipe) HasSpareCapacity() bool {
 	p.prepare()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/logpipe/logpipe_test.go
+++ b/logpipe/logpipe_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 
-	if p.Roomy() {
+	if p.HasSpareCapacity() {
 		t.Error("full: got roomy, want not")
 	}
 
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 
-	if !p.Roomy() {
+	if !p.HasSpareCapacity() {
 		t.Error("20s later: got not roomy, want roomy")
 	}
 
--- a/monsoonleverd/entry.go
+++ b/monsoonleverd/entry.go
@@ -39,7 +39,7 @@
 
 	ready()
 
-	e := &entry.Entry{Settings: s, Clock: clk, Reload: c.reloads(ctx, hangups), Roomy: pipe.Roomy}
+	e := &entry.Entry{Settings: s, Clock: clk, Reload: c.reloads(ctx, hangups), Roomy: pipe.HasSpareCapacity}
 
 	return e.Run(ctx)
 }
