--- a/logpipe/logpipe.go
+++ b/logpipe/logpipe.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// Rate is how many bytes a second are passed on in the long run: some hundred
+	// RateBytesPerSecond is how many bytes a second are passed on in the long run: some hundred
 	// lines, four times what an instance logs on a calm day.
-	Rate = 32 << 10
+	RateBytesPerSecond = 32 << 10
 	// Burst is how many bytes may be passed on at once.
 	Burst = 256 << 10
 	// waiting is how many lines wait for a reader of the output that is slow.
@@ -93,7 +93,7 @@
 
 func (p *Pipe) refill() {
 	now := p.Clock.Now()
-	p.room = min(p.room+now.Sub(p.at).Seconds()*Rate, Burst)
+	p.room = min(p.room+now.Sub(p.at).Seconds()*RateBytesPerSecond, Burst)
 	p.at = now
 }
 
