--- a/logpipe/logpipe.go
+++ b/logpipe/logpipe.go
@@ -28,8 +28,8 @@
 	// RateBytesPerSecond is how many bytes a second are passed on in the long run: some hundred
 	// lines, four times what an instance logs on a calm day.
 	RateBytesPerSecond = 32 << 10
-	// Burst is how many bytes may be passed on at once.
-	Burst = 256 << 10
+	// BurstBytes is how many bytes may be passed on at once.
+	BurstBytes = 256 << 10
 	// waiting is how many lines wait for a reader of the output that is slow.
 	waiting = 1024
 )
@@ -51,7 +51,7 @@
 func (p *Pipe) prepare() {
 	p.once.Do(func() {
 		p.lines = make(chan []byte, waiting)
-		p.room, p.at = Burst, p.Clock.Now()
+		p.room, p.at = BurstBytes, p.Clock.Now()
 	})
 }
 
@@ -93,7 +93,7 @@
 
 func (p *Pipe) refill() {
 	now := p.Clock.Now()
-	p.room = min(p.room+now.Sub(p.at).Seconds()*RateBytesPerSecond, Burst)
+	p.room = min(p.room+now.Sub(p.at).Seconds()*RateBytesPerSecond, BurstBytes)
 	p.at = now
 }
 
@@ -105,7 +105,7 @@
 	defer p.mu.Unlock()
 	p.refill()
 
-	return p.room > Burst/2 && p.dropped == 0
+	return p.room > BurstBytes/2 && p.dropped == 0
 }
 
 // Run passes lines on until ctx ends, and then what still waits.
--- a/logpipe/logpipe_test.go
+++ b/logpipe/logpipe_test.go
@@ -41,7 +41,7 @@
 	cancel()
 	p.Run(ctx)
 
-	if got, want := strings.Count(out.String(), "xxx\n"), Burst/1024; got != want {
+	if got, want := strings.Count(out.String(), "xxx\n"), BurstBytes/1024; got != want {
 		t.Errorf("lines: got %d, want %d", got, want)
 	}
 
