--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -47,7 +47,7 @@
 // newSource returns a source of a feed that reads from the store or from another instance.
 func newSource(name string, origin feed.Source, log *replica.Log, upstreamOf func() replica.Upstream, kept func() bool) *replica.Source {
 	return &replica.Source{
-		Feed: name, Origin: origin, Log: log, Upstream: upstreamOf, HasSubscribers: kept, Dialer: upstream.Dialer(relayDialTimeout),
+		Feed: name, Origin: origin, Log: log, Upstream: upstreamOf, KeepLog: kept, Dialer: upstream.Dialer(relayDialTimeout),
 	}
 }
 
--- a/replica/source.go
+++ b/replica/source.go
@@ -43,10 +43,10 @@
 	// NewerInstance is asked before each read of changes at the origin: it returns an instance that is known
 	// to have read newer ones, if there is one. The read goes there instead. Nil is none.
 	NewerInstance func() (netip.AddrPort, bool)
-	// HasSubscribers reports whether others read from this instance; without it the log stays empty. Nil is
+	// KeepLog reports whether others read from this instance; without it the log stays empty. Nil is
 	// always.
-	HasSubscribers func() bool
-	Dialer         *net.Dialer
+	KeepLog func() bool
+	Dialer  *net.Dialer
 
 	relayed atomic.Bool
 	address netip.AddrPort
@@ -165,7 +165,7 @@
 // kept reports whether the log is kept, and empties it otherwise. A log that is kept again has to
 // begin with a whole set.
 func (s *Source) kept() bool {
-	if s.HasSubscribers == nil || s.HasSubscribers() {
+	if s.KeepLog == nil || s.KeepLog() {
 		return true
 	}
 
--- a/replica/source_test.go
+++ b/replica/source_test.go
@@ -173,7 +173,7 @@
 	own := &Log{Clock: clock.NewSteady()}
 	kept := true
 	s := &Source{
-		Feed: "rules", Origin: above, Log: own, Dialer: &net.Dialer{}, HasSubscribers: func() bool { return kept },
+		Feed: "rules", Origin: above, Log: own, Dialer: &net.Dialer{}, KeepLog: func() bool { return kept },
 		Upstream: func() Upstream { return Upstream{Origin: true} },
 	}
 
