--- a/entry/freshness.go
+++ b/entry/freshness.go
@@ -72,7 +72,7 @@
 	}
 
 	if !p.leads() && !p.rulesStale() {
-		return feed.PollTiming{Wait: relaxedWait, Interval: relaxedPause}
+		return feed.PollTiming{MaxWait: relaxedWait, Interval: relaxedPause}
 	}
 
 	wait := min(rulesWait, time.Duration(float64(p.currency.Bound)*rulesShare))
@@ -81,7 +81,7 @@
 		wait /= 2
 	}
 
-	return feed.PollTiming{Wait: wait, Interval: rulesPause}
+	return feed.PollTiming{MaxWait: wait, Interval: rulesPause}
 }
 
 // registerPace is how the register is read now.
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -96,7 +96,7 @@
 		return pace
 	}
 
-	return feed.PollTiming{Wait: relaxedWait, Interval: rulesPause, MaxBackoff: p.unlinkedPause()}
+	return feed.PollTiming{MaxWait: relaxedWait, Interval: rulesPause, MaxBackoff: p.unlinkedPause()}
 }
 
 // upstream returns where feeds are read now.
@@ -216,7 +216,7 @@
 func (p *parts) memberPace() (feed.PollTiming, bool) {
 	switch {
 	case !p.direct():
-		return feed.PollTiming{Wait: relayedWait, Interval: relayedPause}, true
+		return feed.PollTiming{MaxWait: relayedWait, Interval: relayedPause}, true
 	case !p.few() && !p.leads():
 		pause := p.unlinkedPause()
 
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -76,8 +76,8 @@
 
 // PollTiming says how often a source is read.
 type PollTiming struct {
-	// Wait is how long a read waits for a change, Interval the pause between reads.
-	Wait, Interval time.Duration
+	// MaxWait is how long a read waits for a change, Interval the pause between reads.
+	MaxWait, Interval time.Duration
 	// MaxBackoff bounds the pause after failed reads where it is longer than the default: many
 	// that read one source wait longer, so that all together do not ask more often.
 	MaxBackoff time.Duration
@@ -190,7 +190,7 @@
 // call returns the context of one read and how long it waits. A wake-up ends the wait, a redirect the
 // read.
 func (f *Follower) call(ctx context.Context) (context.Context, context.CancelFunc, time.Duration) {
-	wait := f.pace().Wait
+	wait := f.pace().MaxWait
 	if woken := f.woken.Swap(false); woken || f.backoff > 0 {
 		// After a failure the read that confirms what is known must not wait for news: a
 		// wait of 1.5 s at the return of a store was 1.5 s more of refusals.
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -101,7 +101,7 @@
 	confirmed := make(chan time.Time, 16)
 	f := &Follower{
 		Name: "rules", Source: source, Clock: clock.NewSteady(),
-		Timing:  func() PollTiming { return PollTiming{Wait: time.Minute} },
+		Timing:  func() PollTiming { return PollTiming{MaxWait: time.Minute} },
 		Apply:   func([]Entry, bool) {},
 		Confirm: func(asked time.Time) { confirmed <- asked },
 	}
@@ -249,7 +249,7 @@
 	}}
 	f := &Follower{
 		Name: "test", Source: source, Clock: clock.NewManual(time.Unix(0, 0)),
-		Timing: func() PollTiming { return PollTiming{Wait: time.Second} }, Apply: func([]Entry, bool) {},
+		Timing: func() PollTiming { return PollTiming{MaxWait: time.Second} }, Apply: func([]Entry, bool) {},
 	}
 
 	for i := range 5 {
