--- a/monsoonleverd/signals_test.go
+++ b/monsoonleverd/signals_test.go
@@ -399,7 +399,7 @@
 func TestASoakOfSignalsBreaksNoPromise(t *testing.T) {
 	t.Parallel()
 
-	s := &soak.Soak{Program: program(t), Dir: t.TempDir(), Seed: 1, Instances: 3, Callers: 4, Span: 10 * time.Second}
+	s := &soak.Soak{Program: program(t), Dir: t.TempDir(), Seed: 1, Instances: 3, Callers: 4, Duration: 10 * time.Second}
 
 	report, err := s.Run(t.Context())
 	if err != nil {
