--- a/monsoonleverd/signals_test.go
+++ b/monsoonleverd/signals_test.go
@@ -406,8 +406,8 @@
 		t.Fatal(err)
 	}
 
-	if report.Answered == 0 || report.Signals == 0 {
-		t.Errorf("got %d answers and %d signals, want some", report.Answered, report.Signals)
+	if report.Completed == 0 || report.Signals == 0 {
+		t.Errorf("got %d answers and %d signals, want some", report.Completed, report.Signals)
 	}
 
 	for _, breach := range report.Breaches {
