--- a/scheduling/scheduling.go
+++ b/scheduling/scheduling.go
@@ -122,8 +122,8 @@
 	meters  map[fleet.Service]*meter
 }
 
-// Update replaces the set of servers. The state of a server is kept while its process stays the
-// same; a restarted server begins without load, cache and announcements of the process before.
+// Update replaces the set of servers. The state of a server is kept while its process, address
+// and service stay the same. What a process announced is kept as long as the process is known.
 func (s *Scheduler) Update(servers []register.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduling/server.go
+++ b/scheduling/server.go
@@ -59,8 +59,8 @@
 	hash       uint64
 	key        Key
 
-	// restarted is set if this process replaced another one of a known server: its cache is
-	// empty.
+	// restarted is set if this state replaced that of a known server, which restarted or changed
+	// its address or service. Its cache is assumed to be empty.
 	restarted bool
 
 	// removed is set once the register has no entry for this process.
@@ -117,8 +117,8 @@
 // from the register.
 func (s *server) isLeaving() bool { return s.removed.Load() || s.announcements.leaving.Load() }
 
-// sameProcess reports whether a register entry describes this process, so that its state still
-// applies.
+// sameProcess reports whether a register entry describes this process at the same address and
+// for the same service, so that its state still applies.
 func (s *server) sameProcess(entry register.Server) bool {
 	current := s.entry()
 
