--- a/quota/reserve.go
+++ b/quota/reserve.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// reservePart of the rest of an allowance is held by a few instances that lend it
-	// to the others: divided evenly, the parts of many instances are each too small for
-	// one large request, while most of the rest lies idle.
-	reservePart = 0.5
-	// holders is how many instances hold an account's reserve, so that half of it is
-	// there while one is gone or frozen.
-	holders = 2
-	// fewest is how many instances make a reserve worth its messages.
-	fewest = 4
+	// reserveFraction of the remainder of an allowance is held by a few instances that lend it
+	// to the others. Divided evenly among many instances, each share would be too small for
+	// one large request while most of the remainder stays unused.
+	reserveFraction = 0.5
+	// reserveHolders is how many instances hold an account's reserve, so that half of it is
+	// available while one of them is down or frozen.
+	reserveHolders = 2
+	// minReserveMembers is the smallest number of instances for which a reserve is worth its
+	// messages.
+	minReserveMembers = 4
 )
 
-// Lenders returns the instances that are asked for a loan of an account's limit, in their
-// order: those that hold its reserve, and then the other keepers where there are some. All
-// that know the same members name the same ones.
+// Lenders returns the instances to request a loan of an account's limit from, in order: the
+// holders of its reserve, then the other coordinators if there are any. All instances with the
+// same members get the same order.
 func (q *Quota) Lenders(name fleet.Account) []fleet.InstanceID {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -36,11 +37,11 @@
 	return nil
 }
 
-// holdersOf returns those that may hold the reserve of an account, the one with the
-// highest hash of account and instance first. One that comes or goes moves only the
-// reserves that it has.
-func (q *Quota) holdersOf(name fleet.Account) []fleet.InstanceID {
-	if q.policy.Self == "" || q.quorum == 0 && len(q.members) < fewest {
+// rankLenders orders the instances that may hold the reserve of an account by rendezvous
+// hashing, the highest hash of account and instance first. An instance that joins or leaves
+// moves only the reserves that it holds.
+func (q *Quota) rankLenders(name fleet.Account) []fleet.InstanceID {
+	if q.policy.Self == "" || q.quorum == 0 && len(q.members) < minReserveMembers {
 		return nil
 	}
 
@@ -52,7 +53,7 @@
 	ranks := make([]rank, 0, len(q.members))
 
 	for id := range q.members {
-		// What is lent has to be recorded soon.
+		// A loan has to be recorded soon, so that only recorders lend.
 		if len(q.recorders) > 0 && !slices.Contains(q.recorders, id) {
 			continue
 		}
@@ -70,11 +71,11 @@
 	return ids
 }
 
-// placeReserves finds the holders of all reserves anew.
-func (q *Quota) placeReserves() {
+// assignReserves assigns the holders and lenders of all accounts.
+func (q *Quota) assignReserves() {
 	for name, a := range q.accounts {
-		ranked := q.holdersOf(name)
-		a.holders = ranked[:min(holders, len(ranked))]
+		ranked := q.rankLenders(name)
+		a.holders = ranked[:min(reserveHolders, len(ranked))]
 		a.lenders = a.holders
 
 		if q.quorum > 0 {
@@ -83,49 +84,49 @@
 	}
 }
 
-// held is the part of the rest that this instance holds as reserve.
-func (q *Quota) held(a *account) float64 {
+// reserveShare is the fraction of the remainder that this instance holds as reserve.
+func (q *Quota) reserveShare(a *account) float64 {
 	if !slices.Contains(a.holders, q.policy.Self) {
 		return 0
 	}
 
-	return reservePart / float64(len(a.holders))
+	return reserveFraction / float64(len(a.holders))
 }
 
-// Lend spends cost of the reserve that this instance holds, for another one or
-// itself. The borrower may then spend as much without counting it: for all others it
-// is as if this instance had spent it.
+// Lend consumes cost of the reserve that this instance holds, for another instance or for
+// itself. The borrower does not count it: to all other instances this instance has consumed
+// it.
 //
-// What is lent and not recorded yet is bounded, since one instance lends in a moment
-// what many others together would spend.
+// The unrecorded part of loans is bounded, since one lender may lend within moments what
+// many other instances together would consume.
 func (q *Quota) Lend(now time.Time, name fleet.Account, cost float64) Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if cost <= 0 || q.reached.IsZero() || !q.grants(now) {
-		return Decision{RetryAfter: firstRetry}
+	if cost <= 0 || q.syncedAt.IsZero() || !q.canGrant(now) {
+		return Decision{RetryAfter: minRetryAfter}
 	}
 
 	a := q.accounts[name]
 	if a == nil || a.allowance.Amount <= 0 {
-		// The borrower has yet to get the rules that limit the account no longer.
+		// The borrower has not yet received the rules that lift the limit of the account.
 		return Decision{Granted: true}
 	}
 
-	rest, part, recent := q.room(now, a)
-	part += q.held(a) * rest
+	remaining, limit, recent := q.budget(now, a)
+	limit += q.reserveShare(a) * remaining
 
-	if recent+cost > part {
-		return Decision{RetryAfter: q.retryAfter(a, recent+cost-part), Remaining: rest, Share: part}
+	if recent+cost > limit {
+		return Decision{RetryAfter: q.retryAfter(a, recent+cost-limit), Remaining: remaining, Share: limit}
 	}
 
-	if untold := a.own.total - a.recorded; untold > 0 && untold+cost > q.untold(a) {
-		q.tell(now, a)
+	if unrecorded := a.consumed.total - a.recordedTotal; unrecorded > 0 && unrecorded+cost > q.unrecordedLimit(a) {
+		q.requestRecord(now, a)
 
-		return Decision{RetryAfter: firstRetry, Remaining: rest, Share: part}
+		return Decision{RetryAfter: minRetryAfter, Remaining: remaining, Share: limit}
 	}
 
-	q.spend(now, a, cost)
+	q.consume(now, a, cost)
 
-	return Decision{Granted: true, Remaining: rest, Share: part}
+	return Decision{Granted: true, Remaining: remaining, Share: limit}
 }
--- /dev/null
+++ b/ratelimit/limiter.go
@@ -0,0 +1,134 @@
+package ratelimit
+
+import (
+	"context"
+	"time"
+
+	"monsoonlever/clock"
+	"monsoonlever/fleet"
+	"monsoonlever/gossip"
+	"monsoonlever/register"
+)
+
+const (
+	// noGrantRetryDelay is the delay before a request to a server is retried if no instance
+	// grants permits for the server now.
+	noGrantRetryDelay = 300 * time.Millisecond
+	// maxReservation bounds how far ahead tokens are reserved for the requests of other
+	// instances.
+	maxReservation = 2 * time.Second
+)
+
+// PermitRequest asks the granter of a server for a permit for one request.
+type PermitRequest struct {
+	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
+	From     fleet.InstanceID
+	Number   uint64
+	Server   register.Process
+	// Rate and Age are the server's announcement as the sender knows it.
+	Rate Rate
+	Age  time.Duration
+	// Patience is how long the request can wait.
+	Patience time.Duration
+}
+
+// PermitResponse is the response to a PermitRequest.
+type PermitResponse struct {
+	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
+	Number   uint64
+	Granted  bool
+	Wait     time.Duration
+	// Rate and Age are the server's announcement as the granter knows it.
+	Rate Rate
+	Age  time.Duration
+}
+
+// Announcements stores the newest announcement of each server.
+type Announcements interface {
+	// Merge merges an announcement received from another instance and returns the newest one.
+	Merge(server register.Process, a Announcement) Announcement
+}
+
+// Limiter acquires permits for this instance's requests, and handles the permit requests of
+// other instances. Its exported fields are set before its first use.
+type Limiter struct {
+	Self          fleet.InstanceID
+	Clock         clock.Clock
+	Granter       *Granter
+	Announcements Announcements
+	// Leaders returns the current leaders.
+	Leaders func() []fleet.InstanceID
+	// Send sends a permit request to another instance.
+	Send func(to fleet.InstanceID, request PermitRequest)
+	// Counters count the permit requests by outcome; nil counts none.
+	Counters *Counters
+
+	requests gossip.Requests[PermitResponse]
+}
+
+// Acquire requests a permit for one request to a server that announced a limit. The request
+// can wait up to maxWait. If no granter responds, nothing is granted.
+func (l *Limiter) Acquire(ctx context.Context, server register.Process, limit Announcement, maxWait time.Duration) Permit {
+	permit, responded := l.acquire(ctx, server, limit, maxWait)
+	l.Counters.record(permit, responded)
+
+	return permit
+}
+
+// acquire also reports whether a granter responded.
+func (l *Limiter) acquire(ctx context.Context, server register.Process, limit Announcement, maxWait time.Duration) (Permit, bool) {
+	ranked := RankLeaders(server, l.Leaders())
+
+	for _, granter := range ranked[:min(grantersPerServer, len(ranked))] {
+		if granter == l.Self {
+			return l.Granter.Grant(l.Clock.Now(), server, limit.Rate, maxWait), true
+		}
+
+		response, ok := l.requests.Do(ctx, l.Clock, granter, func(number uint64) {
+			l.Send(granter, PermitRequest{
+				From: l.Self, Number: number, Server: server, Rate: limit.Rate, Age: l.Clock.Now().Sub(limit.At), Patience: maxWait,
+			})
+		})
+		if ok {
+			l.merge(server, response.Rate, response.Age)
+
+			return Permit{Granted: response.Granted, Wait: min(max(response.Wait, 0), maxReservation)}, true
+		}
+
+		if ctx.Err() != nil {
+			break
+		}
+	}
+
+	return Permit{Wait: noGrantRetryDelay}, false
+}
+
+// HandleRequest handles the permit request of another instance.
+func (l *Limiter) HandleRequest(request PermitRequest) PermitResponse {
+	newest := l.merge(request.Server, request.Rate, request.Age)
+	now := l.Clock.Now()
+	response := PermitResponse{Number: request.Number, Granted: true, Rate: newest.Rate, Age: now.Sub(newest.At)}
+
+	if newest.Rate != Unlimited {
+		permit := l.Granter.Grant(now, request.Server, newest.Rate, min(request.Patience, maxReservation))
+		response.Granted, response.Wait = permit.Granted, permit.Wait
+	}
+
+	return response
+}
+
+// merge merges the announcement that another instance sent, unless it is invalid, and returns
+// the newest one.
+func (l *Limiter) merge(server register.Process, rate Rate, age time.Duration) Announcement {
+	if !rate.Valid() || age < 0 {
+		return l.Announcements.Merge(server, Announcement{})
+	}
+
+	return l.Announcements.Merge(server, Announcement{Rate: rate, At: l.Clock.Now().Add(-age)})
+}
+
+// HandleResponse delivers the response to a pending permit request. A response after the
+// timeout is discarded.
+func (l *Limiter) HandleResponse(response PermitResponse) {
+	l.requests.Reply(response.Number, response)
+}
