--- a/quota/coordinators_test.go
+++ b/quota/coordinators_test.go
@@ -182,7 +182,7 @@
 
 // Whichever coordinators are killed, partitioned or cut off from the store, and whichever
 // instances replace them, no window exceeds the allowance.
-func TestAllowanceHoldsWhenCoordinatorsChange(t *testing.T) {
+func TestHoldsAllowanceWhenCoordinatorsChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 16).Draw(t, "instances")
 		load := rapid.Float64Range(0.5, 8).Draw(t, "heat")
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -162,7 +162,7 @@
 
 // Whichever instances receive the requests of an account, and however they move between
 // instances, no window exceeds the allowance.
-func TestAllowanceHoldsAcrossInstances(t *testing.T) {
+func TestHoldsAllowanceAcrossInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := policy
 		if rapid.Bool().Draw(t, "direct updates") {
@@ -342,7 +342,7 @@
 
 // All instances are killed at the same time and restart. What they consumed after their last
 // records is unknown and still counts.
-func TestAllowanceHoldsWhenAllInstancesRestart(t *testing.T) {
+func TestHoldsAllowanceWhenAllInstancesRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 6
 
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -178,7 +178,7 @@
 
 // However often the leaders change, whichever instances fall silent or learn changes late, all
 // instances together stay within what a server tolerates.
-func TestLimitHoldsAcrossLeaderChanges(t *testing.T) {
+func TestHoldsLimitAcrossLeaderChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := leaderChanges{
 			instances:    rapid.SampledFrom([]int{1, 4, 9, 80}).Draw(t, "instances"),
