--- a/entry/duties.go
+++ b/entry/duties.go
@@ -109,7 +109,7 @@
 
 	term := time.Duration(max(p.settings.Bounds.Lease.Seconds()*termFactor, recordInterval.Seconds()*minTermIntervals) * float64(time.Second))
 	config := lease.Config{
-		Term: term, RenewEvery: time.Duration(float64(term) * renewShare),
+		Term: term, RenewInterval: time.Duration(float64(term) * renewShare),
 		Drift: 0.001, Flight: maxDutyCallDelay, ReadGap: memberTimeout, Stagger: time.Second, OneProcess: true,
 	}
 
--- a/lease/config.go
+++ b/lease/config.go
@@ -11,8 +11,8 @@
 type Config struct {
 	// Term is how long a grant lasts.
 	Term time.Duration
-	// RenewEvery is the time between two records of the holder.
-	RenewEvery time.Duration
+	// RenewInterval is the time between two records of the holder.
+	RenewInterval time.Duration
 	// Drift bounds how far the rate of a clock is off, as a share of one.
 	Drift float64
 	// Flight is the longest time between the check of an order and its effect
@@ -32,18 +32,18 @@
 // DefaultConfig returns times that suit one region.
 func DefaultConfig() Config {
 	return Config{
-		Term:       9 * time.Second,
-		RenewEvery: 3 * time.Second,
-		Drift:      0.001,
-		Flight:     2 * time.Second,
-		ReadGap:    3 * time.Second,
-		Stagger:    2 * time.Second,
+		Term:          9 * time.Second,
+		RenewInterval: 3 * time.Second,
+		Drift:         0.001,
+		Flight:        2 * time.Second,
+		ReadGap:       3 * time.Second,
+		Stagger:       2 * time.Second,
 	}
 }
 
 // Validate tells whether the times fit each other.
 func (c Config) Validate() error {
-	if c.Term <= 0 || c.RenewEvery <= 0 || c.Flight < 0 || c.ReadGap <= 0 || c.Stagger < 0 {
+	if c.Term <= 0 || c.RenewInterval <= 0 || c.Flight < 0 || c.ReadGap <= 0 || c.Stagger < 0 {
 		return merry.New("lease times must be positive")
 	}
 
@@ -51,7 +51,7 @@
 		return merry.New("lease drift must be at least 0 and below 0.1")
 	}
 
-	if 2*c.RenewEvery > c.Term {
+	if 2*c.RenewInterval > c.Term {
 		return merry.New("lease must be renewed at least twice a term")
 	}
 
--- a/lease/core.go
+++ b/lease/core.go
@@ -107,7 +107,7 @@
 
 // Step returns the records to append at now.
 func (c *Core) Step(now time.Time) []Command {
-	if !c.sentAt.IsZero() && now.Sub(c.sentAt) < c.config.RenewEvery {
+	if !c.sentAt.IsZero() && now.Sub(c.sentAt) < c.config.RenewInterval {
 		return nil
 	}
 
--- a/lease/holds_test.go
+++ b/lease/holds_test.go
@@ -56,10 +56,10 @@
 	d := &deployment{t: t}
 	// Flight and stagger would hide a wait that is too short.
 	d.config = lease.Config{
-		Term:       2 * time.Second,
-		RenewEvery: 500 * time.Millisecond,
-		Drift:      0.05,
-		ReadGap:    time.Second,
+		Term:          2 * time.Second,
+		RenewInterval: 500 * time.Millisecond,
+		Drift:         0.05,
+		ReadGap:       time.Second,
 	}
 
 	for i := range rapid.IntRange(2, 4).Draw(t, "nodes") {
