--- a/lease/config.go
+++ b/lease/config.go
@@ -13,8 +13,8 @@
 	Term time.Duration
 	// RenewInterval is the time between two records of the holder.
 	RenewInterval time.Duration
-	// Drift bounds how far the rate of a clock is off, as a share of one.
-	Drift float64
+	// MaxDrift bounds how far the rate of a clock is off, as a share of one.
+	MaxDrift float64
 	// Flight is the longest time between the check of an order and its effect
 	// in a process that is not paused.
 	Flight time.Duration
@@ -34,7 +34,7 @@
 	return Config{
 		Term:          9 * time.Second,
 		RenewInterval: 3 * time.Second,
-		Drift:         0.001,
+		MaxDrift:      0.001,
 		Flight:        2 * time.Second,
 		ReadGap:       3 * time.Second,
 		Stagger:       2 * time.Second,
@@ -47,7 +47,7 @@
 		return merry.New("lease times must be positive")
 	}
 
-	if c.Drift < 0 || c.Drift >= 0.1 {
+	if c.MaxDrift < 0 || c.MaxDrift >= 0.1 {
 		return merry.New("lease drift must be at least 0 and below 0.1")
 	}
 
@@ -60,10 +60,10 @@
 
 // holdFor is how long a holder may act by its own clock.
 func (c Config) holdFor(term time.Duration) time.Duration {
-	return time.Duration(float64(term) * (1 - c.Drift))
+	return time.Duration(float64(term) * (1 - c.MaxDrift))
 }
 
 // waitFor is how long a successor waits by its own clock.
 func (c Config) waitFor(d time.Duration) time.Duration {
-	return time.Duration(float64(d)*(1+c.Drift)) + time.Nanosecond
+	return time.Duration(float64(d)*(1+c.MaxDrift)) + time.Nanosecond
 }
--- a/lease/drift_test.go
+++ b/lease/drift_test.go
@@ -15,8 +15,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		config := lease.DefaultConfig()
 		config.Flight, config.Stagger = 0, 0
-		config.Drift = rapid.Float64Range(0, 0.09).Draw(t, "drift")
-		rates := []float64{1 - config.Drift, 1, 1 + config.Drift}
+		config.MaxDrift = rapid.Float64Range(0, 0.09).Draw(t, "drift")
+		rates := []float64{1 - config.MaxDrift, 1, 1 + config.MaxDrift}
 		slow := rapid.SampledFrom(rates).Draw(t, "holder")
 		fast := rapid.SampledFrom(rates).Draw(t, "successor")
 		at := func(rate float64, elapsed time.Duration) time.Time {
--- a/lease/holds_test.go
+++ b/lease/holds_test.go
@@ -58,14 +58,14 @@
 	d.config = lease.Config{
 		Term:          2 * time.Second,
 		RenewInterval: 500 * time.Millisecond,
-		Drift:         0.05,
+		MaxDrift:      0.05,
 		ReadGap:       time.Second,
 	}
 
 	for i := range rapid.IntRange(2, 4).Draw(t, "nodes") {
 		n := &node{
 			self:   lease.Holder{Instance: fleet.InstanceID(rune('a' + i)), Incarnation: 1},
-			rate:   rapid.SampledFrom([]float64{1 - d.config.Drift, 1, 1 + d.config.Drift}).Draw(t, "rate"),
+			rate:   rapid.SampledFrom([]float64{1 - d.config.MaxDrift, 1, 1 + d.config.MaxDrift}).Draw(t, "rate"),
 			offset: time.Duration(rapid.IntRange(0, 3600).Draw(t, "offset")) * time.Second,
 		}
 		d.nodes = append(d.nodes, n)
