--- a/lease/config.go
+++ b/lease/config.go
@@ -15,9 +15,9 @@
 	RenewInterval time.Duration
 	// MaxDrift bounds how far the rate of a clock is off, as a share of one.
 	MaxDrift float64
-	// Flight is the longest time between the check of an order and its effect
+	// MaxOrderDelay is the longest time between the check of an order and its effect
 	// in a process that is not paused.
-	Flight time.Duration
+	MaxOrderDelay time.Duration
 	// ReadGap is the longest time between two reads to the end of the log after
 	// which a successor starts its wait again. It keeps the holder in place
 	// across an outage of the log.
@@ -35,7 +35,7 @@
 		Term:          9 * time.Second,
 		RenewInterval: 3 * time.Second,
 		MaxDrift:      0.001,
-		Flight:        2 * time.Second,
+		MaxOrderDelay: 2 * time.Second,
 		ReadGap:       3 * time.Second,
 		Stagger:       2 * time.Second,
 	}
@@ -43,7 +43,7 @@
 
 // Validate tells whether the times fit each other.
 func (c Config) Validate() error {
-	if c.Term <= 0 || c.RenewInterval <= 0 || c.Flight < 0 || c.ReadGap <= 0 || c.Stagger < 0 {
+	if c.Term <= 0 || c.RenewInterval <= 0 || c.MaxOrderDelay < 0 || c.ReadGap <= 0 || c.Stagger < 0 {
 		return merry.New("lease times must be positive")
 	}
 
--- a/lease/core.go
+++ b/lease/core.go
@@ -91,7 +91,7 @@
 	c.ledger = NewLedger(c.role)
 	c.validUntil, c.seenAt, c.caughtUpAt, c.readableSince = time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	c.releasing = false
-	c.quietUntil = now.Add(c.config.waitFor(c.config.Term + c.config.Flight))
+	c.quietUntil = now.Add(c.config.waitFor(c.config.Term + c.config.MaxOrderDelay))
 
 	clear(c.pending)
 }
@@ -216,10 +216,10 @@
 	}
 
 	if c.config.OneProcess && state.Holder.Instance == c.self.Instance {
-		return !now.Before(start.Add(c.config.waitFor(c.config.Flight)))
+		return !now.Before(start.Add(c.config.waitFor(c.config.MaxOrderDelay)))
 	}
 
-	wait := c.config.Flight
+	wait := c.config.MaxOrderDelay
 	if !state.Released {
 		wait += state.Term
 	}
--- a/lease/core_test.go
+++ b/lease/core_test.go
@@ -195,7 +195,7 @@
 		})
 		core.CaughtUp(now)
 
-		later := now.Add(config.Flight + config.Flight/10)
+		later := now.Add(config.MaxOrderDelay + config.MaxOrderDelay/10)
 		core.CaughtUp(later)
 
 		if got := core.Open(later); got != tt.want {
--- a/lease/drift_test.go
+++ b/lease/drift_test.go
@@ -14,7 +14,7 @@
 func TestHoldsLeaseAcrossDrift(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := lease.DefaultConfig()
-		config.Flight, config.Stagger = 0, 0
+		config.MaxOrderDelay, config.Stagger = 0, 0
 		config.MaxDrift = rapid.Float64Range(0, 0.09).Draw(t, "drift")
 		rates := []float64{1 - config.MaxDrift, 1, 1 + config.MaxDrift}
 		slow := rapid.SampledFrom(rates).Draw(t, "holder")
