--- a/entry/restoration_test.go
+++ b/entry/restoration_test.go
@@ -90,7 +90,7 @@
 // passed over, and nobody takes it until such a grant is over.
 func TestRestoredRecordsDoNotOpenRole(t *testing.T) {
 	now := time.Unix(1000, 0)
-	config := lease.Config{Term: 4 * time.Second, RenewInterval: time.Second, ReadGap: time.Second}
+	config := lease.Config{Term: 4 * time.Second, RenewInterval: time.Second, MaxReadGap: time.Second}
 	other := lease.Holder{Instance: "entry-2", Incarnation: 1}
 
 	core, err := lease.NewCore(config, dutyRole, lease.Holder{Instance: "entry-1", Incarnation: 1})
--- a/lease/config.go
+++ b/lease/config.go
@@ -18,10 +18,10 @@
 	// MaxOrderDelay is the longest time between the check of an order and its effect
 	// in a process that is not paused.
 	MaxOrderDelay time.Duration
-	// ReadGap is the longest time between two reads to the end of the log after
+	// MaxReadGap is the longest time between two reads to the end of the log after
 	// which a successor starts its wait again. It keeps the holder in place
 	// across an outage of the log.
-	ReadGap time.Duration
+	MaxReadGap time.Duration
 	// OneProcess tells that an instance never runs two processes at once: a new one
 	// need not wait for the term of the one before it on its own instance.
 	OneProcess bool
@@ -36,14 +36,14 @@
 		RenewInterval: 3 * time.Second,
 		MaxDrift:      0.001,
 		MaxOrderDelay: 2 * time.Second,
-		ReadGap:       3 * time.Second,
+		MaxReadGap:    3 * time.Second,
 		Stagger:       2 * time.Second,
 	}
 }
 
 // Validate tells whether the times fit each other.
 func (c Config) Validate() error {
-	if c.Term <= 0 || c.RenewInterval <= 0 || c.MaxOrderDelay < 0 || c.ReadGap <= 0 || c.Stagger < 0 {
+	if c.Term <= 0 || c.RenewInterval <= 0 || c.MaxOrderDelay < 0 || c.MaxReadGap <= 0 || c.Stagger < 0 {
 		return merry.New("lease times must be positive")
 	}
 
--- a/lease/core.go
+++ b/lease/core.go
@@ -98,7 +98,7 @@
 
 // CaughtUp says that the end of the log was reached at now.
 func (c *Core) CaughtUp(now time.Time) {
-	if c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.ReadGap {
+	if c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.MaxReadGap {
 		c.readableSince = now
 	}
 
@@ -201,7 +201,7 @@
 		return false
 	}
 
-	if !c.candidate || c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.ReadGap {
+	if !c.candidate || c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.MaxReadGap {
 		return false
 	}
 
--- a/lease/holds_test.go
+++ b/lease/holds_test.go
@@ -59,7 +59,7 @@
 		Term:          2 * time.Second,
 		RenewInterval: 500 * time.Millisecond,
 		MaxDrift:      0.05,
-		ReadGap:       time.Second,
+		MaxReadGap:    time.Second,
 	}
 
 	for i := range rapid.IntRange(2, 4).Draw(t, "nodes") {
--- a/lease/lost_test.go
+++ b/lease/lost_test.go
@@ -125,7 +125,7 @@
 		c := &copied{
 			now: time.Unix(1000, 0), era: 1, cores: make([]*reader, 3),
 			config: Config{
-				Term: 4 * time.Second, RenewInterval: time.Second, MaxOrderDelay: 500 * time.Millisecond, ReadGap: 5 * time.Second,
+				Term: 4 * time.Second, RenewInterval: time.Second, MaxOrderDelay: 500 * time.Millisecond, MaxReadGap: 5 * time.Second,
 				Stagger: time.Second, MaxDrift: 0.001, OneProcess: true,
 			},
 		}
