--- a/entry/duties.go
+++ b/entry/duties.go
@@ -110,7 +110,7 @@
 	term := time.Duration(max(p.settings.Bounds.Lease.Seconds()*termFactor, recordInterval.Seconds()*minTermIntervals) * float64(time.Second))
 	config := lease.Config{
 		Term: term, RenewInterval: time.Duration(float64(term) * renewShare),
-		MaxDrift: 0.001, MaxOrderDelay: maxDutyCallDelay, MaxReadGap: memberTimeout, Stagger: time.Second, OneProcess: true,
+		MaxDrift: 0.001, MaxOrderDelay: maxDutyCallDelay, MaxReadGap: memberTimeout, Stagger: time.Second, SingleProcess: true,
 	}
 
 	core, err := lease.NewCore(config, dutyRole, lease.Holder{Instance: p.settings.Instance, Incarnation: d.incarnation})
--- a/lease/config.go
+++ b/lease/config.go
@@ -22,9 +22,9 @@
 	// which a successor starts its wait again. It keeps the holder in place
 	// across an outage of the log.
 	MaxReadGap time.Duration
-	// OneProcess tells that an instance never runs two processes at once: a new one
+	// SingleProcess tells that an instance never runs two processes at once: a new one
 	// need not wait for the term of the one before it on its own instance.
-	OneProcess bool
+	SingleProcess bool
 	// Stagger spreads the candidates, so that they do not append all at once.
 	Stagger time.Duration
 }
--- a/lease/core.go
+++ b/lease/core.go
@@ -215,7 +215,7 @@
 		start = c.readableSince
 	}
 
-	if c.config.OneProcess && state.Holder.Instance == c.self.Instance {
+	if c.config.SingleProcess && state.Holder.Instance == c.self.Instance {
 		return !now.Before(start.Add(c.config.waitFor(c.config.MaxOrderDelay)))
 	}
 
--- a/lease/core_test.go
+++ b/lease/core_test.go
@@ -182,7 +182,7 @@
 		{"another instance", true, lease.Holder{Instance: "entry-2", Incarnation: 2}, false},
 	} {
 		config := lease.DefaultConfig()
-		config.OneProcess = tt.one
+		config.SingleProcess = tt.one
 
 		core, err := lease.NewCore(config, "duties", tt.self)
 		if err != nil {
--- a/lease/lost_test.go
+++ b/lease/lost_test.go
@@ -126,7 +126,7 @@
 			now: time.Unix(1000, 0), era: 1, cores: make([]*reader, 3),
 			config: Config{
 				Term: 4 * time.Second, RenewInterval: time.Second, MaxOrderDelay: 500 * time.Millisecond, MaxReadGap: 5 * time.Second,
-				Stagger: time.Second, MaxDrift: 0.001, OneProcess: true,
+				Stagger: time.Second, MaxDrift: 0.001, SingleProcess: true,
 			},
 		}
 
