--- a/entry/duties.go
+++ b/entry/duties.go
@@ -202,7 +202,7 @@
 	if era := feed.Position(r.Offset - 1).Era(); r.FromOldCopy {
 		if era > d.era {
 			d.era = era
-			d.core.Lost(now)
+			d.core.LogRolledBack(now)
 		}
 
 		return
@@ -222,7 +222,7 @@
 	defer d.mu.Unlock()
 
 	d.era, d.rewriteReports = era, true
-	d.core.Lost(now)
+	d.core.LogRolledBack(now)
 }
 
 // addCounts takes counts in that were told directly.
--- a/lease/core.go
+++ b/lease/core.go
@@ -84,10 +84,10 @@
 	c.extend(r)
 }
 
-// Lost says that the log came back at now from an older copy, in which what was written last
+// LogRolledBack says that the log came back at now from an older copy, in which what was written last
 // is missing. What was held is held no more, and nothing is taken for as long as a grant may
 // last that this process never read of.
-func (c *Core) Lost(now time.Time) {
+func (c *Core) LogRolledBack(now time.Time) {
 	c.ledger = NewLedger(c.role)
 	c.validUntil, c.seenAt, c.caughtUpAt, c.readableSince = time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	c.releasing = false
--- a/lease/lost_test.go
+++ b/lease/lost_test.go
@@ -77,7 +77,7 @@
 func (c *copied) read(r *reader) {
 	if r.era != c.era {
 		if r.era != 0 {
-			r.core.Lost(c.now)
+			r.core.LogRolledBack(c.now)
 		}
 
 		r.era, r.next = c.era, 0
@@ -100,7 +100,7 @@
 
 	if lost && r.core.quietUntil.IsZero() {
 		// One that started after the log came back.
-		r.core.Lost(c.now)
+		r.core.LogRolledBack(c.now)
 	}
 
 	r.core.CaughtUp(c.now)
