--- a/entry/duties.go
+++ b/entry/duties.go
@@ -264,7 +264,7 @@
 // requestRole asks for a round of the board if this instance would take the role in it.
 func (d *duties) requestRole() {
 	d.mu.Lock()
-	open := d.core.Open(d.clock.Now())
+	open := d.core.CanAcquire(d.clock.Now())
 	d.mu.Unlock()
 
 	if open {
--- a/entry/restoration_test.go
+++ b/entry/restoration_test.go
@@ -111,13 +111,13 @@
 		t.Errorf("holder by the copy: got %v, want none", got)
 	}
 
-	if d.core.Open(now.Add(config.Term / 2)) {
+	if d.core.CanAcquire(now.Add(config.Term / 2)) {
 		t.Error("within the term of a lost grant: got the role open, want it not")
 	}
 
 	d.core.CaughtUp(now.Add(config.Term + time.Second))
 
-	if !d.core.Open(now.Add(config.Term + time.Second)) {
+	if !d.core.CanAcquire(now.Add(config.Term + time.Second)) {
 		t.Error("after it: got the role not open, want it open")
 	}
 }
--- a/lease/core.go
+++ b/lease/core.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// Open tells whether a candidate would take the role now.
-func (c *Core) Open(now time.Time) bool {
+// CanAcquire tells whether a candidate would take the role now.
+func (c *Core) CanAcquire(now time.Time) bool {
 	return !c.ledger.heldBy(c.self) && c.mayAcquire(now)
 }
 
--- a/lease/core_test.go
+++ b/lease/core_test.go
@@ -198,7 +198,7 @@
 		later := now.Add(config.MaxOrderDelay + config.MaxOrderDelay/10)
 		core.CaughtUp(later)
 
-		if got := core.Open(later); got != tt.want {
+		if got := core.CanAcquire(later); got != tt.want {
 			t.Errorf("%s: got open %v, want %v", tt.desc, got, tt.want)
 		}
 	}
