--- a/lease/corrector.go
+++ b/lease/corrector.go
@@ -18,8 +18,8 @@
 // It reads each target every ReadEvery for as long as it is wanted, since an
 // engine that ignores the fencing number may take an old order at any time.
 type Corrector[S comparable] struct {
-	// ReadEvery is the time between two reads of one target.
-	ReadEvery time.Duration
+	// ReadInterval is the time between two reads of one target.
+	ReadInterval time.Duration
 	// Retry is the time between two orders of the same state to one target.
 	Retry time.Duration
 	// Flight is how long an order may still take effect after its call ended
@@ -117,7 +117,7 @@
 			actions = append(actions, Action[S]{Target: id, State: t.wanted, Fence: fence})
 		}
 
-		if due(now, t.readAt, c.ReadEvery) {
+		if due(now, t.readAt, c.ReadInterval) {
 			t.readAt = now
 			actions = append(actions, Action[S]{Target: id, Read: true})
 		}
