--- a/lease/corrector.go
+++ b/lease/corrector.go
@@ -20,8 +20,8 @@
 type Corrector[S comparable] struct {
 	// ReadInterval is the time between two reads of one target.
 	ReadInterval time.Duration
-	// Retry is the time between two orders of the same state to one target.
-	Retry time.Duration
+	// RetryInterval is the time between two orders of the same state to one target.
+	RetryInterval time.Duration
 	// Flight is how long an order may still take effect after its call ended
 	// without an answer. Another state is ordered only after that.
 	Flight time.Duration
@@ -110,7 +110,7 @@
 			t.orderAt = time.Time{}
 		}
 
-		if t.mayOrder(now, c.Retry) {
+		if t.mayOrder(now, c.RetryInterval) {
 			t.orderAt = now
 			t.outstanding = true
 			t.ordered = t.wanted
