--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -40,7 +40,7 @@
 func newRollout() *rollout {
 	return &rollout{
 		corrector: &lease.Corrector[placement.Holding]{
-			ReadInterval: readEvery, RetryInterval: orderRetry, Flight: lease.DefaultConfig().MaxOrderDelay,
+			ReadInterval: readEvery, RetryInterval: orderRetry, MaxOrderDelay: lease.DefaultConfig().MaxOrderDelay,
 		},
 		steps:   make(map[modelKey]*placement.Rollout),
 		runners: make(map[fleet.InstanceID]*runner),
--- a/lease/corrector.go
+++ b/lease/corrector.go
@@ -22,9 +22,9 @@
 	ReadInterval time.Duration
 	// RetryInterval is the time between two orders of the same state to one target.
 	RetryInterval time.Duration
-	// Flight is how long an order may still take effect after its call ended
+	// MaxOrderDelay is how long an order may still take effect after its call ended
 	// without an answer. Another state is ordered only after that.
-	Flight time.Duration
+	MaxOrderDelay time.Duration
 
 	targets map[fleet.InstanceID]*target[S]
 }
@@ -94,7 +94,7 @@
 
 	t.outstanding = false
 	if !certain {
-		t.uncertain = now.Add(c.Flight)
+		t.uncertain = now.Add(c.MaxOrderDelay)
 	}
 }
 
--- a/lease/corrector_test.go
+++ b/lease/corrector_test.go
@@ -19,7 +19,7 @@
 		{"another state after the flight", 2, 5 * time.Second, 1},
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
-			c := &lease.Corrector[int]{ReadInterval: time.Hour, RetryInterval: time.Second, Flight: 5 * time.Second}
+			c := &lease.Corrector[int]{ReadInterval: time.Hour, RetryInterval: time.Second, MaxOrderDelay: 5 * time.Second}
 			c.Want("runner-1", 1)
 			c.Step(start, 7)
 			c.Answered(start, "runner-1", false)
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -57,7 +57,7 @@
 	for now := start; now.Before(until); now = now.Add(100 * time.Millisecond) {
 		if fence == 0 || now.Before(until.Add(-30*time.Second)) && rapid.IntRange(0, 99).Draw(t, "grant") == 0 {
 			fence += lease.Fence(rapid.IntRange(1, 9).Draw(t, "fence"))
-			corrector = &lease.Corrector[int]{ReadInterval: readEvery, RetryInterval: flight, Flight: flight}
+			corrector = &lease.Corrector[int]{ReadInterval: readEvery, RetryInterval: flight, MaxOrderDelay: flight}
 			wanted = rapid.IntRange(1, 3).Draw(t, "version")
 			corrector.Want("runner-1", wanted)
 		}
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -58,7 +58,7 @@
 	return &rolloutHolder{
 		fence:     fence,
 		rollout:   &placement.Rollout{DrainTimeout: 5 * time.Second, MaxUnavailable: 2},
-		corrector: &lease.Corrector[placement.Holding]{ReadInterval: second, RetryInterval: 2 * second, Flight: 3 * second},
+		corrector: &lease.Corrector[placement.Holding]{ReadInterval: second, RetryInterval: 2 * second, MaxOrderDelay: 3 * second},
 	}
 }
 
