--- a/controller/runner.go
+++ b/controller/runner.go
@@ -106,7 +106,7 @@
 	}
 
 	r.ordered = a.Holding
-	c.Want(r.server.ID, wanted)
+	c.SetDesired(r.server.ID, wanted)
 }
 
 func compareRunners(a, b *runner) int {
--- a/lease/corrector.go
+++ b/lease/corrector.go
@@ -41,8 +41,8 @@
 	uncertain   time.Time
 }
 
-// Want sets the wanted state of a target.
-func (c *Corrector[S]) Want(id fleet.InstanceID, state S) {
+// SetDesired sets the wanted state of a target.
+func (c *Corrector[S]) SetDesired(id fleet.InstanceID, state S) {
 	if c.targets == nil {
 		c.targets = make(map[fleet.InstanceID]*target[S])
 	}
--- a/lease/corrector_test.go
+++ b/lease/corrector_test.go
@@ -20,10 +20,10 @@
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
 			c := &lease.Corrector[int]{ReadInterval: time.Hour, RetryInterval: time.Second, MaxOrderDelay: 5 * time.Second}
-			c.Want("runner-1", 1)
+			c.SetDesired("runner-1", 1)
 			c.Step(start, 7)
 			c.Answered(start, "runner-1", false)
-			c.Want("runner-1", tt.state)
+			c.SetDesired("runner-1", tt.state)
 
 			if got := len(c.Step(start.Add(tt.after), 7)); got != tt.want {
 				t.Errorf("orders: got %d, want %d", got, tt.want)
@@ -34,9 +34,9 @@
 
 func TestCorrectorHasOneOrderOutstanding(t *testing.T) {
 	c := &lease.Corrector[int]{ReadInterval: time.Hour, RetryInterval: time.Second}
-	c.Want("runner-1", 1)
+	c.SetDesired("runner-1", 1)
 	c.Step(start, 7)
-	c.Want("runner-1", 2)
+	c.SetDesired("runner-1", 2)
 
 	if got, want := len(c.Step(start.Add(time.Minute), 7)), 0; got != want {
 		t.Errorf("orders while one is outstanding: got %d, want %d", got, want)
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -59,7 +59,7 @@
 			fence += lease.Fence(rapid.IntRange(1, 9).Draw(t, "fence"))
 			corrector = &lease.Corrector[int]{ReadInterval: readEvery, RetryInterval: flight, MaxOrderDelay: flight}
 			wanted = rapid.IntRange(1, 3).Draw(t, "version")
-			corrector.Want("runner-1", wanted)
+			corrector.SetDesired("runner-1", wanted)
 		}
 
 		kept := flying[:0]
