--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -81,7 +81,7 @@
 	for id := range r.runners {
 		if !present[id] {
 			delete(r.runners, id)
-			r.corrector.Forget(id)
+			r.corrector.Remove(id)
 		}
 	}
 }
--- a/controller/runner.go
+++ b/controller/runner.go
@@ -89,7 +89,7 @@
 // holds nothing and waits for its turn to load.
 func (r *runner) assign(a placement.Assignment, c *lease.Corrector[placement.Holding]) {
 	if !r.known || r.server.Leaving || a.Holding.Model == "" {
-		c.Forget(r.server.ID)
+		c.Remove(r.server.ID)
 
 		return
 	}
--- a/lease/corrector.go
+++ b/lease/corrector.go
@@ -62,8 +62,8 @@
 	t.orderAt = time.Time{}
 }
 
-// Forget drops a target that is gone.
-func (c *Corrector[S]) Forget(id fleet.InstanceID) {
+// Remove drops a target that is gone.
+func (c *Corrector[S]) Remove(id fleet.InstanceID) {
 	delete(c.targets, id)
 }
 
