--- a/controller/orders.go
+++ b/controller/orders.go
@@ -94,7 +94,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 
-		corrector.Answered(c.Clock.Now(), a.Target, certain)
+		corrector.OrderFinished(c.Clock.Now(), a.Target, certain)
 	})
 }
 
--- a/lease/corrector.go
+++ b/lease/corrector.go
@@ -84,9 +84,9 @@
 	t.settled = settled
 }
 
-// Answered takes in the end of the call of an order at now: certain if the target
+// OrderFinished takes in the end of the call of an order at now: certain if the target
 // took or refused it, and else it may still take effect within Flight.
-func (c *Corrector[S]) Answered(now time.Time, id fleet.InstanceID, certain bool) {
+func (c *Corrector[S]) OrderFinished(now time.Time, id fleet.InstanceID, certain bool) {
 	t, ok := c.targets[id]
 	if !ok {
 		return
--- a/lease/corrector_test.go
+++ b/lease/corrector_test.go
@@ -22,7 +22,7 @@
 			c := &lease.Corrector[int]{ReadInterval: time.Hour, RetryInterval: time.Second, MaxOrderDelay: 5 * time.Second}
 			c.SetDesired("runner-1", 1)
 			c.Step(start, 7)
-			c.Answered(start, "runner-1", false)
+			c.OrderFinished(start, "runner-1", false)
 			c.SetDesired("runner-1", tt.state)
 
 			if got := len(c.Step(start.Add(tt.after), 7)); got != tt.want {
@@ -42,7 +42,7 @@
 		t.Errorf("orders while one is outstanding: got %d, want %d", got, want)
 	}
 
-	c.Answered(start.Add(time.Minute), "runner-1", true)
+	c.OrderFinished(start.Add(time.Minute), "runner-1", true)
 
 	if got, want := len(c.Step(start.Add(time.Minute), 7)), 1; got != want {
 		t.Errorf("orders after the answer: got %d, want %d", got, want)
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -111,7 +111,7 @@
 }
 
 func answered(c *lease.Corrector[int], id fleet.InstanceID) func(time.Time) {
-	return func(now time.Time) { c.Answered(now, id, true) }
+	return func(now time.Time) { c.OrderFinished(now, id, true) }
 }
 
 func TestHoldsLeaseOrdersWithCheckingEngine(t *testing.T) {
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -98,7 +98,7 @@
 		delay = rapid.IntRange(0, 40).Draw(f.t, "pause")
 	case 1:
 		late := delay + rapid.IntRange(0, 2).Draw(f.t, "late")
-		f.after(delay, func() { h.corrector.Answered(f.now(), a.Target, false) })
+		f.after(delay, func() { h.corrector.OrderFinished(f.now(), a.Target, false) })
 		f.after(late, func() { e.take(a.Fence, a.State) })
 
 		return
@@ -106,7 +106,7 @@
 
 	f.after(delay, func() {
 		e.take(a.Fence, a.State)
-		h.corrector.Answered(f.now(), a.Target, true)
+		h.corrector.OrderFinished(f.now(), a.Target, true)
 	})
 }
 
