--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -36,7 +36,7 @@
 // are set before Run; a zero duration stands for its default.
 type Watcher struct {
 	Clock     clock.Clock
-	List      provider.List
+	List      provider.InstanceList
 	Cloud     provider.Cloud
 	Directory *Directory
 	Table     *routing.Table
--- a/membership/group.go
+++ b/membership/group.go
@@ -47,7 +47,7 @@
 	// Seeds are addresses to join through.
 	Seeds []string
 	// List is the platform's list, to join through as well; nil for none.
-	List provider.List
+	List provider.InstanceList
 	// Locate returns the peer address of a listed entry instance, and false
 	// for other instances. It is needed with a List.
 	Locate func(provider.Listing) (string, bool)
--- a/provider/http_list.go
+++ b/provider/http_list.go
@@ -17,7 +17,7 @@
 	client *httpclient.Client
 }
 
-var _ List = (*HTTPList)(nil)
+var _ InstanceList = (*HTTPList)(nil)
 
 // NewHTTPList returns a client of the instance list at a base URL.
 func NewHTTPList(baseURL string, c *http.Client) *HTTPList {
--- a/provider/list.go
+++ b/provider/list.go
@@ -25,7 +25,7 @@
 	State   State               `json:"state"`
 }
 
-// List is the platform's lagging list of live and leaving instances.
-type List interface {
+// InstanceList is the platform's lagging list of live and leaving instances.
+type InstanceList interface {
 	Listings(ctx context.Context) ([]Listing, error)
 }
--- a/standin/list.go
+++ b/standin/list.go
@@ -29,7 +29,7 @@
 	seen    lagged[[]provider.Listing]
 }
 
-var _ provider.List = (*List)(nil)
+var _ provider.InstanceList = (*List)(nil)
 
 // NewList returns an empty list without a lag.
 func NewList(c clock.Clock) *List {
