--- a/provider/http_list.go
+++ b/provider/http_list.go
@@ -12,20 +12,20 @@
 // ListListingsPath is where the instance list answers with a JSON array of Listing.
 const ListListingsPath = "/list/listings"
 
-// HTTPList is a client of the instance list.
-type HTTPList struct {
+// HTTPInstanceList is a client of the instance list.
+type HTTPInstanceList struct {
 	client *httpclient.Client
 }
 
-var _ InstanceList = (*HTTPList)(nil)
+var _ InstanceList = (*HTTPInstanceList)(nil)
 
 // NewHTTPList returns a client of the instance list at a base URL.
-func NewHTTPList(baseURL string, c *http.Client) *HTTPList {
-	return &HTTPList{client: httpclient.New(baseURL, c)}
+func NewHTTPList(baseURL string, c *http.Client) *HTTPInstanceList {
+	return &HTTPInstanceList{client: httpclient.New(baseURL, c)}
 }
 
 // Listings returns the list as it is at present.
-func (l *HTTPList) Listings(ctx context.Context) ([]Listing, error) {
+func (l *HTTPInstanceList) Listings(ctx context.Context) ([]Listing, error) {
 	var listings []Listing
 	if err := l.client.Get(ctx, ListListingsPath, &listings); err != nil {
 		return nil, merry.Prepend(err, "read instance list")
