--- a/cmd/load.go
+++ b/cmd/load.go
@@ -205,5 +205,5 @@
 }
 
 func listingsOf(ctx context.Context, url string) ([]provider.Listing, error) {
-	return provider.NewHTTPList(url, http.DefaultClient).Listings(ctx)
+	return provider.NewHTTPInstanceList(url, http.DefaultClient).Listings(ctx)
 }
--- a/daemon/build_servers.go
+++ b/daemon/build_servers.go
@@ -21,7 +21,7 @@
 	}
 	p.watcher = &discovery.Watcher{
 		Clock: p.clock, Directory: p.directory, Table: p.table, Leaving: p.leaving,
-		List:    provider.NewHTTPList(p.settings.Platform.List, client),
+		List:    provider.NewHTTPInstanceList(p.settings.Platform.List, client),
 		Cloud:   provider.NewHTTPCloud(p.settings.Platform.Cloud, client),
 		InForce: func() bool { return p.manifest() != nil },
 		IsModel: func(service fleet.Service) (bool, bool) {
--- a/provider/http_list.go
+++ b/provider/http_list.go
@@ -19,8 +19,8 @@
 
 var _ InstanceList = (*HTTPInstanceList)(nil)
 
-// NewHTTPList returns a client of the instance list at a base URL.
-func NewHTTPList(baseURL string, c *http.Client) *HTTPInstanceList {
+// NewHTTPInstanceList returns a client of the instance list at a base URL.
+func NewHTTPInstanceList(baseURL string, c *http.Client) *HTTPInstanceList {
 	return &HTTPInstanceList{client: httpclient.New(baseURL, c)}
 }
 
--- a/standin/cloud_test.go
+++ b/standin/cloud_test.go
@@ -99,7 +99,7 @@
 	c := clock.NewManual(start)
 	fake := standin.NewList(c)
 	fake.Lag = 3 * time.Second
-	list := provider.NewHTTPList("http://"+serve(t, fake.Handler()), &http.Client{})
+	list := provider.NewHTTPInstanceList("http://"+serve(t, fake.Handler()), &http.Client{})
 
 	fake.Set(provider.Listing{ID: "a1", State: provider.Live})
 
