--- a/provider/http_list.go
+++ b/provider/http_list.go
@@ -9,8 +9,8 @@
 	"monsoonlever/httpclient"
 )
 
-// ListListingsPath is where the instance list answers with a JSON array of Listing.
-const ListListingsPath = "/list/listings"
+// ListingsPath is where the instance list answers with a JSON array of Listing.
+const ListingsPath = "/list/listings"
 
 // HTTPInstanceList is a client of the instance list.
 type HTTPInstanceList struct {
@@ -27,7 +27,7 @@
 // Listings returns the list as it is at present.
 func (l *HTTPInstanceList) Listings(ctx context.Context) ([]Listing, error) {
 	var listings []Listing
-	if err := l.client.Get(ctx, ListListingsPath, &listings); err != nil {
+	if err := l.client.Get(ctx, ListingsPath, &listings); err != nil {
 		return nil, merry.Prepend(err, "read instance list")
 	}
 
--- a/standin/list.go
+++ b/standin/list.go
@@ -111,7 +111,7 @@
 }
 
 func (l *List) routes(router *httprouter.Router) {
-	handle(router, http.MethodGet, provider.ListListingsPath, l.serveListings)
+	handle(router, http.MethodGet, provider.ListingsPath, l.serveListings)
 	handleFaults(router, ListFaultsPath, l.Faults)
 }
 
