--- a/provider/http_weights.go
+++ b/provider/http_weights.go
@@ -31,7 +31,7 @@
 	client *httpclient.Client
 }
 
-var _ Weights = (*HTTPWeights)(nil)
+var _ WeightStore = (*HTTPWeights)(nil)
 
 // NewHTTPWeights returns a client of the weight store at a base URL.
 func NewHTTPWeights(baseURL string, c *http.Client) *HTTPWeights {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -28,7 +28,7 @@
 	// Client carries KV caches to other engines.
 	Client *http.Client
 	// Weights is where models are loaded from; nil loads them at once.
-	Weights provider.Weights
+	Weights provider.WeightStore
 
 	Model   fleet.Model
 	Version fleet.ModelVersion
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -26,7 +26,7 @@
 	pipe pipe
 }
 
-var _ provider.Weights = (*Weights)(nil)
+var _ provider.WeightStore = (*Weights)(nil)
 
 // NewWeights returns a weight store that answers at once.
 func NewWeights(c clock.Clock) *Weights {
