--- a/provider/http_weights.go
+++ b/provider/http_weights.go
@@ -26,20 +26,20 @@
 	Took string `json:"took"`
 }
 
-// HTTPWeights is a client of the weight store.
-type HTTPWeights struct {
+// HTTPWeightStore is a client of the weight store.
+type HTTPWeightStore struct {
 	client *httpclient.Client
 }
 
-var _ WeightStore = (*HTTPWeights)(nil)
+var _ WeightStore = (*HTTPWeightStore)(nil)
 
 // NewHTTPWeights returns a client of the weight store at a base URL.
-func NewHTTPWeights(baseURL string, c *http.Client) *HTTPWeights {
-	return &HTTPWeights{client: httpclient.New(baseURL, c)}
+func NewHTTPWeights(baseURL string, c *http.Client) *HTTPWeightStore {
+	return &HTTPWeightStore{client: httpclient.New(baseURL, c)}
 }
 
 // Fetch takes one model version and returns the time the transfer took.
-func (w *HTTPWeights) Fetch(
+func (w *HTTPWeightStore) Fetch(
 	ctx context.Context, model fleet.Model, version fleet.ModelVersion,
 ) (time.Duration, error) {
 	var answer FetchAnswer
