--- a/monsoonlever-standins/engine.go
+++ b/monsoonlever-standins/engine.go
@@ -59,7 +59,7 @@
 	e.LoadLag = c.LoadLag
 
 	if c.Platform != "" {
-		e.Weights = provider.NewHTTPWeights(c.Platform, &http.Client{})
+		e.Weights = provider.NewHTTPWeightStore(c.Platform, &http.Client{})
 	}
 
 	return e
--- a/provider/http_weights.go
+++ b/provider/http_weights.go
@@ -33,8 +33,8 @@
 
 var _ WeightStore = (*HTTPWeightStore)(nil)
 
-// NewHTTPWeights returns a client of the weight store at a base URL.
-func NewHTTPWeights(baseURL string, c *http.Client) *HTTPWeightStore {
+// NewHTTPWeightStore returns a client of the weight store at a base URL.
+func NewHTTPWeightStore(baseURL string, c *http.Client) *HTTPWeightStore {
 	return &HTTPWeightStore{client: httpclient.New(baseURL, c)}
 }
 
