--- a/provider/http_weights.go
+++ b/provider/http_weights.go
@@ -21,8 +21,8 @@
 	Version fleet.ModelVersion `json:"version"`
 }
 
-// FetchAnswer tells how long the transfer took, as time.Duration writes it.
-type FetchAnswer struct {
+// FetchResponse tells how long the transfer took, as time.Duration writes it.
+type FetchResponse struct {
 	Took string `json:"took"`
 }
 
@@ -42,7 +42,7 @@
 func (w *HTTPWeightStore) Fetch(
 	ctx context.Context, model fleet.Model, version fleet.ModelVersion,
 ) (time.Duration, error) {
-	var answer FetchAnswer
+	var answer FetchResponse
 
 	request := FetchRequest{Model: model, Version: version}
 	if err := w.client.Post(ctx, WeightsFetchesPath, request, &answer); err != nil {
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -68,5 +68,5 @@
 		return err
 	}
 
-	return writeMessage(w, provider.FetchAnswer{Took: took.String()})
+	return writeMessage(w, provider.FetchResponse{Took: took.String()})
 }
