--- a/discovery/engine_test.go
+++ b/discovery/engine_test.go
@@ -38,7 +38,7 @@
 	return []provider.Listing{{ID: testServer, Service: "ledger-llm", Address: "10.0.0.1:80", State: provider.Live}}, nil
 }
 
-func (f *fakeEngine) Notices(context.Context, uint64) ([]provider.Notice, error) {
+func (f *fakeEngine) Notices(context.Context, uint64) ([]provider.ReclaimNotice, error) {
 	return nil, nil
 }
 
--- a/discovery/watcher_test.go
+++ b/discovery/watcher_test.go
@@ -31,7 +31,7 @@
 	mu      sync.Mutex
 	down    bool
 	leaving bool
-	notices []provider.Notice
+	notices []provider.ReclaimNotice
 }
 
 func (f *fakeSources) set(change func()) {
@@ -54,7 +54,7 @@
 	}, nil
 }
 
-func (f *fakeSources) Notices(_ context.Context, after uint64) ([]provider.Notice, error) {
+func (f *fakeSources) Notices(_ context.Context, after uint64) ([]provider.ReclaimNotice, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -62,7 +62,7 @@
 		return nil, errDown
 	}
 
-	var notices []provider.Notice
+	var notices []provider.ReclaimNotice
 
 	for _, n := range f.notices {
 		if n.Sequence > after {
@@ -137,7 +137,9 @@
 		}
 
 		at := time.Now().Add(3 * time.Second)
-		f.set(func() { f.notices = append(f.notices, provider.Notice{Sequence: 1, Instance: testServer, At: at}) })
+		f.set(func() {
+			f.notices = append(f.notices, provider.ReclaimNotice{Sequence: 1, Instance: testServer, At: at})
+		})
 		time.Sleep(time.Second)
 
 		if got, _ := w.Leaving.At(testServer); !got.Equal(at) {
@@ -157,7 +159,7 @@
 
 func TestReclaimedServersAreForgotten(t *testing.T) {
 	watch(t, func(f *fakeSources, w *Watcher, _ *atomic.Int64) {
-		f.set(func() { f.notices = []provider.Notice{{Sequence: 1, Instance: "gone", At: time.Now()}} })
+		f.set(func() { f.notices = []provider.ReclaimNotice{{Sequence: 1, Instance: "gone", At: time.Now()}} })
 		time.Sleep(time.Second)
 
 		if _, ok := w.Leaving.At("gone"); !ok {
--- a/dispatch/fixture_test.go
+++ b/dispatch/fixture_test.go
@@ -54,9 +54,11 @@
 	calls int
 }
 
-func (f *fakeFleet) Engine(string) backend.Engine                               { return nil }
-func (f *fakeFleet) Plain(string) backend.PlainServer                           { return fakeServer{fleet: f} }
-func (f *fakeFleet) Notices(context.Context, uint64) ([]provider.Notice, error) { return nil, nil }
+func (f *fakeFleet) Engine(string) backend.Engine     { return nil }
+func (f *fakeFleet) Plain(string) backend.PlainServer { return fakeServer{fleet: f} }
+func (f *fakeFleet) Notices(context.Context, uint64) ([]provider.ReclaimNotice, error) {
+	return nil, nil
+}
 
 func (f *fakeFleet) Listings(context.Context) ([]provider.Listing, error) {
 	listings := make([]provider.Listing, 0, 4)
--- a/dispatch/whole_bench_test.go
+++ b/dispatch/whole_bench_test.go
@@ -40,7 +40,9 @@
 	return backend.NewHTTPPlainServer(address, f.client)
 }
 
-func (f *benchFleet) Notices(context.Context, uint64) ([]provider.Notice, error) { return nil, nil }
+func (f *benchFleet) Notices(context.Context, uint64) ([]provider.ReclaimNotice, error) {
+	return nil, nil
+}
 
 func (f *benchFleet) Listings(context.Context) ([]provider.Listing, error) {
 	f.reads++
--- a/provider/cloud.go
+++ b/provider/cloud.go
@@ -48,8 +48,8 @@
 	Since   time.Time           `json:"since"`
 }
 
-// Notice says that an instance will be reclaimed.
-type Notice struct {
+// ReclaimNotice says that an instance will be reclaimed.
+type ReclaimNotice struct {
 	Sequence uint64           `json:"sequence"`
 	Instance fleet.InstanceID `json:"instance"`
 	At       time.Time        `json:"at"`
@@ -64,7 +64,7 @@
 	Release(ctx context.Context, id fleet.InstanceID) error
 	Instances(ctx context.Context) ([]Instance, error)
 	// Notices returns the reclaim notices after a sequence number.
-	Notices(ctx context.Context, after uint64) ([]Notice, error)
+	Notices(ctx context.Context, after uint64) ([]ReclaimNotice, error)
 }
 
 // ErrNoCapacity is wrapped by a purchase that the cloud API refused.
--- a/provider/http_cloud.go
+++ b/provider/http_cloud.go
@@ -85,10 +85,10 @@
 }
 
 // Notices returns the reclaim notices after a sequence number.
-func (c *HTTPCloud) Notices(ctx context.Context, after uint64) ([]Notice, error) {
+func (c *HTTPCloud) Notices(ctx context.Context, after uint64) ([]ReclaimNotice, error) {
 	path := CloudNoticesPath + "?" + CloudAfterParam + "=" + strconv.FormatUint(after, 10)
 
-	var notices []Notice
+	var notices []ReclaimNotice
 	if err := c.client.Get(ctx, path, &notices); err != nil {
 		return nil, merry.Prepend(err, "list reclaim notices")
 	}
--- a/standin/cloud.go
+++ b/standin/cloud.go
@@ -33,7 +33,7 @@
 	offers    []stock
 	instances []provider.Instance
 	byToken   map[string]provider.Instance
-	notices   []provider.Notice
+	notices   []provider.ReclaimNotice
 	bought    int
 }
 
@@ -207,7 +207,7 @@
 }
 
 // Notices returns the reclaim notices after a sequence number.
-func (c *Cloud) Notices(ctx context.Context, after uint64) ([]provider.Notice, error) {
+func (c *Cloud) Notices(ctx context.Context, after uint64) ([]provider.ReclaimNotice, error) {
 	if err := c.Faults.Enter(ctx); err != nil {
 		return nil, err
 	}
@@ -215,7 +215,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	at := slices.IndexFunc(c.notices, func(n provider.Notice) bool { return n.Sequence > after })
+	at := slices.IndexFunc(c.notices, func(n provider.ReclaimNotice) bool { return n.Sequence > after })
 	if at < 0 {
 		return nil, nil
 	}
@@ -263,7 +263,7 @@
 
 		reclaimed = append(reclaimed, instance)
 		ids = append(ids, instance.ID)
-		c.notices = append(c.notices, provider.Notice{
+		c.notices = append(c.notices, provider.ReclaimNotice{
 			Sequence: uint64(len(c.notices) + 1),
 			Instance: instance.ID,
 			At:       at,
