--- a/provider/http_log.go
+++ b/provider/http_log.go
@@ -23,8 +23,8 @@
 	LogWaitParam   = "wait"
 )
 
-// AppendAnswer is the answer to an append.
-type AppendAnswer struct {
+// AppendResponse is the answer to an append.
+type AppendResponse struct {
 	Offset Offset `json:"offset"`
 }
 
@@ -57,7 +57,7 @@
 // Append adds one record. The error wraps ErrRefused where the log said that
 // it did nothing, and where no connection to it could be made.
 func (l *HTTPLog) Append(ctx context.Context, stream Stream, data []byte) (Offset, error) {
-	var answer AppendAnswer
+	var answer AppendResponse
 
 	path := LogRecordsPath + "?" + url.Values{LogStreamParam: {string(stream)}}.Encode()
 
--- a/standin/log_handler.go
+++ b/standin/log_handler.go
@@ -42,7 +42,7 @@
 		return err
 	}
 
-	return writeMessage(w, provider.AppendAnswer{Offset: offset})
+	return writeMessage(w, provider.AppendResponse{Offset: offset})
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) error {
