--- a/provider/http_log.go
+++ b/provider/http_log.go
@@ -35,8 +35,8 @@
 	Data   []byte    `json:"data"`
 }
 
-// BatchAnswer is the answer to a read.
-type BatchAnswer struct {
+// BatchResponse is the answer to a read.
+type BatchResponse struct {
 	Records []RecordAnswer `json:"records"`
 	First   Offset         `json:"first"`
 	Next    Offset         `json:"next"`
@@ -84,7 +84,7 @@
 		LogWaitParam:   {wait.String()},
 	}
 
-	var answer BatchAnswer
+	var answer BatchResponse
 	if err := l.client.Get(ctx, LogRecordsPath+"?"+query.Encode(), &answer); err != nil {
 		return Batch{}, merry.Prepend(err, "read "+string(stream))
 	}
--- a/standin/log_handler.go
+++ b/standin/log_handler.go
@@ -70,7 +70,7 @@
 		return err
 	}
 
-	answer := provider.BatchAnswer{First: batch.First, Next: batch.Next}
+	answer := provider.BatchResponse{First: batch.First, Next: batch.Next}
 	for _, record := range batch.Records {
 		answer.Records = append(answer.Records, provider.RecordAnswer(record))
 	}
