--- a/provider/http_log.go
+++ b/provider/http_log.go
@@ -28,8 +28,8 @@
 	Offset Offset `json:"offset"`
 }
 
-// RecordAnswer is one record of a BatchAnswer.
-type RecordAnswer struct {
+// RecordResponse is one record of a BatchAnswer.
+type RecordResponse struct {
 	Offset Offset    `json:"offset"`
 	Time   time.Time `json:"time"`
 	Data   []byte    `json:"data"`
@@ -37,9 +37,9 @@
 
 // BatchResponse is the answer to a read.
 type BatchResponse struct {
-	Records []RecordAnswer `json:"records"`
-	First   Offset         `json:"first"`
-	Next    Offset         `json:"next"`
+	Records []RecordResponse `json:"records"`
+	First   Offset           `json:"first"`
+	Next    Offset           `json:"next"`
 }
 
 // HTTPLog is a client of the log service.
--- a/standin/log_handler.go
+++ b/standin/log_handler.go
@@ -72,7 +72,7 @@
 
 	answer := provider.BatchResponse{First: batch.First, Next: batch.Next}
 	for _, record := range batch.Records {
-		answer.Records = append(answer.Records, provider.RecordAnswer(record))
+		answer.Records = append(answer.Records, provider.RecordResponse(record))
 	}
 
 	return writeMessage(w, answer)
