--- a/backend/http_engine.go
+++ b/backend/http_engine.go
@@ -41,8 +41,8 @@
 	Target  string    `json:"target"`
 }
 
-// ExportAnswer names the copy on the target.
-type ExportAnswer struct {
+// ExportResponse names the copy on the target.
+type ExportResponse struct {
 	KV string `json:"kv"`
 }
 
@@ -104,7 +104,7 @@
 
 // ExportKV copies the KV cache of an attempt to the engine at target.
 func (e *HTTPEngine) ExportKV(ctx context.Context, id AttemptID, target string) (string, error) {
-	var answer ExportAnswer
+	var answer ExportResponse
 	if err := e.post(ctx, ExportPath, ExportRequest{Attempt: id, Target: target}, &answer); err != nil {
 		return "", merry.Prepend(err, "export kv cache of attempt "+string(id))
 	}
--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -62,7 +62,7 @@
 		return merry.Wrap(ErrNoAnswer)
 	}
 
-	return writeMessage(w, backend.ExportAnswer{KV: name})
+	return writeMessage(w, backend.ExportResponse{KV: name})
 }
 
 func (e *Engine) export(ctx context.Context, target string, message importRequest) error {
