--- a/backend/http_engine.go
+++ b/backend/http_engine.go
@@ -26,9 +26,9 @@
 	EventStreamType = "text/event-stream"
 )
 
-// ErrNotAStream means that an engine answered a generate call with something
+// ErrNotEventStream means that an engine answered a generate call with something
 // other than a stream of events.
-var ErrNotAStream = errors.New("answer is not an event stream")
+var ErrNotEventStream = errors.New("answer is not an event stream")
 
 // CancelRequest asks for the end of one attempt.
 type CancelRequest struct {
@@ -87,7 +87,7 @@
 	}
 
 	if resp.Header.Get("Content-Type") != EventStreamType {
-		return merry.Wrap(ErrNotAStream)
+		return merry.Wrap(ErrNotEventStream)
 	}
 
 	return nil
--- a/backend/http_test.go
+++ b/backend/http_test.go
@@ -141,8 +141,8 @@
 	client := &http.Client{Transport: &http.Transport{}}
 	engine := backend.NewHTTPEngine(server.listener.Addr().String(), client)
 
-	if _, err := engine.Generate(t.Context(), backend.GenerateRequest{Attempt: "a"}); !errors.Is(err, backend.ErrNotAStream) {
-		t.Fatalf("first attempt: got %v, want %v", err, backend.ErrNotAStream)
+	if _, err := engine.Generate(t.Context(), backend.GenerateRequest{Attempt: "a"}); !errors.Is(err, backend.ErrNotEventStream) {
+		t.Fatalf("first attempt: got %v, want %v", err, backend.ErrNotEventStream)
 	}
 
 	_, err := engine.Generate(t.Context(), backend.GenerateRequest{Attempt: "b"})
