--- a/answer/relay_stream.go
+++ b/answer/relay_stream.go
@@ -61,6 +61,6 @@
 
 // fail ends an attempt whose stream contradicts itself.
 func (r *Relay) fail(now time.Time) {
-	r.abandonFor(backend.ErrGarbledEvent)
+	r.abandonFor(backend.ErrMalformedEvent)
 	r.resume(now)
 }
--- a/backend/event_decoder.go
+++ b/backend/event_decoder.go
@@ -32,11 +32,11 @@
 
 	var event TokenEvent
 	if err := json.Unmarshal(data, &event); err != nil {
-		return TokenEvent{}, merry.Wrap(ErrGarbledEvent, merry.WithCause(err))
+		return TokenEvent{}, merry.Wrap(ErrMalformedEvent, merry.WithCause(err))
 	}
 
 	if event.Attempt == "" || event.Offset < 0 {
-		return TokenEvent{}, merry.Prepend(ErrGarbledEvent, "event lacks its attempt or offset")
+		return TokenEvent{}, merry.Prepend(ErrMalformedEvent, "event lacks its attempt or offset")
 	}
 
 	return event, nil
--- a/backend/event_stream.go
+++ b/backend/event_stream.go
@@ -16,8 +16,8 @@
 
 var eventDataField = []byte("data:")
 
-// ErrGarbledEvent means that a stream held something that is not an event.
-var ErrGarbledEvent = errors.New("garbled event in the stream")
+// ErrMalformedEvent means that a stream held something that is not an event.
+var ErrMalformedEvent = errors.New("garbled event in the stream")
 
 // eventStream reads server-sent events. It is for one reader at a time; Close
 // may come from another goroutine.
@@ -86,7 +86,7 @@
 	for errors.Is(err, bufio.ErrBufferFull) {
 		s.long = append(s.long, line...)
 		if len(s.long) > maxEventBytes {
-			return nil, merry.Prepend(ErrGarbledEvent, "line is too long")
+			return nil, merry.Prepend(ErrMalformedEvent, "line is too long")
 		}
 
 		line, err = s.reader.ReadSlice('\n')
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -56,7 +56,7 @@
 	}{
 		{desc: "broken", kind: standin.KillStream, events: 3, want: io.ErrUnexpectedEOF},
 		{desc: "ended in good order", kind: standin.TruncateStream, events: 3, want: io.ErrUnexpectedEOF},
-		{desc: "garbled", kind: standin.GarbleStream, events: 3, want: backend.ErrGarbledEvent},
+		{desc: "garbled", kind: standin.GarbleStream, events: 3, want: backend.ErrMalformedEvent},
 		{desc: "repeated", kind: standin.RepeatTokens, events: 33, want: io.EOF},
 		{desc: "crossed", kind: standin.CrossTokens, events: 33, want: io.EOF},
 	}
