--- a/backend/engine.go
+++ b/backend/engine.go
@@ -112,6 +112,6 @@
 	ErrNotSent = errors.New("call was not sent")
 	// ErrRefused means that the backend server refused the call before running it.
 	ErrRefused = errors.New("backend server refused the call")
-	// ErrOldFence means that the engine has seen a newer fencing number.
-	ErrOldFence = errors.New("fencing number is too old")
+	// ErrStaleFence means that the engine has seen a newer fencing number.
+	ErrStaleFence = errors.New("fencing number is too old")
 )
--- a/backend/http_engine.go
+++ b/backend/http_engine.go
@@ -144,7 +144,7 @@
 
 	var status *httpclient.StatusError
 	if errors.As(err, &status) && status.Status() == http.StatusConflict {
-		return merry.Prepend(ErrOldFence, "give order", merry.WithCause(err))
+		return merry.Prepend(ErrStaleFence, "give order", merry.WithCause(err))
 	}
 
 	return merry.Prepend(err, "give order")
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -112,5 +112,5 @@
 
 	c.counters.orderErrors.Inc()
 
-	return errors.Is(err, backend.ErrOldFence) || errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrRefused)
+	return errors.Is(err, backend.ErrStaleFence) || errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrRefused)
 }
--- a/standin/engine_handler.go
+++ b/standin/engine_handler.go
@@ -33,7 +33,7 @@
 func (e *Engine) handle(router *httprouter.Router, method, path string, h handlerFunc) {
 	router.HandlerFunc(method, path, func(w http.ResponseWriter, r *http.Request) {
 		err := h(w, r)
-		if errors.Is(err, backend.ErrOldFence) {
+		if errors.Is(err, backend.ErrStaleFence) {
 			http.Error(w, err.Error(), http.StatusConflict)
 
 			return
--- a/standin/engine_order.go
+++ b/standin/engine_order.go
@@ -38,7 +38,7 @@
 	defer e.mu.Unlock()
 
 	if e.ChecksFence && o.Fence < e.state.Fence {
-		return merry.Wrap(backend.ErrOldFence)
+		return merry.Wrap(backend.ErrStaleFence)
 	}
 
 	e.state.Fence = o.Fence
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -118,7 +118,7 @@
 		role   string
 		fence  uint64
 	}{
-		{desc: "refused", checks: true, want: backend.ErrOldFence, role: "new", fence: 7},
+		{desc: "refused", checks: true, want: backend.ErrStaleFence, role: "new", fence: 7},
 		{desc: "ignored", checks: false, role: "old", fence: 6},
 	}
 
