--- a/currency/currency.go
+++ b/currency/currency.go
@@ -28,8 +28,8 @@
 // Tracker keeps the newest confirmation. Its fields are set before its first use.
 type Tracker struct {
 	Clock clock.Clock
-	// Bound is the age above which the rules are not known to be in force.
-	Bound time.Duration
+	// MaxAge is the age above which the rules are not known to be in force.
+	MaxAge time.Duration
 
 	// asked is when the question of the newest confirmation was sent, in Unix
 	// nanoseconds, or zero.
@@ -64,5 +64,5 @@
 func (t *Tracker) Current() bool {
 	age, ok := t.Age()
 
-	return ok && age <= t.Bound
+	return ok && age <= t.MaxAge
 }
--- a/currency/currency_test.go
+++ b/currency/currency_test.go
@@ -9,7 +9,7 @@
 
 func TestCurrencyCountsFromTheQuestion(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
-	tracker := &Tracker{Clock: c, Bound: 4 * time.Second}
+	tracker := &Tracker{Clock: c, MaxAge: 4 * time.Second}
 
 	if tracker.Current() {
 		t.Error("before any answer: got current, want not")
--- a/entry/components.go
+++ b/entry/components.go
@@ -178,10 +178,10 @@
 		clock:         e.Clock,
 		startedAt:     e.Clock.Now(),
 		metrics:       set,
-		rulesCurrency: &currency.Tracker{Clock: e.Clock, Bound: maxRulesAge(s.Bounds)},
+		rulesCurrency: &currency.Tracker{Clock: e.Clock, MaxAge: maxRulesAge(s.Bounds)},
 		register:      &register.Register{},
 		registerCurrency: &currency.Tracker{
-			Clock: e.Clock, Bound: time.Duration(float64(s.Bounds.Drain) * maxRegisterAgeShare),
+			Clock: e.Clock, MaxAge: time.Duration(float64(s.Bounds.Drain) * maxRegisterAgeShare),
 		},
 		retries: newRetryBudgets(s.Bounds),
 		scheduler: &scheduling.Scheduler{
--- a/entry/refresh.go
+++ b/entry/refresh.go
@@ -75,7 +75,7 @@
 		return feed.Pace{Wait: relaxedRulesWait, Every: relaxedRulesInterval}
 	}
 
-	wait := min(maxRulesWait, time.Duration(float64(p.rulesCurrency.Bound)*rulesWaitShare))
+	wait := min(maxRulesWait, time.Duration(float64(p.rulesCurrency.MaxAge)*rulesWaitShare))
 	if !p.plan.Load().FullMesh {
 		// The others' age is this one's and that of a heartbeat.
 		wait /= 2
@@ -125,7 +125,7 @@
 func (p *components) rulesStale() bool {
 	age, known := p.rulesCurrency.Age()
 
-	return !known || float64(age) > staleShare*float64(p.rulesCurrency.Bound)
+	return !known || float64(age) > staleShare*float64(p.rulesCurrency.MaxAge)
 }
 
 func (p *components) registerStale() bool {
--- a/entry/restoration_test.go
+++ b/entry/restoration_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 
 	p := &components{
-		clock: clk, rulesCurrency: &currency.Tracker{Clock: clk, Bound: 5 * time.Second},
+		clock: clk, rulesCurrency: &currency.Tracker{Clock: clk, MaxAge: 5 * time.Second},
 		settings: settings.Entry{Bounds: settings.Bounds{Revocation: 5 * time.Second}},
 	}
 
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -160,7 +160,7 @@
 	s := &fixture{t: t, clock: clock.NewManual(time.Unix(1000, 0))}
 	s.rules.Store(rulesWith(t, 1, "key"))
 
-	tracker := &currency.Tracker{Clock: s.clock, Bound: rulesMaxAge}
+	tracker := &currency.Tracker{Clock: s.clock, MaxAge: rulesMaxAge}
 	tracker.Confirm(s.clock.Now())
 
 	scheduler := &scheduling.Scheduler{Domain: "a"}
