--- a/backend/http_plain.go
+++ b/backend/http_plain.go
@@ -47,7 +47,7 @@
 	}
 
 	body, err := httpclient.ReadBody(resp.Body, maxReplyBytes)
-	if errors.Is(err, httpclient.ErrAnswerTooLarge) {
+	if errors.Is(err, httpclient.ErrResponseTooLarge) {
 		return Reply{}, merry.Prepend(ErrReplyTooLarge, "call plain service")
 	}
 
--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -19,8 +19,8 @@
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrAnswerTooLarge means that an answer was longer than its bound.
-	ErrAnswerTooLarge = errors.New("answer is too large")
+	// ErrResponseTooLarge means that an answer was longer than its bound.
+	ErrResponseTooLarge = errors.New("answer is too large")
 )
 
 // Client sends requests to one server.
@@ -155,7 +155,7 @@
 	}
 
 	if len(body) > limit {
-		return nil, merry.Wrap(ErrAnswerTooLarge)
+		return nil, merry.Wrap(ErrResponseTooLarge)
 	}
 
 	return body, nil
--- a/httpclient/client_test.go
+++ b/httpclient/client_test.go
@@ -86,7 +86,7 @@
 	}{
 		{desc: "empty", body: ""},
 		{desc: "at the bound", body: "1234"},
-		{desc: "over the bound", body: "12345", want: httpclient.ErrAnswerTooLarge},
+		{desc: "over the bound", body: "12345", want: httpclient.ErrResponseTooLarge},
 	}
 
 	for _, tt := range tests {
