--- a/lease/lost_test.go
+++ b/lease/lost_test.go
@@ -77,7 +77,7 @@
 func (c *copied) read(r *reader) {
 	if r.era != c.era {
 		if r.era != 0 {
-			r.core.Lost(c.now)
+			r.core.LogRolledBack(c.now)
 		}
 
 		r.era, r.next = c.era, 0
@@ -100,7 +100,7 @@
 
 	if lost && r.core.quietUntil.IsZero() {
 		// One that started after the log came back.
-		r.core.Lost(c.now)
+		r.core.LogRolledBack(c.now)
 	}
 
 	r.core.CaughtUp(c.now)
@@ -125,8 +125,8 @@
 		c := &copied{
 			now: time.Unix(1000, 0), era: 1, cores: make([]*reader, 3),
 			config: Config{
-				Term: 4 * time.Second, RenewEvery: time.Second, Flight: 500 * time.Millisecond, ReadGap: 5 * time.Second,
-				Stagger: time.Second, Drift: 0.001, OneProcess: true,
+				Term: 4 * time.Second, RenewInterval: time.Second, MaxOrderDelay: 500 * time.Millisecond, MaxReadGap: 5 * time.Second,
+				Stagger: time.Second, MaxDrift: 0.001, SingleProcess: true,
 			},
 		}
 
