--- a/daemon/build_requests.go
+++ b/daemon/build_requests.go
@@ -79,7 +79,7 @@
 		},
 		Kept:         p.answers,
 		Observer:     &observer{clock: p.clock, recorder: p.recorder},
-		IDs:          newRequestID,
+		NewID:          newRequestID,
 		MaxBodyBytes: p.settings.Limits.MaxBodyBytes,
 		WriteTimeout: writeTimeout,
 		Metrics:      p.metrics,
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -75,7 +75,7 @@
 	// A panic must not keep the place of the request; Finish counts once.
 	defer func() { g.Admission.Finish(g.Clock.Now(), ticket, admission.Outcome{}) }()
 
-	model := call.modelRequest(g.IDs())
+	model := call.modelRequest(g.NewID())
 	out := g.newSink(w, call, model.Answer.ID)
 	result := g.Models.Answer(r.Context(), model, out)
 	g.finishChat(ticket, call, out, result)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -67,8 +67,8 @@
 	// Kept lets streamed answers outlive their connection; nil lets none.
 	Kept     KeptAnswers
 	Observer Observer
-	// IDs returns a new request ID.
-	IDs          func() answer.RequestID
+	// NewID returns a new request ID.
+	NewID          func() answer.RequestID
 	MaxBodyBytes int64
 	// WriteTimeout bounds each write to a caller.
 	WriteTimeout time.Duration
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -54,7 +54,7 @@
 
 // streamKept streams an answer that its caller may come back for.
 func (g *Gateway) streamKept(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
-	model := call.modelRequest(g.IDs())
+	model := call.modelRequest(g.NewID())
 	out := g.newSink(w, call, model.Answer.ID)
 	times := &keptTimes{}
 
@@ -77,7 +77,7 @@
 
 // acceptAsync accepts a request whose answer is fetched later, from any instance.
 func (g *Gateway) acceptAsync(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
-	model := call.modelRequest(g.IDs())
+	model := call.modelRequest(g.NewID())
 	times := &keptTimes{}
 
 	err := g.Kept.Keep(r.Context(), model, true, func(result answer.Result) {
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -113,7 +113,7 @@
 	}
 
 	return plainCall{service: service, request: PlainRequest{
-		ID:      g.IDs(),
+		ID:      g.NewID(),
 		Account: who.account.Name(),
 		Service: service.Name(),
 		Kind:    kind,
