--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -44,7 +44,7 @@
 		return
 	}
 
-	if g.Kept != nil && r.Header.Get(HeaderLastEventID) != "" {
+	if g.Retained != nil && r.Header.Get(HeaderLastEventID) != "" {
 		g.resume(w, r, call)
 
 		return
@@ -61,9 +61,9 @@
 	}
 
 	switch {
-	case g.Kept != nil && wantsAsync(r.Header):
+	case g.Retained != nil && wantsAsync(r.Header):
 		g.acceptAsync(w, r, ticket, call)
-	case g.Kept != nil && call.request.Stream:
+	case g.Retained != nil && call.request.Stream:
 		g.streamKept(w, r, ticket, call)
 	default:
 		g.answerDirectly(w, r, ticket, call)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -64,11 +64,11 @@
 	Admission *admission.Controller
 	Models    ModelServer
 	Plain     PlainServer
-	// Kept lets streamed answers outlive their connection; nil lets none.
-	Kept     KeptAnswers
+	// Retained lets streamed answers outlive their connection; nil lets none.
+	Retained KeptAnswers
 	Observer Observer
 	// NewID returns a new request ID.
-	NewID          func() answer.RequestID
+	NewID        func() answer.RequestID
 	MaxBodyBytes int64
 	// WriteTimeout bounds each write to a caller.
 	WriteTimeout time.Duration
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -58,7 +58,7 @@
 	out := g.newSink(w, call, model.Answer.ID)
 	times := &keptTimes{}
 
-	err := g.Kept.Keep(r.Context(), model, false, func(result answer.Result) {
+	err := g.Retained.Keep(r.Context(), model, false, func(result answer.Result) {
 		g.finishKept(ticket, call, times, result)
 	})
 	if err != nil {
@@ -67,7 +67,7 @@
 		return
 	}
 
-	err = g.Kept.Follow(r.Context(), model.Answer.Account, answer.EventID{Request: model.Answer.ID}, &keptCaller{sink: out, times: times})
+	err = g.Retained.Follow(r.Context(), model.Answer.Account, answer.EventID{Request: model.Answer.ID}, &keptCaller{sink: out, times: times})
 	if err != nil {
 		g.endFollowed(w, r, out, model.Answer.ID, refusal.New(refusal.AnswerLost, "%v", err).WithRetryAfter(comeBackSoon))
 	}
@@ -80,7 +80,7 @@
 	model := call.modelRequest(g.NewID())
 	times := &keptTimes{}
 
-	err := g.Kept.Keep(r.Context(), model, true, func(result answer.Result) {
+	err := g.Retained.Keep(r.Context(), model, true, func(result answer.Result) {
 		g.finishKept(ticket, call, times, result)
 		g.observe(call.keptObservation(g.Clock.Now(), result))
 	})
@@ -119,7 +119,7 @@
 	out := g.newSink(w, call, after.Request)
 	account := call.caller.account.Name()
 
-	if err := g.Kept.Follow(r.Context(), account, after, &keptCaller{sink: out, times: &keptTimes{}}); err != nil {
+	if err := g.Retained.Follow(r.Context(), account, after, &keptCaller{sink: out, times: &keptTimes{}}); err != nil {
 		g.endFollowed(w, r, out, after.Request, refusal.New(refusal.UnknownAnswer, "%v", err))
 	}
 }
@@ -129,7 +129,7 @@
 // end as if it were whole.
 func (g *Gateway) endFollowed(w http.ResponseWriter, r *http.Request, out *sink, id answer.RequestID, refused *refusal.Refusal) {
 	if r.Context().Err() != nil {
-		g.Kept.Release(id)
+		g.Retained.Release(id)
 
 		return
 	}
--- a/gateway/kept_answer.go
+++ b/gateway/kept_answer.go
@@ -50,7 +50,7 @@
 		return
 	}
 
-	if g.Kept == nil {
+	if g.Retained == nil {
 		g.refuseUnknown(w, refusal.New(refusal.UnknownAnswer, "this instance keeps no answers"))
 
 		return
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithDeadline(parent, until)
 	defer cancel()
 
-	return g.Kept.Follow(ctx, who.account.Name(), answer.EventID{Request: id}, reader)
+	return g.Retained.Follow(ctx, who.account.Name(), answer.EventID{Request: id}, reader)
 }
 
 func (g *Gateway) writeKept(w http.ResponseWriter, id answer.RequestID, reader *progressReader, err error) {
--- a/gateway/kept_test.go
+++ b/gateway/kept_test.go
@@ -53,7 +53,7 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			g := newGateway(t)
-			g.Kept = &lostAnswers{tokens: tt.tokens}
+			g.Retained = &lostAnswers{tokens: tt.tokens}
 
 			server := httptest.NewServer(g.Handler())
 			defer server.Close()
