--- a/dispatch/answers.go
+++ b/dispatch/answers.go
@@ -33,7 +33,7 @@
 	group   conc.WaitGroup
 }
 
-var _ gateway.KeptAnswers = (*Answers)(nil)
+var _ gateway.RetainedAnswers = (*Answers)(nil)
 
 // runningAnswer is an answer that this instance works at.
 type runningAnswer struct {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -65,7 +65,7 @@
 	Models    ModelServer
 	Plain     PlainServer
 	// Retained lets streamed answers outlive their connection; nil lets none.
-	Retained KeptAnswers
+	Retained RetainedAnswers
 	Observer Observer
 	// NewID returns a new request ID.
 	NewID        func() answer.RequestID
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -24,9 +24,9 @@
 	answersPath = "/v1/answers/"
 )
 
-// KeptAnswers keeps answers beyond the connection of their caller, and beyond
+// RetainedAnswers keeps answers beyond the connection of their caller, and beyond
 // the entry instance that accepted them.
-type KeptAnswers interface {
+type RetainedAnswers interface {
 	// Keep begins to answer a request. If durable is set it returns nil only once
 	// another failure domain holds a copy. The function is called once the work
 	// of this instance at the answer has ended.
