--- a/dispatch/answers.go
+++ b/dispatch/answers.go
@@ -51,8 +51,8 @@
 	followedAt time.Time
 }
 
-// Keep begins to answer a request.
-func (a *Answers) Keep(ctx context.Context, r gateway.ModelRequest, durable bool, ended func(answer.Result)) error {
+// Start begins to answer a request.
+func (a *Answers) Start(ctx context.Context, r gateway.ModelRequest, durable bool, ended func(answer.Result)) error {
 	a.Budget.CountRequest(a.Clock.Now())
 
 	if !durable {
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -27,10 +27,10 @@
 // RetainedAnswers keeps answers beyond the connection of their caller, and beyond
 // the entry instance that accepted them.
 type RetainedAnswers interface {
-	// Keep begins to answer a request. If durable is set it returns nil only once
+	// Start begins to answer a request. If durable is set it returns nil only once
 	// another failure domain holds a copy. The function is called once the work
 	// of this instance at the answer has ended.
-	Keep(ctx context.Context, r ModelRequest, durable bool, ended func(answer.Result)) error
+	Start(ctx context.Context, r ModelRequest, durable bool, ended func(answer.Result)) error
 	// Follow passes an answer on to a caller, from right after an event.
 	Follow(ctx context.Context, account fleet.Account, after answer.EventID, to answer.Caller) error
 	// Release tells that the caller of an answer has gone. The answer is given up
@@ -58,7 +58,7 @@
 	out := g.newSink(w, call, model.Answer.ID)
 	times := &keptTimes{}
 
-	err := g.Retained.Keep(r.Context(), model, false, func(result answer.Result) {
+	err := g.Retained.Start(r.Context(), model, false, func(result answer.Result) {
 		g.finishKept(ticket, call, times, result)
 	})
 	if err != nil {
@@ -80,7 +80,7 @@
 	model := call.modelRequest(g.NewID())
 	times := &keptTimes{}
 
-	err := g.Retained.Keep(r.Context(), model, true, func(result answer.Result) {
+	err := g.Retained.Start(r.Context(), model, true, func(result answer.Result) {
 		g.finishKept(ticket, call, times, result)
 		g.observe(call.keptObservation(g.Clock.Now(), result))
 	})
--- a/gateway/kept_test.go
+++ b/gateway/kept_test.go
@@ -19,7 +19,7 @@
 	released int
 }
 
-func (l *lostAnswers) Keep(_ context.Context, _ ModelRequest, _ bool, ended func(answer.Result)) error {
+func (l *lostAnswers) Start(_ context.Context, _ ModelRequest, _ bool, ended func(answer.Result)) error {
 	ended(answer.Result{})
 
 	return nil
