--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -160,7 +160,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), handlersTimeout)
 	defer cancel()
 
-	for p.gateway.Open() > 0 && ctx.Err() == nil {
+	for p.gateway.OpenRequests() > 0 && ctx.Err() == nil {
 		clock.Sleep(ctx, d.Clock, handOffEvery)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -116,7 +116,7 @@
 	return g.stopping.Load()
 }
 
-// Open returns the number of requests under way.
-func (g *Gateway) Open() int64 {
+// OpenRequests returns the number of requests under way.
+func (g *Gateway) OpenRequests() int64 {
 	return g.instruments.open.Load()
 }
