--- a/gateway/kept_answer.go
+++ b/gateway/kept_answer.go
@@ -17,8 +17,8 @@
 
 // The states of a kept answer.
 const (
-	StatusRunning = "running"
-	StatusWhole   = "whole"
+	StatusRunning  = "running"
+	StatusComplete = "whole"
 )
 
 // defaultAnswerWait is how long a question for a kept answer waits for its end.
@@ -96,7 +96,7 @@
 	case reader.end.Refusal != nil:
 		g.refuse(w, refusalOf(*reader.end.Refusal))
 	default:
-		p.Status = StatusWhole
+		p.Status = StatusComplete
 		p.Text = reader.text.String()
 		p.FinishReason = reader.end.Finish
 		p.Usage = &chat.Usage{
