--- a/gateway/bad_input_test.go
+++ b/gateway/bad_input_test.go
@@ -79,7 +79,7 @@
 		{desc: "huge limit", target: PathChat, body: chat[:len(chat)-1] + `,"max_tokens":9223372036854775807}`, want: refusal.BadRequest},
 		{desc: "huge body", target: PathChat, body: chat + strings.Repeat(" ", 1<<10), want: refusal.BodyTooLarge},
 		{desc: "unknown model", target: PathChat, body: strings.Replace(chat, testModel, "m", 1), want: refusal.UnknownModel},
-		{desc: "unknown kind of call", target: PathChat, body: chat, header: http.Header{HeaderCall: {"x"}}, want: refusal.UnknownCall},
+		{desc: "unknown kind of call", target: PathChat, body: chat, header: http.Header{HeaderCallKind: {"x"}}, want: refusal.UnknownCall},
 		{desc: "unknown service", target: "/services/x/bank-files", want: refusal.UnknownService},
 		{desc: "unknown account", target: plain, header: http.Header{"Authorization": {"Bearer x"}}, want: refusal.Unauthorized},
 		{desc: "no bearer", target: plain, header: http.Header{"Authorization": {testSecret}}, want: refusal.Unauthorized},
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -15,9 +15,9 @@
 	"monsoonlever/refusal"
 )
 
-// HeaderCall names the kind of call of a model request. Without it the first
+// HeaderCallKind names the kind of call of a model request. Without it the first
 // kind of the service is taken.
-const HeaderCall = "X-Call"
+const HeaderCallKind = "X-Call"
 
 // bytesPerToken estimates the tokens of a prompt before an engine counts them.
 const bytesPerToken = 4
@@ -127,7 +127,7 @@
 
 // modelKind returns the kind of call that a model request says it is.
 func modelKind(service manifest.Service, h http.Header) (manifest.Call, *refusal.Refusal) {
-	name := fleet.CallKind(h.Get(HeaderCall))
+	name := fleet.CallKind(h.Get(HeaderCallKind))
 	if name == "" {
 		return service.Calls()[0], nil
 	}
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -8,7 +8,7 @@
 // interpretedHeaders are the headers that the gateway goes by. Of two values
 // it could not tell which one the caller means.
 var interpretedHeaders = []string{
-	"Authorization", HeaderIdempotencyKey, HeaderDeadline, HeaderTimeout, HeaderPriority, HeaderCall,
+	"Authorization", HeaderIdempotencyKey, HeaderDeadline, HeaderTimeout, HeaderPriority, HeaderCallKind,
 }
 
 // repeatedHeader returns a header that must stand once and does not.
