--- a/daemon/observer.go
+++ b/daemon/observer.go
@@ -24,7 +24,7 @@
 		Kind:             seen.Kind.Name(),
 		FirstToken:       seen.FirstToken,
 		BetweenTokens:    seen.BetweenTokens,
-		Whole:            seen.Whole,
+		Whole:            seen.Duration,
 		Tokens:           seen.Tokens,
 		RecomputedTokens: seen.Recomputed,
 	}
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -173,11 +173,11 @@
 
 func (c chatCall) refusedObservation(now time.Time, r *refusal.Refusal) Observation {
 	return Observation{
-		Account: c.caller.account.Name(),
-		Service: c.service.Name(),
-		Kind:    c.kind,
-		Whole:   now.Sub(c.arrived),
-		Refused: r,
+		Account:  c.caller.account.Name(),
+		Service:  c.service.Name(),
+		Kind:     c.kind,
+		Duration: now.Sub(c.arrived),
+		Refused:  r,
 	}
 }
 
@@ -187,13 +187,13 @@
 	o.Account = call.caller.account.Name()
 	o.Service = call.service.Name()
 	o.Kind = call.kind
-	o.Whole = now.Sub(call.arrived)
+	o.Duration = now.Sub(call.arrived)
 	o.Recomputed = recomputed(result)
 	o.Attempts = result.Attempts()
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
 		Latency: o.FirstToken,
-		Whole:   o.Whole,
+		Whole:   o.Duration,
 		Tokens:  call.bytes/bytesPerToken + o.Tokens,
 	})
 	g.observe(o)
--- a/gateway/instruments.go
+++ b/gateway/instruments.go
@@ -112,7 +112,7 @@
 	}
 
 	if o.Refused == nil {
-		k.whole.Update(o.Whole.Seconds())
+		k.whole.Update(o.Duration.Seconds())
 	}
 
 	k.tokens.Add(o.Tokens)
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -164,7 +164,7 @@
 	o.Account = call.caller.account.Name()
 	o.Service = call.service.Name()
 	o.Kind = call.kind
-	o.Whole = g.Clock.Now().Sub(call.arrived)
+	o.Duration = g.Clock.Now().Sub(call.arrived)
 	o.Recomputed = recomputed(result)
 	o.Attempts = max(result.Attempts(), 1)
 
@@ -182,7 +182,7 @@
 		Account:    c.caller.account.Name(),
 		Service:    c.service.Name(),
 		Kind:       c.kind,
-		Whole:      now.Sub(c.arrived),
+		Duration:   now.Sub(c.arrived),
 		Recomputed: recomputed(result),
 		Attempts:   result.Attempts(),
 	}
--- a/gateway/observation.go
+++ b/gateway/observation.go
@@ -17,7 +17,7 @@
 	FirstToken time.Duration
 	// BetweenTokens is the mean time from one token to the next.
 	BetweenTokens time.Duration
-	Whole         time.Duration
+	Duration      time.Duration
 	Tokens        int
 	// Recomputed counts tokens that were computed again after earlier work was lost.
 	Recomputed int
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -205,7 +205,7 @@
 		Account:    c.request.Account,
 		Service:    c.request.Service,
 		Kind:       c.request.Kind,
-		Whole:      now.Sub(c.request.Arrived),
+		Duration:   now.Sub(c.request.Arrived),
 		Refused:    refused,
 		CallerGone: ctx.Err() != nil,
 	}
