--- a/daemon/keyed_test.go
+++ b/daemon/keyed_test.go
@@ -17,7 +17,7 @@
 // keyed is what a caller of one key was told, without repetitions.
 type keyed struct {
 	key  string
-	told []refusal.Run
+	told []refusal.RunState
 	// broken counts connections that broke off without an answer.
 	broken int
 	// bodies are the answers of attempts that were told that the call ran.
@@ -26,7 +26,7 @@
 
 // submit makes one call that may not be repeated, and notes what its caller is
 // told. A connection that breaks off tells nothing.
-func (d *deployment) submit(e *entry, k *keyed) refusal.Run {
+func (d *deployment) submit(e *entry, k *keyed) refusal.RunState {
 	response, body, err := d.call(d.ctx, e, http.MethodPost, "/bank-files", k.key, "file "+k.key)
 	if refused(err) {
 		return refusal.NotStarted
@@ -125,8 +125,8 @@
 	}
 }
 
-func tally(calls []*keyed) map[refusal.Run]int {
-	count := make(map[refusal.Run]int)
+func tally(calls []*keyed) map[refusal.RunState]int {
+	count := make(map[refusal.RunState]int)
 
 	for _, k := range calls {
 		for _, run := range k.told {
--- a/dispatch/plain_test.go
+++ b/dispatch/plain_test.go
@@ -55,7 +55,7 @@
 		err  error
 		sent int
 		want refusal.Code
-		run  refusal.Run
+		run  refusal.RunState
 	}{
 		{desc: "refused by all", err: backend.ErrRefused, sent: 4, want: refusal.ServerRefused, run: refusal.NotRun},
 		{desc: "refused, no retry left", err: backend.ErrRefused, sent: 1, want: refusal.ServerRefused, run: refusal.NotRun},
--- a/gateway/refusals_test.go
+++ b/gateway/refusals_test.go
@@ -19,7 +19,7 @@
 		reason answer.Reason
 		ran    answer.RanState
 		code   refusal.Code
-		run    refusal.Run
+		run    refusal.RunState
 	}{
 		{desc: "no server, nothing sent", reason: answer.ReasonNoServer, ran: answer.NotRun, code: refusal.NoServer, run: refusal.NotRun},
 		{desc: "no server any more", reason: answer.ReasonNoServer, ran: answer.PartlyRan, code: refusal.AnswerLost, run: refusal.Unknown},
--- a/load/finished.go
+++ b/load/finished.go
@@ -10,7 +10,7 @@
 type finished struct {
 	ending Ending
 	code   refusal.Code
-	run    refusal.Run
+	run    refusal.RunState
 	// retryAfter is what a refusal told.
 	retryAfter time.Duration
 	detail     string
--- a/load/result.go
+++ b/load/result.go
@@ -58,9 +58,9 @@
 
 // CodeCount counts calls by the code they were refused or failed with.
 type CodeCount struct {
-	Code  refusal.Code `json:"code"`
-	Run   refusal.Run  `json:"run"`
-	Count uint64       `json:"count"`
+	Code  refusal.Code     `json:"code"`
+	Run   refusal.RunState `json:"run"`
+	Count uint64           `json:"count"`
 }
 
 // Latency sums up latencies, which count from when the calls were due.
--- a/load/tally.go
+++ b/load/tally.go
@@ -148,7 +148,7 @@
 	r.Endings = append(r.Endings, EndingCount{Ending: e, Count: 1})
 }
 
-func (r *KindResult) countCode(code refusal.Code, run refusal.Run) {
+func (r *KindResult) countCode(code refusal.Code, run refusal.RunState) {
 	for i := range r.Codes {
 		if r.Codes[i].Code == code && r.Codes[i].Run == run {
 			r.Codes[i].Count++
--- a/refusal/code.go
+++ b/refusal/code.go
@@ -37,7 +37,7 @@
 // row is what a code stands for.
 type row struct {
 	status int
-	run    Run
+	run    RunState
 }
 
 var table = map[Code]row{
@@ -84,6 +84,6 @@
 }
 
 // Run returns what the code says of the request unless a refusal says otherwise.
-func (c Code) Run() Run {
+func (c Code) Run() RunState {
 	return table[c].run
 }
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -12,7 +12,7 @@
 // Refusal is one refused request. It is an error.
 type Refusal struct {
 	code       Code
-	run        Run
+	run        RunState
 	message    string
 	retryAfter time.Duration
 }
@@ -23,7 +23,7 @@
 }
 
 // WithRun returns a copy that says otherwise of whether the request ran.
-func (r Refusal) WithRun(run Run) *Refusal {
+func (r Refusal) WithRun(run RunState) *Refusal {
 	r.run = run
 
 	return &r
@@ -42,7 +42,7 @@
 }
 
 // Run tells whether the request ran.
-func (r *Refusal) Run() Run {
+func (r *Refusal) Run() RunState {
 	return r.run
 }
 
@@ -63,10 +63,10 @@
 
 // Detail is the content of Body.
 type Detail struct {
-	Code    Code   `json:"code"`
-	Type    string `json:"type"`
-	Message string `json:"message"`
-	Run     Run    `json:"run"`
+	Code    Code     `json:"code"`
+	Type    string   `json:"type"`
+	Message string   `json:"message"`
+	Run     RunState `json:"run"`
 	// RetryAfterSeconds repeats the Retry-After header.
 	RetryAfterSeconds int `json:"retryAfterSeconds,omitempty"`
 }
--- a/refusal/run.go
+++ b/refusal/run.go
@@ -13,18 +13,18 @@
 // docs/errors.md is the reference page of the table.
 package refusal
 
-// Run tells whether a refused request ran.
-type Run string
+// RunState tells whether a refused request ran.
+type RunState string
 
 const (
 	// NotRun means that nothing of the request reached a backend server, and
 	// nothing of it will.
-	NotRun Run = "notRun"
+	NotRun RunState = "notRun"
 	// NotStarted means that this attempt sent nothing, but that an earlier
 	// attempt with the same idempotency key may have run.
-	NotStarted Run = "notStarted"
+	NotStarted RunState = "notStarted"
 	// Unknown means that the request may have run, or may still run.
-	Unknown Run = "unknown"
+	Unknown RunState = "unknown"
 	// Ran means that the request ran and its answer cannot be given.
-	Ran Run = "ran"
+	Ran RunState = "ran"
 )
