--- a/dispatch/verdict.go
+++ b/dispatch/verdict.go
@@ -8,8 +8,8 @@
 	"monsoonlever/refusal"
 )
 
-// KeptHeaders are the header fields of a reply that are kept with its outcome.
-var KeptHeaders = []string{"Content-Type", "Content-Language", "Location"}
+// StoredHeaders are the header fields of a reply that are kept with its outcome.
+var StoredHeaders = []string{"Content-Type", "Content-Language", "Location"}
 
 func resultOf(r backend.Reply) claim.Result {
 	fields := make([]claim.Field, 0, len(r.Header))
