--- a/daemon/build_requests.go
+++ b/daemon/build_requests.go
@@ -61,7 +61,7 @@
 	}
 	p.answers = &dispatch.Answers{
 		Clock: p.clock, Replicator: p.replicator, Runner: p.runner, Budget: answers,
-		CopyTimeout: copyTimeout, Grace: followerGrace,
+		CopyTimeout: copyTimeout, GracePeriod: followerGrace,
 	}
 	p.replicator.Register(p.metrics)
 	p.replicator.Continue = p.answers.Continue
--- a/dispatch/answers.go
+++ b/dispatch/answers.go
@@ -25,8 +25,8 @@
 	Budget *retry.Budget
 	// CopyTimeout bounds the wait for a copy in another failure domain.
 	CopyTimeout time.Duration
-	// Grace is how long an answer goes on without a caller.
-	Grace time.Duration
+	// GracePeriod is how long an answer goes on without a caller.
+	GracePeriod time.Duration
 
 	mu      sync.Mutex
 	running map[answer.RequestID]*runningAnswer
@@ -171,7 +171,7 @@
 	a.mu.Unlock()
 
 	a.group.Go(func() {
-		for left := a.Grace; left > 0; left = a.giveUp(id, r, released) {
+		for left := a.GracePeriod; left > 0; left = a.giveUp(id, r, released) {
 			select {
 			case <-a.Clock.After(left):
 			case <-r.over:
@@ -195,7 +195,7 @@
 // elsewhere it returns when to look again.
 func (a *Answers) giveUp(id answer.RequestID, r *runningAnswer, released int) time.Duration {
 	a.mu.Lock()
-	left := r.followedAt.Add(a.Grace).Sub(a.Clock.Now())
+	left := r.followedAt.Add(a.GracePeriod).Sub(a.Clock.Now())
 	wanted := a.running[id] != r || r.followers > 0 || r.released != released
 	a.mu.Unlock()
 
