--- a/daemon/build_requests.go
+++ b/daemon/build_requests.go
@@ -66,7 +66,7 @@
 	p.replicator.Register(p.metrics)
 	p.replicator.Continue = p.answers.Continue
 	p.replicator.Stop = p.answers.Stop
-	p.replicator.Followed = p.answers.Followed
+	p.replicator.Followed = p.answers.MarkFollowed
 	p.replicator.Sender = noPeers{}
 	p.gateway = &gateway.Gateway{
 		Clock:     p.clock,
--- a/dispatch/answers.go
+++ b/dispatch/answers.go
@@ -181,8 +181,8 @@
 	})
 }
 
-// Followed notes that a caller reads an answer of this instance elsewhere.
-func (a *Answers) Followed(id answer.RequestID) {
+// MarkFollowed notes that a caller reads an answer of this instance elsewhere.
+func (a *Answers) MarkFollowed(id answer.RequestID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
