--- a/chat/request.go
+++ b/chat/request.go
@@ -21,9 +21,9 @@
 const (
 	// DefaultMaxTokens bounds an answer whose request does not.
 	DefaultMaxTokens = 2048
-	// GreatestMaxTokens bounds what a request may ask for, so that estimates
+	// MaxTokensLimit bounds what a request may ask for, so that estimates
 	// made of it do not overflow.
-	GreatestMaxTokens = 1 << 20
+	MaxTokensLimit = 1 << 20
 )
 
 // Message is one turn of a conversation.
@@ -66,8 +66,8 @@
 		return Request{}, errors.New("max_tokens is negative")
 	}
 
-	if r.Limit() > GreatestMaxTokens {
-		return Request{}, fmt.Errorf("max_tokens is greater than %d", GreatestMaxTokens)
+	if r.Limit() > MaxTokensLimit {
+		return Request{}, fmt.Errorf("max_tokens is greater than %d", MaxTokensLimit)
 	}
 
 	return r, nil
--- a/chat/request_fuzz_test.go
+++ b/chat/request_fuzz_test.go
@@ -22,7 +22,7 @@
 			return
 		}
 
-		if r.Model == "" || len(r.Messages) == 0 || r.Limit() <= 0 || r.Limit() > GreatestMaxTokens {
+		if r.Model == "" || len(r.Messages) == 0 || r.Limit() <= 0 || r.Limit() > MaxTokensLimit {
 			t.Errorf("request: got %+v with limit %d, want one within its bounds", r, r.Limit())
 		}
 
