--- a/chat/chat_test.go
+++ b/chat/chat_test.go
@@ -53,7 +53,7 @@
 				t.Errorf("prompt: got %q, want %q", got, tt.prompt)
 			}
 
-			if got := r.Limit(); got != tt.limit {
+			if got := r.MaxOutputTokens(); got != tt.limit {
 				t.Errorf("limit: got %d, want %d", got, tt.limit)
 			}
 		})
--- a/chat/request.go
+++ b/chat/request.go
@@ -66,7 +66,7 @@
 		return Request{}, errors.New("max_tokens is negative")
 	}
 
-	if r.Limit() > MaxTokensLimit {
+	if r.MaxOutputTokens() > MaxTokensLimit {
 		return Request{}, fmt.Errorf("max_tokens is greater than %d", MaxTokensLimit)
 	}
 
@@ -87,8 +87,8 @@
 	return b.String()
 }
 
-// Limit returns the greatest number of tokens of the answer.
-func (r Request) Limit() int {
+// MaxOutputTokens returns the greatest number of tokens of the answer.
+func (r Request) MaxOutputTokens() int {
 	switch {
 	case r.MaxCompletionTokens > 0:
 		return r.MaxCompletionTokens
--- a/chat/request_fuzz_test.go
+++ b/chat/request_fuzz_test.go
@@ -22,8 +22,8 @@
 			return
 		}
 
-		if r.Model == "" || len(r.Messages) == 0 || r.Limit() <= 0 || r.Limit() > MaxTokensLimit {
-			t.Errorf("request: got %+v with limit %d, want one within its bounds", r, r.Limit())
+		if r.Model == "" || len(r.Messages) == 0 || r.MaxOutputTokens() <= 0 || r.MaxOutputTokens() > MaxTokensLimit {
+			t.Errorf("request: got %+v with limit %d, want one within its bounds", r, r.MaxOutputTokens())
 		}
 
 		again, err := json.Marshal(r)
@@ -36,7 +36,7 @@
 			t.Fatalf("written again: %v in %s", err, again)
 		}
 
-		if reread.Prompt() != r.Prompt() || reread.Limit() != r.Limit() || reread.Stream != r.Stream {
+		if reread.Prompt() != r.Prompt() || reread.MaxOutputTokens() != r.MaxOutputTokens() || reread.Stream != r.Stream {
 			t.Errorf("read again: got %+v, want %+v", reread, r)
 		}
 	})
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -152,7 +152,7 @@
 			Model:        fleet.Model(c.request.Model),
 			Prompt:       prompt,
 			Priority:     c.priority,
-			MaxTokens:    c.request.Limit(),
+			MaxTokens:    c.request.MaxOutputTokens(),
 			Deadline:     c.deadline,
 			PromptPrefix: promptPrefix(fleet.Model(c.request.Model), prompt),
 		},
@@ -167,7 +167,7 @@
 		Priority: c.priority,
 		Deadline: c.deadline,
 		Bytes:    int64(c.bytes),
-		Tokens:   c.bytes/bytesPerToken + c.request.Limit(),
+		Tokens:   c.bytes/bytesPerToken + c.request.MaxOutputTokens(),
 	}
 }
 
--- a/load/answer.go
+++ b/load/answer.go
@@ -156,7 +156,7 @@
 		return finished{ending: Answered}
 	}
 
-	want := strings.Join(c.expected(p.model.Model, p.model.Prompt(), p.model.Limit()), "")
+	want := strings.Join(c.expected(p.model.Model, p.model.Prompt(), p.model.MaxOutputTokens()), "")
 
 	switch {
 	case got == want:
--- a/load/fake_test.go
+++ b/load/fake_test.go
@@ -111,7 +111,7 @@
 		return
 	}
 
-	tokens := fakeAnswer(request.Model, request.Prompt(), request.Limit())
+	tokens := fakeAnswer(request.Model, request.Prompt(), request.MaxOutputTokens())
 
 	switch s.fault {
 	case wrongToken:
