--- a/entry/datagram.go
+++ b/entry/datagram.go
@@ -125,7 +125,7 @@
 
 	for to, address := range peers {
 		if err := exchange.Send(address, data); err != nil {
-			klog.V(1).InfoS("gossip message was not sent", "to", to, "err", err.Error())
+			klog.V(1).InfoS("datagram is not sent", "to", to, "err", err.Error())
 		}
 	}
 }
