--- a/entry/duties.go
+++ b/entry/duties.go
@@ -111,8 +111,8 @@
 
 	term := time.Duration(max(p.settings.Bounds.Lease.Seconds()*termFactor, recordInterval.Seconds()*minTermIntervals) * float64(time.Second))
 	config := lease.Config{
-		Term: term, RenewEvery: time.Duration(float64(term) * renewShare),
-		Drift: 0.001, Flight: maxDutyCallDelay, ReadGap: memberTimeout, Stagger: time.Second, OneProcess: true,
+		Term: term, RenewInterval: time.Duration(float64(term) * renewShare),
+		MaxDrift: 0.001, MaxOrderDelay: maxDutyCallDelay, MaxReadGap: memberTimeout, Stagger: time.Second, SingleProcess: true,
 	}
 
 	core, err := lease.NewCore(config, dutyRole, lease.Holder{Instance: p.settings.Instance, Incarnation: d.incarnation})
@@ -204,7 +204,7 @@
 	if era := feed.Position(r.Offset - 1).Era(); r.FromOldCopy {
 		if era > d.era {
 			d.era = era
-			d.core.Lost(now)
+			d.core.LogRolledBack(now)
 		}
 
 		return
@@ -224,7 +224,7 @@
 	defer d.mu.Unlock()
 
 	d.era, d.rewriteReports = era, true
-	d.core.Lost(now)
+	d.core.LogRolledBack(now)
 }
 
 // addCounts adds counts that were received directly.
@@ -266,7 +266,7 @@
 // requestRole requests a round of the board if this instance would acquire the role in it.
 func (d *duties) requestRole() {
 	d.mu.Lock()
-	open := d.core.Open(d.clock.Now())
+	open := d.core.CanAcquire(d.clock.Now())
 	d.mu.Unlock()
 
 	if open {
--- a/entry/restoration_test.go
+++ b/entry/restoration_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 
 	p := &components{
-		clock: clk, rulesCurrency: &currency.Tracker{Clock: clk, Bound: 5 * time.Second},
+		clock: clk, rulesCurrency: &currency.Tracker{Clock: clk, MaxAge: 5 * time.Second},
 		settings: settings.Entry{Bounds: settings.Bounds{Revocation: 5 * time.Second}},
 	}
 
@@ -90,7 +90,7 @@
 // ignored, and no instance acquires the role until such a grant has expired.
 func TestRestoredRecordsDoNotOpenRole(t *testing.T) {
 	now := time.Unix(1000, 0)
-	config := lease.Config{Term: 4 * time.Second, RenewEvery: time.Second, ReadGap: time.Second}
+	config := lease.Config{Term: 4 * time.Second, RenewInterval: time.Second, MaxReadGap: time.Second}
 	other := lease.Holder{Instance: "entry-2", Incarnation: 1}
 
 	core, err := lease.NewCore(config, dutyRole, lease.Holder{Instance: "entry-1", Incarnation: 1})
@@ -112,13 +112,13 @@
 		t.Errorf("holder according to the copy: got %v, want none", got)
 	}
 
-	if d.core.Open(now.Add(config.Term / 2)) {
+	if d.core.CanAcquire(now.Add(config.Term / 2)) {
 		t.Error("within the term of a lost grant: got the role open, want it held")
 	}
 
 	d.core.CaughtUp(now.Add(config.Term + time.Second))
 
-	if !d.core.Open(now.Add(config.Term + time.Second)) {
+	if !d.core.CanAcquire(now.Add(config.Term + time.Second)) {
 		t.Error("after the term of a lost grant: got the role held, want it open")
 	}
 }
--- a/lease/corrector.go
+++ b/lease/corrector.go
@@ -18,13 +18,13 @@
 // It reads each target every ReadEvery for as long as it is wanted, since an
 // engine that ignores the fencing number may take an old order at any time.
 type Corrector[S comparable] struct {
-	// ReadEvery is the time between two reads of one target.
-	ReadEvery time.Duration
-	// Retry is the time between two orders of the same state to one target.
-	Retry time.Duration
-	// Flight is how long an order may still take effect after its call ended
+	// ReadInterval is the time between two reads of one target.
+	ReadInterval time.Duration
+	// RetryInterval is the time between two orders of the same state to one target.
+	RetryInterval time.Duration
+	// MaxOrderDelay is how long an order may still take effect after its call ended
 	// without an answer. Another state is ordered only after that.
-	Flight time.Duration
+	MaxOrderDelay time.Duration
 
 	targets map[fleet.InstanceID]*target[S]
 }
@@ -41,8 +41,8 @@
 	uncertain   time.Time
 }
 
-// Want sets the wanted state of a target.
-func (c *Corrector[S]) Want(id fleet.InstanceID, state S) {
+// SetDesired sets the wanted state of a target.
+func (c *Corrector[S]) SetDesired(id fleet.InstanceID, state S) {
 	if c.targets == nil {
 		c.targets = make(map[fleet.InstanceID]*target[S])
 	}
@@ -62,8 +62,8 @@
 	t.orderAt = time.Time{}
 }
 
-// Forget drops a target that is gone.
-func (c *Corrector[S]) Forget(id fleet.InstanceID) {
+// Remove drops a target that is gone.
+func (c *Corrector[S]) Remove(id fleet.InstanceID) {
 	delete(c.targets, id)
 }
 
@@ -84,9 +84,9 @@
 	t.settled = settled
 }
 
-// Answered takes in the end of the call of an order at now: certain if the target
+// OrderFinished takes in the end of the call of an order at now: certain if the target
 // took or refused it, and else it may still take effect within Flight.
-func (c *Corrector[S]) Answered(now time.Time, id fleet.InstanceID, certain bool) {
+func (c *Corrector[S]) OrderFinished(now time.Time, id fleet.InstanceID, certain bool) {
 	t, ok := c.targets[id]
 	if !ok {
 		return
@@ -94,7 +94,7 @@
 
 	t.outstanding = false
 	if !certain {
-		t.uncertain = now.Add(c.Flight)
+		t.uncertain = now.Add(c.MaxOrderDelay)
 	}
 }
 
@@ -110,14 +110,14 @@
 			t.orderAt = time.Time{}
 		}
 
-		if t.mayOrder(now, c.Retry) {
+		if t.mayOrder(now, c.RetryInterval) {
 			t.orderAt = now
 			t.outstanding = true
 			t.ordered = t.wanted
 			actions = append(actions, Action[S]{Target: id, State: t.wanted, Fence: fence})
 		}
 
-		if due(now, t.readAt, c.ReadEvery) {
+		if due(now, t.readAt, c.ReadInterval) {
 			t.readAt = now
 			actions = append(actions, Action[S]{Target: id, Read: true})
 		}
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -58,7 +58,7 @@
 	return &rolloutHolder{
 		fence:     fence,
 		rollout:   &placement.Rollout{DrainTimeout: 5 * time.Second, MaxUnavailable: 2},
-		corrector: &lease.Corrector[placement.Holding]{ReadEvery: second, Retry: 2 * second, Flight: 3 * second},
+		corrector: &lease.Corrector[placement.Holding]{ReadInterval: second, RetryInterval: 2 * second, MaxOrderDelay: 3 * second},
 	}
 }
 
@@ -98,7 +98,7 @@
 		delay = rapid.IntRange(0, 40).Draw(f.t, "pause")
 	case 1:
 		late := delay + rapid.IntRange(0, 2).Draw(f.t, "late")
-		f.after(delay, func() { h.corrector.Answered(f.now(), a.Target, false) })
+		f.after(delay, func() { h.corrector.OrderFinished(f.now(), a.Target, false) })
 		f.after(late, func() { e.take(a.Fence, a.State) })
 
 		return
@@ -106,7 +106,7 @@
 
 	f.after(delay, func() {
 		e.take(a.Fence, a.State)
-		h.corrector.Answered(f.now(), a.Target, true)
+		h.corrector.OrderFinished(f.now(), a.Target, true)
 	})
 }
 
@@ -204,7 +204,7 @@
 func (f *fleetOfEngines) act(h *rolloutHolder, wanted placement.Service) {
 	all := func(fleet.InstanceID) bool { return true }
 	for _, a := range h.rollout.Step(f.now(), wanted, f.runners(h.fence), all) {
-		h.corrector.Want(a.Instance, a.Holding)
+		h.corrector.SetDesired(a.Instance, a.Holding)
 	}
 
 	for _, a := range h.corrector.Step(f.now(), h.fence) {
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -26,7 +26,7 @@
 	pipe pipe
 }
 
-var _ provider.Weights = (*Weights)(nil)
+var _ provider.WeightStore = (*Weights)(nil)
 
 // NewWeights returns a weight store that answers at once.
 func NewWeights(c clock.Clock) *Weights {
@@ -68,5 +68,5 @@
 		return err
 	}
 
-	return writeMessage(w, provider.FetchAnswer{Took: took.String()})
+	return writeMessage(w, provider.FetchResponse{Took: took.String()})
 }
