--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -101,12 +101,12 @@
 	s.Update(servers)
 
 	for _, server := range servers {
-		a, err := s.Pick(now, scheduling.Request{Service: server.Service, Prompt: scheduling.Prompt{Tokens: 9000}})
+		assignment, err := s.Pick(now, scheduling.Request{Service: server.Service, Prompt: scheduling.Prompt{Tokens: 9000}})
 		if err != nil {
 			t.Fatal(err)
 		}
 
-		a.Start(now)
+		assignment.Start(now)
 	}
 }
 
@@ -137,8 +137,8 @@
 				}
 
 				if d.Heartbeat != nil {
-					for _, w := range d.Heartbeat.Rollouts {
-						rolloutsSent[w.State.Service] = true
+					for _, u := range d.Heartbeat.Rollouts {
+						rolloutsSent[u.State.Service] = true
 					}
 
 					for _, s := range d.Heartbeat.Leaving {
@@ -173,12 +173,12 @@
 
 		forwarded := 0
 
-		for _, part := range pack(p.forwardQueue.take(), usageCounts.size) {
-			for _, c := range part {
+		for _, batch := range pack(p.forwardQueue.take(), usageCounts.size) {
+			for _, c := range batch {
 				forwarded += len(c.Usage)
 			}
 
-			encodeMessage(t, datagram{Forwarded: part})
+			encodeMessage(t, datagram{Forwarded: batch})
 		}
 
 		if forwarded != accounts {
@@ -200,9 +200,9 @@
 			added = append(added, register.Delta{After: &s})
 		}
 
-		for _, part := range pack(p.makeServerChanges(clk.Now(), added), serverChange.size) {
-			servers += len(part)
-			encodeMessage(t, datagram{Servers: part})
+		for _, batch := range pack(p.makeServerChanges(clk.Now(), added), serverChange.size) {
+			servers += len(batch)
+			encodeMessage(t, datagram{Servers: batch})
 		}
 
 		if servers != leaving {
@@ -216,9 +216,9 @@
 
 		losses := 0
 
-		for _, part := range packLosses(p.quarantine.PendingLosses(clk.Now())) {
-			losses += len(part)
-			encodeMessage(t, datagram{Losses: part})
+		for _, batch := range packLosses(p.quarantine.PendingLosses(clk.Now())) {
+			losses += len(batch)
+			encodeMessage(t, datagram{Losses: batch})
 		}
 
 		if losses != accounts {
--- a/entry/directory_test.go
+++ b/entry/directory_test.go
@@ -44,7 +44,7 @@
 // A directory that was received but is not in force yet must not be overwritten: a write is
 // conditional on the end of the log that the view in force was read from.
 func TestDirectoryWriteRequiresUnchangedLog(t *testing.T) {
-	p, at := newComponentsRefusingWrites(t)
+	p, offsets := newComponentsRefusingWrites(t)
 	received := feed.Entry{Key: "relays", Data: []byte("of another instance"), At: feed.PositionOf(1, 0)}
 
 	p.directoryLog.Replace(nil, feed.PositionOf(1, 0))
@@ -65,7 +65,7 @@
 	p.directoryLog.Append([]feed.Entry{received}, feed.PositionOf(1, 2))
 	p.updateDirectory(t.Context(), &view)
 
-	if want := []string{"0", "1"}; !slices.Equal(*at, want) {
-		t.Errorf("offsets of a claim of the empty log and of an update of the record that ends at 1: got %v, want %v", *at, want)
+	if want := []string{"0", "1"}; !slices.Equal(*offsets, want) {
+		t.Errorf("offsets of a claim of the empty log and of an update of the record that ends at 1: got %v, want %v", *offsets, want)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -37,8 +37,8 @@
 }
 
 const (
-	// headerTimeout bounds the time that a caller takes to send its header. Rules may set a
-	// shorter one.
+	// headerTimeout bounds the time that a caller takes to send its header. Rules don't change it;
+	// checkRules logs rules that allow more.
 	headerTimeout = 5 * time.Second
 	// idleTimeout bounds the time that a caller's connection is idle. Rules may set a shorter one,
 	// which callers apply on their side.
--- a/entry/prompts_test.go
+++ b/entry/prompts_test.go
@@ -60,8 +60,8 @@
 	peer := &scheduling.Scheduler{}
 	peer.Update([]register.Server{{ID: "i-1", Service: "llm", Address: "10.0.0.1:1", Slots: 8}})
 
-	a, err := peer.Pick(now, scheduling.Request{Service: "llm", Prompt: scheduling.Prompt{Tokens: 900}})
-	if err != nil || !a.Start(now) {
+	assignment, err := peer.Pick(now, scheduling.Request{Service: "llm", Prompt: scheduling.Prompt{Tokens: 900}})
+	if err != nil || !assignment.Start(now) {
 		t.Fatalf("place: got %v, want a server", err)
 	}
 
--- a/entry/usage_counts.go
+++ b/entry/usage_counts.go
@@ -23,7 +23,8 @@
 	// At is the sender's clock. Work is the work that arrives at the counted instance alone.
 	At   int64             `msgpack:"t,omitempty"`
 	Work []scheduling.Work `msgpack:"w,omitempty"`
-	// Forwarded is set in messages to leaders, also if a relay forwards them.
+	// Forwarded is set in messages to leaders, whether the counted instance or its relay sends
+	// them.
 	Forwarded bool `msgpack:"f,omitempty"`
 }
 
@@ -182,7 +183,7 @@
 	return messages
 }
 
-// receiveCounts records another instance's counts, and queues them for the leaders at a relay.
+// receiveCounts records another instance's counts and, at a relay, queues them for the leaders.
 func (p *components) receiveCounts(now time.Time, counts *usageCounts) {
 	if !p.fullMesh() && !counts.Forwarded {
 		forwarded := *counts
