--- a/entry/datagram_test.go
+++ b/entry/datagram_test.go
@@ -29,7 +29,8 @@
 	"monsoonlever/usage"
 )
 
-// newLargeComponents are the parts of an instance that knows many accounts and backend servers.
+// newLargeComponents returns the components of an instance that knows many accounts and backend
+// servers.
 func newLargeComponents(clk clock.Clock, accounts, leaving int) *components {
 	p := &components{
 		settings: settings.Entry{
@@ -88,7 +89,7 @@
 	return p
 }
 
-// startWork lets work arrive at some services.
+// startWork starts one request at each of some services.
 func startWork(t *rapid.T, s *scheduling.Scheduler, now time.Time, services int) {
 	var servers []register.Server
 
@@ -100,16 +101,16 @@
 	s.Update(servers)
 
 	for _, server := range servers {
-		a, err := s.Pick(now, scheduling.Request{Service: server.Service, Prompt: scheduling.Prompt{Tokens: 9000}})
+		assignment, err := s.Pick(now, scheduling.Request{Service: server.Service, Prompt: scheduling.Prompt{Tokens: 9000}})
 		if err != nil {
 			t.Fatal(err)
 		}
 
-		a.Start(now)
+		assignment.Start(now)
 	}
 }
 
-// Whatever an instance has to tell, each message fits into a datagram and all of it is told.
+// All messages of an instance fit into a datagram, and together they carry its complete state.
 func TestHoldsMessagesToDatagramSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accounts := rapid.IntRange(0, 150).Draw(t, "accounts")
@@ -136,8 +137,8 @@
 				}
 
 				if d.Heartbeat != nil {
-					for _, w := range d.Heartbeat.Rollouts {
-						rolloutsSent[w.State.Service] = true
+					for _, u := range d.Heartbeat.Rollouts {
+						rolloutsSent[u.State.Service] = true
 					}
 
 					for _, s := range d.Heartbeat.Leaving {
@@ -148,11 +149,11 @@
 		}
 
 		if len(accountsSent) != accounts || len(leavingSent) != leaving {
-			t.Errorf("told: got %d accounts and %d leaving servers, want %d and %d", len(accountsSent), len(leavingSent), accounts, leaving)
+			t.Errorf("sent: got %d accounts and %d leaving servers, want %d and %d", len(accountsSent), len(leavingSent), accounts, leaving)
 		}
 
 		if len(rolloutsSent) != leaving {
-			t.Errorf("roll-outs told: got %d, want %d", len(rolloutsSent), leaving)
+			t.Errorf("rollouts sent: got %d, want %d", len(rolloutsSent), leaving)
 		}
 
 		measured := rapid.IntRange(0, 100).Draw(t, "services")
@@ -172,24 +173,24 @@
 
 		forwarded := 0
 
-		for _, part := range pack(p.forwardQueue.take(), usageCounts.size) {
-			for _, c := range part {
+		for _, batch := range pack(p.forwardQueue.take(), usageCounts.size) {
+			for _, c := range batch {
 				forwarded += len(c.Usage)
 			}
 
-			encodeMessage(t, datagram{Forwarded: part})
+			encodeMessage(t, datagram{Forwarded: batch})
 		}
 
 		if forwarded != accounts {
-			t.Errorf("counts passed on: got %d, want %d", forwarded, accounts)
+			t.Errorf("counts forwarded: got %d, want %d", forwarded, accounts)
 		}
 
 		if work != measured {
-			t.Errorf("services whose work is told: got %d, want %d", work, measured)
+			t.Errorf("services whose work is sent: got %d, want %d", work, measured)
 		}
 
 		if counts != accounts {
-			t.Errorf("counts told: got %d, want %d", counts, accounts)
+			t.Errorf("counts sent: got %d, want %d", counts, accounts)
 		}
 
 		servers := 0
@@ -199,29 +200,29 @@
 			added = append(added, register.Delta{After: &s})
 		}
 
-		for _, part := range pack(p.makeServerChanges(clk.Now(), added), serverChange.size) {
-			servers += len(part)
-			encodeMessage(t, datagram{Servers: part})
+		for _, batch := range pack(p.makeServerChanges(clk.Now(), added), serverChange.size) {
+			servers += len(batch)
+			encodeMessage(t, datagram{Servers: batch})
 		}
 
 		if servers != leaving {
-			t.Errorf("servers told: got %d, want %d", servers, leaving)
+			t.Errorf("servers sent: got %d, want %d", servers, leaving)
 		}
 
-		// All requests of some accounts were lost with servers.
+		// Record one loss per account.
 		for i := range accounts {
 			p.quarantine.RecordLoss(clk.Now(), quarantine.Fingerprint(math.MaxUint64-uint64(i)), register.Process{ID: "i-1"}, quarantine.Strong)
 		}
 
 		losses := 0
 
-		for _, part := range packLosses(p.quarantine.PendingLosses(clk.Now())) {
-			losses += len(part)
-			encodeMessage(t, datagram{Losses: part})
+		for _, batch := range packLosses(p.quarantine.PendingLosses(clk.Now())) {
+			losses += len(batch)
+			encodeMessage(t, datagram{Losses: batch})
 		}
 
 		if losses != accounts {
-			t.Errorf("losses told: got %d, want %d", losses, accounts)
+			t.Errorf("losses sent: got %d, want %d", losses, accounts)
 		}
 	})
 }
@@ -248,28 +249,28 @@
 	return d
 }
 
-// What a keeper of limits has of another is all of it only once each of its messages has
-// come.
+// A coordinator acknowledges another's consumption only once it has received all parts of it.
+// Parts of different messages must not be counted together.
 func TestConsumptionEchoRequiresAllParts(t *testing.T) {
 	var tracker consumptionTracker
 
 	tracker.record(consumptionMessage{Instance: "entry-2", At: 5, Part: 0, Parts: 2})
 
 	if got := tracker.echoes()["entry-2"]; got != 0 {
-		t.Errorf("after one of two: got an echo of %d, want none", got)
+		t.Errorf("after one of two parts: got an echo of %d, want none", got)
 	}
 
 	tracker.record(consumptionMessage{Instance: "entry-2", At: 6, Part: 1, Parts: 2})
 	tracker.record(consumptionMessage{Instance: "entry-2", At: 6, Part: 1, Parts: 2})
 
 	if got := tracker.echoes()["entry-2"]; got != 0 {
-		t.Errorf("after halves of two: got an echo of %d, want none", got)
+		t.Errorf("after one part of each of two messages: got an echo of %d, want none", got)
 	}
 
 	tracker.record(consumptionMessage{Instance: "entry-2", At: 6, Part: 0, Parts: 2})
 
 	if got := tracker.echoes()["entry-2"]; got != 6 {
-		t.Errorf("after both: got an echo of %d, want 6", got)
+		t.Errorf("after both parts: got an echo of %d, want 6", got)
 	}
 }
 
