--- a/dispatch/plain_call_bench_test.go
+++ b/dispatch/plain_call_bench_test.go
@@ -100,7 +100,7 @@
 	g := &gateway.Gateway{
 		Clock: clock.System{}, Manifest: func() *manifest.Manifest { return m }, Admission: controller,
 		Plain: &Plain{Clock: clock.System{}, Table: table, Directory: directory, Retry: attempts(1)},
-		NewID:   func() answer.RequestID { return "request-1" }, MaxBodyBytes: 1 << 20, WriteTimeout: time.Minute,
+		NewID: func() answer.RequestID { return "request-1" }, MaxBodyBytes: 1 << 20, WriteTimeout: time.Minute,
 	}
 
 	return g.Handler(), server
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -8,9 +8,9 @@
 	"monsoonlever/refusal"
 )
 
-// admitBefore passes a request through admission and returns its ticket, which
+// admit passes a request through admission and returns its ticket, which
 // must be finished, or why it was refused.
-func (g *Gateway) admitBefore(
+func (g *Gateway) admit(
 	parent context.Context, at time.Time, r admission.Request,
 ) (*admission.Ticket, *refusal.Refusal) {
 	ticket := g.Admission.Admit(g.Clock.Now(), r)
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -50,7 +50,7 @@
 		return
 	}
 
-	ticket, refused := g.admitBefore(r.Context(), call.deadline, call.admissionRequest())
+	ticket, refused := g.admit(r.Context(), call.deadline, call.admissionRequest())
 	if refused != nil {
 		o := call.refusedObservation(g.Clock.Now(), refused)
 		o.CallerGone = r.Context().Err() != nil
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -101,7 +101,7 @@
 		Manifest:     func() *manifest.Manifest { return m },
 		Admission:    newController(tb, m, accounts...),
 		Plain:        &recordingPlain{},
-		NewID:          func() answer.RequestID { return "request-1" },
+		NewID:        func() answer.RequestID { return "request-1" },
 		MaxBodyBytes: 1 << 10,
 		WriteTimeout: time.Second,
 		Metrics:      metrics.NewSet(),
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -38,7 +38,7 @@
 		return
 	}
 
-	ticket, refused := g.admitBefore(r.Context(), call.request.Deadline, call.admissionRequest())
+	ticket, refused := g.admit(r.Context(), call.request.Deadline, call.admissionRequest())
 	if refused != nil {
 		refused = beforeClaim(r.Header, refused)
 		g.observe(call.observation(r.Context(), g.Clock.Now(), refused))
