--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -15,9 +15,9 @@
 	"monsoonlever/refusal"
 )
 
-// HeaderCall names the kind of call of a model request. Without it the first
+// HeaderCallKind names the kind of call of a model request. Without it the first
 // kind of the service is taken.
-const HeaderCall = "X-Call"
+const HeaderCallKind = "X-Call"
 
 // bytesPerToken estimates the tokens of a prompt before an engine counts them.
 const bytesPerToken = 4
@@ -44,13 +44,13 @@
 		return
 	}
 
-	if g.Kept != nil && r.Header.Get(HeaderLastEventID) != "" {
+	if g.Retained != nil && r.Header.Get(HeaderLastEventID) != "" {
 		g.resume(w, r, call)
 
 		return
 	}
 
-	ticket, refused := g.admitBefore(r.Context(), call.deadline, call.admissionRequest())
+	ticket, refused := g.admit(r.Context(), call.deadline, call.admissionRequest())
 	if refused != nil {
 		o := call.refusedObservation(g.Clock.Now(), refused)
 		o.CallerGone = r.Context().Err() != nil
@@ -61,9 +61,9 @@
 	}
 
 	switch {
-	case g.Kept != nil && wantsAsync(r.Header):
+	case g.Retained != nil && wantsAsync(r.Header):
 		g.acceptAsync(w, r, ticket, call)
-	case g.Kept != nil && call.request.Stream:
+	case g.Retained != nil && call.request.Stream:
 		g.streamKept(w, r, ticket, call)
 	default:
 		g.answerDirectly(w, r, ticket, call)
@@ -75,7 +75,7 @@
 	// A panic must not keep the place of the request; Finish counts once.
 	defer func() { g.Admission.Finish(g.Clock.Now(), ticket, admission.Outcome{}) }()
 
-	model := call.modelRequest(g.IDs())
+	model := call.modelRequest(g.NewID())
 	out := g.newSink(w, call, model.Answer.ID)
 	result := g.Models.Answer(r.Context(), model, out)
 	g.finishChat(ticket, call, out, result)
@@ -127,7 +127,7 @@
 
 // modelKind returns the kind of call that a model request says it is.
 func modelKind(service manifest.Service, h http.Header) (manifest.Call, *refusal.Refusal) {
-	name := fleet.CallKind(h.Get(HeaderCall))
+	name := fleet.CallKind(h.Get(HeaderCallKind))
 	if name == "" {
 		return service.Calls()[0], nil
 	}
@@ -152,7 +152,7 @@
 			Model:        fleet.Model(c.request.Model),
 			Prompt:       prompt,
 			Priority:     c.priority,
-			MaxTokens:    c.request.Limit(),
+			MaxTokens:    c.request.MaxOutputTokens(),
 			Deadline:     c.deadline,
 			PromptPrefix: promptPrefix(fleet.Model(c.request.Model), prompt),
 		},
@@ -167,17 +167,17 @@
 		Priority: c.priority,
 		Deadline: c.deadline,
 		Bytes:    int64(c.bytes),
-		Tokens:   c.bytes/bytesPerToken + c.request.Limit(),
+		Tokens:   c.bytes/bytesPerToken + c.request.MaxOutputTokens(),
 	}
 }
 
 func (c chatCall) refusedObservation(now time.Time, r *refusal.Refusal) Observation {
 	return Observation{
-		Account: c.caller.account.Name(),
-		Service: c.service.Name(),
-		Kind:    c.kind,
-		Whole:   now.Sub(c.arrived),
-		Refused: r,
+		Account:  c.caller.account.Name(),
+		Service:  c.service.Name(),
+		Kind:     c.kind,
+		Duration: now.Sub(c.arrived),
+		Refused:  r,
 	}
 }
 
@@ -187,13 +187,13 @@
 	o.Account = call.caller.account.Name()
 	o.Service = call.service.Name()
 	o.Kind = call.kind
-	o.Whole = now.Sub(call.arrived)
+	o.Duration = now.Sub(call.arrived)
 	o.Recomputed = recomputed(result)
 	o.Attempts = result.Attempts()
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
 		Latency: o.FirstToken,
-		Whole:   o.Whole,
+		Whole:   o.Duration,
 		Tokens:  call.bytes/bytesPerToken + o.Tokens,
 	})
 	g.observe(o)
--- a/lease/core_test.go
+++ b/lease/core_test.go
@@ -182,7 +182,7 @@
 		{"another instance", true, lease.Holder{Instance: "entry-2", Incarnation: 2}, false},
 	} {
 		config := lease.DefaultConfig()
-		config.OneProcess = tt.one
+		config.SingleProcess = tt.one
 
 		core, err := lease.NewCore(config, "duties", tt.self)
 		if err != nil {
@@ -195,10 +195,10 @@
 		})
 		core.CaughtUp(now)
 
-		later := now.Add(config.Flight + config.Flight/10)
+		later := now.Add(config.MaxOrderDelay + config.MaxOrderDelay/10)
 		core.CaughtUp(later)
 
-		if got := core.Open(later); got != tt.want {
+		if got := core.CanAcquire(later); got != tt.want {
 			t.Errorf("%s: got open %v, want %v", tt.desc, got, tt.want)
 		}
 	}
