--- a/backend/http_engine.go
+++ b/backend/http_engine.go
@@ -26,9 +26,9 @@
 	EventStreamType = "text/event-stream"
 )
 
-// ErrNotAStream means that an engine answered a generate call with something
+// ErrNotEventStream means that an engine answered a generate call with something
 // other than a stream of events.
-var ErrNotAStream = errors.New("answer is not an event stream")
+var ErrNotEventStream = errors.New("answer is not an event stream")
 
 // CancelRequest asks for the end of one attempt.
 type CancelRequest struct {
@@ -41,8 +41,8 @@
 	Target  string    `json:"target"`
 }
 
-// ExportAnswer names the copy on the target.
-type ExportAnswer struct {
+// ExportResponse names the copy on the target.
+type ExportResponse struct {
 	KV string `json:"kv"`
 }
 
@@ -87,7 +87,7 @@
 	}
 
 	if resp.Header.Get("Content-Type") != EventStreamType {
-		return merry.Wrap(ErrNotAStream)
+		return merry.Wrap(ErrNotEventStream)
 	}
 
 	return nil
@@ -104,7 +104,7 @@
 
 // ExportKV copies the KV cache of an attempt to the engine at target.
 func (e *HTTPEngine) ExportKV(ctx context.Context, id AttemptID, target string) (string, error) {
-	var answer ExportAnswer
+	var answer ExportResponse
 	if err := e.post(ctx, ExportPath, ExportRequest{Attempt: id, Target: target}, &answer); err != nil {
 		return "", merry.Prepend(err, "export kv cache of attempt "+string(id))
 	}
@@ -144,7 +144,7 @@
 
 	var status *httpclient.StatusError
 	if errors.As(err, &status) && status.Status() == http.StatusConflict {
-		return merry.Prepend(ErrOldFence, "give order", merry.WithCause(err))
+		return merry.Prepend(ErrStaleFence, "give order", merry.WithCause(err))
 	}
 
 	return merry.Prepend(err, "give order")
--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -40,7 +40,7 @@
 func newRollout() *rollout {
 	return &rollout{
 		corrector: &lease.Corrector[placement.Holding]{
-			ReadEvery: readEvery, Retry: orderRetry, Flight: lease.DefaultConfig().Flight,
+			ReadInterval: readEvery, RetryInterval: orderRetry, MaxOrderDelay: lease.DefaultConfig().MaxOrderDelay,
 		},
 		steps:   make(map[modelKey]*placement.Rollout),
 		runners: make(map[fleet.InstanceID]*runner),
@@ -81,7 +81,7 @@
 	for id := range r.runners {
 		if !present[id] {
 			delete(r.runners, id)
-			r.corrector.Forget(id)
+			r.corrector.Remove(id)
 		}
 	}
 }
--- a/gateway/kept.go
+++ b/gateway/retained.go
@@ -24,13 +24,13 @@
 	answersPath = "/v1/answers/"
 )
 
-// KeptAnswers keeps answers beyond the connection of their caller, and beyond
+// RetainedAnswers keeps answers beyond the connection of their caller, and beyond
 // the entry instance that accepted them.
-type KeptAnswers interface {
-	// Keep begins to answer a request. If durable is set it returns nil only once
+type RetainedAnswers interface {
+	// Start begins to answer a request. If durable is set it returns nil only once
 	// another failure domain holds a copy. The function is called once the work
 	// of this instance at the answer has ended.
-	Keep(ctx context.Context, r ModelRequest, durable bool, ended func(answer.Result)) error
+	Start(ctx context.Context, r ModelRequest, durable bool, ended func(answer.Result)) error
 	// Follow passes an answer on to a caller, from right after an event.
 	Follow(ctx context.Context, account fleet.Account, after answer.EventID, to answer.Caller) error
 	// Release tells that the caller of an answer has gone. The answer is given up
@@ -54,11 +54,11 @@
 
 // streamKept streams an answer that its caller may come back for.
 func (g *Gateway) streamKept(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
-	model := call.modelRequest(g.IDs())
+	model := call.modelRequest(g.NewID())
 	out := g.newSink(w, call, model.Answer.ID)
 	times := &keptTimes{}
 
-	err := g.Kept.Keep(r.Context(), model, false, func(result answer.Result) {
+	err := g.Retained.Start(r.Context(), model, false, func(result answer.Result) {
 		g.finishKept(ticket, call, times, result)
 	})
 	if err != nil {
@@ -67,7 +67,7 @@
 		return
 	}
 
-	err = g.Kept.Follow(r.Context(), model.Answer.Account, answer.EventID{Request: model.Answer.ID}, &keptCaller{sink: out, times: times})
+	err = g.Retained.Follow(r.Context(), model.Answer.Account, answer.EventID{Request: model.Answer.ID}, &keptCaller{sink: out, times: times})
 	if err != nil {
 		g.endFollowed(w, r, out, model.Answer.ID, refusal.New(refusal.AnswerLost, "%v", err).WithRetryAfter(comeBackSoon))
 	}
@@ -77,10 +77,10 @@
 
 // acceptAsync accepts a request whose answer is fetched later, from any instance.
 func (g *Gateway) acceptAsync(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
-	model := call.modelRequest(g.IDs())
+	model := call.modelRequest(g.NewID())
 	times := &keptTimes{}
 
-	err := g.Kept.Keep(r.Context(), model, true, func(result answer.Result) {
+	err := g.Retained.Start(r.Context(), model, true, func(result answer.Result) {
 		g.finishKept(ticket, call, times, result)
 		g.observe(call.keptObservation(g.Clock.Now(), result))
 	})
@@ -119,7 +119,7 @@
 	out := g.newSink(w, call, after.Request)
 	account := call.caller.account.Name()
 
-	if err := g.Kept.Follow(r.Context(), account, after, &keptCaller{sink: out, times: &keptTimes{}}); err != nil {
+	if err := g.Retained.Follow(r.Context(), account, after, &keptCaller{sink: out, times: &keptTimes{}}); err != nil {
 		g.endFollowed(w, r, out, after.Request, refusal.New(refusal.UnknownAnswer, "%v", err))
 	}
 }
@@ -129,7 +129,7 @@
 // end as if it were whole.
 func (g *Gateway) endFollowed(w http.ResponseWriter, r *http.Request, out *sink, id answer.RequestID, refused *refusal.Refusal) {
 	if r.Context().Err() != nil {
-		g.Kept.Release(id)
+		g.Retained.Release(id)
 
 		return
 	}
@@ -164,7 +164,7 @@
 	o.Account = call.caller.account.Name()
 	o.Service = call.service.Name()
 	o.Kind = call.kind
-	o.Whole = g.Clock.Now().Sub(call.arrived)
+	o.Duration = g.Clock.Now().Sub(call.arrived)
 	o.Recomputed = recomputed(result)
 	o.Attempts = max(result.Attempts(), 1)
 
@@ -182,7 +182,7 @@
 		Account:    c.caller.account.Name(),
 		Service:    c.service.Name(),
 		Kind:       c.kind,
-		Whole:      now.Sub(c.arrived),
+		Duration:   now.Sub(c.arrived),
 		Recomputed: recomputed(result),
 		Attempts:   result.Attempts(),
 	}
--- a/standin/list.go
+++ b/standin/list.go
@@ -29,7 +29,7 @@
 	seen    lagged[[]provider.Listing]
 }
 
-var _ provider.List = (*List)(nil)
+var _ provider.InstanceList = (*List)(nil)
 
 // NewList returns an empty list without a lag.
 func NewList(c clock.Clock) *List {
@@ -111,7 +111,7 @@
 }
 
 func (l *List) routes(router *httprouter.Router) {
-	handle(router, http.MethodGet, provider.ListListingsPath, l.serveListings)
+	handle(router, http.MethodGet, provider.ListingsPath, l.serveListings)
 	handleFaults(router, ListFaultsPath, l.Faults)
 }
 
--- a/standin/log_handler.go
+++ b/standin/log_handler.go
@@ -42,7 +42,7 @@
 		return err
 	}
 
-	return writeMessage(w, provider.AppendAnswer{Offset: offset})
+	return writeMessage(w, provider.AppendResponse{Offset: offset})
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) error {
@@ -70,9 +70,9 @@
 		return err
 	}
 
-	answer := provider.BatchAnswer{First: batch.First, Next: batch.Next}
+	answer := provider.BatchResponse{First: batch.First, Next: batch.Next}
 	for _, record := range batch.Records {
-		answer.Records = append(answer.Records, provider.RecordAnswer(record))
+		answer.Records = append(answer.Records, provider.RecordResponse(record))
 	}
 
 	return writeMessage(w, answer)
