--- a/lease/corrector_test.go
+++ b/lease/corrector_test.go
@@ -19,11 +19,11 @@
 		{"another state after the flight", 2, 5 * time.Second, 1},
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
-			c := &lease.Corrector[int]{ReadEvery: time.Hour, Retry: time.Second, Flight: 5 * time.Second}
-			c.Want("runner-1", 1)
+			c := &lease.Corrector[int]{ReadInterval: time.Hour, RetryInterval: time.Second, MaxOrderDelay: 5 * time.Second}
+			c.SetDesired("runner-1", 1)
 			c.Step(start, 7)
-			c.Answered(start, "runner-1", false)
-			c.Want("runner-1", tt.state)
+			c.OrderFinished(start, "runner-1", false)
+			c.SetDesired("runner-1", tt.state)
 
 			if got := len(c.Step(start.Add(tt.after), 7)); got != tt.want {
 				t.Errorf("orders: got %d, want %d", got, tt.want)
@@ -33,16 +33,16 @@
 }
 
 func TestCorrectorHasOneOrderOutstanding(t *testing.T) {
-	c := &lease.Corrector[int]{ReadEvery: time.Hour, Retry: time.Second}
-	c.Want("runner-1", 1)
+	c := &lease.Corrector[int]{ReadInterval: time.Hour, RetryInterval: time.Second}
+	c.SetDesired("runner-1", 1)
 	c.Step(start, 7)
-	c.Want("runner-1", 2)
+	c.SetDesired("runner-1", 2)
 
 	if got, want := len(c.Step(start.Add(time.Minute), 7)), 0; got != want {
 		t.Errorf("orders while one is outstanding: got %d, want %d", got, want)
 	}
 
-	c.Answered(start.Add(time.Minute), "runner-1", true)
+	c.OrderFinished(start.Add(time.Minute), "runner-1", true)
 
 	if got, want := len(c.Step(start.Add(time.Minute), 7)), 1; got != want {
 		t.Errorf("orders after the answer: got %d, want %d", got, want)
--- a/provider/http_weights.go
+++ b/provider/http_weights.go
@@ -21,28 +21,28 @@
 	Version fleet.ModelVersion `json:"version"`
 }
 
-// FetchAnswer tells how long the transfer took, as time.Duration writes it.
-type FetchAnswer struct {
+// FetchResponse tells how long the transfer took, as time.Duration writes it.
+type FetchResponse struct {
 	Took string `json:"took"`
 }
 
-// HTTPWeights is a client of the weight store.
-type HTTPWeights struct {
+// HTTPWeightStore is a client of the weight store.
+type HTTPWeightStore struct {
 	client *httpclient.Client
 }
 
-var _ Weights = (*HTTPWeights)(nil)
+var _ WeightStore = (*HTTPWeightStore)(nil)
 
-// NewHTTPWeights returns a client of the weight store at a base URL.
-func NewHTTPWeights(baseURL string, c *http.Client) *HTTPWeights {
-	return &HTTPWeights{client: httpclient.New(baseURL, c)}
+// NewHTTPWeightStore returns a client of the weight store at a base URL.
+func NewHTTPWeightStore(baseURL string, c *http.Client) *HTTPWeightStore {
+	return &HTTPWeightStore{client: httpclient.New(baseURL, c)}
 }
 
 // Fetch takes one model version and returns the time the transfer took.
-func (w *HTTPWeights) Fetch(
+func (w *HTTPWeightStore) Fetch(
 	ctx context.Context, model fleet.Model, version fleet.ModelVersion,
 ) (time.Duration, error) {
-	var answer FetchAnswer
+	var answer FetchResponse
 
 	request := FetchRequest{Model: model, Version: version}
 	if err := w.client.Post(ctx, WeightsFetchesPath, request, &answer); err != nil {
