--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -106,7 +106,7 @@
 	for _, members := range []int{9, 410} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
 			accounts := benchAccounts(1000)
-			c := &Controller{Instance: "entry", Sharing: Sharing{Spread: time.Second}}
+			c := &Controller{Instance: "entry", Sharing: Sharing{PropagationDelay: time.Second}}
 
 			if err := c.Configure(start, testConfig(10, 10, accounts...)); err != nil {
 				b.Fatal(err)
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -37,15 +37,15 @@
 )
 
 func (s *shares) hold() time.Duration {
-	return s.sharing.Spread / holdPart
+	return s.sharing.PropagationDelay / holdPart
 }
 
 func (s *shares) window() time.Duration {
-	return s.sharing.Spread + s.hold()
+	return s.sharing.PropagationDelay + s.hold()
 }
 
 func (s *shares) alone() bool {
-	return s.sharing.Spread <= 0
+	return s.sharing.PropagationDelay <= 0
 }
 
 func (s *shares) start(now time.Time, sharing Sharing) {
@@ -177,7 +177,7 @@
 			continue
 		}
 
-		floor, grown := m.floor(until, s.sharing.Spread)
+		floor, grown := m.floor(until, s.sharing.PropagationDelay)
 		floor = min(floor, s.maxWeight())
 		s.floors += floor
 
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -4,10 +4,10 @@
 
 // Sharing sets how the limits of accounts are shared between entry instances.
 type Sharing struct {
-	// Spread is the longest time a digest or a join normally takes to reach
+	// PropagationDelay is the longest time a digest or a join normally takes to reach
 	// every member, clock skew included. Zero means that this instance is the
 	// only one.
-	Spread time.Duration
+	PropagationDelay time.Duration
 	// Lapse is how long a silent member is counted, at least Spread.
 	Lapse time.Duration
 	// Floor is the part of each limit that is shared evenly, whatever the demand.
@@ -23,8 +23,8 @@
 )
 
 func (s Sharing) withDefaults() Sharing {
-	if s.Lapse < s.Spread {
-		s.Lapse = max(defaultLapse, s.Spread)
+	if s.Lapse < s.PropagationDelay {
+		s.Lapse = max(defaultLapse, s.PropagationDelay)
 	}
 
 	if s.Floor <= 0 {
