--- a/admission/demand_test.go
+++ b/admission/demand_test.go
@@ -56,7 +56,7 @@
 func pair(t *testing.T) (first, second *Controller) {
 	t.Helper()
 
-	sharing := Sharing{PropagationDelay: time.Second, Lapse: 5 * time.Second}
+	sharing := Sharing{PropagationDelay: time.Second, MemberTimeout: 5 * time.Second}
 	config := testConfig(100, 10, AccountConfig{Account: testAccount, RequestsPerSecond: 100})
 	first = &Controller{Instance: "entry-1", Sharing: sharing}
 	second = &Controller{Instance: "entry-2", Sharing: sharing}
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -173,7 +173,7 @@
 	until := now.Add(s.hold())
 
 	for _, m := range s.members {
-		if hearsMost && now.Sub(m.heard) > s.sharing.Lapse {
+		if hearsMost && now.Sub(m.heard) > s.sharing.MemberTimeout {
 			continue
 		}
 
@@ -207,7 +207,7 @@
 	silent := 0
 
 	for _, m := range s.members {
-		if now.Sub(m.heard) > s.sharing.Lapse {
+		if now.Sub(m.heard) > s.sharing.MemberTimeout {
 			silent++
 		}
 	}
@@ -220,7 +220,7 @@
 // others one by one would take itself for the rest of a majority.
 func (s *shares) forget(now time.Time) {
 	for id, m := range s.members {
-		if now.Sub(m.heard) > forgetLapses*s.sharing.Lapse {
+		if now.Sub(m.heard) > forgetLapses*s.sharing.MemberTimeout {
 			delete(s.members, id)
 		}
 	}
--- a/admission/shares_holds_test.go
+++ b/admission/shares_holds_test.go
@@ -53,7 +53,7 @@
 	c := &Controller{
 		Instance: fleet.InstanceID(rune('a' + i)),
 		// A digest has room for one of the two accounts.
-		Sharing: Sharing{PropagationDelay: modelSpread, Lapse: modelLapse, DigestAccounts: 1},
+		Sharing: Sharing{PropagationDelay: modelSpread, MemberTimeout: modelLapse, DigestAccounts: 1},
 	}
 	config := testConfig(1000, 1,
 		AccountConfig{Account: testAccount, RequestsPerSecond: modelLimit},
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -8,8 +8,8 @@
 	// every member, clock skew included. Zero means that this instance is the
 	// only one.
 	PropagationDelay time.Duration
-	// Lapse is how long a silent member is counted, at least Spread.
-	Lapse time.Duration
+	// MemberTimeout is how long a silent member is counted, at least Spread.
+	MemberTimeout time.Duration
 	// Floor is the part of each limit that is shared evenly, whatever the demand.
 	Floor float64
 	// DigestAccounts is how many accounts a digest lists, at most
@@ -23,8 +23,8 @@
 )
 
 func (s Sharing) withDefaults() Sharing {
-	if s.Lapse < s.PropagationDelay {
-		s.Lapse = max(defaultLapse, s.PropagationDelay)
+	if s.MemberTimeout < s.PropagationDelay {
+		s.MemberTimeout = max(defaultLapse, s.PropagationDelay)
 	}
 
 	if s.Floor <= 0 {
