--- a/admission/burst_test.go
+++ b/admission/burst_test.go
@@ -23,7 +23,7 @@
 	now := start
 
 	for i, id := range ids {
-		controllers[i] = &Controller{Instance: id, Sharing: Sharing{PropagationDelay: time.Second, MemberTimeout: 10 * time.Second, Floor: 0.1}}
+		controllers[i] = &Controller{Instance: id, Sharing: Sharing{PropagationDelay: time.Second, MemberTimeout: 10 * time.Second, EvenFraction: 0.1}}
 
 		err := controllers[i].Configure(now, Config{
 			Services: []ServiceConfig{{Service: testService}},
--- a/admission/join_test.go
+++ b/admission/join_test.go
@@ -7,7 +7,7 @@
 
 func TestMembersMayJoinBeforeLimitsAreInForce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := &Controller{Instance: "a", Sharing: Sharing{PropagationDelay: time.Second, MemberTimeout: 10 * time.Second, Floor: 0.1}}
+	c := &Controller{Instance: "a", Sharing: Sharing{PropagationDelay: time.Second, MemberTimeout: 10 * time.Second, EvenFraction: 0.1}}
 
 	c.Join(now, "b")
 	c.ApplyDemand(now, "c", Demand{At: now.UnixMilli(), Floor: 0.1})
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -127,7 +127,7 @@
 		return firstWeight
 	}
 
-	even := s.sharing.Floor / float64(len(s.members)+1)
+	even := s.sharing.EvenFraction / float64(len(s.members)+1)
 
 	return min(even, maxGrowth*s.own.floor())
 }
@@ -198,7 +198,7 @@
 
 // maxWeight is the greatest weight that is ever published.
 func (s *shares) maxWeight() float64 {
-	return 1 + s.sharing.Floor
+	return 1 + s.sharing.EvenFraction
 }
 
 // hearsMost tells whether this instance hears from most members. One that does
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -10,8 +10,8 @@
 	PropagationDelay time.Duration
 	// MemberTimeout is how long a silent member is counted, at least Spread.
 	MemberTimeout time.Duration
-	// Floor is the part of each limit that is shared evenly, whatever the demand.
-	Floor float64
+	// EvenFraction is the part of each limit that is shared evenly, whatever the demand.
+	EvenFraction float64
 	// DigestAccounts is how many accounts a digest lists, at most
 	// MaxDemandAccounts. Fewer make smaller digests where there are many members.
 	DigestAccounts int
@@ -27,8 +27,8 @@
 		s.MemberTimeout = max(defaultLapse, s.PropagationDelay)
 	}
 
-	if s.Floor <= 0 {
-		s.Floor = defaultFloor
+	if s.EvenFraction <= 0 {
+		s.EvenFraction = defaultFloor
 	}
 
 	if s.DigestAccounts <= 0 || s.DigestAccounts > MaxDemandAccounts {
--- a/daemon/build_control.go
+++ b/daemon/build_control.go
@@ -45,7 +45,7 @@
 	p.admission = &admission.Controller{Instance: p.settings.Instance, Clock: p.clock, Metrics: p.metrics}
 
 	if p.settings.TLS != nil {
-		p.admission.Sharing = admission.Sharing{PropagationDelay: demandSpread, MemberTimeout: demandLapse, Floor: demandFloor}
+		p.admission.Sharing = admission.Sharing{PropagationDelay: demandSpread, MemberTimeout: demandLapse, EvenFraction: demandFloor}
 	}
 }
 
