--- a/admission/demand_test.go
+++ b/admission/demand_test.go
@@ -66,8 +66,8 @@
 			t.Fatal(err)
 		}
 
-		c.Join(start, "entry-1")
-		c.Join(start, "entry-2")
+		c.AddMember(start, "entry-1")
+		c.AddMember(start, "entry-2")
 	}
 
 	return first, second
--- a/admission/join_test.go
+++ b/admission/join_test.go
@@ -9,7 +9,7 @@
 	now := time.Unix(1000, 0)
 	c := &Controller{Instance: "a", Sharing: Sharing{PropagationDelay: time.Second, MemberTimeout: 10 * time.Second, EvenFraction: 0.1}}
 
-	c.Join(now, "b")
+	c.AddMember(now, "b")
 	c.ApplyDemand(now, "c", Demand{At: now.UnixMilli(), Floor: 0.1})
 
 	if err := c.Configure(now, Config{Accounts: []AccountConfig{{Account: "x", RequestsPerSecond: 30}}}); err != nil {
--- a/admission/sharecontrol.go
+++ b/admission/sharecontrol.go
@@ -6,8 +6,8 @@
 	"monsoonlever/fleet"
 )
 
-// Join tells of another entry instance, before or after its first digest.
-func (c *Controller) Join(now time.Time, id fleet.InstanceID) {
+// AddMember tells of another entry instance, before or after its first digest.
+func (c *Controller) AddMember(now time.Time, id fleet.InstanceID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
--- a/admission/shares_holds_test.go
+++ b/admission/shares_holds_test.go
@@ -143,7 +143,7 @@
 		switch {
 		case to.dead:
 		case msg.join:
-			to.c.Join(m.now.Add(to.skew), from.id)
+			to.c.AddMember(m.now.Add(to.skew), from.id)
 		default:
 			to.c.ApplyDemand(m.now.Add(to.skew), from.id, msg.digest)
 		}
--- a/daemon/peer_members.go
+++ b/daemon/peer_members.go
@@ -37,7 +37,7 @@
 		others = append(others, answer.Member{
 			ID: m.ID(), Incarnation: m.Incarnation(), Domain: m.Domain(), Leaving: !m.Usable(),
 		})
-		p.admission.Join(now, m.ID())
+		p.admission.AddMember(now, m.ID())
 	}
 
 	p.replicator.SetMembers(others)
