--- a/admission/demand_test.go
+++ b/admission/demand_test.go
@@ -121,7 +121,7 @@
 			}
 
 			if tt.leave {
-				first.Leave("entry-2")
+				first.RemoveMember("entry-2")
 			}
 
 			now = now.Add(tt.after)
--- a/admission/sharecontrol.go
+++ b/admission/sharecontrol.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// Leave tells that another entry instance has stopped admitting requests: it
+// RemoveMember tells that another entry instance has stopped admitting requests: it
 // said so itself, or the platform's list says that it is gone.
-func (c *Controller) Leave(id fleet.InstanceID) {
+func (c *Controller) RemoveMember(id fleet.InstanceID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
--- a/daemon/peer_members.go
+++ b/daemon/peer_members.go
@@ -59,7 +59,7 @@
 		p.claims.instanceGone(id, incarnation)
 
 		if m := view.Member(id); m != nil && m.Phase() == membership.Left {
-			p.admission.Leave(id)
+			p.admission.RemoveMember(id)
 		}
 	}
 
