--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -124,7 +124,7 @@
 			b.ReportAllocs()
 
 			for i := 0; b.Loop(); i++ {
-				c.Demand(start.Add(time.Duration(i) * 250 * time.Millisecond))
+				c.PublishDemand(start.Add(time.Duration(i) * 250 * time.Millisecond))
 			}
 		})
 	}
--- a/admission/burst_test.go
+++ b/admission/burst_test.go
@@ -36,7 +36,7 @@
 
 	tell := func() {
 		for i, from := range controllers {
-			d := from.Demand(now)
+			d := from.PublishDemand(now)
 			for j, to := range controllers {
 				if i != j {
 					to.ApplyDemand(now, ids[i], d)
--- a/admission/demand_test.go
+++ b/admission/demand_test.go
@@ -83,8 +83,8 @@
 		}
 
 		now = now.Add(250 * time.Millisecond)
-		second.ApplyDemand(now, "entry-1", first.Demand(now))
-		first.ApplyDemand(now, "entry-2", second.Demand(now))
+		second.ApplyDemand(now, "entry-1", first.PublishDemand(now))
+		first.ApplyDemand(now, "entry-2", second.PublishDemand(now))
 	}
 
 	first.Rebalance(now)
@@ -116,8 +116,8 @@
 
 			for range 20 {
 				now = now.Add(250 * time.Millisecond)
-				second.ApplyDemand(now, "entry-1", first.Demand(now))
-				first.ApplyDemand(now, "entry-2", second.Demand(now))
+				second.ApplyDemand(now, "entry-1", first.PublishDemand(now))
+				first.ApplyDemand(now, "entry-2", second.PublishDemand(now))
 			}
 
 			if tt.leave {
@@ -125,7 +125,7 @@
 			}
 
 			now = now.Add(tt.after)
-			first.Demand(now)
+			first.PublishDemand(now)
 
 			if got := first.Share(testAccount); got > tt.want {
 				t.Errorf("share: got %.3f, want at most %.3f", got, tt.want)
@@ -145,8 +145,8 @@
 
 	step := func(withThird bool) {
 		now = now.Add(250 * time.Millisecond)
-		second.ApplyDemand(now, "entry-1", first.Demand(now))
-		first.ApplyDemand(now, "entry-2", second.Demand(now))
+		second.ApplyDemand(now, "entry-1", first.PublishDemand(now))
+		first.ApplyDemand(now, "entry-2", second.PublishDemand(now))
 
 		if withThird {
 			third.At = now.UnixMilli()
--- a/admission/join_test.go
+++ b/admission/join_test.go
@@ -21,7 +21,7 @@
 		at := now.UnixMilli()
 		c.ApplyDemand(now, "b", Demand{At: at, Floor: 0.1})
 		c.ApplyDemand(now, "c", Demand{At: at, Floor: 0.1})
-		c.Demand(now)
+		c.PublishDemand(now)
 	}
 
 	if got := c.Share("x"); got <= 0 || got > 0.5 {
--- a/admission/sharecontrol.go
+++ b/admission/sharecontrol.go
@@ -25,9 +25,9 @@
 	c.shares.leave(id)
 }
 
-// Demand makes the digest to send to the other entry instances. What it
+// PublishDemand makes the digest to send to the other entry instances. What it
 // returns counts as published.
-func (c *Controller) Demand(now time.Time) Demand {
+func (c *Controller) PublishDemand(now time.Time) Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
--- a/admission/shares_holds_test.go
+++ b/admission/shares_holds_test.go
@@ -101,7 +101,7 @@
 			continue
 		}
 
-		digest := member.c.Demand(m.now.Add(member.skew))
+		digest := member.c.PublishDemand(m.now.Add(member.skew))
 
 		for j := range m.members {
 			m.send(t, i, j, digest)
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -135,7 +135,7 @@
 }
 
 func (p *peers) tellDemandOnce() {
-	demand := p.admission.Demand(p.clock.Now())
+	demand := p.admission.PublishDemand(p.clock.Now())
 	if demand.Floor == 0 {
 		// No limits are in force here yet, so there is nothing to share.
 		return
