--- a/admission/account.go
+++ b/admission/account.go
@@ -113,7 +113,7 @@
 
 	// A share s of one request at a time is held as s of the time.
 	if share := l.concurrent(); share > 0 && share < 1 {
-		rest := time.Duration(float64(o.Whole) * (1/share - 1))
+		rest := time.Duration(float64(o.Duration) * (1/share - 1))
 		a.restUntil.Store(now.Add(rest).UnixNano())
 	}
 
--- a/admission/account_test.go
+++ b/admission/account_test.go
@@ -33,7 +33,7 @@
 					got++
 				}
 
-				c.Finish(now, ticket, Outcome{Whole: time.Millisecond, Tokens: tt.tokens})
+				c.Finish(now, ticket, Outcome{Duration: time.Millisecond, Tokens: tt.tokens})
 			}
 
 			if got < tt.low || got > tt.want {
@@ -49,7 +49,7 @@
 	a.limits.Store(&limits{account: AccountConfig{Concurrent: 1}, share: 0.25})
 
 	first := c.Admit(start, testRequest())
-	c.Finish(start.Add(time.Second), first, Outcome{Whole: time.Second})
+	c.Finish(start.Add(time.Second), first, Outcome{Duration: time.Second})
 
 	tests := []struct {
 		desc string
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -37,7 +37,7 @@
 			accounts := benchAccounts(n)
 			requests := benchRequests(accounts)
 			c := newController(b, testConfig(1024, 256, accounts...))
-			o := Outcome{Latency: time.Millisecond, Whole: time.Millisecond}
+			o := Outcome{Latency: time.Millisecond, Duration: time.Millisecond}
 			b.ReportAllocs()
 
 			for i := 0; b.Loop(); i++ {
@@ -52,7 +52,7 @@
 	accounts := benchAccounts(100)
 	requests := benchRequests(accounts)
 	c := newController(b, testConfig(1024, 256, accounts...))
-	o := Outcome{Latency: time.Millisecond, Whole: time.Millisecond}
+	o := Outcome{Latency: time.Millisecond, Duration: time.Millisecond}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for i := 0; pb.Next(); i++ {
@@ -70,7 +70,7 @@
 			requests := benchRequests(accounts)
 			c := newController(b, testConfig(1, 256, accounts...))
 			waiting := []*Ticket{c.Admit(start, requests[0])}
-			o := Outcome{Latency: time.Millisecond, Whole: time.Millisecond}
+			o := Outcome{Latency: time.Millisecond, Duration: time.Millisecond}
 			b.ReportAllocs()
 
 			for i := 0; b.Loop(); i++ {
--- a/admission/burst_test.go
+++ b/admission/burst_test.go
@@ -62,7 +62,7 @@
 				}
 
 				admitted[i]++
-				c.Finish(now, ticket, Outcome{Whole: time.Millisecond})
+				c.Finish(now, ticket, Outcome{Duration: time.Millisecond})
 			}
 
 			if now.Equal(began) {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -220,7 +220,7 @@
 
 	waited := t.decision.Waited
 	o.Latency = max(o.Latency-waited, 0)
-	o.Whole = max(o.Whole-waited, 0)
+	o.Duration = max(o.Duration-waited, 0)
 
 	t.account.finish(now, &t.request, o)
 	t.service.finish(now, t, o)
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("third: got %+v, want a refusal for a full queue with a time to come back", got)
 	}
 
-	c.Finish(start.Add(time.Second), first, Outcome{Latency: time.Second, Whole: time.Second})
+	c.Finish(start.Add(time.Second), first, Outcome{Latency: time.Second, Duration: time.Second})
 
 	got := second.Wait(context.Background())
 	if want := (Decision{Verdict: Admitted, Waited: time.Second}); got != want {
@@ -118,7 +118,7 @@
 	for _, ticket := range []*Ticket{first, second} {
 		now = now.Add(time.Second)
 		took := now.Sub(ticket.Arrived())
-		c.Finish(now, ticket, Outcome{Latency: took, Whole: took})
+		c.Finish(now, ticket, Outcome{Latency: took, Duration: took})
 	}
 
 	if got, want := s.limiter.serviceTime(), time.Second; got != want {
--- a/admission/goodput_test.go
+++ b/admission/goodput_test.go
@@ -132,7 +132,7 @@
 		}
 
 		took := s.now.Sub(r.ticket.Arrived())
-		s.c.Finish(s.now, r.ticket, Outcome{Latency: took, Whole: took})
+		s.c.Finish(s.now, r.ticket, Outcome{Latency: took, Duration: took})
 
 		if !s.now.After(r.deadline) {
 			small := 0
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -87,7 +87,7 @@
 func (l *limiter) release(now time.Time, target time.Duration, o Outcome) {
 	running := l.running.Add(-1) + 1
 	limit := l.current()
-	l.learnMean(o.Whole)
+	l.learnMean(o.Duration)
 
 	if float64(running) < idleFactor*limit {
 		l.used.Store(false)
--- a/admission/limiter_test.go
+++ b/admission/limiter_test.go
@@ -41,7 +41,7 @@
 
 				now = now.Add(tt.latency)
 				for range n {
-					l.release(now, target, Outcome{Latency: tt.latency, Whole: tt.latency, Overloaded: tt.refused})
+					l.release(now, target, Outcome{Latency: tt.latency, Duration: tt.latency, Overloaded: tt.refused})
 				}
 			}
 
--- a/admission/queue_holds_test.go
+++ b/admission/queue_holds_test.go
@@ -58,7 +58,7 @@
 
 	i := rapid.IntRange(0, len(m.running)-1).Draw(t, "finished")
 	took := time.Duration(rapid.IntRange(1, 3000).Draw(t, "took")) * time.Millisecond
-	m.c.Finish(m.now, m.running[i], Outcome{Latency: took, Whole: took})
+	m.c.Finish(m.now, m.running[i], Outcome{Latency: took, Duration: took})
 	m.running = append(m.running[:i], m.running[i+1:]...)
 }
 
--- a/admission/race_test.go
+++ b/admission/race_test.go
@@ -24,7 +24,7 @@
 					t.Errorf("got %+v, want %v", got, Admitted)
 				}
 
-				c.Finish(start, ticket, Outcome{Latency: time.Millisecond, Whole: time.Millisecond})
+				c.Finish(start, ticket, Outcome{Latency: time.Millisecond, Duration: time.Millisecond})
 			}
 		})
 	}
--- a/admission/request.go
+++ b/admission/request.go
@@ -28,8 +28,8 @@
 	// Latency is what the target of the kind of call is about: the time to the
 	// first token of a model call, or the whole time of a plain one.
 	Latency time.Duration
-	// Whole is the time to the end of the answer.
-	Whole time.Duration
+	// Duration is the time to the end of the answer.
+	Duration time.Duration
 	// Tokens is the real number of prompt and answer tokens.
 	Tokens int
 	// Overloaded tells that a backend server refused the call for load.
--- a/admission/service.go
+++ b/admission/service.go
@@ -238,7 +238,7 @@
 
 	if k := s.kind(t.request.Kind); k != nil {
 		target = time.Duration(k.target.Load())
-		k.learn(o.Whole)
+		k.learn(o.Duration)
 	}
 
 	s.limiter.release(now, target, o)
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -193,7 +193,7 @@
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
 		Latency: o.FirstToken,
-		Whole:   o.Duration,
+		Duration:   o.Duration,
 		Tokens:  call.bytes/bytesPerToken + o.Tokens,
 	})
 	g.observe(o)
--- a/gateway/retained.go
+++ b/gateway/retained.go
@@ -151,7 +151,7 @@
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
 		Latency: times.firstToken(call.arrived),
-		Whole:   now.Sub(call.arrived),
+		Duration:   now.Sub(call.arrived),
 		Tokens:  call.bytes/bytesPerToken + complete.Tokens,
 	})
 	times.end(result)
