--- a/admission/controller.go
+++ b/admission/controller.go
@@ -25,7 +25,7 @@
 	Seed uint64
 	// Clock and TickEvery drive Run; TickEvery has a default.
 	Clock     clock.Clock
-	TickEvery time.Duration
+	TickInterval time.Duration
 	// Metrics is where counters are registered; nil is a set of its own.
 	Metrics *metrics.Set
 
@@ -262,7 +262,7 @@
 
 // Run ticks until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	every := c.TickEvery
+	every := c.TickInterval
 	if every <= 0 {
 		every = defaultTickEvery
 	}
