--- a/admission/controller.go
+++ b/admission/controller.go
@@ -24,7 +24,7 @@
 	// Seed makes the jitter of Retry-After repeatable.
 	Seed uint64
 	// Clock and TickEvery drive Run; TickEvery has a default.
-	Clock     clock.Clock
+	Clock        clock.Clock
 	TickInterval time.Duration
 	// Metrics is where counters are registered; nil is a set of its own.
 	Metrics *metrics.Set
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -192,9 +192,9 @@
 	o.Attempts = result.Attempts()
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
-		Latency: o.FirstToken,
-		Duration:   o.Duration,
-		Tokens:  call.bytes/bytesPerToken + o.Tokens,
+		Latency:  o.FirstToken,
+		Duration: o.Duration,
+		Tokens:   call.bytes/bytesPerToken + o.Tokens,
 	})
 	g.observe(o)
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -195,7 +195,7 @@
 func (c plainCall) outcome(now time.Time, refused *refusal.Refusal) admission.Outcome {
 	return admission.Outcome{
 		Latency:    now.Sub(c.request.Arrived),
-		Duration:      now.Sub(c.request.Arrived),
+		Duration:   now.Sub(c.request.Arrived),
 		Overloaded: refused != nil && refused.Code() == refusal.ServerRefused,
 	}
 }
--- a/gateway/retained.go
+++ b/gateway/retained.go
@@ -150,9 +150,9 @@
 	complete, _ := result.Complete()
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
-		Latency: times.firstToken(call.arrived),
-		Duration:   now.Sub(call.arrived),
-		Tokens:  call.bytes/bytesPerToken + complete.Tokens,
+		Latency:  times.firstToken(call.arrived),
+		Duration: now.Sub(call.arrived),
+		Tokens:   call.bytes/bytesPerToken + complete.Tokens,
 	})
 	times.end(result)
 }
