--- a/admission/join_test.go
+++ b/admission/join_test.go
@@ -7,9 +7,9 @@
 
 func TestMembersMayJoinBeforeLimitsAreInForce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := &Controller{Instance: "a", Sharing: Sharing{Spread: time.Second, Lapse: 10 * time.Second, Floor: 0.1}}
+	c := &Controller{Instance: "a", Sharing: Sharing{PropagationDelay: time.Second, MemberTimeout: 10 * time.Second, EvenFraction: 0.1}}
 
-	c.Join(now, "b")
+	c.AddMember(now, "b")
 	c.ApplyDemand(now, "c", Demand{At: now.UnixMilli(), Floor: 0.1})
 
 	if err := c.Configure(now, Config{Accounts: []AccountConfig{{Account: "x", RequestsPerSecond: 30}}}); err != nil {
@@ -21,7 +21,7 @@
 		at := now.UnixMilli()
 		c.ApplyDemand(now, "b", Demand{At: at, Floor: 0.1})
 		c.ApplyDemand(now, "c", Demand{At: at, Floor: 0.1})
-		c.Demand(now)
+		c.PublishDemand(now)
 	}
 
 	if got := c.Share("x"); got <= 0 || got > 0.5 {
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -4,14 +4,14 @@
 
 // Sharing sets how the limits of accounts are shared between entry instances.
 type Sharing struct {
-	// Spread is the longest time a digest or a join normally takes to reach
+	// PropagationDelay is the longest time a digest or a join normally takes to reach
 	// every member, clock skew included. Zero means that this instance is the
 	// only one.
-	Spread time.Duration
-	// Lapse is how long a silent member is counted, at least Spread.
-	Lapse time.Duration
-	// Floor is the part of each limit that is shared evenly, whatever the demand.
-	Floor float64
+	PropagationDelay time.Duration
+	// MemberTimeout is how long a silent member is counted, at least Spread.
+	MemberTimeout time.Duration
+	// EvenFraction is the part of each limit that is shared evenly, whatever the demand.
+	EvenFraction float64
 	// DigestAccounts is how many accounts a digest lists, at most
 	// MaxDemandAccounts. Fewer make smaller digests where there are many members.
 	DigestAccounts int
@@ -23,12 +23,12 @@
 )
 
 func (s Sharing) withDefaults() Sharing {
-	if s.Lapse < s.Spread {
-		s.Lapse = max(defaultLapse, s.Spread)
+	if s.MemberTimeout < s.PropagationDelay {
+		s.MemberTimeout = max(defaultLapse, s.PropagationDelay)
 	}
 
-	if s.Floor <= 0 {
-		s.Floor = defaultFloor
+	if s.EvenFraction <= 0 {
+		s.EvenFraction = defaultFloor
 	}
 
 	if s.DigestAccounts <= 0 || s.DigestAccounts > MaxDemandAccounts {
