--- a/admission/demand_test.go
+++ b/admission/demand_test.go
@@ -56,7 +56,7 @@
 func pair(t *testing.T) (first, second *Controller) {
 	t.Helper()
 
-	sharing := Sharing{Spread: time.Second, Lapse: 5 * time.Second}
+	sharing := Sharing{PropagationDelay: time.Second, MemberTimeout: 5 * time.Second}
 	config := testConfig(100, 10, AccountConfig{Account: testAccount, RequestsPerSecond: 100})
 	first = &Controller{Instance: "entry-1", Sharing: sharing}
 	second = &Controller{Instance: "entry-2", Sharing: sharing}
@@ -66,8 +66,8 @@
 			t.Fatal(err)
 		}
 
-		c.Join(start, "entry-1")
-		c.Join(start, "entry-2")
+		c.AddMember(start, "entry-1")
+		c.AddMember(start, "entry-2")
 	}
 
 	return first, second
@@ -83,8 +83,8 @@
 		}
 
 		now = now.Add(250 * time.Millisecond)
-		second.ApplyDemand(now, "entry-1", first.Demand(now))
-		first.ApplyDemand(now, "entry-2", second.Demand(now))
+		second.ApplyDemand(now, "entry-1", first.PublishDemand(now))
+		first.ApplyDemand(now, "entry-2", second.PublishDemand(now))
 	}
 
 	first.Rebalance(now)
@@ -116,16 +116,16 @@
 
 			for range 20 {
 				now = now.Add(250 * time.Millisecond)
-				second.ApplyDemand(now, "entry-1", first.Demand(now))
-				first.ApplyDemand(now, "entry-2", second.Demand(now))
+				second.ApplyDemand(now, "entry-1", first.PublishDemand(now))
+				first.ApplyDemand(now, "entry-2", second.PublishDemand(now))
 			}
 
 			if tt.leave {
-				first.Leave("entry-2")
+				first.RemoveMember("entry-2")
 			}
 
 			now = now.Add(tt.after)
-			first.Demand(now)
+			first.PublishDemand(now)
 
 			if got := first.Share(testAccount); got > tt.want {
 				t.Errorf("share: got %.3f, want at most %.3f", got, tt.want)
@@ -145,8 +145,8 @@
 
 	step := func(withThird bool) {
 		now = now.Add(250 * time.Millisecond)
-		second.ApplyDemand(now, "entry-1", first.Demand(now))
-		first.ApplyDemand(now, "entry-2", second.Demand(now))
+		second.ApplyDemand(now, "entry-1", first.PublishDemand(now))
+		first.ApplyDemand(now, "entry-2", second.PublishDemand(now))
 
 		if withThird {
 			third.At = now.UnixMilli()
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -37,15 +37,15 @@
 )
 
 func (s *shares) hold() time.Duration {
-	return s.sharing.Spread / holdPart
+	return s.sharing.PropagationDelay / holdPart
 }
 
 func (s *shares) window() time.Duration {
-	return s.sharing.Spread + s.hold()
+	return s.sharing.PropagationDelay + s.hold()
 }
 
 func (s *shares) alone() bool {
-	return s.sharing.Spread <= 0
+	return s.sharing.PropagationDelay <= 0
 }
 
 func (s *shares) start(now time.Time, sharing Sharing) {
@@ -127,7 +127,7 @@
 		return firstWeight
 	}
 
-	even := s.sharing.Floor / float64(len(s.members)+1)
+	even := s.sharing.EvenFraction / float64(len(s.members)+1)
 
 	return min(even, maxGrowth*s.own.floor())
 }
@@ -173,11 +173,11 @@
 	until := now.Add(s.hold())
 
 	for _, m := range s.members {
-		if hearsMost && now.Sub(m.heard) > s.sharing.Lapse {
+		if hearsMost && now.Sub(m.heard) > s.sharing.MemberTimeout {
 			continue
 		}
 
-		floor, grown := m.floor(until, s.sharing.Spread)
+		floor, grown := m.floor(until, s.sharing.PropagationDelay)
 		floor = min(floor, s.maxWeight())
 		s.floors += floor
 
@@ -198,7 +198,7 @@
 
 // maxWeight is the greatest weight that is ever published.
 func (s *shares) maxWeight() float64 {
-	return 1 + s.sharing.Floor
+	return 1 + s.sharing.EvenFraction
 }
 
 // hearsMost tells whether this instance hears from most members. One that does
@@ -207,7 +207,7 @@
 	silent := 0
 
 	for _, m := range s.members {
-		if now.Sub(m.heard) > s.sharing.Lapse {
+		if now.Sub(m.heard) > s.sharing.MemberTimeout {
 			silent++
 		}
 	}
@@ -220,7 +220,7 @@
 // others one by one would take itself for the rest of a majority.
 func (s *shares) forget(now time.Time) {
 	for id, m := range s.members {
-		if now.Sub(m.heard) > forgetLapses*s.sharing.Lapse {
+		if now.Sub(m.heard) > forgetLapses*s.sharing.MemberTimeout {
 			delete(s.members, id)
 		}
 	}
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -94,7 +94,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 
-		corrector.Answered(c.Clock.Now(), a.Target, certain)
+		corrector.OrderFinished(c.Clock.Now(), a.Target, certain)
 	})
 }
 
@@ -112,5 +112,5 @@
 
 	c.counters.orderErrors.Inc()
 
-	return errors.Is(err, backend.ErrOldFence) || errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrRefused)
+	return errors.Is(err, backend.ErrStaleFence) || errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrRefused)
 }
--- a/daemon/build_control.go
+++ b/daemon/build_control.go
@@ -37,7 +37,7 @@
 		AppendsPerSecond: p.settings.AppendsPerSecond - p.controlShare(), Rand: newRandom(),
 	}
 	p.claims = newClaims(&claim.Keeper{
-		Journal: client, Clock: p.clock, KeepHeader: dispatch.KeptHeaders,
+		Journal: client, Clock: p.clock, KeepHeader: dispatch.StoredHeaders,
 		Config: claim.Config{Self: p.settings.Instance, Incarnation: p.incarnation},
 	}, client)
 
@@ -45,7 +45,7 @@
 	p.admission = &admission.Controller{Instance: p.settings.Instance, Clock: p.clock, Metrics: p.metrics}
 
 	if p.settings.TLS != nil {
-		p.admission.Sharing = admission.Sharing{Spread: demandSpread, Lapse: demandLapse, Floor: demandFloor}
+		p.admission.Sharing = admission.Sharing{PropagationDelay: demandSpread, MemberTimeout: demandLapse, EvenFraction: demandFloor}
 	}
 }
 
--- a/daemon/build_requests.go
+++ b/daemon/build_requests.go
@@ -61,12 +61,12 @@
 	}
 	p.answers = &dispatch.Answers{
 		Clock: p.clock, Replicator: p.replicator, Runner: p.runner, Budget: answers,
-		CopyTimeout: copyTimeout, Grace: followerGrace,
+		CopyTimeout: copyTimeout, GracePeriod: followerGrace,
 	}
 	p.replicator.Register(p.metrics)
 	p.replicator.Continue = p.answers.Continue
 	p.replicator.Stop = p.answers.Stop
-	p.replicator.Followed = p.answers.Followed
+	p.replicator.Followed = p.answers.MarkFollowed
 	p.replicator.Sender = noPeers{}
 	p.gateway = &gateway.Gateway{
 		Clock:     p.clock,
@@ -77,9 +77,9 @@
 			Clock: p.clock, Table: p.table, Directory: p.directory, Claims: p.claims,
 			Retry: &retry.Policy{Budgets: budgets, MaxAttempts: plainAttempts, Metrics: p.metrics},
 		},
-		Kept:         p.answers,
+		Retained:     p.answers,
 		Observer:     &observer{clock: p.clock, recorder: p.recorder},
-		IDs:          newRequestID,
+		NewID:        newRequestID,
 		MaxBodyBytes: p.settings.Limits.MaxBodyBytes,
 		WriteTimeout: writeTimeout,
 		Metrics:      p.metrics,
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -74,10 +74,10 @@
 	maxBackoff   = 700 * time.Millisecond
 )
 
-// Pace says how often a source is read.
-type Pace struct {
-	// Wait is how long a read waits for a change, Every the pause between reads.
-	Wait, Every time.Duration
+// PollTiming says how often a source is read.
+type PollTiming struct {
+	// MaxWait is how long a read waits for a change, Interval the pause between reads.
+	MaxWait, Interval time.Duration
 	// MaxBackoff bounds the pause after failed reads where it is longer than the default: many
 	// that read one source wait longer, so that all together do not ask more often.
 	MaxBackoff time.Duration
@@ -89,11 +89,11 @@
 	Name   string
 	Source Source
 	Clock  clock.Clock
-	// Pace is asked before each read; nil is no wait and no pause.
-	Pace func() Pace
-	// Due is asked once a pause is over: how long the next read may still wait, because
+	// Timing is asked before each read; nil is no wait and no pause.
+	Timing func() PollTiming
+	// ExtraDelay is asked once a pause is over: how long the next read may still wait, because
 	// others have read meanwhile. It may be nil.
-	Due func() time.Duration
+	ExtraDelay func() time.Duration
 	// Apply takes entries in; whole tells that keys that are not among them are gone.
 	Apply func(entries []Entry, whole bool)
 	// Confirm is told the time before a read that reached the end; it may be nil.
@@ -134,8 +134,8 @@
 	}
 }
 
-// Reread asks for the whole set at once, in place of changes.
-func (f *Follower) Reread() {
+// RequestSnapshot asks for the whole set at once, in place of changes.
+func (f *Follower) RequestSnapshot() {
 	f.again.Store(true)
 	f.wake.Send()
 }
@@ -143,20 +143,20 @@
 // Wake asks for a read at once, in place of a wait or a pause.
 func (f *Follower) Wake() { f.wake.Send() }
 
-// Redirect asks for a read at once because the source has changed. It also ends a read of changes
+// SourceChanged asks for a read at once because the source has changed. It also ends a read of changes
 // that is under way: the source before may not answer.
-func (f *Follower) Redirect() { f.redirect.Send() }
+func (f *Follower) SourceChanged() { f.redirect.Send() }
 
-func (f *Follower) pace() Pace {
-	if f.Pace == nil {
-		return Pace{}
+func (f *Follower) pace() PollTiming {
+	if f.Timing == nil {
+		return PollTiming{}
 	}
 
-	return f.Pace()
+	return f.Timing()
 }
 
 func (f *Follower) pause(ctx context.Context) {
-	for wait := f.pace().Every; f.await(ctx, wait); {
+	for wait := f.pace().Interval; f.await(ctx, wait); {
 		if wait = f.due(); wait <= 0 {
 			return
 		}
@@ -180,17 +180,17 @@
 }
 
 func (f *Follower) due() time.Duration {
-	if f.Due == nil {
+	if f.ExtraDelay == nil {
 		return 0
 	}
 
-	return f.Due()
+	return f.ExtraDelay()
 }
 
 // call returns the context of one read and how long it waits. A wake-up ends the wait, a redirect the
 // read.
 func (f *Follower) call(ctx context.Context) (context.Context, context.CancelFunc, time.Duration) {
-	wait := f.pace().Wait
+	wait := f.pace().MaxWait
 	if woken := f.woken.Swap(false); woken || f.backoff > 0 {
 		// After a failure the read that confirms what is known must not wait for news: a
 		// wait of 1.5 s at the return of a store was 1.5 s more of refusals.
@@ -225,8 +225,8 @@
 	return call, cancel, wait
 }
 
-// Reached returns when the source was last read, or the zero time.
-func (f *Follower) Reached() time.Time {
+// LastRead returns when the source was last read, or the zero time.
+func (f *Follower) LastRead() time.Time {
 	if at := f.reached.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -101,7 +101,7 @@
 	confirmed := make(chan time.Time, 16)
 	f := &Follower{
 		Name: "rules", Source: source, Clock: clock.NewSteady(),
-		Pace:    func() Pace { return Pace{Wait: time.Minute} },
+		Timing:  func() PollTiming { return PollTiming{MaxWait: time.Minute} },
 		Apply:   func([]Entry, bool) {},
 		Confirm: func(asked time.Time) { confirmed <- asked },
 	}
@@ -157,7 +157,7 @@
 	source := &silent{reads: make(chan int)}
 	f := &Follower{
 		Name: "register", Source: source, Clock: clock.NewSteady(),
-		Pace: func() Pace { return Pace{} }, Apply: func([]Entry, bool) {},
+		Timing: func() PollTiming { return PollTiming{} }, Apply: func([]Entry, bool) {},
 	}
 
 	ctx, cancel := context.WithCancel(t.Context())
@@ -172,7 +172,7 @@
 
 	began := time.Now()
 
-	f.Redirect()
+	f.SourceChanged()
 	<-source.reads
 
 	if got, most := time.Since(began), callMargin/2; got > most {
@@ -199,8 +199,8 @@
 
 	asked := 0
 	f := &Follower{
-		Clock: clk, Pace: func() Pace { return Pace{Every: time.Second} },
-		Due: func() time.Duration {
+		Clock: clk, Timing: func() PollTiming { return PollTiming{Interval: time.Second} },
+		ExtraDelay: func() time.Duration {
 			asked++
 
 			// The others read until then.
@@ -249,7 +249,7 @@
 	}}
 	f := &Follower{
 		Name: "test", Source: source, Clock: clock.NewManual(time.Unix(0, 0)),
-		Pace: func() Pace { return Pace{Wait: time.Second} }, Apply: func([]Entry, bool) {},
+		Timing: func() PollTiming { return PollTiming{MaxWait: time.Second} }, Apply: func([]Entry, bool) {},
 	}
 
 	for i := range 5 {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -64,11 +64,11 @@
 	Admission *admission.Controller
 	Models    ModelServer
 	Plain     PlainServer
-	// Kept lets streamed answers outlive their connection; nil lets none.
-	Kept     KeptAnswers
+	// Retained lets streamed answers outlive their connection; nil lets none.
+	Retained RetainedAnswers
 	Observer Observer
-	// IDs returns a new request ID.
-	IDs          func() answer.RequestID
+	// NewID returns a new request ID.
+	NewID        func() answer.RequestID
 	MaxBodyBytes int64
 	// WriteTimeout bounds each write to a caller.
 	WriteTimeout time.Duration
@@ -116,7 +116,7 @@
 	return g.stopping.Load()
 }
 
-// Open returns the number of requests under way.
-func (g *Gateway) Open() int64 {
+// OpenRequests returns the number of requests under way.
+func (g *Gateway) OpenRequests() int64 {
 	return g.instruments.open.Load()
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -38,7 +38,7 @@
 		return
 	}
 
-	ticket, refused := g.admitBefore(r.Context(), call.request.Deadline, call.admissionRequest())
+	ticket, refused := g.admit(r.Context(), call.request.Deadline, call.admissionRequest())
 	if refused != nil {
 		refused = beforeClaim(r.Header, refused)
 		g.observe(call.observation(r.Context(), g.Clock.Now(), refused))
@@ -113,7 +113,7 @@
 	}
 
 	return plainCall{service: service, request: PlainRequest{
-		ID:      g.IDs(),
+		ID:      g.NewID(),
 		Account: who.account.Name(),
 		Service: service.Name(),
 		Kind:    kind,
@@ -195,7 +195,7 @@
 func (c plainCall) outcome(now time.Time, refused *refusal.Refusal) admission.Outcome {
 	return admission.Outcome{
 		Latency:    now.Sub(c.request.Arrived),
-		Whole:      now.Sub(c.request.Arrived),
+		Duration:   now.Sub(c.request.Arrived),
 		Overloaded: refused != nil && refused.Code() == refusal.ServerRefused,
 	}
 }
@@ -205,7 +205,7 @@
 		Account:    c.request.Account,
 		Service:    c.request.Service,
 		Kind:       c.request.Kind,
-		Whole:      now.Sub(c.request.Arrived),
+		Duration:   now.Sub(c.request.Arrived),
 		Refused:    refused,
 		CallerGone: ctx.Err() != nil,
 	}
--- a/lease/core.go
+++ b/lease/core.go
@@ -84,21 +84,21 @@
 	c.extend(r)
 }
 
-// Lost says that the log came back at now from an older copy, in which what was written last
+// LogRolledBack says that the log came back at now from an older copy, in which what was written last
 // is missing. What was held is held no more, and nothing is taken for as long as a grant may
 // last that this process never read of.
-func (c *Core) Lost(now time.Time) {
+func (c *Core) LogRolledBack(now time.Time) {
 	c.ledger = NewLedger(c.role)
 	c.validUntil, c.seenAt, c.caughtUpAt, c.readableSince = time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	c.releasing = false
-	c.quietUntil = now.Add(c.config.waitFor(c.config.Term + c.config.Flight))
+	c.quietUntil = now.Add(c.config.waitFor(c.config.Term + c.config.MaxOrderDelay))
 
 	clear(c.pending)
 }
 
 // CaughtUp says that the end of the log was reached at now.
 func (c *Core) CaughtUp(now time.Time) {
-	if c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.ReadGap {
+	if c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.MaxReadGap {
 		c.readableSince = now
 	}
 
@@ -107,7 +107,7 @@
 
 // Step returns the records to append at now.
 func (c *Core) Step(now time.Time) []Command {
-	if !c.sentAt.IsZero() && now.Sub(c.sentAt) < c.config.RenewEvery {
+	if !c.sentAt.IsZero() && now.Sub(c.sentAt) < c.config.RenewInterval {
 		return nil
 	}
 
@@ -191,8 +191,8 @@
 	}
 }
 
-// Open tells whether a candidate would take the role now.
-func (c *Core) Open(now time.Time) bool {
+// CanAcquire tells whether a candidate would take the role now.
+func (c *Core) CanAcquire(now time.Time) bool {
 	return !c.ledger.heldBy(c.self) && c.mayAcquire(now)
 }
 
@@ -201,7 +201,7 @@
 		return false
 	}
 
-	if !c.candidate || c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.ReadGap {
+	if !c.candidate || c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.MaxReadGap {
 		return false
 	}
 
@@ -215,11 +215,11 @@
 		start = c.readableSince
 	}
 
-	if c.config.OneProcess && state.Holder.Instance == c.self.Instance {
-		return !now.Before(start.Add(c.config.waitFor(c.config.Flight)))
+	if c.config.SingleProcess && state.Holder.Instance == c.self.Instance {
+		return !now.Before(start.Add(c.config.waitFor(c.config.MaxOrderDelay)))
 	}
 
-	wait := c.config.Flight
+	wait := c.config.MaxOrderDelay
 	if !state.Released {
 		wait += state.Term
 	}
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -57,9 +57,9 @@
 	for now := start; now.Before(until); now = now.Add(100 * time.Millisecond) {
 		if fence == 0 || now.Before(until.Add(-30*time.Second)) && rapid.IntRange(0, 99).Draw(t, "grant") == 0 {
 			fence += lease.Fence(rapid.IntRange(1, 9).Draw(t, "fence"))
-			corrector = &lease.Corrector[int]{ReadEvery: readEvery, Retry: flight, Flight: flight}
+			corrector = &lease.Corrector[int]{ReadInterval: readEvery, RetryInterval: flight, MaxOrderDelay: flight}
 			wanted = rapid.IntRange(1, 3).Draw(t, "version")
-			corrector.Want("runner-1", wanted)
+			corrector.SetDesired("runner-1", wanted)
 		}
 
 		kept := flying[:0]
@@ -111,7 +111,7 @@
 }
 
 func answered(c *lease.Corrector[int], id fleet.InstanceID) func(time.Time) {
-	return func(now time.Time) { c.Answered(now, id, true) }
+	return func(now time.Time) { c.OrderFinished(now, id, true) }
 }
 
 func TestHoldsLeaseOrdersWithCheckingEngine(t *testing.T) {
--- a/listener/limit.go
+++ b/listener/limit.go
@@ -24,10 +24,10 @@
 type Limit struct {
 	net.Listener
 	Max int64
-	// Answer is written to a connection over the bound.
-	Answer []byte
-	// Refused is called for each connection over the bound; it may be nil.
-	Refused func()
+	// Refusal is written to a connection over the bound.
+	Refusal []byte
+	// OnRefused is called for each connection over the bound; it may be nil.
+	OnRefused func()
 
 	open atomic.Int64
 }
@@ -55,14 +55,14 @@
 }
 
 func (l *Limit) refuse(c net.Conn) {
-	if l.Refused != nil {
-		l.Refused()
+	if l.OnRefused != nil {
+		l.OnRefused()
 	}
 
 	// A caller that does not read its refusal must not hold up the others; the
 	// answer fits into the send buffer of a new connection.
 	_ = c.SetWriteDeadline(time.Now().Add(refusalTimeout))
-	_, _ = c.Write(l.Answer)
+	_, _ = c.Write(l.Refusal)
 	_ = c.Close()
 }
 
--- a/listener/limit_test.go
+++ b/listener/limit_test.go
@@ -15,8 +15,8 @@
 
 	refused := make(chan struct{}, 1)
 	l := &Limit{
-		Listener: inner, Max: 1, Answer: []byte("busy"),
-		Refused: func() { refused <- struct{}{} },
+		Listener: inner, Max: 1, Refusal: []byte("busy"),
+		OnRefused: func() { refused <- struct{}{} },
 	}
 	accepted := make(chan net.Conn, 2)
 
--- a/logpipe/logpipe_test.go
+++ b/logpipe/logpipe_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 
-	if p.Roomy() {
+	if p.HasSpareCapacity() {
 		t.Error("full: got roomy, want not")
 	}
 
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 
-	if !p.Roomy() {
+	if !p.HasSpareCapacity() {
 		t.Error("20s later: got not roomy, want roomy")
 	}
 
@@ -41,7 +41,7 @@
 	cancel()
 	p.Run(ctx)
 
-	if got, want := strings.Count(out.String(), "xxx\n"), Burst/1024; got != want {
+	if got, want := strings.Count(out.String(), "xxx\n"), BurstBytes/1024; got != want {
 		t.Errorf("lines: got %d, want %d", got, want)
 	}
 
--- a/monsoonleverd/signals_test.go
+++ b/monsoonleverd/signals_test.go
@@ -399,15 +399,15 @@
 func TestASoakOfSignalsBreaksNoPromise(t *testing.T) {
 	t.Parallel()
 
-	s := &soak.Soak{Program: program(t), Dir: t.TempDir(), Seed: 1, Instances: 3, Callers: 4, Span: 10 * time.Second}
+	s := &soak.Soak{Program: program(t), Dir: t.TempDir(), Seed: 1, Instances: 3, Callers: 4, Duration: 10 * time.Second}
 
 	report, err := s.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	if report.Answered == 0 || report.Signals == 0 {
-		t.Errorf("got %d answers and %d signals, want some", report.Answered, report.Signals)
+	if report.Completed == 0 || report.Signals == 0 {
+		t.Errorf("got %d answers and %d signals, want some", report.Completed, report.Signals)
 	}
 
 	for _, breach := range report.Breaches {
--- a/provider/http_log.go
+++ b/provider/http_log.go
@@ -23,23 +23,23 @@
 	LogWaitParam   = "wait"
 )
 
-// AppendAnswer is the answer to an append.
-type AppendAnswer struct {
+// AppendResponse is the answer to an append.
+type AppendResponse struct {
 	Offset Offset `json:"offset"`
 }
 
-// RecordAnswer is one record of a BatchAnswer.
-type RecordAnswer struct {
+// RecordResponse is one record of a BatchAnswer.
+type RecordResponse struct {
 	Offset Offset    `json:"offset"`
 	Time   time.Time `json:"time"`
 	Data   []byte    `json:"data"`
 }
 
-// BatchAnswer is the answer to a read.
-type BatchAnswer struct {
-	Records []RecordAnswer `json:"records"`
-	First   Offset         `json:"first"`
-	Next    Offset         `json:"next"`
+// BatchResponse is the answer to a read.
+type BatchResponse struct {
+	Records []RecordResponse `json:"records"`
+	First   Offset           `json:"first"`
+	Next    Offset           `json:"next"`
 }
 
 // HTTPLog is a client of the log service.
@@ -57,7 +57,7 @@
 // Append adds one record. The error wraps ErrRefused where the log said that
 // it did nothing, and where no connection to it could be made.
 func (l *HTTPLog) Append(ctx context.Context, stream Stream, data []byte) (Offset, error) {
-	var answer AppendAnswer
+	var answer AppendResponse
 
 	path := LogRecordsPath + "?" + url.Values{LogStreamParam: {string(stream)}}.Encode()
 
@@ -84,7 +84,7 @@
 		LogWaitParam:   {wait.String()},
 	}
 
-	var answer BatchAnswer
+	var answer BatchResponse
 	if err := l.client.Get(ctx, LogRecordsPath+"?"+query.Encode(), &answer); err != nil {
 		return Batch{}, merry.Prepend(err, "read "+string(stream))
 	}
--- a/replica/source.go
+++ b/replica/source.go
@@ -40,13 +40,13 @@
 	Log    *Log
 	// Upstream is asked before each read.
 	Upstream func() Upstream
-	// Ahead is asked before each read of changes at the origin: it returns an instance that is known
+	// NewerInstance is asked before each read of changes at the origin: it returns an instance that is known
 	// to have read newer ones, if there is one. The read goes there instead. Nil is none.
-	Ahead func() (netip.AddrPort, bool)
-	// Kept reports whether others read from this instance; without it the log stays empty. Nil is
+	NewerInstance func() (netip.AddrPort, bool)
+	// KeepLog reports whether others read from this instance; without it the log stays empty. Nil is
 	// always.
-	Kept   func() bool
-	Dialer *net.Dialer
+	KeepLog func() bool
+	Dialer  *net.Dialer
 
 	relayed atomic.Bool
 	address netip.AddrPort
@@ -54,9 +54,9 @@
 	reader  *bufio.Reader
 }
 
-// Relayed reports whether the newest read went to another instance. Such a read does not show
+// LastReadRelayed reports whether the newest read went to another instance. Such a read does not show
 // that its content is the newest of the origin.
-func (s *Source) Relayed() bool { return s.relayed.Load() }
+func (s *Source) LastReadRelayed() bool { return s.relayed.Load() }
 
 // Snapshot returns the newest entry of each key.
 func (s *Source) Snapshot(ctx context.Context) ([]feed.Entry, feed.Position, error) {
@@ -118,11 +118,11 @@
 }
 
 func (s *Source) ahead(up Upstream) (netip.AddrPort, bool) {
-	if !up.Origin || s.Ahead == nil {
+	if !up.Origin || s.NewerInstance == nil {
 		return netip.AddrPort{}, false
 	}
 
-	return s.Ahead()
+	return s.NewerInstance()
 }
 
 // catchUp reads changes from an instance that has newer ones than this one. Where that fails, the
@@ -165,7 +165,7 @@
 // kept reports whether the log is kept, and empties it otherwise. A log that is kept again has to
 // begin with a whole set.
 func (s *Source) kept() bool {
-	if s.Kept == nil || s.Kept() {
+	if s.KeepLog == nil || s.KeepLog() {
 		return true
 	}
 
