--- a/replica/log.go
+++ b/replica/log.go
@@ -24,8 +24,8 @@
 // maxGaps bounds the gaps that are remembered.
 const maxGaps = 32
 
-// entryBytes is what an entry takes beside its key and data.
-const entryBytes = 64
+// entryOverheadBytes is what an entry takes beside its key and data.
+const entryOverheadBytes = 64
 
 // Log keeps the newest entry of each key of a feed and its recent changes. It is a
 // feed.Source. Its exported fields are set before its first use; it is safe for concurrent
@@ -36,17 +36,17 @@
 	// entry is not passed on; nil passes all on.
 	Equivalent func(before, after feed.Entry) bool
 
-	mu      sync.Mutex
-	loaded  bool
-	newest  map[string]feed.Entry
-	changes []feed.Entry
-	bytes   int
-	// first is from where on all changes are kept, and next where the log ends.
-	first, next feed.Position
+	mu           sync.Mutex
+	loaded       bool
+	latest       map[string]feed.Entry
+	changes      []feed.Entry
+	changesBytes int
+	// oldest is from where on all changes are kept, and next where the log ends.
+	oldest, next feed.Position
 	// gaps are the positions that whole sets have skipped: what came and went there is not known.
 	gaps []gap
-	// grown is closed and replaced with each change.
-	grown chan struct{}
+	// changed is closed and replaced with each change.
+	changed chan struct{}
 }
 
 // gap holds the positions between two others, without both.
@@ -54,7 +54,7 @@
 	from, to feed.Position
 }
 
-func (g gap) has(p feed.Position) bool { return g.from < p && p < g.to }
+func (g gap) contains(p feed.Position) bool { return g.from < p && p < g.to }
 
 // Replace puts a whole set in place of what was known. Changes are found from next on, and from
 // where the log ended before.
@@ -64,23 +64,23 @@
 
 	if !l.loaded || next.Era() != l.next.Era() || next < l.next {
 		// No position of before leads to this set.
-		l.newest, l.changes, l.bytes = make(map[string]feed.Entry, len(entries)), nil, 0
-		l.first, l.gaps = next, nil
+		l.latest, l.changes, l.changesBytes = make(map[string]feed.Entry, len(entries)), nil, 0
+		l.oldest, l.gaps = next, nil
 	} else {
-		l.skip(gap{from: l.next, to: next})
+		l.recordGap(gap{from: l.next, to: next})
 	}
 
-	removed := make(map[string]bool, len(l.newest))
-	for key := range l.newest {
-		removed[key] = true
+	missing := make(map[string]bool, len(l.latest))
+	for key := range l.latest {
+		missing[key] = true
 	}
 
 	for _, e := range entries {
-		delete(removed, e.Key)
+		delete(missing, e.Key)
 		l.add(e)
 	}
 
-	for key := range removed {
+	for key := range missing {
 		l.add(feed.Entry{Key: key, At: next - 1})
 	}
 
@@ -88,7 +88,7 @@
 	slices.SortStableFunc(l.changes, func(a, b feed.Entry) int { return cmp.Compare(a.At, b.At) })
 
 	l.loaded = true
-	l.extend(next)
+	l.advance(next)
 }
 
 // Clear forgets all. The log has nothing until the next Replace.
@@ -97,7 +97,7 @@
 	defer l.mu.Unlock()
 
 	if l.loaded {
-		l.loaded, l.newest, l.changes, l.bytes, l.gaps = false, nil, nil, 0, nil
+		l.loaded, l.latest, l.changes, l.changesBytes, l.gaps = false, nil, nil, 0, nil
 	}
 }
 
@@ -122,12 +122,12 @@
 		l.add(e)
 	}
 
-	l.extend(next)
+	l.advance(next)
 }
 
 // add takes one entry in; the log is locked.
 func (l *Log) add(e feed.Entry) {
-	before, known := l.newest[e.Key]
+	before, known := l.latest[e.Key]
 	if known && e.At <= before.At && len(e.Data) > 0 || !known && len(e.Data) == 0 {
 		return
 	}
@@ -140,39 +140,39 @@
 	e.Data = bytes.Clone(e.Data)
 
 	if len(e.Data) == 0 {
-		delete(l.newest, e.Key)
+		delete(l.latest, e.Key)
 	} else {
-		l.newest[e.Key] = e
+		l.latest[e.Key] = e
 	}
 
 	l.changes = append(l.changes, e)
-	l.bytes += sizeOf(e)
+	l.changesBytes += entrySize(e)
 }
 
-// extend ends a change of the log at next and wakes those that wait for it; the log is locked.
-func (l *Log) extend(next feed.Position) {
+// advance ends a change of the log at next and wakes those that wait for it; the log is locked.
+func (l *Log) advance(next feed.Position) {
 	l.next = max(l.next, next)
 	if l.next.Era() != next.Era() {
 		l.next = next
 	}
 
-	drop := 0
-	for l.bytes > maxChangesBytes {
-		l.bytes -= sizeOf(l.changes[drop])
-		l.first = l.changes[drop].At + 1
-		drop++
+	evicted := 0
+	for l.changesBytes > maxChangesBytes {
+		l.changesBytes -= entrySize(l.changes[evicted])
+		l.oldest = l.changes[evicted].At + 1
+		evicted++
 	}
 
-	l.changes = slices.Delete(l.changes, 0, drop)
+	l.changes = slices.Delete(l.changes, 0, evicted)
 
-	if l.grown != nil {
-		close(l.grown)
+	if l.changed != nil {
+		close(l.changed)
 	}
 
-	l.grown = make(chan struct{})
+	l.changed = make(chan struct{})
 }
 
-func sizeOf(e feed.Entry) int { return entryBytes + len(e.Key) + len(e.Data) }
+func entrySize(e feed.Entry) int { return entryOverheadBytes + len(e.Key) + len(e.Data) }
 
 // Snapshot returns the newest entry of each key in the order of the keys.
 func (l *Log) Snapshot(context.Context) ([]feed.Entry, feed.Position, error) {
@@ -183,8 +183,8 @@
 		return nil, 0, ErrUnavailable
 	}
 
-	entries := make([]feed.Entry, 0, len(l.newest))
-	for _, e := range l.newest {
+	entries := make([]feed.Entry, 0, len(l.latest))
+	for _, e := range l.latest {
 		entries = append(entries, e)
 	}
 
@@ -198,20 +198,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	return l.loaded && from.Era() == l.next.Era() && l.follows(from)
+	return l.loaded && from.Era() == l.next.Era() && l.hasChangesSince(from)
 }
 
-func (l *Log) follows(from feed.Position) bool {
-	return from >= l.first && !slices.ContainsFunc(l.gaps, func(g gap) bool { return g.has(from) })
+func (l *Log) hasChangesSince(from feed.Position) bool {
+	return from >= l.oldest && !slices.ContainsFunc(l.gaps, func(g gap) bool { return g.contains(from) })
 }
 
-// skip notes a gap. Gaps that no kept change follows are forgotten; of many, the oldest bounds
+// recordGap notes a gap. Gaps that no kept change follows are forgotten; of many, the oldest bounds
 // what is kept.
-func (l *Log) skip(g gap) {
-	l.gaps = slices.DeleteFunc(l.gaps, func(g gap) bool { return g.to <= l.first })
+func (l *Log) recordGap(g gap) {
+	l.gaps = slices.DeleteFunc(l.gaps, func(g gap) bool { return g.to <= l.oldest })
 
 	if len(l.gaps) == maxGaps {
-		l.first = l.gaps[0].to
+		l.oldest = l.gaps[0].to
 		l.gaps = slices.Delete(l.gaps, 0, 1)
 	}
 
@@ -229,17 +229,17 @@
 // Changes returns the changes from a position on, or waits for one. A reader that is ahead
 // of this log gets none until the log has caught up.
 func (l *Log) Changes(ctx context.Context, from feed.Position, wait time.Duration) (feed.Changes, error) {
-	over := l.Clock.After(wait)
+	timeout := l.Clock.After(wait)
 
 	for {
-		changes, grown, err := l.since(from)
+		changes, changed, err := l.changesSince(from)
 		if err != nil || len(changes.Entries) > 0 || wait <= 0 {
 			return changes, err
 		}
 
 		select {
-		case <-grown:
-		case <-over:
+		case <-changed:
+		case <-timeout:
 			wait = 0
 		case <-ctx.Done():
 			return feed.Changes{}, ctx.Err()
@@ -247,8 +247,8 @@
 	}
 }
 
-// since returns what is kept from a position on, and what is closed with the next change.
-func (l *Log) since(from feed.Position) (feed.Changes, <-chan struct{}, error) {
+// changesSince returns what is kept from a position on, and what is closed with the next change.
+func (l *Log) changesSince(from feed.Position) (feed.Changes, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -256,12 +256,12 @@
 		return feed.Changes{}, nil, ErrUnavailable
 	}
 
-	if !l.follows(from) {
+	if !l.hasChangesSince(from) {
 		return feed.Changes{}, nil, feed.ErrTrimmed
 	}
 
-	at, _ := slices.BinarySearchFunc(l.changes, from, func(e feed.Entry, from feed.Position) int { return cmp.Compare(e.At, from) })
+	start, _ := slices.BinarySearchFunc(l.changes, from, func(e feed.Entry, from feed.Position) int { return cmp.Compare(e.At, from) })
 	end := max(from, l.next)
 
-	return feed.Changes{Entries: slices.Clone(l.changes[at:]), Next: end, End: end}, l.grown, nil
+	return feed.Changes{Entries: slices.Clone(l.changes[start:]), Next: end, End: end}, l.changed, nil
 }
--- a/replica/log_test.go
+++ b/replica/log_test.go
@@ -18,7 +18,7 @@
 	return feed.Entry{Key: key, Data: []byte(data), At: feed.PositionOf(1, at)}
 }
 
-func readAll(t *testing.T, l *Log) (map[string]string, feed.Position) {
+func snapshotOfLog(t *testing.T, l *Log) (map[string]string, feed.Position) {
 	t.Helper()
 
 	entries, next, err := l.Snapshot(context.Background())
@@ -34,7 +34,7 @@
 	return all, next
 }
 
-func TestALogThatWasNotReadHasNothing(t *testing.T) {
+func TestEmptyLogIsUnavailable(t *testing.T) {
 	l := &Log{Clock: clock.NewSteady()}
 
 	if _, _, err := l.Snapshot(context.Background()); !errors.Is(err, ErrUnavailable) {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestEntriesThatSayNothingNewAreNotPassedOn(t *testing.T) {
+func TestEquivalentEntriesAreNotForwarded(t *testing.T) {
 	l := &Log{Clock: clock.NewSteady(), Equivalent: func(a, b feed.Entry) bool { return bytes.Equal(a.Data[:1], b.Data[:1]) }}
 	l.Replace([]feed.Entry{change("a", "x1", 0)}, feed.PositionOf(1, 1))
 	l.Append([]feed.Entry{change("a", "x2", 1), change("b", "y1", 2)}, feed.PositionOf(1, 3))
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestAReaderAheadOfALogWaitsForIt(t *testing.T) {
+func TestReaderAheadOfLogWaits(t *testing.T) {
 	l := &Log{Clock: clock.NewSteady()}
 	l.Replace(nil, feed.PositionOf(1, 1))
 
@@ -82,7 +82,7 @@
 
 // Guards against backend servers that are gone for all but those that read on from where a whole
 // set skipped their removal.
-func TestAReaderIsNotContinuedFromWhatAWholeSetSkipped(t *testing.T) {
+func TestPositionInsideGapIsTrimmed(t *testing.T) {
 	l := &Log{Clock: clock.NewSteady()}
 	l.Replace(nil, feed.PositionOf(1, 0))
 	// Elsewhere, "gone" came at 1 and went at 3.
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestANewEraIsReadAsAWhole(t *testing.T) {
+func TestNewEraTrimsEarlierPositions(t *testing.T) {
 	l := &Log{Clock: clock.NewSteady()}
 	l.Replace([]feed.Entry{change("a", "x", 8)}, feed.PositionOf(1, 9))
 	l.Replace([]feed.Entry{{Key: "b", Data: []byte("y"), At: feed.PositionOf(2, 3)}}, feed.PositionOf(2, 4))
@@ -116,12 +116,12 @@
 		t.Errorf("changes of an earlier era: got %v, want ErrTrimmed", err)
 	}
 
-	if all, next := readAll(t, l); len(all) != 1 || all["b"] != "y" || next.Era() != 2 {
+	if all, next := snapshotOfLog(t, l); len(all) != 1 || all["b"] != "y" || next.Era() != 2 {
 		t.Errorf("got %v up to era %d, want b of era 2", all, next.Era())
 	}
 }
 
-func TestChangesAreBounded(t *testing.T) {
+func TestLogBoundsRetainedChanges(t *testing.T) {
 	l := &Log{Clock: clock.NewSteady()}
 	l.Replace(nil, feed.PositionOf(1, 0))
 
@@ -131,8 +131,8 @@
 		l.Append([]feed.Entry{{Key: "k", Data: make([]byte, size), At: feed.PositionOf(1, i)}}, feed.PositionOf(1, i+1))
 	}
 
-	if l.bytes > maxChangesBytes {
-		t.Errorf("kept: got %d bytes, want at most %d", l.bytes, maxChangesBytes)
+	if l.changesBytes > maxChangesBytes {
+		t.Errorf("kept: got %d bytes, want at most %d", l.changesBytes, maxChangesBytes)
 	}
 
 	if _, err := l.Changes(context.Background(), feed.PositionOf(1, 1), 0); !errors.Is(err, feed.ErrTrimmed) {
@@ -145,7 +145,7 @@
 }
 
 // A reader that follows changes, from whichever log it reads, ends with what the origin has.
-func TestHoldsReadersFollowTheOrigin(t *testing.T) {
+func TestHoldsReadersConvergeToOrigin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		origin := &Log{Clock: clock.NewSteady()}
 		origin.Replace(nil, feed.PositionOf(1, 0))
--- a/replica/message.go
+++ b/replica/message.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// lengthBytes is the size of the length before each message, whose highest bit says that the
+	// headerBytes is the size of the length before each message, whose highest bit says that the
 	// message is compressed.
-	lengthBytes = 4
-	compressed  = uint32(1) << 31
-	// maxFrame bounds a message, also once it is decompressed.
-	maxFrame = 4 << 20
-	// compressFrom is the size from which on a message is compressed: a whole set of backend
+	headerBytes    = 4
+	compressedFlag = uint32(1) << 31
+	// maxMessageBytes bounds a message, also once it is decompressed.
+	maxMessageBytes = 4 << 20
+	// compressMinBytes is the size from which on a message is compressed: a whole set of backend
 	// servers becomes a sixth of its size, and small links carry it to many instances at once.
-	compressFrom = 1 << 10
+	compressMinBytes = 1 << 10
 )
 
 // ErrFrame means that what another instance sent is no message.
@@ -46,8 +46,8 @@
 		return nil, err
 	}
 
-	if len(data) < compressFrom {
-		return append(header(uint32(len(data)), len(data)), data...), nil
+	if len(data) < compressMinBytes {
+		return append(newHeader(uint32(len(data)), len(data)), data...), nil
 	}
 
 	packed, err := compress(data)
@@ -55,11 +55,11 @@
 		return nil, err
 	}
 
-	return append(header(uint32(len(packed))|compressed, len(packed)), packed...), nil
+	return append(newHeader(uint32(len(packed))|compressedFlag, len(packed)), packed...), nil
 }
 
-func header(length uint32, room int) []byte {
-	return binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+room), length)
+func newHeader(length uint32, payloadBytes int) []byte {
+	return binary.BigEndian.AppendUint32(make([]byte, 0, headerBytes+payloadBytes), length)
 }
 
 func compress(data []byte) ([]byte, error) {
@@ -81,13 +81,13 @@
 
 // decompress returns what was compressed, of at most maxFrame bytes.
 func decompress(packed []byte) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxFrame+1))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxMessageBytes+1))
 	if err != nil {
 		return nil, merry.Prepend(ErrFrame, err.Error())
 	}
 
-	if len(data) > maxFrame {
-		return nil, merry.Prependf(ErrFrame, "more than %d bytes", maxFrame)
+	if len(data) > maxMessageBytes {
+		return nil, merry.Prependf(ErrFrame, "more than %d bytes", maxMessageBytes)
 	}
 
 	return data, nil
@@ -105,22 +105,22 @@
 }
 
 func readMessage(r io.Reader, into any) error {
-	var length [lengthBytes]byte
-	if _, err := io.ReadFull(r, length[:]); err != nil {
+	var header [headerBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return err
 	}
 
-	n := binary.BigEndian.Uint32(length[:])
-	if n&^compressed > maxFrame {
-		return merry.Prependf(ErrFrame, "%d bytes", n&^compressed)
+	prefix := binary.BigEndian.Uint32(header[:])
+	if prefix&^compressedFlag > maxMessageBytes {
+		return merry.Prependf(ErrFrame, "%d bytes", prefix&^compressedFlag)
 	}
 
-	data := make([]byte, n&^compressed)
+	data := make([]byte, prefix&^compressedFlag)
 	if _, err := io.ReadFull(r, data); err != nil {
 		return err
 	}
 
-	if n&compressed != 0 {
+	if prefix&compressedFlag != 0 {
 		var err error
 		if data, err = decompress(data); err != nil {
 			return err
--- a/replica/message_test.go
+++ b/replica/message_test.go
@@ -14,8 +14,8 @@
 	"monsoonlever/feed"
 )
 
-// serversOf returns a log of n backend servers as they register themselves.
-func serversOf(n int) *Log {
+// logOfServers returns a log of n backend servers as they register themselves.
+func logOfServers(n int) *Log {
 	random := rand.New(rand.NewPCG(1, 1))
 	entries := make([]feed.Entry, 0, n)
 
@@ -34,7 +34,7 @@
 	return l
 }
 
-func sizeOfAll(frames [][]byte) int {
+func totalBytes(frames [][]byte) int {
 	sum := 0
 	for _, data := range frames {
 		sum += len(data)
@@ -45,36 +45,36 @@
 
 // Guards against starts of all that end late or never where relays have small links: 20 members
 // read the whole set of a relay at once.
-func TestASmallLinkCarriesAllServersToTheMembersOfARelay(t *testing.T) {
+func TestRelayLinkCarriesSnapshotsToAllMembers(t *testing.T) {
 	const (
-		members      = 20
-		bytesASecond = 10_000_000 / 8
-		most         = 5 * time.Second
+		members            = 20
+		linkBytesPerSecond = 10_000_000 / 8
+		maxDuration        = 5 * time.Second
 	)
 
 	for _, n := range []int{3000, 6000} {
-		var whole wholeSet
+		var cache snapshotCache
 
-		frames, err := whole.read(t.Context(), time.Unix(1000, 0), serversOf(n))
+		frames, err := cache.read(t.Context(), time.Unix(1000, 0), logOfServers(n))
 		if err != nil {
 			t.Fatal(err)
 		}
 
-		size := sizeOfAll(frames)
-		if took := time.Duration(float64(members*size) / bytesASecond * float64(time.Second)); took > most {
-			t.Errorf("%d servers: got %d bytes, %v for %d members, want at most %v", n, size, took, members, most)
+		size := totalBytes(frames)
+		if took := time.Duration(float64(members*size) / linkBytesPerSecond * float64(time.Second)); took > maxDuration {
+			t.Errorf("%d servers: got %d bytes, %v for %d members, want at most %v", n, size, took, members, maxDuration)
 		}
 	}
 }
 
-func TestAWholeSetIsEncodedOnceForAllThatAskTogether(t *testing.T) {
-	l := serversOf(100)
+func TestEncodedSnapshotIsReusedWithinTTL(t *testing.T) {
+	l := logOfServers(100)
 
-	var whole wholeSet
+	var cache snapshotCache
 
 	now := time.Unix(1000, 0)
 	read := func() *byte {
-		frames, err := whole.read(t.Context(), now, l)
+		frames, err := cache.read(t.Context(), now, l)
 		if err != nil || len(frames) == 0 {
 			t.Fatalf("got %d frames and %v, want some", len(frames), err)
 		}
@@ -89,7 +89,7 @@
 		t.Error("a moment later: got another encoding, want the same")
 	}
 
-	now = now.Add(wholeLife + time.Millisecond)
+	now = now.Add(snapshotTTL + time.Millisecond)
 
 	if got := read(); got == first {
 		t.Error("later: got the same encoding, want the newest")
@@ -97,12 +97,12 @@
 
 	l.Replace(nil, feed.PositionOf(2, 1))
 
-	if frames, err := whole.read(t.Context(), now, l); err != nil || bytes.Contains(frames[0], []byte("i-")) {
+	if frames, err := cache.read(t.Context(), now, l); err != nil || bytes.Contains(frames[0], []byte("i-")) {
 		t.Errorf("after a new era: got %q and %v, want its set", frames, err)
 	}
 }
 
-func TestHoldsMessagesAreReadAsTheyWereWritten(t *testing.T) {
+func TestHoldsMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := frame{Outcome: partial, Next: feed.Position(rapid.Uint64().Draw(t, "next"))}
 		for range rapid.IntRange(0, 40).Draw(t, "entries") {
@@ -136,36 +136,36 @@
 	})
 }
 
-func TestAMessageThatDecompressesToTooMuchIsRefused(t *testing.T) {
-	packed, err := compress(make([]byte, maxFrame+1))
+func TestOversizedOrCorruptMessageIsRejected(t *testing.T) {
+	packed, err := compress(make([]byte, maxMessageBytes+1))
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	var got frame
 
-	data := append(header(uint32(len(packed))|compressed, len(packed)), packed...)
+	data := append(newHeader(uint32(len(packed))|compressedFlag, len(packed)), packed...)
 	if err := readMessage(bytes.NewReader(data), &got); !errors.Is(err, ErrFrame) {
 		t.Errorf("too much: got %v, want ErrFrame", err)
 	}
 
-	garbled := append(header(5|compressed, 5), "abcde"...)
-	if err := readMessage(bytes.NewReader(garbled), &got); !errors.Is(err, ErrFrame) {
+	corrupt := append(newHeader(5|compressedFlag, 5), "abcde"...)
+	if err := readMessage(bytes.NewReader(corrupt), &got); !errors.Is(err, ErrFrame) {
 		t.Errorf("garbled: got %v, want ErrFrame", err)
 	}
 }
 
-func BenchmarkWholeSetOfServers(b *testing.B) {
-	l := serversOf(3000)
+func BenchmarkServerSnapshot(b *testing.B) {
+	l := logOfServers(3000)
 
 	for b.Loop() {
-		var whole wholeSet
+		var cache snapshotCache
 
-		frames, err := whole.read(b.Context(), time.Unix(1000, 0), l)
+		frames, err := cache.read(b.Context(), time.Unix(1000, 0), l)
 		if err != nil {
 			b.Fatal(err)
 		}
 
-		b.ReportMetric(float64(sizeOfAll(frames)), "bytes")
+		b.ReportMetric(float64(totalBytes(frames)), "bytes")
 	}
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -24,9 +24,9 @@
 	"monsoonlever/feed"
 )
 
-// frameBytes is the size of entries from which on a message is sent: a slow link shows progress
+// frameTargetBytes is the size of entries from which on a message is sent: a slow link shows progress
 // several times a second.
-const frameBytes = 64 << 10
+const frameTargetBytes = 64 << 10
 
 // outcome is how a read ended.
 type outcome int
@@ -68,20 +68,20 @@
 	At       feed.Position
 }
 
-// framesOf divides entries into frames of about frameBytes, the last of which completes
+// splitIntoFrames divides entries into frames of about frameBytes, the last of which completes
 // the answer.
-func framesOf(entries []feed.Entry, next feed.Position) []frame {
+func splitIntoFrames(entries []feed.Entry, next feed.Position) []frame {
 	frames := []frame{{}}
-	bytes := 0
+	frameSize := 0
 
 	for _, e := range entries {
-		if bytes > frameBytes {
-			frames, bytes = append(frames, frame{}), 0
+		if frameSize > frameTargetBytes {
+			frames, frameSize = append(frames, frame{}), 0
 		}
 
 		last := &frames[len(frames)-1]
 		last.Entries = append(last.Entries, entry{Key: e.Key, Data: e.Data, At: e.At})
-		bytes += len(e.Key) + len(e.Data)
+		frameSize += len(e.Key) + len(e.Data)
 	}
 
 	last := &frames[len(frames)-1]
@@ -90,9 +90,9 @@
 	return frames
 }
 
-func entriesOf(frames []entry) []feed.Entry {
-	entries := make([]feed.Entry, 0, len(frames))
-	for _, e := range frames {
+func feedEntries(received []entry) []feed.Entry {
+	entries := make([]feed.Entry, 0, len(received))
+	for _, e := range received {
 		entries = append(entries, feed.Entry{Key: e.Key, Data: e.Data, At: e.At})
 	}
 
--- a/replica/server.go
+++ b/replica/server.go
@@ -25,8 +25,8 @@
 	// the writing of one frame.
 	idleTimeout  = time.Minute
 	writeTimeout = 3 * time.Second
-	// acceptPause follows a failure to accept a connection.
-	acceptPause = 100 * time.Millisecond
+	// acceptRetryDelay follows a failure to accept a connection.
+	acceptRetryDelay = 100 * time.Millisecond
 )
 
 // Server answers the reads of other instances from logs. Its fields are set before Run.
@@ -36,8 +36,8 @@
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
-	// whole are the newest whole sets by feed.
-	whole map[string]*wholeSet
+	// snapshots are the newest snapshots sets by feed.
+	snapshots map[string]*snapshotCache
 }
 
 // Run serves until ctx ends, and closes the listener and all connections.
@@ -49,7 +49,7 @@
 		<-ctx.Done()
 
 		_ = l.Close()
-		s.closeAll()
+		s.closeAllConns()
 	})
 
 	for ctx.Err() == nil {
@@ -57,27 +57,27 @@
 		if err != nil {
 			if ctx.Err() == nil {
 				klog.ErrorS(err, "connections of other instances are not accepted")
-				clock.Sleep(ctx, s.Clock, acceptPause)
+				clock.Sleep(ctx, s.Clock, acceptRetryDelay)
 			}
 
 			continue
 		}
 
-		if !s.open(ctx, conn) {
+		if !s.track(ctx, conn) {
 			_ = conn.Close() // the other instance reads elsewhere
 
 			continue
 		}
 
 		group.Go(func() {
-			defer s.close(conn)
+			defer s.closeConn(conn)
 
 			s.serve(ctx, conn)
 		})
 	}
 }
 
-func (s *Server) open(ctx context.Context, conn net.Conn) bool {
+func (s *Server) track(ctx context.Context, conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -94,7 +94,7 @@
 	return true
 }
 
-func (s *Server) close(conn net.Conn) {
+func (s *Server) closeConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -103,7 +103,7 @@
 	_ = conn.Close() // nothing is left to be said
 }
 
-func (s *Server) closeAll() {
+func (s *Server) closeAllConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -126,7 +126,7 @@
 			return
 		}
 
-		if err := s.answer(ctx, conn, r); err != nil {
+		if err := s.respond(ctx, conn, r); err != nil {
 			klog.V(1).InfoS("read of another instance ended", "feed", r.Feed, "err", err.Error())
 
 			return
@@ -134,9 +134,9 @@
 	}
 }
 
-// answer sends what a read gets.
-func (s *Server) answer(ctx context.Context, conn net.Conn, r request) error {
-	frames, err := s.read(ctx, r)
+// respond sends what a read gets.
+func (s *Server) respond(ctx context.Context, conn net.Conn, r request) error {
+	frames, err := s.responseFrames(ctx, r)
 	if err != nil {
 		return err
 	}
@@ -154,17 +154,17 @@
 	return nil
 }
 
-// read returns the encoded frames of an answer.
-func (s *Server) read(ctx context.Context, r request) ([][]byte, error) {
+// responseFrames returns the encoded frames of an answer.
+func (s *Server) responseFrames(ctx context.Context, r request) ([][]byte, error) {
 	log := s.Feeds[r.Feed]
 	if log == nil {
-		return encodeAll([]frame{{Outcome: unavailable}})
+		return encodeFrames([]frame{{Outcome: unavailable}})
 	}
 
 	if r.Whole {
-		frames, err := s.wholeOf(r.Feed).read(ctx, s.Clock.Now(), log)
+		frames, err := s.snapshotOf(r.Feed).read(ctx, s.Clock.Now(), log)
 		if errors.Is(err, ErrUnavailable) {
-			return encodeAll([]frame{{Outcome: unavailable}})
+			return encodeFrames([]frame{{Outcome: unavailable}})
 		}
 
 		return frames, err
@@ -175,25 +175,25 @@
 
 	switch {
 	case errors.Is(err, feed.ErrTrimmed):
-		return encodeAll([]frame{{Outcome: trimmed}})
+		return encodeFrames([]frame{{Outcome: trimmed}})
 	case err != nil:
-		return encodeAll([]frame{{Outcome: unavailable}})
+		return encodeFrames([]frame{{Outcome: unavailable}})
 	default:
-		return encodeAll(framesOf(changes.Entries, changes.Next))
+		return encodeFrames(splitIntoFrames(changes.Entries, changes.Next))
 	}
 }
 
-func (s *Server) wholeOf(name string) *wholeSet {
+func (s *Server) snapshotOf(feedName string) *snapshotCache {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if s.whole == nil {
-		s.whole = make(map[string]*wholeSet)
+	if s.snapshots == nil {
+		s.snapshots = make(map[string]*snapshotCache)
 	}
 
-	if s.whole[name] == nil {
-		s.whole[name] = &wholeSet{}
+	if s.snapshots[feedName] == nil {
+		s.snapshots[feedName] = &snapshotCache{}
 	}
 
-	return s.whole[name]
+	return s.snapshots[feedName]
 }
--- a/replica/source.go
+++ b/replica/source.go
@@ -48,20 +48,20 @@
 	KeepLog func() bool
 	Dialer  *net.Dialer
 
-	relayed atomic.Bool
-	address netip.AddrPort
-	conn    net.Conn
-	reader  *bufio.Reader
+	lastReadRelayed atomic.Bool
+	connectedTo     netip.AddrPort
+	conn            net.Conn
+	reader          *bufio.Reader
 }
 
 // LastReadRelayed reports whether the newest read went to another instance. Such a read does not show
 // that its content is the newest of the origin.
-func (s *Source) LastReadRelayed() bool { return s.relayed.Load() }
+func (s *Source) LastReadRelayed() bool { return s.lastReadRelayed.Load() }
 
 // Snapshot returns the newest entry of each key.
 func (s *Source) Snapshot(ctx context.Context) ([]feed.Entry, feed.Position, error) {
 	up := s.Upstream()
-	s.relayed.Store(!up.Origin)
+	s.lastReadRelayed.Store(!up.Origin)
 
 	var (
 		entries []feed.Entry
@@ -72,14 +72,14 @@
 	if up.Origin {
 		entries, next, err = s.Origin.Snapshot(ctx)
 	} else {
-		entries, next, err = s.ask(ctx, up.Address, request{Feed: s.Feed, Whole: true})
+		entries, next, err = s.fetch(ctx, up.Address, request{Feed: s.Feed, Whole: true})
 	}
 
 	if err != nil {
 		return nil, 0, err
 	}
 
-	if s.kept() {
+	if s.keepOrClearLog() {
 		s.Log.Replace(entries, next)
 	}
 
@@ -89,8 +89,8 @@
 // Changes returns the changes from a position on, or waits for one.
 func (s *Source) Changes(ctx context.Context, from feed.Position, wait time.Duration) (feed.Changes, error) {
 	up := s.Upstream()
-	ahead, catchUp := s.ahead(up)
-	s.relayed.Store(!up.Origin || catchUp)
+	newer, found := s.newerInstance(up)
+	s.lastReadRelayed.Store(!up.Origin || found)
 
 	var (
 		changes feed.Changes
@@ -98,26 +98,26 @@
 	)
 
 	switch {
-	case catchUp:
-		changes, err = s.catchUp(ctx, ahead, from)
+	case found:
+		changes, err = s.catchUp(ctx, newer, from)
 	case up.Origin:
 		changes, err = s.Origin.Changes(ctx, from, wait)
 	default:
-		changes, err = s.askChanges(ctx, up.Address, from, wait)
+		changes, err = s.fetchChanges(ctx, up.Address, from, wait)
 	}
 
 	if err != nil {
 		return feed.Changes{}, err
 	}
 
-	if s.kept() {
+	if s.keepOrClearLog() {
 		s.Log.Append(changes.Entries, changes.Next)
 	}
 
 	return changes, nil
 }
 
-func (s *Source) ahead(up Upstream) (netip.AddrPort, bool) {
+func (s *Source) newerInstance(up Upstream) (netip.AddrPort, bool) {
 	if !up.Origin || s.NewerInstance == nil {
 		return netip.AddrPort{}, false
 	}
@@ -127,11 +127,11 @@
 
 // catchUp reads changes from an instance that has newer ones than this one. Where that fails, the
 // next read goes to the origin from the same position.
-func (s *Source) catchUp(ctx context.Context, from netip.AddrPort, position feed.Position) (feed.Changes, error) {
-	call, cancel := context.WithTimeout(ctx, catchUpTimeout)
+func (s *Source) catchUp(ctx context.Context, to netip.AddrPort, from feed.Position) (feed.Changes, error) {
+	readCtx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 
-	changes, err := s.askChanges(call, from, position, 0)
+	changes, err := s.fetchChanges(readCtx, to, from, 0)
 	if errors.Is(err, feed.ErrTrimmed) {
 		return feed.Changes{}, ErrUnavailable
 	}
@@ -139,10 +139,10 @@
 	return changes, err
 }
 
-// askChanges reads changes from another instance. What has come before the read broke off is kept,
+// fetchChanges reads changes from another instance. What has come before the read broke off is kept,
 // so that a long read over a slow link goes on instead of beginning anew.
-func (s *Source) askChanges(ctx context.Context, to netip.AddrPort, from feed.Position, wait time.Duration) (feed.Changes, error) {
-	entries, next, err := s.ask(ctx, to, request{Feed: s.Feed, From: from, WaitMilliseconds: wait.Milliseconds()})
+func (s *Source) fetchChanges(ctx context.Context, to netip.AddrPort, from feed.Position, wait time.Duration) (feed.Changes, error) {
+	entries, next, err := s.fetch(ctx, to, request{Feed: s.Feed, From: from, WaitMilliseconds: wait.Milliseconds()})
 	if err == nil {
 		return feed.Changes{Entries: entries, Next: next, End: next}, nil
 	}
@@ -162,9 +162,9 @@
 	return feed.Changes{Entries: entries, Next: last, End: last + 1}, nil
 }
 
-// kept reports whether the log is kept, and empties it otherwise. A log that is kept again has to
+// keepOrClearLog reports whether the log is keepOrClearLog, and empties it otherwise. A log that is keepOrClearLog again has to
 // begin with a whole set.
-func (s *Source) kept() bool {
+func (s *Source) keepOrClearLog() bool {
 	if s.KeepLog == nil || s.KeepLog() {
 		return true
 	}
@@ -174,9 +174,9 @@
 	return false
 }
 
-// ask sends one request to another instance and collects its answer. With an error it returns the
+// fetch sends one request to another instance and collects its answer. With an error it returns the
 // entries that came before it.
-func (s *Source) ask(ctx context.Context, to netip.AddrPort, r request) ([]feed.Entry, feed.Position, error) {
+func (s *Source) fetch(ctx context.Context, to netip.AddrPort, r request) ([]feed.Entry, feed.Position, error) {
 	if !to.IsValid() {
 		return nil, 0, feed.ErrNoSource
 	}
@@ -184,7 +184,7 @@
 	entries, next, err := s.exchange(ctx, to, r)
 	if err != nil && !errors.Is(err, feed.ErrTrimmed) && !errors.Is(err, ErrUnavailable) {
 		// What else comes on the connection belongs to this read.
-		s.hangUp()
+		s.disconnect()
 	}
 
 	return entries, next, merry.Prependf(err, "read %s from %s", s.Feed, to)
@@ -217,7 +217,7 @@
 			return entries, 0, err
 		}
 
-		entries = append(entries, entriesOf(f.Entries)...)
+		entries = append(entries, feedEntries(f.Entries)...)
 
 		switch f.Outcome {
 		case partial:
@@ -237,23 +237,23 @@
 
 // connect opens a connection to an instance unless there is one.
 func (s *Source) connect(ctx context.Context, to netip.AddrPort) error {
-	if s.conn != nil && s.address == to {
+	if s.conn != nil && s.connectedTo == to {
 		return nil
 	}
 
-	s.hangUp()
+	s.disconnect()
 
 	conn, err := s.Dialer.DialContext(ctx, "tcp4", to.String())
 	if err != nil {
 		return err
 	}
 
-	s.conn, s.address, s.reader = conn, to, bufio.NewReader(conn)
+	s.conn, s.connectedTo, s.reader = conn, to, bufio.NewReader(conn)
 
 	return nil
 }
 
-func (s *Source) hangUp() {
+func (s *Source) disconnect() {
 	if s.conn != nil {
 		_ = s.conn.Close() // it is not used again
 		s.conn = nil
--- a/replica/source_test.go
+++ b/replica/source_test.go
@@ -41,7 +41,7 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-func TestTheListenerIsClosedOnceTheServerHasEnded(t *testing.T) {
+func TestListenerIsClosedWhenRunReturns(t *testing.T) {
 	const turns = 500
 
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -72,14 +72,14 @@
 	_ = listener.Close()
 }
 
-// counted is an origin that counts the reads of it.
-type counted struct {
+// countingOrigin is an origin that counts the reads of it.
+type countingOrigin struct {
 	*Log
 
 	reads atomic.Int64
 }
 
-func (c *counted) Snapshot(ctx context.Context) ([]feed.Entry, feed.Position, error) {
+func (c *countingOrigin) Snapshot(ctx context.Context) ([]feed.Entry, feed.Position, error) {
 	c.reads.Add(1)
 
 	return c.Log.Snapshot(ctx)
@@ -92,9 +92,9 @@
 	return l
 }
 
-func TestASourceReadsFromAnotherInstance(t *testing.T) {
+func TestSourceReadsFromAnotherInstance(t *testing.T) {
 	above := newLog(change("a", "x", 0))
-	origin := &counted{Log: newLog()}
+	origin := &countingOrigin{Log: newLog()}
 	up := Upstream{Address: serveLog(t, above)}
 	own := &Log{Clock: clock.NewSteady()}
 	s := &Source{Feed: "rules", Origin: origin, Log: own, Upstream: func() Upstream { return up }, Dialer: &net.Dialer{}}
@@ -111,7 +111,7 @@
 		t.Fatalf("changes: got %v, %v, want b", changes, err)
 	}
 
-	if all, _ := readAll(t, own); all["a"] != "x" || all["b"] != "y" {
+	if all, _ := snapshotOfLog(t, own); all["a"] != "x" || all["b"] != "y" {
 		t.Errorf("kept for others: got %v, want both", all)
 	}
 
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestALargeSetComesInParts(t *testing.T) {
+func TestLargeSnapshotIsSplitIntoFrames(t *testing.T) {
 	const n = 3000
 
 	var entries []feed.Entry
@@ -134,7 +134,7 @@
 		entries = append(entries, feed.Entry{Key: string(rune('A' + i)), Data: make([]byte, 200), At: feed.PositionOf(1, i)})
 	}
 
-	if frames := framesOf(entries, 0); len(frames) < 5 {
+	if frames := splitIntoFrames(entries, 0); len(frames) < 5 {
 		t.Errorf("frames: got %d, want several", len(frames))
 	}
 
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestReadsFailWithoutAnUpstream(t *testing.T) {
+func TestReadsFailWithoutUsableUpstream(t *testing.T) {
 	s := &Source{Feed: "rules", Log: &Log{Clock: clock.NewSteady()}, Upstream: func() Upstream { return Upstream{} }}
 	if _, _, err := s.Snapshot(t.Context()); !errors.Is(err, feed.ErrNoSource) {
 		t.Errorf("no upstream: got %v, want ErrNoSource", err)
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestAnInstanceThatNobodyReadsFromKeepsNothing(t *testing.T) {
+func TestLogIsEmptyUnlessKept(t *testing.T) {
 	above := newLog(change("a", "x", 0))
 	own := &Log{Clock: clock.NewSteady()}
 	kept := true
@@ -189,7 +189,7 @@
 }
 
 // An instance that ended a wait early must not get the rest of it as the answer to its next read.
-func TestACancelledWaitIsNotAnsweredLater(t *testing.T) {
+func TestCancelledWaitDoesNotAnswerNextRead(t *testing.T) {
 	above := newLog(change("a", "x", 0))
 	address := serveLog(t, above)
 	s := &Source{
@@ -212,9 +212,9 @@
 	}
 }
 
-// stallAfter answers each read with the first frame of its answer, and no more until the reader
+// serveFirstFrameOnly answers each read with the first frame of its answer, and no more until the reader
 // hangs up.
-func stallAfter(t *testing.T, l *Log) netip.AddrPort {
+func serveFirstFrameOnly(t *testing.T, l *Log) netip.AddrPort {
 	t.Helper()
 
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -235,7 +235,7 @@
 
 			var r request
 			if err := readMessage(conn, &r); err == nil {
-				frames, _ := server.read(t.Context(), r)
+				frames, _ := server.responseFrames(t.Context(), r)
 				_, _ = conn.Write(frames[0])
 				_, _ = conn.Read(make([]byte, 1))
 			}
@@ -248,7 +248,7 @@
 }
 
 // Guards against long reads over slow links that begin anew each time they break off.
-func TestAReadThatBreaksOffGoesOnWhereItStopped(t *testing.T) {
+func TestInterruptedReadResumes(t *testing.T) {
 	const n = 60
 
 	above := newLog()
@@ -262,7 +262,7 @@
 		}, feed.PositionOf(1, i+1))
 	}
 
-	up := Upstream{Address: stallAfter(t, above)}
+	up := Upstream{Address: serveFirstFrameOnly(t, above)}
 	s := &Source{Feed: "rules", Origin: newLog(), Log: newLog(), Upstream: func() Upstream { return up }, Dialer: &net.Dialer{}}
 	seen := make(map[string]bool)
 
@@ -292,8 +292,8 @@
 	}
 }
 
-// sourceAhead returns a source of an origin whose first read goes to another instance.
-func sourceAhead(origin *counted, ahead netip.AddrPort) *Source {
+// sourceWithNewerInstance returns a source of an origin whose first read goes to another instance.
+func sourceWithNewerInstance(origin *countingOrigin, newer netip.AddrPort) *Source {
 	asked := false
 
 	return &Source{
@@ -306,17 +306,17 @@
 
 			asked = true
 
-			return ahead, true
+			return newer, true
 		},
 	}
 }
 
-func TestNewerChangesComeFromTheInstanceThatHasThem(t *testing.T) {
-	origin := &counted{Log: newLog(change("a", "x", 0))}
+func TestChangesAreReadFromNewerInstance(t *testing.T) {
+	origin := &countingOrigin{Log: newLog(change("a", "x", 0))}
 	other := newLog(change("a", "x", 0))
 	other.Append([]feed.Entry{change("b", "y", 1)}, feed.PositionOf(1, 2))
 
-	s := sourceAhead(origin, serveLog(t, other))
+	s := sourceWithNewerInstance(origin, serveLog(t, other))
 
 	changes, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0)
 	if err != nil || !s.LastReadRelayed() || len(changes.Entries) != 1 || changes.Next != feed.PositionOf(1, 2) {
@@ -329,11 +329,11 @@
 }
 
 // A whole set for one missed change would be read at the origin by each instance.
-func TestAnInstanceAheadWithoutTheChangesCausesNoWholeRead(t *testing.T) {
+func TestTrimmedNewerInstanceCausesNoSnapshot(t *testing.T) {
 	trimmed := &Log{Clock: clock.NewSteady()}
 	trimmed.Replace(nil, feed.PositionOf(1, 9))
 
-	s := sourceAhead(&counted{Log: newLog(change("a", "x", 0))}, serveLog(t, trimmed))
+	s := sourceWithNewerInstance(&countingOrigin{Log: newLog(change("a", "x", 0))}, serveLog(t, trimmed))
 
 	if _, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0); err == nil || errors.Is(err, feed.ErrTrimmed) {
 		t.Errorf("trimmed at the other: got %v, want an error that keeps the position", err)
@@ -344,14 +344,14 @@
 	}
 }
 
-func TestAnInstanceAheadThatIsSilentHoldsUpNoReadOfTheOrigin(t *testing.T) {
+func TestUnresponsiveNewerInstanceTimesOut(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close() //nolint:errcheck // nothing was sent
 
-	s := sourceAhead(&counted{Log: newLog(change("a", "x", 0))}, netip.MustParseAddrPort(listener.Addr().String()))
+	s := sourceWithNewerInstance(&countingOrigin{Log: newLog(change("a", "x", 0))}, netip.MustParseAddrPort(listener.Addr().String()))
 	began := time.Now()
 
 	if _, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0); err == nil {
