--- a/feed/feed.go
+++ b/feed/feed.go
@@ -62,16 +62,16 @@
 }
 
 const (
-	// callMargin is what a call may take beyond the wait that was asked for.
-	callMargin = 1500 * time.Millisecond
+	// readTimeoutMargin is what a call may take beyond the wait that was asked for.
+	readTimeoutMargin = 1500 * time.Millisecond
 	// snapshotTimeout bounds the reading of a whole set: sources bound each of its parts by
 	// themselves, so that a slow link is no reason to begin anew.
 	snapshotTimeout = 15 * time.Second
-	// firstBackoff and maxBackoff bound the pause after a failed call: each call
+	// minBackoff and maxBackoff bound the pause after a failed call: each call
 	// has its price, also a refused one, and the store's return must be noticed
 	// well within the bound on the age of the rules.
-	firstBackoff = 150 * time.Millisecond
-	maxBackoff   = 700 * time.Millisecond
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = 700 * time.Millisecond
 )
 
 // PollTiming says how often a source is read.
@@ -99,36 +99,36 @@
 	// Confirm is told the time before a read that reached the end; it may be nil.
 	Confirm func(asked time.Time)
 
-	next       Position
-	positioned bool
-	backoff    time.Duration
-	lost       bool
-	// reached is when the last read succeeded, in Unix nanoseconds.
-	reached atomic.Int64
+	next        Position
+	hasPosition bool
+	backoff     time.Duration
+	sourceLost  bool
+	// lastRead is when the last read succeeded, in Unix nanoseconds.
+	lastRead atomic.Int64
 
-	wake, redirect Signal
-	// woken is set when the next read must not wait, and again when it has to be of the
+	wake, sourceChanged Signal
+	// skipWait is set when the next read must not wait, and snapshotRequested when it has to be of the
 	// whole set.
-	woken, again atomic.Bool
+	skipWait, snapshotRequested atomic.Bool
 }
 
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		again, err := f.step(ctx)
-		f.note(err)
+		more, err := f.readOnce(ctx)
+		f.recordResult(err)
 
 		switch {
 		case errors.Is(err, ErrTrimmed):
-			f.positioned = false
-		case f.woken.Load():
+			f.hasPosition = false
+		case f.skipWait.Load():
 		case errors.Is(err, ErrNoSource):
-			f.await(ctx, maxBackoff)
+			f.sleepUnlessWoken(ctx, maxBackoff)
 		case err != nil:
-			f.backoff = min(max(2*f.backoff, firstBackoff), max(maxBackoff, f.pace().MaxBackoff))
+			f.backoff = min(max(2*f.backoff, minBackoff), max(maxBackoff, f.timing().MaxBackoff))
 			// Readers that failed together return apart.
 			clock.Sleep(ctx, f.Clock, f.backoff/2+rand.N(f.backoff/2))
-		case !again:
+		case !more:
 			f.pause(ctx)
 		}
 	}
@@ -136,7 +136,7 @@
 
 // RequestSnapshot asks for the whole set at once, in place of changes.
 func (f *Follower) RequestSnapshot() {
-	f.again.Store(true)
+	f.snapshotRequested.Store(true)
 	f.wake.Send()
 }
 
@@ -145,9 +145,9 @@
 
 // SourceChanged asks for a read at once because the source has changed. It also ends a read of changes
 // that is under way: the source before may not answer.
-func (f *Follower) SourceChanged() { f.redirect.Send() }
+func (f *Follower) SourceChanged() { f.sourceChanged.Send() }
 
-func (f *Follower) pace() PollTiming {
+func (f *Follower) timing() PollTiming {
 	if f.Timing == nil {
 		return PollTiming{}
 	}
@@ -156,30 +156,30 @@
 }
 
 func (f *Follower) pause(ctx context.Context) {
-	for wait := f.pace().Interval; f.await(ctx, wait); {
-		if wait = f.due(); wait <= 0 {
+	for wait := f.timing().Interval; f.sleepUnlessWoken(ctx, wait); {
+		if wait = f.extraDelay(); wait <= 0 {
 			return
 		}
 	}
 }
 
-// await waits for some time and reports whether it passed without a request to read.
-func (f *Follower) await(ctx context.Context, wait time.Duration) bool {
+// sleepUnlessWoken waits for some time and reports whether it passed without a request to read.
+func (f *Follower) sleepUnlessWoken(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-f.Clock.After(wait):
 		return ctx.Err() == nil
 	case <-f.wake.C():
-	case <-f.redirect.C():
+	case <-f.sourceChanged.C():
 	case <-ctx.Done():
 		return false
 	}
 
-	f.woken.Store(true)
+	f.skipWait.Store(true)
 
 	return false
 }
 
-func (f *Follower) due() time.Duration {
+func (f *Follower) extraDelay() time.Duration {
 	if f.ExtraDelay == nil {
 		return 0
 	}
@@ -187,23 +187,23 @@
 	return f.ExtraDelay()
 }
 
-// call returns the context of one read and how long it waits. A wake-up ends the wait, a redirect the
+// beginRead returns the context of one read and how long it waits. A wake-up ends the wait, a redirect the
 // read.
-func (f *Follower) call(ctx context.Context) (context.Context, context.CancelFunc, time.Duration) {
-	wait := f.pace().MaxWait
-	if woken := f.woken.Swap(false); woken || f.backoff > 0 {
+func (f *Follower) beginRead(ctx context.Context) (context.Context, context.CancelFunc, time.Duration) {
+	wait := f.timing().MaxWait
+	if skip := f.skipWait.Swap(false); skip || f.backoff > 0 {
 		// After a failure the read that confirms what is known must not wait for news: a
 		// wait of 1.5 s at the return of a store was 1.5 s more of refusals.
 		wait = 0
 	}
 
-	if !f.positioned || f.again.Load() {
-		call, cancel := context.WithTimeout(ctx, snapshotTimeout)
+	if !f.hasPosition || f.snapshotRequested.Load() {
+		readCtx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 
-		return call, cancel, 0
+		return readCtx, cancel, 0
 	}
 
-	call, cancel := context.WithTimeout(ctx, wait+callMargin)
+	readCtx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 
 	var wake <-chan struct{}
 	if wait > 0 {
@@ -213,52 +213,52 @@
 	go func() {
 		select {
 		case <-wake:
-		case <-f.redirect.C():
-		case <-call.Done():
+		case <-f.sourceChanged.C():
+		case <-readCtx.Done():
 			return
 		}
 
-		f.woken.Store(true)
+		f.skipWait.Store(true)
 		cancel()
 	}()
 
-	return call, cancel, wait
+	return readCtx, cancel, wait
 }
 
 // LastRead returns when the source was last read, or the zero time.
 func (f *Follower) LastRead() time.Time {
-	if at := f.reached.Load(); at != 0 {
+	if at := f.lastRead.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
 
 	return time.Time{}
 }
 
-// step makes one call and tells whether more is waiting.
-func (f *Follower) step(ctx context.Context) (bool, error) {
-	call, cancel, wait := f.call(ctx)
+// readOnce makes one call and tells whether more is waiting.
+func (f *Follower) readOnce(ctx context.Context) (bool, error) {
+	readCtx, cancel, wait := f.beginRead(ctx)
 	defer cancel()
 
-	asked := f.Clock.Now()
+	startedAt := f.Clock.Now()
 
-	if f.again.Swap(false) {
-		f.positioned = false
+	if f.snapshotRequested.Swap(false) {
+		f.hasPosition = false
 	}
 
-	if !f.positioned {
-		entries, next, err := f.Source.Snapshot(call)
+	if !f.hasPosition {
+		entries, next, err := f.Source.Snapshot(readCtx)
 		if err != nil {
 			return false, err
 		}
 
 		f.Apply(entries, true)
-		f.next, f.positioned = next, true
-		f.confirm(asked)
+		f.next, f.hasPosition = next, true
+		f.confirm(startedAt)
 
 		return true, nil
 	}
 
-	changes, err := f.Source.Changes(call, f.next, wait)
+	changes, err := f.Source.Changes(readCtx, f.next, wait)
 	if err != nil {
 		return false, err
 	}
@@ -271,34 +271,34 @@
 	more := changes.Next < changes.End
 
 	if !more {
-		f.confirm(asked)
+		f.confirm(startedAt)
 	}
 
 	return more, nil
 }
 
-func (f *Follower) confirm(asked time.Time) {
+func (f *Follower) confirm(startedAt time.Time) {
 	if f.Confirm != nil {
-		f.Confirm(asked)
+		f.Confirm(startedAt)
 	}
 }
 
-// note logs when the source is lost and regained.
-func (f *Follower) note(err error) {
+// recordResult logs when the source is lost and regained.
+func (f *Follower) recordResult(err error) {
 	if err == nil {
 		f.backoff = 0
-		f.reached.Store(f.Clock.Now().UnixNano())
+		f.lastRead.Store(f.Clock.Now().UnixNano())
 
-		if f.lost {
-			f.lost = false
+		if f.sourceLost {
+			f.sourceLost = false
 			klog.InfoS("dependency regained", "dependency", f.Name)
 		}
 
 		return
 	}
 
-	if !f.lost && !f.woken.Load() && !errors.Is(err, context.Canceled) && !errors.Is(err, ErrNoSource) {
-		f.lost = true
+	if !f.sourceLost && !f.skipWait.Load() && !errors.Is(err, context.Canceled) && !errors.Is(err, ErrNoSource) {
+		f.sourceLost = true
 		klog.InfoS("dependency lost", "dependency", f.Name, "err", err.Error())
 	}
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -11,28 +11,28 @@
 	"monsoonlever/clock"
 )
 
-// script is a source that answers calls in a fixed order.
-type script struct {
-	calls   []string
-	answers []func() (Changes, error)
+// scriptedSource is a source that answers calls in a fixed order.
+type scriptedSource struct {
+	calls     []string
+	responses []func() (Changes, error)
 }
 
-func (s *script) Snapshot(context.Context) ([]Entry, Position, error) {
+func (s *scriptedSource) Snapshot(context.Context) ([]Entry, Position, error) {
 	s.calls = append(s.calls, "snapshot")
 
 	return []Entry{{Key: "a", Data: []byte("1"), At: 4}}, 5, nil
 }
 
-func (s *script) Changes(_ context.Context, from Position, _ time.Duration) (Changes, error) {
+func (s *scriptedSource) Changes(_ context.Context, from Position, _ time.Duration) (Changes, error) {
 	s.calls = append(s.calls, fmt.Sprint("changes ", from))
-	next := s.answers[0]
-	s.answers = s.answers[1:]
+	next := s.responses[0]
+	s.responses = s.responses[1:]
 
 	return next()
 }
 
-func TestFollowerTakesTheWholeSetAgainAfterAGap(t *testing.T) {
-	source := &script{answers: []func() (Changes, error){
+func TestFollowerReadsSnapshotAfterTrimmedChanges(t *testing.T) {
+	source := &scriptedSource{responses: []func() (Changes, error){
 		func() (Changes, error) {
 			return Changes{Entries: []Entry{{Key: "a", Data: []byte("2"), At: 5}}, Next: 6, End: 9}, nil
 		},
@@ -55,9 +55,9 @@
 	}
 
 	for range 6 {
-		_, err := f.step(t.Context())
+		_, err := f.readOnce(t.Context())
 		if errors.Is(err, ErrTrimmed) {
-			f.positioned = false
+			f.hasPosition = false
 		}
 	}
 
@@ -76,14 +76,14 @@
 	}
 }
 
-// waiting is a source whose reads wait for their context or for as long as asked.
-type waiting struct {
+// blockingSource is a source whose reads wait for their context or for as long as asked.
+type blockingSource struct {
 	waits chan time.Duration
 }
 
-func (w *waiting) Snapshot(context.Context) ([]Entry, Position, error) { return nil, 1, nil }
+func (w *blockingSource) Snapshot(context.Context) ([]Entry, Position, error) { return nil, 1, nil }
 
-func (w *waiting) Changes(ctx context.Context, from Position, wait time.Duration) (Changes, error) {
+func (w *blockingSource) Changes(ctx context.Context, from Position, wait time.Duration) (Changes, error) {
 	w.waits <- wait
 
 	if wait > 0 {
@@ -96,8 +96,8 @@
 }
 
 // A wake-up ends a long wait and asks again at once, without a wait.
-func TestAWakeUpEndsAWait(t *testing.T) {
-	source := &waiting{waits: make(chan time.Duration, 16)}
+func TestWakeEndsLongRead(t *testing.T) {
+	source := &blockingSource{waits: make(chan time.Duration, 16)}
 	confirmed := make(chan time.Time, 16)
 	f := &Follower{
 		Name: "rules", Source: source, Clock: clock.NewSteady(),
@@ -132,15 +132,15 @@
 	<-done
 }
 
-// silent is a source whose first read of changes is not answered.
-type silent struct {
+// unresponsiveSource is a source whose first read of changes is not answered.
+type unresponsiveSource struct {
 	reads chan int
 	count int
 }
 
-func (s *silent) Snapshot(context.Context) ([]Entry, Position, error) { return nil, 1, nil }
+func (s *unresponsiveSource) Snapshot(context.Context) ([]Entry, Position, error) { return nil, 1, nil }
 
-func (s *silent) Changes(ctx context.Context, from Position, _ time.Duration) (Changes, error) {
+func (s *unresponsiveSource) Changes(ctx context.Context, from Position, _ time.Duration) (Changes, error) {
 	s.count++
 	s.reads <- s.count
 
@@ -153,8 +153,8 @@
 	return Changes{Next: from, End: from}, nil
 }
 
-func TestAReadOfASourceThatIsSilentEndsWithARedirect(t *testing.T) {
-	source := &silent{reads: make(chan int)}
+func TestSourceChangedEndsUnansweredRead(t *testing.T) {
+	source := &unresponsiveSource{reads: make(chan int)}
 	f := &Follower{
 		Name: "register", Source: source, Clock: clock.NewSteady(),
 		Timing: func() PollTiming { return PollTiming{} }, Apply: func([]Entry, bool) {},
@@ -175,8 +175,8 @@
 	f.SourceChanged()
 	<-source.reads
 
-	if got, most := time.Since(began), callMargin/2; got > most {
-		t.Errorf("read at another source: got after %v, want within %v", got, most)
+	if got, limit := time.Since(began), readTimeoutMargin/2; got > limit {
+		t.Errorf("read at another source: got after %v, want within %v", got, limit)
 	}
 
 	cancel()
@@ -192,19 +192,19 @@
 
 // A read is put off for as long as others keep what is known young, and made once they
 // stop.
-func TestAReadIsPutOffWhileOthersRead(t *testing.T) {
+func TestExtraDelayPostponesRead(t *testing.T) {
 	clk := clock.NewManual(time.Unix(0, 0))
 
-	const others = 5
+	const delayUntilSecond = 5
 
-	asked := 0
+	delayCalls := 0
 	f := &Follower{
 		Clock: clk, Timing: func() PollTiming { return PollTiming{Interval: time.Second} },
 		ExtraDelay: func() time.Duration {
-			asked++
+			delayCalls++
 
 			// The others read until then.
-			return time.Unix(others, 0).Sub(clk.Now())
+			return time.Unix(delayUntilSecond, 0).Sub(clk.Now())
 		},
 	}
 	done := make(chan struct{})
@@ -217,11 +217,11 @@
 	for {
 		select {
 		case <-done:
-			if got, want := clk.Now(), time.Unix(others, 0); got.Before(want) {
+			if got, want := clk.Now(), time.Unix(delayUntilSecond, 0); got.Before(want) {
 				t.Errorf("next read: got at %v, want no sooner than %v", got, want)
 			}
 
-			if asked == 0 {
+			if delayCalls == 0 {
 				t.Error("asked whether it may wait: got never, want after each pause")
 			}
 
@@ -235,11 +235,11 @@
 
 // Once a source is back, the first read confirms what is known and does not wait for a
 // change.
-func TestTheFirstReadAfterAFailureDoesNotWait(t *testing.T) {
+func TestFirstReadAfterFailureDoesNotWait(t *testing.T) {
 	var waits []time.Duration
 
 	failing := true
-	source := &waitingSource{changes: func(wait time.Duration) (Changes, error) {
+	source := &changesFunc{changes: func(wait time.Duration) (Changes, error) {
 		waits = append(waits, wait)
 		if failing {
 			return Changes{}, errors.New("away")
@@ -255,11 +255,11 @@
 	for i := range 5 {
 		failing = i == 2
 
-		_, err := f.step(t.Context())
-		f.note(err)
+		_, err := f.readOnce(t.Context())
+		f.recordResult(err)
 
 		if err != nil {
-			f.backoff = firstBackoff
+			f.backoff = minBackoff
 		}
 	}
 
@@ -269,13 +269,13 @@
 	}
 }
 
-// waitingSource is a source whose reads of changes are a function of their wait.
-type waitingSource struct {
+// changesFunc is a source whose reads of changes are a function of their wait.
+type changesFunc struct {
 	changes func(wait time.Duration) (Changes, error)
 }
 
-func (*waitingSource) Snapshot(context.Context) ([]Entry, Position, error) { return nil, 5, nil }
+func (*changesFunc) Snapshot(context.Context) ([]Entry, Position, error) { return nil, 5, nil }
 
-func (s *waitingSource) Changes(_ context.Context, _ Position, wait time.Duration) (Changes, error) {
+func (s *changesFunc) Changes(_ context.Context, _ Position, wait time.Duration) (Changes, error) {
 	return s.changes(wait)
 }
--- a/feed/signal.go
+++ b/feed/signal.go
@@ -6,22 +6,22 @@
 // before the loop has begun. The zero value is ready.
 type Signal struct {
 	once    sync.Once
-	request chan struct{}
+	pending chan struct{}
 }
 
 // Send asks; it never waits.
 func (s *Signal) Send() {
 	select {
-	case s.requests() <- struct{}{}:
+	case s.channel() <- struct{}{}:
 	default:
 	}
 }
 
 // C returns the channel on which the request comes.
-func (s *Signal) C() <-chan struct{} { return s.requests() }
+func (s *Signal) C() <-chan struct{} { return s.channel() }
 
-func (s *Signal) requests() chan struct{} {
-	s.once.Do(func() { s.request = make(chan struct{}, 1) })
+func (s *Signal) channel() chan struct{} {
+	s.once.Do(func() { s.pending = make(chan struct{}, 1) })
 
-	return s.request
+	return s.pending
 }
