--- a/ruleset/ruleset.go
+++ b/ruleset/ruleset.go
@@ -88,16 +88,16 @@
 	return r, nil
 }
 
-func report(l *finding.List, list string, i int, message string, args ...any) {
+func addFinding(l *finding.List, list string, i int, message string, args ...any) {
 	l.Add("ruleset", 0, fmt.Sprintf("%s[%d]", list, i), message, args...)
 }
 
 func (r *Ruleset) addService(l *finding.List, i int, s Service) {
 	switch {
 	case s.Name == "":
-		report(l, "services", i, "has no name")
+		addFinding(l, "services", i, "has no name")
 	case r.services[s.Name] != nil:
-		report(l, "services", i, "is a duplicate of %q", s.Name)
+		addFinding(l, "services", i, "is a duplicate of %q", s.Name)
 	default:
 		r.services[s.Name] = &s
 	}
@@ -105,7 +105,7 @@
 
 func (r *Ruleset) addAccount(l *finding.List, i int, a Account) {
 	if a.Name == "" {
-		report(l, "accounts", i, "has no name")
+		addFinding(l, "accounts", i, "has no name")
 
 		return
 	}
@@ -114,7 +114,7 @@
 
 	for _, key := range a.Keys {
 		if other := r.byKey[key]; other != nil && other.Name != a.Name {
-			report(l, "accounts", i, "shares a key with %q", other.Name)
+			addFinding(l, "accounts", i, "shares a key with %q", other.Name)
 
 			continue
 		}
@@ -125,16 +125,16 @@
 
 func (r *Ruleset) addRoute(l *finding.List, i int, route Route) {
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		report(l, "routes", i, "must have a prefix that begins and ends with a slash, not %q", route.Prefix)
+		addFinding(l, "routes", i, "must have a prefix that begins and ends with a slash, not %q", route.Prefix)
 	}
 
 	if len(route.Targets) == 0 {
-		report(l, "routes", i, "names no service")
+		addFinding(l, "routes", i, "names no service")
 	}
 
 	for _, t := range route.Targets {
 		if r.services[t.Service] == nil {
-			report(l, "routes", i, "names the service %q, which is not listed", t.Service)
+			addFinding(l, "routes", i, "names the service %q, which is not listed", t.Service)
 		}
 
 		route.totalWeight += max(t.Weight, 0)
--- a/ruleset/ruleset_test.go
+++ b/ruleset/ruleset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func sample() Spec {
+func testSpec() Spec {
 	return Spec{
 		Version:  3,
 		Services: []Service{{Name: "ledger-llm"}, {Name: "payrun-api"}},
@@ -18,8 +18,8 @@
 	}
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
-	r, err := New(sample())
+func TestMatchPicksLongestPrefixOfHost(t *testing.T) {
+	r, err := New(testSpec())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestTargetsShareByWeight(t *testing.T) {
-	r, err := New(sample())
+func TestPickServiceFollowsWeights(t *testing.T) {
+	r, err := New(testSpec())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-func TestNewReportsEachFault(t *testing.T) {
-	s := sample()
+func TestNewReportsEveryFinding(t *testing.T) {
+	s := testSpec()
 	s.Routes[0].Prefix = "recon"
 	s.Routes[1].Targets = nil
 	s.Routes[2].Targets = []Target{{"nobody", 1}}
