--- a/window/counter.go
+++ b/window/counter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-const valueBits = 32
+const bucketValueBits = 32
 
 // Counter sums changes by the time they were made at. It is safe for
 // concurrent use.
@@ -21,12 +21,12 @@
 
 // Add counts delta at now. A change that is a whole turn late is dropped.
 func (c *Counter) Add(now time.Time, delta int32) {
-	number := c.number(now)
+	number := c.bucketNumber(now)
 	bucket := &c.buckets[number%int64(len(c.buckets))]
 
 	for {
 		old := bucket.Load()
-		age := int32(uint32(number) - uint32(old>>valueBits))
+		age := int32(uint32(number) - uint32(old>>bucketValueBits))
 		value := int32(uint32(old))
 
 		// A bucket far ahead was filled before the clock was set back.
@@ -39,7 +39,7 @@
 			value = 0
 		}
 
-		if bucket.CompareAndSwap(old, pack(number, value+delta)) {
+		if bucket.CompareAndSwap(old, packBucket(number, value+delta)) {
 			return
 		}
 	}
@@ -47,12 +47,12 @@
 
 // Sum returns the changes in the newest n buckets, the one of now included.
 func (c *Counter) Sum(now time.Time, n int) int64 {
-	number := uint32(c.number(now))
+	number := uint32(c.bucketNumber(now))
 	sum := int64(0)
 
 	for i := range c.buckets {
 		word := c.buckets[i].Load()
-		age := int32(number - uint32(word>>valueBits))
+		age := int32(number - uint32(word>>bucketValueBits))
 
 		if age >= 0 && int(age) < n {
 			sum += int64(int32(uint32(word)))
@@ -65,15 +65,15 @@
 // Since returns the changes from the bucket of t to that of now. It knows no
 // more than the whole ring, however old t is.
 func (c *Counter) Since(now, t time.Time) int64 {
-	n := c.number(now) - c.number(t) + 1
+	n := c.bucketNumber(now) - c.bucketNumber(t) + 1
 
 	return c.Sum(now, int(min(n, int64(len(c.buckets)))))
 }
 
-func (c *Counter) number(t time.Time) int64 {
+func (c *Counter) bucketNumber(t time.Time) int64 {
 	return t.UnixNano() / int64(c.width)
 }
 
-func pack(number int64, value int32) uint64 {
-	return uint64(uint32(number))<<valueBits | uint64(uint32(value))
+func packBucket(number int64, value int32) uint64 {
+	return uint64(uint32(number))<<bucketValueBits | uint64(uint32(value))
 }
--- a/window/counter_test.go
+++ b/window/counter_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestCounterSumsTheNewestBuckets(t *testing.T) {
+func TestCounterSumsNewestBuckets(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 
 	tests := []struct {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestCounterRecoversFromAClockSetBack(t *testing.T) {
+func TestCounterRecoversAfterClockSetBack(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	c := NewCounter(time.Second, 4)
 	c.Add(start.Add(time.Hour), 7)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestCounterLosesNothingUnderConcurrency(t *testing.T) {
+func TestCounterCountsConcurrentAdds(t *testing.T) {
 	const workers, adds = 4, 1000
 
 	now := time.Unix(1_000_000, 0)
