--- a/listener/limit.go
+++ b/listener/limit.go
@@ -46,7 +46,7 @@
 		}
 
 		if l.open.Add(1) <= l.Max {
-			return &conn{Conn: c, open: &l.open}, nil
+			return &countedConn{Conn: c, open: &l.open}, nil
 		}
 
 		l.open.Add(-1)
@@ -66,15 +66,15 @@
 	_ = c.Close()
 }
 
-// conn counts itself out when it is closed.
-type conn struct {
+// countedConn counts itself out when it is closed.
+type countedConn struct {
 	net.Conn
 	once sync.Once
 	open *atomic.Int64
 }
 
 // Close closes the connection.
-func (c *conn) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 
 	return c.Conn.Close()
--- a/listener/limit_test.go
+++ b/listener/limit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestLimitRefusesAboveItsBoundAndRecovers(t *testing.T) {
+func TestLimitRefusesOverMaxAndRecovers(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 
 	first := dial()
 	defer first.Close()
-	held := <-accepted
+	firstAccepted := <-accepted
 
 	second := dial()
 	defer second.Close()
@@ -51,8 +51,8 @@
 		t.Errorf("answer over the bound: got %q, want %q", got, "busy")
 	}
 
-	held.Close()
-	held.Close()
+	firstAccepted.Close()
+	firstAccepted.Close()
 
 	if got, want := l.Open(), int64(0); got != want {
 		t.Errorf("open after close: got %d, want %d", got, want)
