--- a/logpipe/logpipe.go
+++ b/logpipe/logpipe.go
@@ -30,8 +30,8 @@
 	RateBytesPerSecond = 32 << 10
 	// BurstBytes is how many bytes may be passed on at once.
 	BurstBytes = 256 << 10
-	// waiting is how many lines wait for a reader of the output that is slow.
-	waiting = 1024
+	// queueLines is how many lines wait for a reader of the output that is slow.
+	queueLines = 1024
 )
 
 // Pipe is a writer of log lines. Its fields are set before its first use.
@@ -42,48 +42,48 @@
 	once  sync.Once
 	lines chan []byte
 
-	mu      sync.Mutex
-	room    float64
-	at      time.Time
-	dropped int
+	mu         sync.Mutex
+	tokenBytes float64
+	refilledAt time.Time
+	dropped    int
 }
 
-func (p *Pipe) prepare() {
+func (p *Pipe) initOnce() {
 	p.once.Do(func() {
-		p.lines = make(chan []byte, waiting)
-		p.room, p.at = BurstBytes, p.Clock.Now()
+		p.lines = make(chan []byte, queueLines)
+		p.tokenBytes, p.refilledAt = BurstBytes, p.Clock.Now()
 	})
 }
 
 // Write takes one line. It never waits and never fails.
 func (p *Pipe) Write(line []byte) (int, error) {
-	p.prepare()
+	p.initOnce()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refill()
 
-	if p.room < float64(len(line)) {
+	if p.tokenBytes < float64(len(line)) {
 		p.dropped++
 
 		return len(line), nil
 	}
 
-	if p.dropped > 0 && p.pass(fmt.Appendf(nil, "log lines left out: %d\n", p.dropped)) {
+	if p.dropped > 0 && p.enqueue(fmt.Appendf(nil, "log lines left out: %d\n", p.dropped)) {
 		p.dropped = 0
 	}
 
-	if !p.pass(append([]byte(nil), line...)) {
+	if !p.enqueue(append([]byte(nil), line...)) {
 		p.dropped++
 	}
 
 	return len(line), nil
 }
 
-// pass hands a line over if there is room for it.
-func (p *Pipe) pass(line []byte) bool {
+// enqueue hands a line over if there is room for it.
+func (p *Pipe) enqueue(line []byte) bool {
 	select {
 	case p.lines <- line:
-		p.room -= float64(len(line))
+		p.tokenBytes -= float64(len(line))
 
 		return true
 	default:
@@ -93,24 +93,24 @@
 
 func (p *Pipe) refill() {
 	now := p.Clock.Now()
-	p.room = min(p.room+now.Sub(p.at).Seconds()*RateBytesPerSecond, BurstBytes)
-	p.at = now
+	p.tokenBytes = min(p.tokenBytes+now.Sub(p.refilledAt).Seconds()*RateBytesPerSecond, BurstBytes)
+	p.refilledAt = now
 }
 
 // HasSpareCapacity tells whether there is room for lines that matter less: what went well is
 // left out before what failed.
 func (p *Pipe) HasSpareCapacity() bool {
-	p.prepare()
+	p.initOnce()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refill()
 
-	return p.room > BurstBytes/2 && p.dropped == 0
+	return p.tokenBytes > BurstBytes/2 && p.dropped == 0
 }
 
 // Run passes lines on until ctx ends, and then what still waits.
 func (p *Pipe) Run(ctx context.Context) {
-	p.prepare()
+	p.initOnce()
 
 	for {
 		select {
@@ -118,14 +118,14 @@
 			// An output that fails has nobody who could be told.
 			_, _ = p.Out.Write(line)
 		case <-ctx.Done():
-			p.flush()
+			p.drain()
 
 			return
 		}
 	}
 }
 
-func (p *Pipe) flush() {
+func (p *Pipe) drain() {
 	for {
 		select {
 		case line := <-p.lines:
--- a/logpipe/logpipe_test.go
+++ b/logpipe/logpipe_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/clock"
 )
 
-func TestLinesBeyondTheRateAreCountedAndSaid(t *testing.T) {
+func TestDroppedLinesAreCountedAndReported(t *testing.T) {
 	var out bytes.Buffer
 
 	c := clock.NewManual(time.Unix(1000, 0))
@@ -51,16 +51,16 @@
 }
 
 // A reader that never reads must not hold the writer up.
-func TestWriteNeverWaits(t *testing.T) {
+func TestWriteNeverBlocks(t *testing.T) {
 	p := &Pipe{Out: &bytes.Buffer{}, Clock: clock.NewManual(time.Unix(1000, 0))}
 
-	for range 3 * waiting {
+	for range 3 * queueLines {
 		if _, err := p.Write([]byte("x\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
 
-	if len(p.lines) != waiting {
-		t.Errorf("waiting: got %d lines, want %d", len(p.lines), waiting)
+	if len(p.lines) != queueLines {
+		t.Errorf("waiting: got %d lines, want %d", len(p.lines), queueLines)
 	}
 }
