--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -11,37 +11,37 @@
 // admit passes a request through admission and returns its ticket, which
 // must be finished, or why it was refused.
 func (g *Gateway) admit(
-	parent context.Context, at time.Time, r admission.Request,
+	parent context.Context, deadline time.Time, r admission.Request,
 ) (*admission.Ticket, *refusal.Refusal) {
 	ticket := g.Admission.Admit(g.Clock.Now(), r)
 
 	decision, final := ticket.Decision()
 	if !final {
-		decision = waitBefore(parent, at, ticket)
+		decision = waitForDecision(parent, deadline, ticket)
 	}
 
 	if decision.Verdict == admission.Queued {
-		return g.abandon(parent, ticket)
+		return g.abandonQueued(parent, ticket)
 	}
 
 	if decision.Verdict == admission.Admitted {
 		return ticket, nil
 	}
 
-	return nil, refusedBy(decision)
+	return nil, refusalOfDecision(decision)
 }
 
-// waitBefore waits for the decision on a queued request.
-func waitBefore(parent context.Context, at time.Time, ticket *admission.Ticket) admission.Decision {
-	ctx, cancel := context.WithDeadline(parent, at)
+// waitForDecision waits for the decision on a queued request.
+func waitForDecision(parent context.Context, deadline time.Time, ticket *admission.Ticket) admission.Decision {
+	ctx, cancel := context.WithDeadline(parent, deadline)
 	defer cancel()
 
 	return ticket.Wait(ctx)
 }
 
-// abandon takes a request out of the queue whose deadline has passed or whose
+// abandonQueued takes a request out of the queue whose deadline has passed or whose
 // caller has gone.
-func (g *Gateway) abandon(parent context.Context, ticket *admission.Ticket) (*admission.Ticket, *refusal.Refusal) {
+func (g *Gateway) abandonQueued(parent context.Context, ticket *admission.Ticket) (*admission.Ticket, *refusal.Refusal) {
 	if g.Admission.Abandon(g.Clock.Now(), ticket) {
 		cause := "the deadline passed in the queue"
 		if parent.Err() != nil {
@@ -49,7 +49,7 @@
 		}
 
 		return nil, refusal.New(refusal.DeadlinePassed, "%s", cause).
-			WithRun(refusal.NotRun).WithRetryAfter(comeBackSoon)
+			WithRun(refusal.NotRun).WithRetryAfter(defaultRetryAfter)
 	}
 
 	decision, _ := ticket.Decision()
@@ -57,10 +57,10 @@
 		return ticket, nil
 	}
 
-	return nil, refusedBy(decision)
+	return nil, refusalOfDecision(decision)
 }
 
-func refusedBy(d admission.Decision) *refusal.Refusal {
+func refusalOfDecision(d admission.Decision) *refusal.Refusal {
 	if d.Reason == admission.Withdrawn {
 		return refusal.New(refusal.UnknownService, "the service left the manifest")
 	}
--- a/gateway/answer_record.go
+++ b/gateway/answer_record.go
@@ -7,47 +7,47 @@
 	"monsoonlever/answer"
 )
 
-// keptTimes joins what the caller's side and the engines' side of a kept answer
+// answerRecord joins what the caller's side and the engines' side of a kept answer
 // know of it.
-type keptTimes struct {
-	mu    sync.Mutex
-	first time.Time
-	ended answer.Result
+type answerRecord struct {
+	mu           sync.Mutex
+	firstTokenAt time.Time
+	final        answer.Result
 }
 
-// begin notes when the caller got its first token.
-func (k *keptTimes) begin(at time.Time) {
+// setFirstToken notes when the caller got its first token.
+func (k *answerRecord) setFirstToken(at time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	if k.first.IsZero() {
-		k.first = at
+	if k.firstTokenAt.IsZero() {
+		k.firstTokenAt = at
 	}
 }
 
-// firstToken returns how long the caller waited for its first token.
-func (k *keptTimes) firstToken(arrived time.Time) time.Duration {
+// timeToFirstToken returns how long the caller waited for its first token.
+func (k *answerRecord) timeToFirstToken(arrived time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	if k.first.IsZero() {
+	if k.firstTokenAt.IsZero() {
 		return 0
 	}
 
-	return k.first.Sub(arrived)
+	return k.firstTokenAt.Sub(arrived)
 }
 
-// end notes how the work at the answer ended.
-func (k *keptTimes) end(r answer.Result) {
+// setResult notes how the work at the answer ended.
+func (k *answerRecord) setResult(r answer.Result) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	k.ended = r
+	k.final = r
 }
 
-func (k *keptTimes) result() answer.Result {
+func (k *answerRecord) result() answer.Result {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	return k.ended
+	return k.final
 }
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -15,8 +15,8 @@
 // of the client account.
 const HeaderPriority = "X-Priority"
 
-// comeBackSoon is told where the state that refuses a request is a short one.
-const comeBackSoon = time.Second
+// defaultRetryAfter is told where the state that refuses a request is a short one.
+const defaultRetryAfter = time.Second
 
 // caller is who sent a request, by the manifest that was in force then.
 type caller struct {
@@ -27,12 +27,12 @@
 // authenticate finds the client account of a request.
 func (g *Gateway) authenticate(r *http.Request) (caller, *refusal.Refusal) {
 	if g.stopping.Load() {
-		return caller{}, refusal.New(refusal.ShuttingDown, "this instance is stopping").WithRetryAfter(comeBackSoon)
+		return caller{}, refusal.New(refusal.ShuttingDown, "this instance is stopping").WithRetryAfter(defaultRetryAfter)
 	}
 
 	m := g.Manifest()
 	if m == nil {
-		return caller{}, refusal.New(refusal.NotReady, "no manifest is in force here").WithRetryAfter(comeBackSoon)
+		return caller{}, refusal.New(refusal.NotReady, "no manifest is in force here").WithRetryAfter(defaultRetryAfter)
 	}
 
 	if name, repeated := repeatedHeader(r.Header); repeated {
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -35,17 +35,17 @@
 }
 
 func (g *Gateway) chat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	defer g.instruments.enter()()
+	defer g.instruments.trackOpen()()
 
 	call, refused := g.parseChat(w, r)
 	if refused != nil {
-		g.refuseUnknown(w, refused)
+		g.refuseUnclassified(w, refused)
 
 		return
 	}
 
 	if g.Retained != nil && r.Header.Get(HeaderLastEventID) != "" {
-		g.resume(w, r, call)
+		g.resumeStream(w, r, call)
 
 		return
 	}
@@ -61,10 +61,10 @@
 	}
 
 	switch {
-	case g.Retained != nil && wantsAsync(r.Header):
+	case g.Retained != nil && prefersAsync(r.Header):
 		g.acceptAsync(w, r, ticket, call)
 	case g.Retained != nil && call.request.Stream:
-		g.streamKept(w, r, ticket, call)
+		g.streamRetained(w, r, ticket, call)
 	default:
 		g.answerDirectly(w, r, ticket, call)
 	}
@@ -84,7 +84,7 @@
 func (g *Gateway) parseChat(w http.ResponseWriter, r *http.Request) (chatCall, *refusal.Refusal) {
 	arrived := g.Clock.Now()
 
-	who, refused := g.authenticate(r)
+	c, refused := g.authenticate(r)
 	if refused != nil {
 		return chatCall{}, refused
 	}
@@ -99,7 +99,7 @@
 		return chatCall{}, refusal.New(refusal.BadRequest, "%v", err)
 	}
 
-	service, refused := who.modelService(fleet.Model(request.Model))
+	service, refused := c.modelService(fleet.Model(request.Model))
 	if refused != nil {
 		return chatCall{}, refused
 	}
@@ -109,19 +109,19 @@
 		return chatCall{}, refused
 	}
 
-	priority, refused := who.priority(r.Header, kind)
+	priority, refused := c.priority(r.Header, kind)
 	if refused != nil {
 		return chatCall{}, refused
 	}
 
-	at, refused := deadline(r.Header, arrived, kind.Deadline())
+	deadline, refused := requestDeadline(r.Header, arrived, kind.Deadline())
 	if refused != nil {
 		return chatCall{}, refused
 	}
 
 	return chatCall{
-		caller: who, request: request, service: service, kind: kind, priority: priority,
-		arrived: arrived, deadline: at, bytes: len(body),
+		caller: c, request: request, service: service, kind: kind, priority: priority,
+		arrived: arrived, deadline: deadline, bytes: len(body),
 	}, nil
 }
 
@@ -188,7 +188,7 @@
 	o.Service = call.service.Name()
 	o.Kind = call.kind
 	o.Duration = now.Sub(call.arrived)
-	o.Recomputed = recomputed(result)
+	o.Recomputed = recomputedTokens(result)
 	o.Attempts = result.Attempts()
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
@@ -213,9 +213,9 @@
 	return hashes[min(len(hashes), prefixBlocks)-1]
 }
 
-// recomputed counts the tokens that the last attempt computed again because an
+// recomputedTokens counts the tokens that the last attempt computed again because an
 // earlier one was lost.
-func recomputed(result answer.Result) int {
+func recomputedTokens(result answer.Result) int {
 	complete, whole := result.Complete()
 	if !whole || result.Attempts() < 2 {
 		return 0
--- a/gateway/closing_writer.go
+++ b/gateway/closing_writer.go
@@ -8,18 +8,18 @@
 type closingWriter struct {
 	http.ResponseWriter
 	gateway *Gateway
-	begun   bool
+	started bool
 }
 
 // WriteHeader begins the response.
 func (c *closingWriter) WriteHeader(status int) {
-	c.begin()
+	c.start()
 	c.ResponseWriter.WriteHeader(status)
 }
 
 // Write writes a part of the body.
 func (c *closingWriter) Write(b []byte) (int, error) {
-	c.begin()
+	c.start()
 
 	return c.ResponseWriter.Write(b)
 }
@@ -29,10 +29,10 @@
 	return c.ResponseWriter
 }
 
-func (c *closingWriter) begin() {
-	if !c.begun && c.gateway.Stopping() {
+func (c *closingWriter) start() {
+	if !c.started && c.gateway.Stopping() {
 		c.Header().Set("Connection", "close")
 	}
 
-	c.begun = true
+	c.started = true
 }
--- a/gateway/deadline.go
+++ b/gateway/deadline.go
@@ -18,9 +18,9 @@
 // maxDeadline bounds how long a caller may ask an instance to work for it.
 const maxDeadline = 24 * time.Hour
 
-// deadline returns the earlier of the caller's bounds, or fallback from now.
-func deadline(h http.Header, now time.Time, fallback time.Duration) (time.Time, *refusal.Refusal) {
-	at := now.Add(fallback)
+// requestDeadline returns the earlier of the caller's bounds, or fallback from now.
+func requestDeadline(h http.Header, now time.Time, fallback time.Duration) (time.Time, *refusal.Refusal) {
+	deadline := now.Add(fallback)
 	bounded := false
 
 	if text := h.Get(HeaderTimeout); text != "" {
@@ -29,28 +29,28 @@
 			return time.Time{}, refusal.New(refusal.BadRequest, "%s must be a positive duration such as 2s", HeaderTimeout)
 		}
 
-		at = now.Add(d)
+		deadline = now.Add(d)
 		bounded = true
 	}
 
 	if text := h.Get(HeaderDeadline); text != "" {
-		d, err := time.Parse(time.RFC3339Nano, text)
+		parsed, err := time.Parse(time.RFC3339Nano, text)
 		if err != nil {
 			return time.Time{}, refusal.New(refusal.BadRequest, "%s must be a time in RFC 3339", HeaderDeadline)
 		}
 
-		if !bounded || d.Before(at) {
-			at = d
+		if !bounded || parsed.Before(deadline) {
+			deadline = parsed
 		}
 	}
 
-	if at.Sub(now) > maxDeadline {
+	if deadline.Sub(now) > maxDeadline {
 		return time.Time{}, refusal.New(refusal.BadRequest, "the deadline is more than %v away", maxDeadline)
 	}
 
-	if !at.After(now) {
+	if !deadline.After(now) {
 		return time.Time{}, refusal.New(refusal.DeadlinePassed, "the deadline has passed").WithRun(refusal.NotRun)
 	}
 
-	return at, nil
+	return deadline, nil
 }
--- a/gateway/deadline_test.go
+++ b/gateway/deadline_test.go
@@ -35,7 +35,7 @@
 			h.Set(HeaderTimeout, tt.timeout)
 			h.Set(HeaderDeadline, tt.deadline)
 
-			got, r := deadline(h, now, time.Minute)
+			got, r := requestDeadline(h, now, time.Minute)
 			if tt.refused != "" {
 				if r == nil || r.Code() != tt.refused || r.Run() != refusal.NotRun {
 					t.Fatalf("refusal: got %v, want %s and notRun", r, tt.refused)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -89,11 +89,11 @@
 	router.HandleOPTIONS = false
 	router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		refused := refusal.New(refusal.UnknownService, "nothing is served for %s %s", r.Method, r.URL.Path)
-		g.refuseUnknown(w, beforeClaim(r.Header, refused))
+		g.refuseUnclassified(w, notStartedIfKeyed(r.Header, refused))
 	})
 	router.POST(PathChat, g.chat)
 	router.GET(PathModels, g.models)
-	router.GET(PathAnswer, g.keptAnswer)
+	router.GET(PathAnswer, g.retainedAnswer)
 
 	for _, method := range []string{
 		http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete,
--- a/gateway/instruments.go
+++ b/gateway/instruments.go
@@ -43,14 +43,14 @@
 	return i
 }
 
-// enter counts an open request until the returned function is called.
-func (i *instruments) enter() func() {
+// trackOpen counts an open request until the returned function is called.
+func (i *instruments) trackOpen() func() {
 	i.open.Add(1)
 
 	return func() { i.open.Add(-1) }
 }
 
-func (i *instruments) kind(key instrumentKey) *kindInstruments {
+func (i *instruments) forKind(key instrumentKey) *kindInstruments {
 	if k, ok := i.kinds.Load(key); ok {
 		return k.(*kindInstruments) //nolint:errcheck,forcetypeassert // nothing else is stored
 	}
@@ -68,7 +68,7 @@
 		key = instrumentKey{service: o.Service, kind: o.Kind.Name()}
 	}
 
-	i.kind(key).observe(o)
+	i.forKind(key).observe(o)
 
 	switch {
 	case o.WriteTimedOut:
@@ -83,7 +83,7 @@
 	set        *metrics.Set
 	labels     string
 	firstToken *metrics.Histogram
-	whole      *metrics.Histogram
+	duration   *metrics.Histogram
 	tokens     *metrics.Counter
 	recomputed *metrics.Counter
 	resumed    *metrics.Counter
@@ -97,7 +97,7 @@
 		set:        set,
 		labels:     labels,
 		firstToken: set.GetOrCreateHistogram("monsoonlever_first_token_seconds{" + labels + "}"),
-		whole:      set.GetOrCreateHistogram("monsoonlever_request_duration_seconds{" + labels + "}"),
+		duration:   set.GetOrCreateHistogram("monsoonlever_request_duration_seconds{" + labels + "}"),
 		tokens:     set.GetOrCreateCounter("monsoonlever_tokens_total{" + labels + "}"),
 		recomputed: set.GetOrCreateCounter("monsoonlever_recomputed_tokens_total{" + labels + "}"),
 		resumed:    set.GetOrCreateCounter("monsoonlever_resumed_attempts_total{" + labels + "}"),
@@ -112,7 +112,7 @@
 	}
 
 	if o.Refused == nil {
-		k.whole.Update(o.Duration.Seconds())
+		k.duration.Update(o.Duration.Seconds())
 	}
 
 	k.tokens.Add(o.Tokens)
--- a/gateway/models.go
+++ b/gateway/models.go
@@ -23,17 +23,17 @@
 
 // models lists the models that the caller may use.
 func (g *Gateway) models(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	who, refused := g.authenticate(r)
+	c, refused := g.authenticate(r)
 	if refused != nil {
-		g.refuseUnknown(w, refused)
+		g.refuseUnclassified(w, refused)
 
 		return
 	}
 
 	list := modelList{Object: "list", Data: []modelItem{}}
 
-	for _, service := range who.manifest.Services() {
-		if !who.account.Allows(service.Name()) {
+	for _, service := range c.manifest.Services() {
+		if !c.account.Allows(service.Name()) {
 			continue
 		}
 
@@ -42,7 +42,7 @@
 		}
 	}
 
-	g.boundWrite(w)
+	g.setWriteDeadline(w)
 	w.Header().Set("Content-Type", "application/json")
 	// The caller is gone if this fails; there is nobody to tell.
 	_ = json.NewEncoder(w).Encode(list)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -29,18 +29,18 @@
 }
 
 func (g *Gateway) plain(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	defer g.instruments.enter()()
+	defer g.instruments.trackOpen()()
 
 	call, refused := g.parsePlain(w, r, params)
 	if refused != nil {
-		g.refuseUnknown(w, beforeClaim(r.Header, refused))
+		g.refuseUnclassified(w, notStartedIfKeyed(r.Header, refused))
 
 		return
 	}
 
 	ticket, refused := g.admit(r.Context(), call.request.Deadline, call.admissionRequest())
 	if refused != nil {
-		refused = beforeClaim(r.Header, refused)
+		refused = notStartedIfKeyed(r.Header, refused)
 		g.observe(call.observation(r.Context(), g.Clock.Now(), refused))
 		g.refuse(w, refused)
 
@@ -61,7 +61,7 @@
 		return
 	}
 
-	g.boundWrite(w)
+	g.setWriteDeadline(w)
 	writeReply(w, call.request, reply)
 }
 
@@ -70,12 +70,12 @@
 ) (plainCall, *refusal.Refusal) {
 	arrived := g.Clock.Now()
 
-	who, refused := g.authenticate(r)
+	c, refused := g.authenticate(r)
 	if refused != nil {
 		return plainCall{}, refused
 	}
 
-	service, refused := who.service(fleet.Service(params.ByName("service")))
+	service, refused := c.service(fleet.Service(params.ByName("service")))
 	if refused != nil {
 		return plainCall{}, refused
 	}
@@ -87,7 +87,7 @@
 		return plainCall{}, refusal.New(refusal.UnknownCall, "%q has no call %s %s", service.Name(), r.Method, path)
 	}
 
-	sent, refused := servicePath(r.URL, path)
+	forwardedPath, refused := servicePath(r.URL, path)
 	if refused != nil {
 		return plainCall{}, refused
 	}
@@ -97,12 +97,12 @@
 		return plainCall{}, refused
 	}
 
-	priority, refused := who.priority(r.Header, kind)
+	priority, refused := c.priority(r.Header, kind)
 	if refused != nil {
 		return plainCall{}, refused
 	}
 
-	at, refused := deadline(r.Header, arrived, kind.Deadline())
+	deadline, refused := requestDeadline(r.Header, arrived, kind.Deadline())
 	if refused != nil {
 		return plainCall{}, refused
 	}
@@ -114,15 +114,15 @@
 
 	return plainCall{service: service, request: PlainRequest{
 		ID:      g.NewID(),
-		Account: who.account.Name(),
+		Account: c.account.Name(),
 		Service: service.Name(),
 		Kind:    kind,
 		Call: backend.Call{
-			Method: r.Method, Path: sent, Header: forwardedHeader(r.Header), Body: body, IdempotencyKey: key,
+			Method: r.Method, Path: forwardedPath, Header: forwardedHeader(r.Header), Body: body, IdempotencyKey: key,
 		},
 		Priority: priority,
 		Arrived:  arrived,
-		Deadline: at,
+		Deadline: deadline,
 	}}, nil
 }
 
@@ -140,13 +140,13 @@
 	return key, nil
 }
 
-// forwardedHeaders are the headers of a call that the service gets.
-var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "Traceparent"}
+// requestHeaders are the headers of a call that the service gets.
+var requestHeaders = []string{"Accept", "Accept-Language", "Content-Type", "Traceparent"}
 
 func forwardedHeader(h http.Header) http.Header {
 	out := http.Header{}
 
-	for _, name := range forwardedHeaders {
+	for _, name := range requestHeaders {
 		if values := h.Values(name); len(values) > 0 {
 			out[textproto.CanonicalMIMEHeaderKey(name)] = values
 		}
@@ -155,11 +155,11 @@
 	return out
 }
 
-// repliedHeaders are the headers of a reply that the caller gets.
-var repliedHeaders = []string{"Content-Type", "Content-Language", "Etag", "Last-Modified", "Location", "Retry-After"}
+// replyHeaders are the headers of a reply that the caller gets.
+var replyHeaders = []string{"Content-Type", "Content-Language", "Etag", "Last-Modified", "Location", "Retry-After"}
 
 func writeReply(w http.ResponseWriter, r PlainRequest, reply backend.Reply) {
-	for _, name := range repliedHeaders {
+	for _, name := range replyHeaders {
 		if values := reply.Header.Values(name); len(values) > 0 {
 			w.Header()[name] = values
 		}
@@ -182,10 +182,10 @@
 	}
 }
 
-// beforeClaim says of a call with an idempotency key only that this attempt did
+// notStartedIfKeyed says of a call with an idempotency key only that this attempt did
 // not start: an earlier one with the same key may have run.
-func beforeClaim(h http.Header, r *refusal.Refusal) *refusal.Refusal {
-	if r.Run() != refusal.NotRun || !isKeyed(h) {
+func notStartedIfKeyed(h http.Header, r *refusal.Refusal) *refusal.Refusal {
+	if r.Run() != refusal.NotRun || !hasIdempotencyKey(h) {
 		return r
 	}
 
--- a/gateway/refusals_test.go
+++ b/gateway/refusals_test.go
@@ -31,7 +31,7 @@
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			got := refusalOf(answer.GiveUp{Reason: tt.reason, Ran: tt.ran, RetryAfter: time.Second})
+			got := refusalOfGiveUp(answer.GiveUp{Reason: tt.reason, Ran: tt.ran, RetryAfter: time.Second})
 			if got.Code() != tt.code || got.Run() != tt.run || got.RetryAfter() != time.Second {
 				t.Errorf("refusal: got %v, run %s, retry after %v; want %s, %s, 1s",
 					got, got.Run(), got.RetryAfter(), tt.code, tt.run)
--- a/gateway/retained.go
+++ b/gateway/retained.go
@@ -38,9 +38,9 @@
 	Release(id answer.RequestID)
 }
 
-func wantsAsync(h http.Header) bool {
+func prefersAsync(h http.Header) bool {
 	for _, value := range h.Values(HeaderPrefer) {
-		if slices.Contains(strings.FieldsFunc(value, isPreferenceEnd), preferAsync) {
+		if slices.Contains(strings.FieldsFunc(value, isPreferenceSeparator), preferAsync) {
 			return true
 		}
 	}
@@ -48,44 +48,44 @@
 	return false
 }
 
-func isPreferenceEnd(r rune) bool {
+func isPreferenceSeparator(r rune) bool {
 	return r == ',' || r == ';' || r == ' '
 }
 
-// streamKept streams an answer that its caller may come back for.
-func (g *Gateway) streamKept(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
+// streamRetained streams an answer that its caller may come back for.
+func (g *Gateway) streamRetained(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
 	model := call.modelRequest(g.NewID())
 	out := g.newSink(w, call, model.Answer.ID)
-	times := &keptTimes{}
+	record := &answerRecord{}
 
 	err := g.Retained.Start(r.Context(), model, false, func(result answer.Result) {
-		g.finishKept(ticket, call, times, result)
+		g.finishRetained(ticket, call, record, result)
 	})
 	if err != nil {
-		g.refuseKept(w, ticket, call, err)
+		g.refuseNotRetained(w, ticket, call, err)
 
 		return
 	}
 
-	err = g.Retained.Follow(r.Context(), model.Answer.Account, answer.EventID{Request: model.Answer.ID}, &keptCaller{sink: out, times: times})
+	err = g.Retained.Follow(r.Context(), model.Answer.Account, answer.EventID{Request: model.Answer.ID}, &sinkCaller{sink: out, record: record})
 	if err != nil {
-		g.endFollowed(w, r, out, model.Answer.ID, refusal.New(refusal.AnswerLost, "%v", err).WithRetryAfter(comeBackSoon))
+		g.endFailedFollow(w, r, out, model.Answer.ID, refusal.New(refusal.AnswerLost, "%v", err).WithRetryAfter(defaultRetryAfter))
 	}
 
-	g.observeKept(call, out, times, err, r.Context().Err() != nil)
+	g.observeRetained(call, out, record, err, r.Context().Err() != nil)
 }
 
 // acceptAsync accepts a request whose answer is fetched later, from any instance.
 func (g *Gateway) acceptAsync(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
 	model := call.modelRequest(g.NewID())
-	times := &keptTimes{}
+	times := &answerRecord{}
 
 	err := g.Retained.Start(r.Context(), model, true, func(result answer.Result) {
-		g.finishKept(ticket, call, times, result)
-		g.observe(call.keptObservation(g.Clock.Now(), result))
+		g.finishRetained(ticket, call, times, result)
+		g.observe(call.asyncObservation(g.Clock.Now(), result))
 	})
 	if err != nil {
-		g.refuseKept(w, ticket, call, err)
+		g.refuseNotRetained(w, ticket, call, err)
 
 		return
 	}
@@ -96,19 +96,19 @@
 	writeProgress(w, http.StatusAccepted, Progress{ID: model.Answer.ID, Status: StatusRunning})
 }
 
-// refuseKept tells that a request could not be kept. A copy that came late may
+// refuseNotRetained tells that a request could not be kept. A copy that came late may
 // still go on with it.
-func (g *Gateway) refuseKept(w http.ResponseWriter, ticket *admission.Ticket, call chatCall, err error) {
+func (g *Gateway) refuseNotRetained(w http.ResponseWriter, ticket *admission.Ticket, call chatCall, err error) {
 	now := g.Clock.Now()
 	g.Admission.Finish(now, ticket, admission.Outcome{})
 
-	refused := refusal.New(refusal.NoCopy, "%v", err).WithRetryAfter(comeBackSoon)
+	refused := refusal.New(refusal.NoCopy, "%v", err).WithRetryAfter(defaultRetryAfter)
 	g.observe(call.refusedObservation(now, refused))
 	g.refuse(w, refused)
 }
 
-// resume passes on the rest of an answer to a caller who came back.
-func (g *Gateway) resume(w http.ResponseWriter, r *http.Request, call chatCall) {
+// resumeStream passes on the rest of an answer to a caller who came back.
+func (g *Gateway) resumeStream(w http.ResponseWriter, r *http.Request, call chatCall) {
 	after, err := answer.ParseEventID(r.Header.Get(HeaderLastEventID))
 	if err != nil {
 		g.refuse(w, refusal.New(refusal.BadRequest, "%v", err))
@@ -119,15 +119,15 @@
 	out := g.newSink(w, call, after.Request)
 	account := call.caller.account.Name()
 
-	if err := g.Retained.Follow(r.Context(), account, after, &keptCaller{sink: out, times: &keptTimes{}}); err != nil {
-		g.endFollowed(w, r, out, after.Request, refusal.New(refusal.UnknownAnswer, "%v", err))
+	if err := g.Retained.Follow(r.Context(), account, after, &sinkCaller{sink: out, record: &answerRecord{}}); err != nil {
+		g.endFailedFollow(w, r, out, after.Request, refusal.New(refusal.UnknownAnswer, "%v", err))
 	}
 }
 
-// endFollowed ends a connection whose answer could not be passed on to its end.
+// endFailedFollow ends a connection whose answer could not be passed on to its end.
 // A caller who is still there is told; were nothing written, the response would
 // end as if it were whole.
-func (g *Gateway) endFollowed(w http.ResponseWriter, r *http.Request, out *sink, id answer.RequestID, refused *refusal.Refusal) {
+func (g *Gateway) endFailedFollow(w http.ResponseWriter, r *http.Request, out *sink, id answer.RequestID, refused *refusal.Refusal) {
 	if r.Context().Err() != nil {
 		g.Retained.Release(id)
 
@@ -141,49 +141,49 @@
 	}
 
 	// The caller is gone if this fails; there is nobody to tell.
-	_ = out.giveUp(refused)
+	_ = out.fail(refused)
 }
 
-// finishKept gives the place of a request free once its answer has ended here.
-func (g *Gateway) finishKept(ticket *admission.Ticket, call chatCall, times *keptTimes, result answer.Result) {
+// finishRetained gives the place of a request free once its answer has ended here.
+func (g *Gateway) finishRetained(ticket *admission.Ticket, call chatCall, record *answerRecord, result answer.Result) {
 	now := g.Clock.Now()
 	complete, _ := result.Complete()
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
-		Latency: times.firstToken(call.arrived),
+		Latency: record.timeToFirstToken(call.arrived),
 		Whole:   now.Sub(call.arrived),
 		Tokens:  call.bytes/bytesPerToken + complete.Tokens,
 	})
-	times.end(result)
+	record.setResult(result)
 }
 
-// observeKept records a streamed answer as its caller saw it.
-func (g *Gateway) observeKept(call chatCall, out *sink, times *keptTimes, err error, gone bool) {
-	result := times.result()
+// observeRetained records a streamed answer as its caller saw it.
+func (g *Gateway) observeRetained(call chatCall, out *sink, record *answerRecord, err error, callerGone bool) {
+	result := record.result()
 	o := out.observation()
 	o.Account = call.caller.account.Name()
 	o.Service = call.service.Name()
 	o.Kind = call.kind
 	o.Duration = g.Clock.Now().Sub(call.arrived)
-	o.Recomputed = recomputed(result)
+	o.Recomputed = recomputedTokens(result)
 	o.Attempts = max(result.Attempts(), 1)
 
 	if err != nil {
-		o.CallerGone = gone
+		o.CallerGone = callerGone
 		o.Refused = refusal.New(refusal.AnswerLost, "%v", err)
 	}
 
 	g.observe(o)
 }
 
-// keptObservation records an answer that no caller waited for.
-func (c chatCall) keptObservation(now time.Time, result answer.Result) Observation {
+// asyncObservation records an answer that no caller waited for.
+func (c chatCall) asyncObservation(now time.Time, result answer.Result) Observation {
 	o := Observation{
 		Account:    c.caller.account.Name(),
 		Service:    c.service.Name(),
 		Kind:       c.kind,
 		Duration:   now.Sub(c.arrived),
-		Recomputed: recomputed(result),
+		Recomputed: recomputedTokens(result),
 		Attempts:   result.Attempts(),
 	}
 
@@ -193,10 +193,10 @@
 		return o
 	}
 
-	if gaveUp, ok := result.Refusal(); ok {
-		o.Refused = refusalOf(gaveUp)
+	if giveUp, ok := result.Refusal(); ok {
+		o.Refused = refusalOfGiveUp(giveUp)
 		// Another instance goes on with an answer that was handed off.
-		o.CallerGone = gaveUp.Reason == answer.ReasonCallerGone
+		o.CallerGone = giveUp.Reason == answer.ReasonCallerGone
 	}
 
 	return o
--- a/gateway/retained_answer.go
+++ b/gateway/retained_answer.go
@@ -24,9 +24,9 @@
 // defaultAnswerWait is how long a question for a kept answer waits for its end.
 const defaultAnswerWait = time.Second
 
-// answerSearch is how long an answer is looked for at least before it is refused
+// minAnswerLookup is how long an answer is looked for at least before it is refused
 // as unknown, however short the question's own wait is.
-const answerSearch = 2 * time.Second
+const minAnswerLookup = 2 * time.Second
 
 // Progress is the JSON form of a kept answer.
 type Progress struct {
@@ -40,52 +40,52 @@
 	Usage        *chat.Usage `json:"usage,omitempty"`
 }
 
-// keptAnswer answers a question for a kept answer: the whole of it, or 202 if it
+// retainedAnswer answers a question for a kept answer: the whole of it, or 202 if it
 // has not ended within the wait.
-func (g *Gateway) keptAnswer(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	who, refused := g.authenticate(r)
+func (g *Gateway) retainedAnswer(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+	c, refused := g.authenticate(r)
 	if refused != nil {
-		g.refuseUnknown(w, refused)
+		g.refuseUnclassified(w, refused)
 
 		return
 	}
 
 	if g.Retained == nil {
-		g.refuseUnknown(w, refusal.New(refusal.UnknownAnswer, "this instance keeps no answers"))
+		g.refuseUnclassified(w, refusal.New(refusal.UnknownAnswer, "this instance keeps no answers"))
 
 		return
 	}
 
-	until, refused := deadline(r.Header, g.Clock.Now(), defaultAnswerWait)
+	deadline, refused := requestDeadline(r.Header, g.Clock.Now(), defaultAnswerWait)
 	if refused != nil {
-		g.refuseUnknown(w, refused)
+		g.refuseUnclassified(w, refused)
 
 		return
 	}
 
-	searched := g.Clock.Now().Add(answerSearch)
+	lookupDeadline := g.Clock.Now().Add(minAnswerLookup)
 	id := answer.RequestID(params.ByName("id"))
-	reader := &progressReader{}
+	collector := &answerCollector{}
 
-	err := g.followUntil(r.Context(), until, who, id, reader)
-	if errors.Is(err, answer.ErrNotFoundYet) && until.Before(searched) {
-		err = g.followUntil(r.Context(), searched, who, id, reader)
+	err := g.followWithDeadline(r.Context(), deadline, c, id, collector)
+	if errors.Is(err, answer.ErrNotFoundYet) && deadline.Before(lookupDeadline) {
+		err = g.followWithDeadline(r.Context(), lookupDeadline, c, id, collector)
 	}
 
-	g.writeKept(w, id, reader, err)
+	g.writeRetained(w, id, collector, err)
 }
 
-func (g *Gateway) followUntil(
-	parent context.Context, until time.Time, who caller, id answer.RequestID, reader *progressReader,
+func (g *Gateway) followWithDeadline(
+	parent context.Context, deadline time.Time, c caller, id answer.RequestID, collector *answerCollector,
 ) error {
-	ctx, cancel := context.WithDeadline(parent, until)
+	ctx, cancel := context.WithDeadline(parent, deadline)
 	defer cancel()
 
-	return g.Retained.Follow(ctx, who.account.Name(), answer.EventID{Request: id}, reader)
+	return g.Retained.Follow(ctx, c.account.Name(), answer.EventID{Request: id}, collector)
 }
 
-func (g *Gateway) writeKept(w http.ResponseWriter, id answer.RequestID, reader *progressReader, err error) {
-	p := Progress{ID: id, Status: StatusRunning, Tokens: reader.tokens}
+func (g *Gateway) writeRetained(w http.ResponseWriter, id answer.RequestID, collector *answerCollector, err error) {
+	p := Progress{ID: id, Status: StatusRunning, Tokens: collector.tokens}
 
 	switch {
 	case errors.Is(err, context.DeadlineExceeded) && !errors.Is(err, answer.ErrNotFoundYet):
@@ -93,16 +93,16 @@
 		writeProgress(w, http.StatusAccepted, p)
 	case err != nil:
 		g.refuse(w, refusal.New(refusal.UnknownAnswer, "%v", err))
-	case reader.end.Refusal != nil:
-		g.refuse(w, refusalOf(*reader.end.Refusal))
+	case collector.end.Refusal != nil:
+		g.refuse(w, refusalOfGiveUp(*collector.end.Refusal))
 	default:
 		p.Status = StatusComplete
-		p.Text = reader.text.String()
-		p.FinishReason = reader.end.Finish
+		p.Text = collector.text.String()
+		p.FinishReason = collector.end.Finish
 		p.Usage = &chat.Usage{
-			PromptTokens:     reader.end.Usage.PromptTokens,
-			CompletionTokens: reader.end.Tokens,
-			TotalTokens:      reader.end.Usage.PromptTokens + reader.end.Tokens,
+			PromptTokens:     collector.end.Usage.PromptTokens,
+			CompletionTokens: collector.end.Tokens,
+			TotalTokens:      collector.end.Usage.PromptTokens + collector.end.Tokens,
 		}
 		writeProgress(w, http.StatusOK, p)
 	}
@@ -115,17 +115,17 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// progressReader gathers an answer.
-type progressReader struct {
+// answerCollector gathers an answer.
+type answerCollector struct {
 	text   strings.Builder
 	tokens int
 	end    answer.Ending
 }
 
-var _ answer.Caller = (*progressReader)(nil)
+var _ answer.Caller = (*answerCollector)(nil)
 
 // Write takes the next token.
-func (p *progressReader) Write(_ answer.EventID, token string) error {
+func (p *answerCollector) Write(_ answer.EventID, token string) error {
 	p.text.WriteString(token)
 	p.tokens++
 
@@ -133,7 +133,7 @@
 }
 
 // End takes the end of the answer.
-func (p *progressReader) End(e answer.Ending) error {
+func (p *answerCollector) End(e answer.Ending) error {
 	p.end = e
 
 	return nil
--- a/gateway/service_path.go
+++ b/gateway/service_path.go
@@ -7,14 +7,14 @@
 	"monsoonlever/refusal"
 )
 
-const firstPrintable = 0x20
+const minPrintable = 0x20
 
 // servicePath returns the path and query that a service is sent, encoded anew
 // from the decoded path that its call patterns are matched with: what is sent
 // decodes to what was matched. Paths that servers read in more than one way are
 // refused.
 func servicePath(u *url.URL, path string) (string, *refusal.Refusal) {
-	if hasEncodedSeparator(u.EscapedPath()) || hasOddByte(path) || hasDotParameter(path) {
+	if hasEncodedSeparator(u.EscapedPath()) || hasControlOrBackslash(path) || hasDotSegmentWithParameter(path) {
 		return "", refusal.New(refusal.BadRequest, "the path may be read in more than one way")
 	}
 
@@ -22,12 +22,12 @@
 		return "", refusal.New(refusal.BadRequest, "the query holds a fragment")
 	}
 
-	sent := (&url.URL{Path: path}).EscapedPath()
+	forwarded := (&url.URL{Path: path}).EscapedPath()
 	if u.RawQuery != "" {
-		sent += "?" + u.RawQuery
+		forwarded += "?" + u.RawQuery
 	}
 
-	return sent, nil
+	return forwarded, nil
 }
 
 // hasEncodedSeparator finds an encoded slash, which some servers take for a
@@ -36,17 +36,17 @@
 	return strings.Contains(escaped, "%2F") || strings.Contains(escaped, "%2f")
 }
 
-// hasOddByte finds control characters, and the backslash, which some servers
+// hasControlOrBackslash finds control characters, and the backslash, which some servers
 // take for a slash.
-func hasOddByte(path string) bool {
+func hasControlOrBackslash(path string) bool {
 	return strings.ContainsFunc(path, func(r rune) bool {
-		return r < firstPrintable || r == 0x7f || r == '\\'
+		return r < minPrintable || r == 0x7f || r == '\\'
 	})
 }
 
-// hasDotParameter finds a segment such as "..;x", which servers that know path
+// hasDotSegmentWithParameter finds a segment such as "..;x", which servers that know path
 // parameters take for "..".
-func hasDotParameter(path string) bool {
+func hasDotSegmentWithParameter(path string) bool {
 	for segment := range strings.SplitSeq(path, "/") {
 		name, _, found := strings.Cut(segment, ";")
 		if found && (name == "." || name == "..") {
--- a/gateway/sink.go
+++ b/gateway/sink.go
@@ -16,46 +16,46 @@
 
 // sink writes one model answer to its caller, streamed or whole.
 type sink struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	clock   clock.Clock
-	timeout time.Duration
-	call    chatCall
-	id      answer.RequestID
-	chunks  *chat.ChunkWriter
-	buf     []byte
-	text    strings.Builder
-
-	tokens     int
-	firstToken time.Time
-	lastToken  time.Time
-	refused    *refusal.Refusal
-	callerGone bool
-	timedOut   bool
+	w            http.ResponseWriter
+	control      *http.ResponseController
+	clock        clock.Clock
+	writeTimeout time.Duration
+	call         chatCall
+	id           answer.RequestID
+	chunks       *chat.ChunkWriter
+	buf          []byte
+	text         strings.Builder
+
+	tokens        int
+	firstToken    time.Time
+	lastToken     time.Time
+	refused       *refusal.Refusal
+	callerGone    bool
+	writeTimedOut bool
 }
 
 var _ answer.Sink = (*sink)(nil)
 
 func (g *Gateway) newSink(w http.ResponseWriter, call chatCall, id answer.RequestID) *sink {
 	return &sink{
-		w:       w,
-		control: http.NewResponseController(w),
-		clock:   g.Clock,
-		timeout: g.WriteTimeout,
-		call:    call,
-		id:      id,
-		chunks:  chat.NewChunkWriter(string(id), call.request.Model, call.arrived.Unix()),
+		w:            w,
+		control:      http.NewResponseController(w),
+		clock:        g.Clock,
+		writeTimeout: g.WriteTimeout,
+		call:         call,
+		id:           id,
+		chunks:       chat.NewChunkWriter(string(id), call.request.Model, call.arrived.Unix()),
 	}
 }
 
 // Write takes the next token of an answer that ends with its connection.
 func (s *sink) Write(offset int, token string) error {
-	return s.write(nil, offset, token)
+	return s.writeToken(nil, offset, token)
 }
 
-// write takes the next token. The event id is empty where the caller cannot come
+// writeToken takes the next token. The event id is empty where the caller cannot come
 // back for the rest.
-func (s *sink) write(eventID []byte, offset int, token string) error {
+func (s *sink) writeToken(eventID []byte, offset int, token string) error {
 	now := s.clock.Now()
 	if s.tokens == 0 {
 		s.firstToken = now
@@ -88,19 +88,19 @@
 	}
 
 	if !s.call.request.Stream {
-		return s.sendWhole(c.Reason, usage)
+		return s.sendResponse(c.Reason, usage)
 	}
 
 	if s.tokens == 0 {
 		s.startStream()
 	}
 
-	var wanted *chat.Usage
+	var requestedUsage *chat.Usage
 	if o := s.call.request.StreamOptions; o != nil && o.IncludeUsage {
-		wanted = &usage
+		requestedUsage = &usage
 	}
 
-	s.buf = s.chunks.AppendFinish(s.buf[:0], c.Reason, wanted)
+	s.buf = s.chunks.AppendFinish(s.buf[:0], c.Reason, requestedUsage)
 
 	return s.send(s.clock.Now())
 }
@@ -109,16 +109,16 @@
 func (s *sink) GiveUp(g answer.GiveUp) error {
 	s.callerGone = g.Reason == answer.ReasonCallerGone
 
-	return s.giveUp(refusalOf(g))
+	return s.fail(refusalOfGiveUp(g))
 }
 
-func (s *sink) giveUp(refused *refusal.Refusal) error {
+func (s *sink) fail(refused *refusal.Refusal) error {
 	s.refused = refused
 
 	// A caller who is gone is told as well: were nothing written, the server
 	// would end the response as if it were whole.
 	if !s.call.request.Stream || s.tokens == 0 {
-		s.bound(s.clock.Now())
+		s.setWriteDeadline(s.clock.Now())
 		s.refused.Write(s.w)
 
 		return nil
@@ -145,30 +145,30 @@
 }
 
 func (s *sink) send(now time.Time) error {
-	s.bound(now)
+	s.setWriteDeadline(now)
 
 	_, err := s.w.Write(s.buf)
 	if err == nil {
 		err = s.control.Flush()
 	}
 
-	s.timedOut = s.timedOut || errors.Is(err, os.ErrDeadlineExceeded)
+	s.writeTimedOut = s.writeTimedOut || errors.Is(err, os.ErrDeadlineExceeded)
 
 	return err
 }
 
-// bound bounds the next write.
-func (s *sink) bound(now time.Time) {
+// setWriteDeadline bounds the next write.
+func (s *sink) setWriteDeadline(now time.Time) {
 	// A writer that knows no deadlines, as in tests, is not bounded.
-	_ = s.control.SetWriteDeadline(now.Add(s.timeout))
+	_ = s.control.SetWriteDeadline(now.Add(s.writeTimeout))
 }
 
-func (s *sink) sendWhole(finish string, usage chat.Usage) error {
+func (s *sink) sendResponse(finish string, usage chat.Usage) error {
 	response := chat.NewResponse(
 		string(s.id), s.call.request.Model, s.call.arrived.Unix(), s.text.String(), finish, usage,
 	)
 
-	s.bound(s.clock.Now())
+	s.setWriteDeadline(s.clock.Now())
 
 	h := s.w.Header()
 	h.Set("Content-Type", "application/json")
@@ -179,7 +179,7 @@
 
 // observation returns what the sink knows of the answer.
 func (s *sink) observation() Observation {
-	o := Observation{Tokens: s.tokens, Refused: s.refused, CallerGone: s.callerGone, WriteTimedOut: s.timedOut}
+	o := Observation{Tokens: s.tokens, Refused: s.refused, CallerGone: s.callerGone, WriteTimedOut: s.writeTimedOut}
 
 	if s.tokens > 0 {
 		o.FirstToken = s.firstToken.Sub(s.call.arrived)
@@ -192,8 +192,8 @@
 	return o
 }
 
-// refusalOf maps the reason an answer was given up to the table of errors.
-func refusalOf(g answer.GiveUp) *refusal.Refusal {
+// refusalOfGiveUp maps the reason an answer was given up to the table of errors.
+func refusalOfGiveUp(g answer.GiveUp) *refusal.Refusal {
 	run := refusal.Unknown
 	if g.Ran == answer.NotRun {
 		run = refusal.NotRun
