--- a/chat/chat_test.go
+++ b/chat/chat_test.go
@@ -21,12 +21,12 @@
 			prompt: "user: hi\n", limit: 7,
 		},
 		{
-			desc:   "list of parts and the newer limit",
+			desc:   "list of parts and max_completion_tokens",
 			body:   `{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}],"max_tokens":7,"max_completion_tokens":9}`,
 			prompt: "user: ab\n", limit: 9,
 		},
 		{desc: "null content", body: `{"model":"m","messages":[{"role":"user","content":null}]}`, prompt: "user: \n", limit: DefaultMaxTokens},
-		{desc: "broken", body: `{"model":`, err: "decode request"},
+		{desc: "incomplete JSON", body: `{"model":`, err: "decode request"},
 		{desc: "no model", body: `{"messages":[{"role":"user","content":"x"}]}`, err: "model is missing"},
 		{desc: "no messages", body: `{"model":"m"}`, err: "messages is empty"},
 		{desc: "negative limit", body: `{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":-1}`, err: "negative"},
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestChunksAreValidJSONWhateverTheToken(t *testing.T) {
+func TestChunksAreValidJSON(t *testing.T) {
 	for _, token := range []string{"word ", `a "quoted" \ one`, "tab\tnewline\n", "æøå ሀ", ""} {
 		c := NewChunkWriter("id-1", "model", 5)
 		event := c.AppendToken(nil, []byte("id-1.4"), 3, token)
--- a/chat/chunk.go
+++ b/chat/chunk.go
@@ -5,28 +5,29 @@
 	"strconv"
 )
 
-// ChunkWriter appends the server-sent events of one streamed answer. It keeps
-// what is the same in every event, so that a relayed token costs no encoding
-// of the rest. It is not safe for concurrent use.
+// ChunkWriter appends the server-sent events of one streamed answer. It encodes the
+// constant start of the events once, so that only the token is encoded for each
+// event. It is not safe for concurrent use.
 type ChunkWriter struct {
-	head []byte
+	prefix []byte
 }
 
-// NewChunkWriter returns a writer for the answer with an id.
+// NewChunkWriter returns a writer for the answer with the given ID. The time created is
+// in Unix seconds.
 func NewChunkWriter(id, model string, created int64) *ChunkWriter {
-	head := []byte(`data: {"id":`)
-	head = appendString(head, id)
-	head = append(head, `,"object":"chat.completion.chunk","created":`...)
-	head = strconv.AppendInt(head, created, 10)
-	head = append(head, `,"model":`...)
-	head = appendString(head, model)
-	head = append(head, `,"choices":`...)
-
-	return &ChunkWriter{head: head}
+	prefix := []byte(`data: {"id":`)
+	prefix = appendString(prefix, id)
+	prefix = append(prefix, `,"object":"chat.completion.chunk","created":`...)
+	prefix = strconv.AppendInt(prefix, created, 10)
+	prefix = append(prefix, `,"model":`...)
+	prefix = appendString(prefix, model)
+	prefix = append(prefix, `,"choices":`...)
+
+	return &ChunkWriter{prefix: prefix}
 }
 
-// AppendToken appends the event of one token. The event id, if it is not empty,
-// tells a client that comes back how much of the answer it has.
+// AppendToken appends the event of one token. A client that resumes the stream sends
+// the event ID back, if it is not empty, to say which part of the answer it has.
 func (c *ChunkWriter) AppendToken(buf, eventID []byte, offset int, token string) []byte {
 	if len(eventID) > 0 {
 		buf = append(buf, "id: "...)
@@ -34,7 +35,7 @@
 		buf = append(buf, '\n')
 	}
 
-	buf = append(buf, c.head...)
+	buf = append(buf, c.prefix...)
 	buf = append(buf, `[{"index":0,"delta":{`...)
 
 	if offset == 0 {
@@ -48,16 +49,16 @@
 	return buf
 }
 
-// AppendFinish appends the last events: the finish reason, the usage where it
-// was asked for, and the end marker.
+// AppendFinish appends the last events: the finish reason, the usage unless it is nil,
+// and the end marker.
 func (c *ChunkWriter) AppendFinish(buf []byte, finish string, usage *Usage) []byte {
-	buf = append(buf, c.head...)
+	buf = append(buf, c.prefix...)
 	buf = append(buf, `[{"index":0,"delta":{},"finish_reason":`...)
 	buf = appendString(buf, finish)
 	buf = append(buf, "}]}\n\n"...)
 
 	if usage != nil {
-		buf = append(buf, c.head...)
+		buf = append(buf, c.prefix...)
 		buf = append(buf, `[],"usage":{"prompt_tokens":`...)
 		buf = strconv.AppendInt(buf, int64(usage.PromptTokens), 10)
 		buf = append(buf, `,"completion_tokens":`...)
@@ -70,10 +71,11 @@
 	return append(buf, "data: [DONE]\n\n"...)
 }
 
-// appendString appends s as a JSON string; plain ASCII takes the short way.
+// appendString appends s as a JSON string. It copies printable ASCII without
+// encoding it.
 func appendString(buf []byte, s string) []byte {
-	if !isPlain(s) {
-		// A string always encodes.
+	if !isPlainASCII(s) {
+		// Encoding a string never fails.
 		data, _ := json.Marshal(s)
 
 		return append(buf, data...)
@@ -85,7 +87,7 @@
 	return append(buf, '"')
 }
 
-func isPlain(s string) bool {
+func isPlainASCII(s string) bool {
 	for i := range len(s) {
 		if b := s[i]; b < 0x20 || b >= 0x7f || b == '"' || b == '\\' {
 			return false
--- a/chat/content.go
+++ b/chat/content.go
@@ -6,15 +6,17 @@
 	"strings"
 )
 
-// Content is the text of a message. The API allows a string or a list of parts.
+// Content is the text of a message, which the API encodes as a string or as a list of
+// content parts.
 type Content string
 
-type part struct {
+type contentPart struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
 
-// UnmarshalJSON accepts a string, null, or a list of text parts.
+// UnmarshalJSON decodes a string, null, or a list of text parts. It returns an error
+// for parts of other types, such as images.
 func (c *Content) UnmarshalJSON(data []byte) error {
 	var text *string
 	if err := json.Unmarshal(data, &text); err == nil {
@@ -25,7 +27,7 @@
 		return nil
 	}
 
-	var parts []part
+	var parts []contentPart
 	if err := json.Unmarshal(data, &parts); err != nil {
 		return errors.New("content must be a string or a list of text parts")
 	}
--- a/chat/request.go
+++ b/chat/request.go
@@ -1,14 +1,14 @@
-// Package chat holds the wire types of the OpenAI-compatible chat completions
-// API that callers use, and the prompt that a request stands for.
+// Package chat defines the wire types of the OpenAI-compatible chat completions
+// API, and builds the prompt of a request.
 //
-// Fields that the system does not use are accepted and ignored, as clients of
-// that API send many.
+// Unused fields are accepted and ignored, since clients of the API send many of
+// them.
 //
 // # Usage
 //
 //	request, err := chat.ParseRequest(body)
 //	prompt := request.Prompt()
-//	data := chat.NewChunkWriter(id, request.Model, created).AppendToken(nil, 0, token)
+//	data := chat.NewChunkWriter(id, request.Model, created).AppendToken(nil, nil, 0, token)
 package chat
 
 import (
@@ -19,20 +19,20 @@
 )
 
 const (
-	// DefaultMaxTokens bounds an answer whose request does not.
+	// DefaultMaxTokens is the maximum length of an answer whose request sets none.
 	DefaultMaxTokens = 2048
-	// MaxTokensLimit bounds what a request may ask for, so that estimates
-	// made of it do not overflow.
+	// MaxTokensLimit is the highest maximum that a request may set. It keeps token
+	// estimates from overflowing.
 	MaxTokensLimit = 1 << 20
 )
 
-// Message is one turn of a conversation.
+// Message is one message of a conversation.
 type Message struct {
 	Role    string  `json:"role"`
 	Content Content `json:"content"`
 }
 
-// Request asks for a completion.
+// Request is a request for a completion.
 type Request struct {
 	Model               string         `json:"model"`
 	Messages            []Message      `json:"messages"`
@@ -42,12 +42,12 @@
 	MaxCompletionTokens int            `json:"max_completion_tokens,omitempty"`
 }
 
-// StreamOptions ask for extra events of a stream.
+// StreamOptions request additional events of a stream.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// ParseRequest decodes and checks a request.
+// ParseRequest decodes and validates a request.
 func ParseRequest(body []byte) (Request, error) {
 	var r Request
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -73,7 +73,7 @@
 	return r, nil
 }
 
-// Prompt returns the text that the model engine is given.
+// Prompt returns the text that is sent to the model engine.
 func (r Request) Prompt() string {
 	var b strings.Builder
 
@@ -87,7 +87,7 @@
 	return b.String()
 }
 
-// MaxOutputTokens returns the greatest number of tokens of the answer.
+// MaxOutputTokens returns the maximum length of the answer in tokens.
 func (r Request) MaxOutputTokens() int {
 	switch {
 	case r.MaxCompletionTokens > 0:
--- a/chat/request_fuzz_test.go
+++ b/chat/request_fuzz_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// FuzzParseRequest holds that a body is refused, or parsed into a request
-// within its bounds that means the same when it is written and read again. The
-// corpus in testdata runs with the tests.
+// FuzzParseRequest checks that a body is either rejected, or parsed into a request
+// within the limits that stays the same when it is encoded and parsed again. The
+// corpus in testdata runs as part of the tests.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}]}`))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"}]}],"stream":true}`))
@@ -23,21 +23,21 @@
 		}
 
 		if r.Model == "" || len(r.Messages) == 0 || r.MaxOutputTokens() <= 0 || r.MaxOutputTokens() > MaxTokensLimit {
-			t.Errorf("request: got %+v with limit %d, want one within its bounds", r, r.MaxOutputTokens())
+			t.Errorf("request: got %+v with limit %d, want one within the limits", r, r.MaxOutputTokens())
 		}
 
-		again, err := json.Marshal(r)
+		encoded, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
 		}
 
-		reread, err := ParseRequest(again)
+		decoded, err := ParseRequest(encoded)
 		if err != nil {
-			t.Fatalf("written again: %v in %s", err, again)
+			t.Fatalf("parse encoded request: %v in %s", err, encoded)
 		}
 
-		if reread.Prompt() != r.Prompt() || reread.MaxOutputTokens() != r.MaxOutputTokens() || reread.Stream != r.Stream {
-			t.Errorf("read again: got %+v, want %+v", reread, r)
+		if decoded.Prompt() != r.Prompt() || decoded.MaxOutputTokens() != r.MaxOutputTokens() || decoded.Stream != r.Stream {
+			t.Errorf("parsed again: got %+v, want %+v", decoded, r)
 		}
 	})
 }
--- a/chat/response.go
+++ b/chat/response.go
@@ -1,13 +1,13 @@
 package chat
 
-// Usage counts tokens in a response.
+// Usage is the number of tokens of a request and its response.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Response is a whole answer.
+// Response is a complete answer that is not streamed.
 type Response struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -24,7 +24,7 @@
 	FinishReason string  `json:"finish_reason"`
 }
 
-// NewResponse returns a whole answer with one choice.
+// NewResponse returns a response with one choice. The time created is in Unix seconds.
 func NewResponse(id, model string, created int64, text, finish string, usage Usage) Response {
 	return Response{
 		ID:      id,
--- a/dispatch/answers.go
+++ b/dispatch/answers.go
@@ -14,18 +14,19 @@
 	"monsoonlever/retry"
 )
 
-// Answers keeps model answers beyond the connection of their caller: it runs
-// them for their owner, and goes on with those that another entry instance left.
-// The exported fields are set before its use.
+// Answers runs retained model answers, which outlive the connection of their caller,
+// and continues answers whose previous owner, another entry instance, has left. The
+// exported fields must be set before its use.
 type Answers struct {
 	Clock      clock.Clock
 	Replicator *answer.Replicator
 	Runner     *answer.Runner
-	// Budget counts the requests that the Runner's retries are a share of.
+	// Budget counts requests; the retries of Runner are limited to a share of them.
 	Budget *retry.Budget
-	// CopyTimeout bounds the wait for a copy in another failure domain.
+	// CopyTimeout limits the wait for a copy in another failure domain.
 	CopyTimeout time.Duration
-	// GracePeriod is how long an answer goes on without a caller.
+	// GracePeriod is how long an answer continues after its last caller has
+	// disconnected.
 	GracePeriod time.Duration
 
 	mu      sync.Mutex
@@ -35,23 +36,25 @@
 
 var _ gateway.RetainedAnswers = (*Answers)(nil)
 
-// runningAnswer is an answer that this instance works at.
+// runningAnswer is an answer that this instance generates.
 type runningAnswer struct {
 	epoch  answer.Epoch
 	cancel context.CancelFunc
-	// over is closed when the work at it is to end.
-	over <-chan struct{}
-	// async answers need no caller.
+	// done is closed when the answer is cancelled or has ended.
+	done <-chan struct{}
+	// async answers continue without a caller.
 	async     bool
 	followers int
-	// released counts how often the last caller went, so that a later grace
-	// period is not ended by an earlier one.
-	released int
-	// followedAt is when a caller was last known to read it elsewhere.
-	followedAt time.Time
+	// releases counts how often the last caller disconnected, so that the end of an earlier
+	// grace period does not abandon the answer during a later one.
+	releases int
+	// followedElsewhereAt is when another instance last reported that a caller reads the
+	// answer there.
+	followedElsewhereAt time.Time
 }
 
-// Start begins to answer a request.
+// Start starts to answer a request. If durable is set, it returns an error if no other
+// failure domain has confirmed a copy within CopyTimeout.
 func (a *Answers) Start(ctx context.Context, r gateway.ModelRequest, durable bool, ended func(answer.Result)) error {
 	a.Budget.CountRequest(a.Clock.Now())
 
@@ -73,12 +76,13 @@
 	return nil
 }
 
-// Continue goes on with an answer that another entry instance left.
+// Continue continues an answer that another entry instance left.
 func (a *Answers) Continue(c answer.Continue) {
 	a.run(c.Request, c.Epoch, c.Kept, true, func(answer.Result) {})
 }
 
-// Stop ends the work at an answer under an ownership that is over.
+// Stop cancels an answer whose ownership by this instance has ended. A later ownership
+// of the same answer is not affected.
 func (a *Answers) Stop(s answer.Stop) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,8 +92,8 @@
 	}
 }
 
-// StopAll ends the work at every answer. Those that were handed off go on
-// elsewhere.
+// StopAll cancels all answers on this instance. Answers that were handed off continue
+// on other instances.
 func (a *Answers) StopAll() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -99,13 +103,13 @@
 	}
 }
 
-// Wait returns once no answer runs here any more.
+// Wait blocks until no answer runs on this instance.
 func (a *Answers) Wait() {
 	a.group.Wait()
 }
 
 func (a *Answers) run(
-	r answer.Request, epoch answer.Epoch, kept []string, async bool, ended func(answer.Result),
+	r answer.Request, epoch answer.Epoch, tokens []string, async bool, ended func(answer.Result),
 ) {
 	ctx, cancel := context.WithCancel(context.Background())
 
@@ -115,21 +119,21 @@
 		a.running = make(map[answer.RequestID]*runningAnswer)
 	}
 
-	own := &runningAnswer{epoch: epoch, cancel: cancel, over: ctx.Done(), async: async}
+	own := &runningAnswer{epoch: epoch, cancel: cancel, done: ctx.Done(), async: async}
 	a.running[r.ID] = own
 	a.mu.Unlock()
 
 	a.group.Go(func() {
 		defer cancel()
 
-		result := a.Runner.Continue(ctx, r, epoch, kept, a.Replicator.Sink(r.ID, epoch))
-		a.forget(r.ID, own)
+		result := a.Runner.Continue(ctx, r, epoch, tokens, a.Replicator.Sink(r.ID, epoch))
+		a.remove(r.ID, own)
 		ended(result)
 	})
 }
 
-// forget drops an answer, unless a later ownership has taken its place.
-func (a *Answers) forget(id answer.RequestID, own *runningAnswer) {
+// remove removes an answer, unless a later ownership has replaced it.
+func (a *Answers) remove(id answer.RequestID, own *runningAnswer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -138,15 +142,16 @@
 	}
 }
 
-// Follow passes an answer on to a caller, whichever instance works at it.
+// Follow writes an answer to a caller, starting after the given event. Any instance may
+// be generating the answer.
 func (a *Answers) Follow(ctx context.Context, account fleet.Account, after answer.EventID, to answer.Caller) error {
-	a.count(after.Request, 1)
-	defer a.count(after.Request, -1)
+	a.addFollowers(after.Request, 1)
+	defer a.addFollowers(after.Request, -1)
 
 	return a.Replicator.Follow(ctx, account, after, to)
 }
 
-func (a *Answers) count(id answer.RequestID, n int) {
+func (a *Answers) addFollowers(id answer.RequestID, n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -155,7 +160,8 @@
 	}
 }
 
-// Release gives up an answer that nobody follows by the end of the grace period.
+// Release abandons an answer if no caller follows it by the end of the grace period.
+// Async answers are never abandoned.
 func (a *Answers) Release(id answer.RequestID) {
 	a.mu.Lock()
 
@@ -166,37 +172,39 @@
 		return
 	}
 
-	r.released++
-	released := r.released
+	r.releases++
+	release := r.releases
 	a.mu.Unlock()
 
 	a.group.Go(func() {
-		for left := a.GracePeriod; left > 0; left = a.giveUp(id, r, released) {
+		for left := a.GracePeriod; left > 0; left = a.abandonUnread(id, r, release) {
 			select {
 			case <-a.Clock.After(left):
-			case <-r.over:
+			case <-r.done:
 				return
 			}
 		}
 	})
 }
 
-// MarkFollowed notes that a caller reads an answer of this instance elsewhere.
+// MarkFollowed records that a caller reads an answer of this instance through another
+// instance.
 func (a *Answers) MarkFollowed(id answer.RequestID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
 	if r, ok := a.running[id]; ok {
-		r.followedAt = a.Clock.Now()
+		r.followedElsewhereAt = a.Clock.Now()
 	}
 }
 
-// giveUp ends the work at an answer that nobody wants. For one that is read
-// elsewhere it returns when to look again.
-func (a *Answers) giveUp(id answer.RequestID, r *runningAnswer, released int) time.Duration {
+// abandonUnread abandons an answer that no caller reads. It returns 0 if the answer was
+// abandoned or is no longer subject to this release. If a caller read it through another
+// instance during the grace period, it returns the time until the next check.
+func (a *Answers) abandonUnread(id answer.RequestID, r *runningAnswer, release int) time.Duration {
 	a.mu.Lock()
-	left := r.followedAt.Add(a.GracePeriod).Sub(a.Clock.Now())
-	wanted := a.running[id] != r || r.followers > 0 || r.released != released
+	left := r.followedElsewhereAt.Add(a.GracePeriod).Sub(a.Clock.Now())
+	wanted := a.running[id] != r || r.followers > 0 || r.releases != release
 	a.mu.Unlock()
 
 	switch {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch answers admitted requests: it joins routing, retries, the
-// relay of model answers, and the claims of calls that may not be repeated.
+// Package dispatch answers admitted requests. It combines routing, retries, the relay
+// of model answers, and the claims of non-idempotent calls.
 //
 // # Usage
 //
@@ -17,12 +17,12 @@
 	"monsoonlever/routing"
 )
 
-// failureOf tells the routing table how a call failed.
+// failureOf classifies the error of a call for the routing table.
 func failureOf(err error) routing.Failure {
 	var timeout net.Error
 
-	// What this side ended comes first: a dial that was cut is no fault of the
-	// server.
+	// Cancellation and deadline are checked first: a dial that this side cancelled is no
+	// failure of the server.
 	switch {
 	case errors.Is(err, context.Canceled):
 		return routing.FailCancelled
--- a/dispatch/failover.go
+++ b/dispatch/failover.go
@@ -16,28 +16,29 @@
 	"monsoonlever/routing"
 )
 
-// trial sends one call to one server after the other.
-type trial struct {
+// failover sends one call to one server after another.
+type failover struct {
 	plain   *Plain
 	request gateway.PlainRequest
 	call    *retry.Call
 	tried   []fleet.InstanceID
 }
 
-func (p *Plain) newTrial(r gateway.PlainRequest) *trial {
+func (p *Plain) newFailover(r gateway.PlainRequest) *failover {
 	call := retry.NewCall(retry.NewScope(r.Service, r.Account), r.Kind.Idempotent()).WithDeadline(r.Deadline)
 	p.Retry.CountCall(p.Clock.Now(), call)
 
-	return &trial{plain: p, request: r, call: call}
+	return &failover{plain: p, request: r, call: call}
 }
 
-// again tells whether the call is sent to a further server, and waits until then.
-func (t *trial) again(ctx context.Context, err error) bool {
+// waitForRetry reports whether the call may be sent to another server after err. It waits
+// for the retry delay before it returns true.
+func (f *failover) waitForRetry(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || errors.Is(err, routing.ErrNoServer) {
 		return false
 	}
 
-	decision := t.plain.Retry.Decide(t.plain.Clock.Now(), discovery.Random{}, t.call, err)
+	decision := f.plain.Retry.Decide(f.plain.Clock.Now(), discovery.Random{}, f.call, err)
 	if !decision.Retry() {
 		return false
 	}
@@ -47,40 +48,41 @@
 	}
 
 	select {
-	case <-t.plain.Clock.After(decision.Delay()):
+	case <-f.plain.Clock.After(decision.Delay()):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// nextBounded leaves time for a further server, so that a server that hangs
-// does not use up the deadline. A server gets twice the latency target at least.
-func (t *trial) nextBounded(parent context.Context) (backend.Reply, error) {
-	left := t.request.Deadline.Sub(t.plain.Clock.Now())
-	bound := max(left/attemptShare, attemptTargets*t.request.Kind.LatencyTarget().Whole())
+// sendNextBounded sends the call with a timeout that leaves time for another server, so
+// that a server that hangs does not use up the deadline. The timeout is at least twice
+// the latency target.
+func (f *failover) sendNextBounded(parent context.Context) (backend.Reply, error) {
+	left := f.request.Deadline.Sub(f.plain.Clock.Now())
+	timeout := max(left/attemptDivisor, minAttemptTargets*f.request.Kind.LatencyTarget().Whole())
 
-	ctx, cancel := context.WithTimeout(parent, bound)
+	ctx, cancel := context.WithTimeout(parent, timeout)
 	defer cancel()
 
-	return t.next(ctx)
+	return f.sendNext(ctx)
 }
 
-// next sends the call to a server that was not tried yet.
-func (t *trial) next(ctx context.Context) (backend.Reply, error) {
-	choice, server, err := t.pick()
+// sendNext sends the call to a server that it has not been sent to yet.
+func (f *failover) sendNext(ctx context.Context) (backend.Reply, error) {
+	choice, server, err := f.pick()
 	if err != nil {
 		return backend.Reply{}, err
 	}
 
-	t.tried = append(t.tried, choice.ID())
-	start := t.plain.Clock.Now()
+	f.tried = append(f.tried, choice.ID())
+	start := f.plain.Clock.Now()
 
-	reply, err := server.Plain().Do(ctx, t.request.Call)
-	now := t.plain.Clock.Now()
+	reply, err := server.Plain().Do(ctx, f.request.Call)
+	now := f.plain.Clock.Now()
 
 	if err != nil {
-		choice.Failed(now, t.failure(err, now.Sub(start)))
+		choice.Failed(now, f.classify(err, now.Sub(start)))
 
 		return backend.Reply{}, err
 	}
@@ -94,37 +96,37 @@
 	return reply, nil
 }
 
-// failure tells how a server failed. That a caller gave it less time than the
-// latency target says nothing of the server: else one caller's short deadlines
-// would eject the servers of all.
-func (t *trial) failure(err error, took time.Duration) routing.Failure {
+// classify returns the failure to report to the routing table. A timeout shorter than the
+// latency target counts as cancelled, not as a failure of the server: otherwise the short
+// deadlines of one caller would eject servers for all callers.
+func (f *failover) classify(err error, took time.Duration) routing.Failure {
 	kind := failureOf(err)
-	if kind == routing.FailTimeout && took < t.request.Kind.LatencyTarget().Whole() {
+	if kind == routing.FailTimeout && took < f.request.Kind.LatencyTarget().Whole() {
 		return routing.FailCancelled
 	}
 
 	return kind
 }
 
-// pick counts the call as in flight at a server that is not leaving.
-func (t *trial) pick() (routing.Choice, *discovery.Server, error) {
-	request := routing.NewRequest(routing.NewKey(t.request.Service, "", "", ""))
-	if t.request.Kind.Idempotent() {
+// pick picks a server that is not leaving and counts the call as in flight there.
+func (f *failover) pick() (routing.Choice, *discovery.Server, error) {
+	request := routing.NewRequest(routing.NewKey(f.request.Service, "", "", ""))
+	if f.request.Kind.Idempotent() {
 		request = request.WithRepeatable()
 	}
 
-	excluded := t.tried
+	excluded := f.tried
 
 	for range maxPicks {
 		request = request.Excluding(excluded)
 
-		choice, err := t.plain.Table.Pick(t.plain.Clock.Now(), discovery.Random{}, request)
+		choice, err := f.plain.Table.Pick(f.plain.Clock.Now(), discovery.Random{}, request)
 		if err != nil {
 			return routing.Choice{}, nil, notSent(err)
 		}
 
-		server, ok := t.plain.Directory.Server(choice.ID())
-		if ok && choice.Sent(t.plain.Clock.Now()) {
+		server, ok := f.plain.Directory.Server(choice.ID())
+		if ok && choice.Sent(f.plain.Clock.Now()) {
 			return choice, server, nil
 		}
 
@@ -134,11 +136,11 @@
 	return routing.Choice{}, nil, notSent(routing.ErrNoServer)
 }
 
-// refusal tells the caller how a repeatable call ended. That it may have run is
-// told too, though it does no harm.
-func (t *trial) refusal(ctx context.Context, err error) *refusal.Refusal {
+// refusal returns the refusal of an idempotent call. It reports a call that may have run
+// as such, although repeating an idempotent call does no harm.
+func (f *failover) refusal(ctx context.Context, err error) *refusal.Refusal {
 	run := refusal.NotRun
-	if t.call.MayHaveRun() {
+	if f.call.MayHaveRun() {
 		run = refusal.Unknown
 	}
 
@@ -147,11 +149,11 @@
 	switch {
 	case ctx.Err() != nil:
 		code = refusal.DeadlinePassed
-	case t.call.MayHaveRun():
+	case f.call.MayHaveRun():
 		code = refusal.OutcomeUnknown
 	case errors.Is(err, routing.ErrNoServer):
 		code = refusal.NoServer
 	}
 
-	return refusal.New(code, "%v", err).WithRun(run).WithRetryAfter(comeBackSoon)
+	return refusal.New(code, "%v", err).WithRun(run).WithRetryAfter(defaultRetryAfter)
 }
--- a/dispatch/fixture_test.go
+++ b/dispatch/fixture_test.go
@@ -26,8 +26,8 @@
 
 const testService fleet.Service = "payrun-api"
 
-// fakeServer is a plain service that does what the test says with the nth call
-// of all servers, from 0.
+// fakeServer is a plain server whose replies come from fakeFleet.do, which gets the number
+// of the call, counted from 0 over all servers.
 type fakeServer struct {
 	fleet *fakeFleet
 }
@@ -45,7 +45,7 @@
 	return backend.LoadReport{At: time.Now(), Capacity: 64}, nil
 }
 
-// fakeFleet lists backend servers and makes their clients.
+// fakeFleet lists four backend servers and returns their clients.
 type fakeFleet struct {
 	provider.Cloud
 	do func(ctx context.Context, n int) (backend.Reply, error)
@@ -79,7 +79,7 @@
 	return f.calls
 }
 
-// directClaims lets every attempt win its key.
+// directClaims lets each attempt win its claim, and records the error of the call.
 type directClaims struct {
 	err error
 }
@@ -90,12 +90,13 @@
 	return claim.Verdict{}, nil
 }
 
-// attempts returns a policy that bounds only how often a call is tried.
-func attempts(n int) *retry.Policy {
+// retryPolicy returns a policy that limits only the number of attempts of a call.
+func retryPolicy(n int) *retry.Policy {
 	return &retry.Policy{Budgets: retry.NewBudgets(retry.BudgetPolicy{MinRetries: 100}), MaxAttempts: n}
 }
 
-// newPlain returns a Plain before four backend servers. It is called in a bubble.
+// newPlain returns a Plain with four backend servers. It must be called in a synctest
+// bubble.
 func newPlain(t *testing.T, f *fakeFleet) (*Plain, *directClaims) {
 	t.Helper()
 
@@ -110,7 +111,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go watcher.Run(ctx)
 	synctest.Wait()
-	// The second poll finds the servers that the first one listed.
+	// The second poll reaches the servers that the first poll listed.
 	time.Sleep(time.Second)
 	cancel()
 	synctest.Wait()
@@ -118,11 +119,11 @@
 	claims := &directClaims{}
 
 	return &Plain{
-		Clock: clock.System{}, Table: table, Directory: directory, Claims: claims, Retry: attempts(4),
+		Clock: clock.System{}, Table: table, Directory: directory, Claims: claims, Retry: retryPolicy(4),
 	}, claims
 }
 
-// newRequest returns a call of a kind of the example's service.
+// newRequest returns a call of the given kind to the service in the example manifest.
 func newRequest(t *testing.T, kind fleet.CallKind, timeout time.Duration) gateway.PlainRequest {
 	t.Helper()
 
--- a/dispatch/models.go
+++ b/dispatch/models.go
@@ -9,17 +9,17 @@
 	"monsoonlever/retry"
 )
 
-// Models answers model requests whose answers end with their connection.
+// Models answers model requests whose answers end if their caller disconnects.
 type Models struct {
 	Clock  clock.Clock
 	Runner *answer.Runner
-	// Budget counts the requests that the Runner's retries are a share of.
+	// Budget counts requests; the retries of Runner are limited to a share of them.
 	Budget *retry.Budget
 }
 
 var _ gateway.ModelServer = (*Models)(nil)
 
-// Answer relays one answer to its sink.
+// Answer generates one answer and relays it to the sink.
 func (m *Models) Answer(ctx context.Context, r gateway.ModelRequest, sink answer.Sink) answer.Result {
 	m.Budget.CountRequest(m.Clock.Now())
 
--- a/dispatch/not_sent.go
+++ b/dispatch/not_sent.go
@@ -2,7 +2,7 @@
 
 import "monsoonlever/backend"
 
-// notSentError is a failure before any byte of a call was sent.
+// notSentError is an error that occurred before any byte of a call was sent.
 type notSentError struct {
 	cause error
 }
@@ -16,7 +16,7 @@
 	return e.cause.Error()
 }
 
-// Unwrap returns the cause, and that nothing was sent.
+// Unwrap returns the cause and backend.ErrNotSent.
 func (e *notSentError) Unwrap() []error {
 	return []error{e.cause, backend.ErrNotSent}
 }
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -11,7 +11,7 @@
 	"monsoonlever/routing"
 )
 
-// Picker chooses model engines for the attempts of answers.
+// Picker picks the model engine for each attempt at an answer.
 type Picker struct {
 	Clock    clock.Clock
 	Manifest func() *manifest.Manifest
@@ -20,8 +20,9 @@
 
 var _ answer.Picker = (*Picker)(nil)
 
-// Pick returns an engine that holds the model, in the wanted version if there
-// is one. Until a roll-out has brought the wanted version up, an older one serves.
+// Pick returns an engine that serves the model, and reports whether there is one. It
+// prefers the version in the manifest. If no engine has that version, such as during a
+// roll-out, it returns an engine with another version.
 func (p *Picker) Pick(q answer.Query) (answer.Choice, bool) {
 	m := p.Manifest()
 	if m == nil {
@@ -62,7 +63,8 @@
 		WithRepeatable()
 }
 
-// choose picks until a server is found that is not just beginning to leave.
+// choose picks servers until one of them has not begun to leave since it was picked,
+// at most maxPicks times.
 func (p *Picker) choose(request routing.Request) (answer.Choice, bool) {
 	for range maxPicks {
 		choice, err := p.Table.Pick(p.Clock.Now(), discovery.Random{}, request)
@@ -79,7 +81,7 @@
 	return answer.Choice{}, false
 }
 
-// maxPicks bounds the servers looked at for one attempt.
+// maxPicks is the maximum number of servers picked for one attempt.
 const maxPicks = 4
 
 func (p *Picker) release(choice routing.Choice, start time.Time) func(error, int) {
--- a/dispatch/plain.go
+++ b/dispatch/plain.go
@@ -15,20 +15,24 @@
 )
 
 const (
-	// attemptShare is the part of the time left that one server gets of a call
-	// that may be repeated, and attemptTargets the least in latency targets.
-	attemptShare   = 2
-	attemptTargets = 2
-	// comeBackSoon is told where another backend server may be ready soon.
-	comeBackSoon = time.Second
+	// An attempt at an idempotent call gets the remaining time divided by attemptDivisor,
+	// but at least minAttemptTargets times the latency target.
+	attemptDivisor    = 2
+	minAttemptTargets = 2
+	// defaultRetryAfter is the Retry-After of refusals after which another backend server
+	// may be available soon.
+	defaultRetryAfter = time.Second
 )
 
-// Claims runs calls that may not be repeated at most once.
+// Claims runs non-idempotent calls at most once.
 type Claims interface {
+	// Do claims the key of an attempt, calls send if the attempt won the claim, and
+	// returns the verdict.
 	Do(ctx context.Context, a claim.Attempt, send claim.Send) (claim.Verdict, error)
 }
 
-// Plain answers calls of plain services. The exported fields are set before Call.
+// Plain answers calls of plain services. The exported fields must be set before Call
+// is used.
 type Plain struct {
 	Clock     clock.Clock
 	Table     *routing.Table
@@ -39,35 +43,37 @@
 
 var _ gateway.PlainServer = (*Plain)(nil)
 
-// Call returns the reply of the service, or why there is none.
+// Call returns the reply of the service, or a refusal if there is none.
 func (p *Plain) Call(ctx context.Context, r gateway.PlainRequest) (backend.Reply, *refusal.Refusal) {
 	if r.Kind.Idempotent() {
-		return p.callRepeatable(ctx, r)
+		return p.callIdempotent(ctx, r)
 	}
 
 	return p.callOnce(ctx, r)
 }
 
-// callRepeatable tries further servers while the retry policy allows.
-func (p *Plain) callRepeatable(parent context.Context, r gateway.PlainRequest) (backend.Reply, *refusal.Refusal) {
+// callIdempotent sends a call to one server after another while the retry policy
+// allows.
+func (p *Plain) callIdempotent(parent context.Context, r gateway.PlainRequest) (backend.Reply, *refusal.Refusal) {
 	ctx, cancel := context.WithDeadline(parent, r.Deadline)
 	defer cancel()
 
-	t := p.newTrial(r)
+	f := p.newFailover(r)
 
 	for {
-		reply, err := t.nextBounded(ctx)
+		reply, err := f.sendNextBounded(ctx)
 		if err == nil {
 			return reply, nil
 		}
 
-		if !t.again(ctx, err) {
-			return backend.Reply{}, t.refusal(ctx, err)
+		if !f.waitForRetry(ctx, err) {
+			return backend.Reply{}, f.refusal(ctx, err)
 		}
 	}
 }
 
-// callOnce claims the call's key first, and sends the call only if it won.
+// callOnce claims the idempotency key of a call and sends the call only if it won the
+// claim.
 func (p *Plain) callOnce(ctx context.Context, r gateway.PlainRequest) (backend.Reply, *refusal.Refusal) {
 	attempt := claim.Attempt{
 		Key:      claim.NewKey(r.Service, r.Account, r.Call.IdempotencyKey),
@@ -76,31 +82,32 @@
 	}
 
 	verdict, err := p.Claims.Do(ctx, attempt, func(ctx context.Context) (claim.Result, error) {
-		return p.send(ctx, r)
+		return p.sendClaimed(ctx, r)
 	})
 	if err != nil {
 		return backend.Reply{}, refusal.New(refusal.DeadlinePassed, "no outcome is known yet: %v", err).
-			WithRetryAfter(comeBackSoon)
+			WithRetryAfter(defaultRetryAfter)
 	}
 
 	return replyOf(verdict)
 }
 
-// send makes a call whose key was won. Only a server that certainly did not run
-// it is followed by another. The caller may go, the call goes on to its deadline.
-func (p *Plain) send(parent context.Context, r gateway.PlainRequest) (claim.Result, error) {
+// sendClaimed sends a call whose claim was won. It tries another server only if the previous
+// one certainly did not run the call. The call continues until its deadline even if the
+// caller disconnects.
+func (p *Plain) sendClaimed(parent context.Context, r gateway.PlainRequest) (claim.Result, error) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(parent), r.Deadline)
 	defer cancel()
 
-	t := p.newTrial(r)
+	t := p.newFailover(r)
 
 	for {
-		reply, err := t.next(ctx)
+		reply, err := t.sendNext(ctx)
 		if err == nil {
 			return resultOf(reply), nil
 		}
 
-		if !t.again(ctx, err) {
+		if !t.waitForRetry(ctx, err) {
 			return claim.Result{}, err
 		}
 	}
--- a/dispatch/plain_call_bench_test.go
+++ b/dispatch/plain_call_bench_test.go
@@ -24,8 +24,8 @@
 	"monsoonlever/standin"
 )
 
-// benchFleet lists one plain server that is reached over loopback. The third
-// reading of the list tells that the first two were taken in.
+// benchFleet lists one plain server on the loopback interface. It closes ready on the third
+// read of the list, which shows that the results of the first two were processed.
 type benchFleet struct {
 	provider.Cloud
 	address string
@@ -53,8 +53,8 @@
 	return []provider.Listing{{ID: "server-0", Service: testService, Address: f.address, State: provider.Live}}, nil
 }
 
-// newBenchGateway returns the path of a request, from the callers' interface to
-// a stand-in over loopback.
+// newBenchGateway returns the handler of a gateway, and the stand-in of a plain service
+// that it forwards calls to over the loopback interface.
 func newBenchGateway(b *testing.B) (http.Handler, *httptest.Server) {
 	b.Helper()
 
@@ -99,15 +99,15 @@
 
 	g := &gateway.Gateway{
 		Clock: clock.System{}, Manifest: func() *manifest.Manifest { return m }, Admission: controller,
-		Plain: &Plain{Clock: clock.System{}, Table: table, Directory: directory, Retry: attempts(1)},
+		Plain: &Plain{Clock: clock.System{}, Table: table, Directory: directory, Retry: retryPolicy(1)},
 		NewID: func() answer.RequestID { return "request-1" }, MaxBodyBytes: 1 << 20, WriteTimeout: time.Minute,
 	}
 
 	return g.Handler(), server
 }
 
-// BenchmarkPlainCall compares a call through the entry instance with one of the
-// same server straight.
+// BenchmarkPlainCall compares a call through the entry instance with a direct call to the
+// same server.
 func BenchmarkPlainCall(b *testing.B) {
 	handler, server := newBenchGateway(b)
 	entry := httptest.NewServer(handler)
--- a/dispatch/plain_test.go
+++ b/dispatch/plain_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	repeatableCall fleet.CallKind = "approval-status"
-	singleCall     fleet.CallKind = "submit-bank-file"
+	idempotentCall    fleet.CallKind = "approval-status"
+	nonIdempotentCall fleet.CallKind = "submit-bank-file"
 )
 
 var replied = backend.Reply{Status: http.StatusOK}
 
-func TestRepeatableCallLeavesAServerThatHangs(t *testing.T) {
+func TestIdempotentCallLeavesHangingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeFleet{do: func(ctx context.Context, n int) (backend.Reply, error) {
 			if n == 0 {
@@ -37,9 +37,9 @@
 
 		start := time.Now()
 
-		reply, refused := p.Call(t.Context(), newRequest(t, repeatableCall, 5*time.Second))
+		reply, refused := p.Call(t.Context(), newRequest(t, idempotentCall, 5*time.Second))
 		if refused != nil || reply.Status != http.StatusOK {
-			t.Fatalf("reply: got %+v (%v), want one", reply, refused)
+			t.Fatalf("reply: got %+v (%v), want status 200", reply, refused)
 		}
 
 		got, want, backoff := time.Since(start), 2500*time.Millisecond, 100*time.Millisecond
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestRepeatableCallTellsHowItEnded(t *testing.T) {
+func TestIdempotentCallReportsRunState(t *testing.T) {
 	tests := []struct {
 		desc string
 		err  error
@@ -57,10 +57,10 @@
 		want refusal.Code
 		run  refusal.RunState
 	}{
-		{desc: "refused by all", err: backend.ErrRefused, sent: 4, want: refusal.ServerRefused, run: refusal.NotRun},
-		{desc: "refused, no retry left", err: backend.ErrRefused, sent: 1, want: refusal.ServerRefused, run: refusal.NotRun},
+		{desc: "refused by all servers", err: backend.ErrRefused, sent: 4, want: refusal.ServerRefused, run: refusal.NotRun},
+		{desc: "refused, retries exhausted", err: backend.ErrRefused, sent: 1, want: refusal.ServerRefused, run: refusal.NotRun},
 		{desc: "not sent", err: backend.ErrNotSent, sent: 2, want: refusal.ServerRefused, run: refusal.NotRun},
-		{desc: "cut", err: io.ErrUnexpectedEOF, sent: 2, want: refusal.OutcomeUnknown, run: refusal.Unknown},
+		{desc: "connection cut", err: io.ErrUnexpectedEOF, sent: 2, want: refusal.OutcomeUnknown, run: refusal.Unknown},
 	}
 
 	for _, tt := range tests {
@@ -68,9 +68,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeFleet{do: func(context.Context, int) (backend.Reply, error) { return backend.Reply{}, tt.err }}
 				p, _ := newPlain(t, f)
-				p.Retry = attempts(tt.sent)
+				p.Retry = retryPolicy(tt.sent)
 
-				_, refused := p.Call(t.Context(), newRequest(t, repeatableCall, 5*time.Second))
+				_, refused := p.Call(t.Context(), newRequest(t, idempotentCall, 5*time.Second))
 				if refused == nil || refused.Code() != tt.want || refused.Run() != tt.run || refused.RetryAfter() == 0 {
 					t.Errorf("refusal: got %v, want %s and %s", refused, tt.want, tt.run)
 				}
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestCallThatMayNotBeRepeatedIsSentOnOnlyIfItDidNotRun(t *testing.T) {
+func TestNonIdempotentCallIsResentOnlyIfNotRun(t *testing.T) {
 	tests := []struct {
 		desc string
 		errs []error
@@ -91,8 +91,8 @@
 		want error
 	}{
 		{desc: "refused, then answered", errs: []error{backend.ErrRefused, nil}, sent: 2},
-		{desc: "not sent, then cut", errs: []error{backend.ErrNotSent, io.ErrUnexpectedEOF}, sent: 2, want: io.ErrUnexpectedEOF},
-		{desc: "cut", errs: []error{io.ErrUnexpectedEOF, nil}, sent: 1, want: io.ErrUnexpectedEOF},
+		{desc: "not sent, then connection cut", errs: []error{backend.ErrNotSent, io.ErrUnexpectedEOF}, sent: 2, want: io.ErrUnexpectedEOF},
+		{desc: "connection cut", errs: []error{io.ErrUnexpectedEOF, nil}, sent: 1, want: io.ErrUnexpectedEOF},
 		{desc: "cancelled by the server", errs: []error{context.Canceled, nil}, sent: 1, want: context.Canceled},
 	}
 
@@ -101,7 +101,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeFleet{do: func(_ context.Context, n int) (backend.Reply, error) { return replied, tt.errs[n] }}
 				p, claims := newPlain(t, f)
-				p.Call(t.Context(), newRequest(t, singleCall, 30*time.Second))
+				p.Call(t.Context(), newRequest(t, nonIdempotentCall, 30*time.Second))
 
 				if !errors.Is(claims.err, tt.want) {
 					t.Errorf("outcome: got %v, want %v", claims.err, tt.want)
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestCallThatMayNotBeRepeatedOutlivesItsCaller(t *testing.T) {
+func TestNonIdempotentCallContinuesWithoutCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 
@@ -130,7 +130,7 @@
 			}
 		}}
 		p, claims := newPlain(t, f)
-		p.Call(ctx, newRequest(t, singleCall, 30*time.Second))
+		p.Call(ctx, newRequest(t, nonIdempotentCall, 30*time.Second))
 
 		if claims.err != nil {
 			t.Errorf("outcome: got %v, want an answer", claims.err)
@@ -138,7 +138,7 @@
 	})
 }
 
-func TestFailureOfACallSaysWhoseFaultItWas(t *testing.T) {
+func TestFailureIsAttributedToServerOrCaller(t *testing.T) {
 	tests := []struct {
 		desc string
 		err  error
@@ -146,18 +146,18 @@
 		want routing.Failure
 	}{
 		{desc: "refused dial", err: backend.ErrNotSent, want: routing.FailDial},
-		{desc: "dial cut by the caller", err: errors.Join(backend.ErrNotSent, context.Canceled), want: routing.FailCancelled},
-		{desc: "caller gone", err: context.Canceled, took: time.Minute, want: routing.FailCancelled},
+		{desc: "dial cancelled by the caller", err: errors.Join(backend.ErrNotSent, context.Canceled), want: routing.FailCancelled},
+		{desc: "caller disconnected", err: context.Canceled, took: time.Minute, want: routing.FailCancelled},
 		{desc: "deadline shorter than the target", err: context.DeadlineExceeded, took: time.Millisecond, want: routing.FailCancelled},
 		{desc: "slower than the target", err: context.DeadlineExceeded, took: time.Second, want: routing.FailTimeout},
-		{desc: "cut", err: io.ErrUnexpectedEOF, want: routing.FailReset},
+		{desc: "connection cut", err: io.ErrUnexpectedEOF, want: routing.FailReset},
 		{desc: "refused", err: backend.ErrRefused, want: routing.FailRefused},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			call := trial{request: newRequest(t, repeatableCall, time.Second)}
-			if got := call.failure(tt.err, tt.took); got != tt.want {
+			call := failover{request: newRequest(t, idempotentCall, time.Second)}
+			if got := call.classify(tt.err, tt.took); got != tt.want {
 				t.Errorf("failure: got %v, want %v", got, tt.want)
 			}
 		})
--- a/dispatch/verdict.go
+++ b/dispatch/verdict.go
@@ -8,7 +8,8 @@
 	"monsoonlever/refusal"
 )
 
-// StoredHeaders are the header fields of a reply that are kept with its outcome.
+// StoredHeaders are the header fields of a reply that are stored with the outcome of its
+// call.
 var StoredHeaders = []string{"Content-Type", "Content-Language", "Location"}
 
 func resultOf(r backend.Reply) claim.Result {
@@ -23,10 +24,10 @@
 	return claim.NewResult(r.Status, fields, r.Body)
 }
 
-// replyOf turns the verdict on a claimed call into what its caller is told.
+// replyOf returns the reply or the refusal for the verdict on a claimed call.
 func replyOf(v claim.Verdict) (backend.Reply, *refusal.Refusal) {
 	if v.Run() != claim.Ran {
-		return backend.Reply{}, refusalOf(v)
+		return backend.Reply{}, refusalOfVerdict(v)
 	}
 
 	if !v.Kept() {
@@ -41,7 +42,7 @@
 	return backend.Reply{Status: v.Result().Status(), Header: header, Body: v.Result().Body()}, nil
 }
 
-func refusalOf(v claim.Verdict) *refusal.Refusal {
+func refusalOfVerdict(v claim.Verdict) *refusal.Refusal {
 	code := refusal.OutcomeUnknown
 	run := refusal.Unknown
 
@@ -62,7 +63,7 @@
 	return refusal.New(code, "%s", v.Reason()).WithRun(run).WithRetryAfter(v.RetryAfter())
 }
 
-// codeNotStarted returns the code of a call that was not sent by this attempt.
+// codeNotStarted returns the code of a call that this attempt did not send.
 func codeNotStarted(reason claim.Reason) refusal.Code {
 	switch reason {
 	case claim.ReasonDeadline, claim.ReasonCanceled:
@@ -80,7 +81,7 @@
 	}
 }
 
-// codeUnknown returns the code of a call of which it is not known whether it ran.
+// codeUnknown returns the code of a call that may have run.
 func codeUnknown(reason claim.Reason) refusal.Code {
 	if reason == claim.ReasonDeadline {
 		return refusal.InProgress
--- a/gateway/added_latency_test.go
+++ b/gateway/added_latency_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The variables by which demo/latency tells where to send calls.
+// The environment variables in which demo/latency passes the targets of calls.
 const (
 	envEntry  = "MONSOONLEVER_LATENCY_ENTRY"
 	envDirect = "MONSOONLEVER_LATENCY_DIRECT"
@@ -21,15 +21,15 @@
 	latencyDuration = 15 * time.Second
 )
 
-// path is one way to the plain service, with what its calls took.
+// path is a route to the plain service, with the latencies of its calls.
 type path struct {
 	url    string
 	secret string
 	client *http.Client
 
-	mu     sync.Mutex
-	took   []time.Duration
-	failed int
+	mu        sync.Mutex
+	latencies []time.Duration
+	failed    int
 }
 
 func newPath(url, secret string) *path {
@@ -38,10 +38,11 @@
 	return &path{url: url, secret: secret, client: &http.Client{Transport: transport, Timeout: 5 * time.Second}}
 }
 
-// call is timed from when it was due, so that a late start counts as latency.
+// call sends one call and measures its latency from the time it was due, so that a
+// delayed start counts as latency.
 func (p *path) call(due time.Time, measured bool) {
 	ok := p.send()
-	took := time.Since(due)
+	latency := time.Since(due)
 
 	if !measured {
 		return
@@ -54,7 +55,7 @@
 		p.failed++
 	}
 
-	p.took = append(p.took, took)
+	p.latencies = append(p.latencies, latency)
 }
 
 func (p *path) send() bool {
@@ -78,18 +79,18 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// quantile returns a quantile of what the calls took, which must be sorted.
+// quantile returns a quantile of the latencies, which must be sorted.
 func (p *path) quantile(q float64) time.Duration {
-	return p.took[min(int(q*float64(len(p.took))), len(p.took)-1)]
+	return p.latencies[min(int(q*float64(len(p.latencies))), len(p.latencies)-1)]
 }
 
-// TestAddedLatency measures what the entry instance adds to a call, in an open
-// loop: calls are due at fixed times, whether or not earlier ones have ended. A
-// direct call goes to the same server half an interval after each. It asserts
-// nothing of the latency, which depends on what else the machine does.
+// TestAddedLatency measures the latency that the entry instance adds to a call, in an
+// open loop: calls are due at fixed times, whether or not earlier calls have ended.
+// Half an interval after each call, a direct call is sent to the same server. The
+// test asserts no latency, since it depends on the load of the machine.
 func TestAddedLatency(t *testing.T) {
 	if os.Getenv(envEntry) == "" {
-		t.Skip("run by demo/latency")
+		t.Skip("only run by demo/latency")
 	}
 
 	const interval = time.Second / latencyRate
@@ -112,16 +113,16 @@
 	calls.Wait()
 
 	for _, p := range []*path{entry, direct} {
-		slices.Sort(p.took)
+		slices.Sort(p.latencies)
 
 		if p.failed > 0 {
-			t.Errorf("%s: got %d of %d calls failed, want none", p.url, p.failed, len(p.took))
+			t.Errorf("%s: got %d of %d calls failed, want none", p.url, p.failed, len(p.latencies))
 		}
 	}
 
 	for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
-		through, straight := entry.quantile(q), direct.quantile(q)
+		entryLatency, directLatency := entry.quantile(q), direct.quantile(q)
 		t.Logf("p%g: entry %v, direct %v, added %v, ratio %.2f",
-			100*q, through, straight, through-straight, float64(through)/float64(straight))
+			100*q, entryLatency, directLatency, entryLatency-directLatency, float64(entryLatency)/float64(directLatency))
 	}
 }
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -8,8 +8,9 @@
 	"monsoonlever/refusal"
 )
 
-// admit passes a request through admission and returns its ticket, which
-// must be finished, or why it was refused.
+// admit passes a request through admission and waits in the queue until the
+// deadline at most. It returns either a ticket, which the caller must finish, or
+// a refusal.
 func (g *Gateway) admit(
 	parent context.Context, deadline time.Time, r admission.Request,
 ) (*admission.Ticket, *refusal.Refusal) {
@@ -31,7 +32,8 @@
 	return nil, refusalOfDecision(decision)
 }
 
-// waitForDecision waits for the decision on a queued request.
+// waitForDecision waits for the decision on a queued request until the deadline
+// or until the context is cancelled.
 func waitForDecision(parent context.Context, deadline time.Time, ticket *admission.Ticket) admission.Decision {
 	ctx, cancel := context.WithDeadline(parent, deadline)
 	defer cancel()
@@ -39,8 +41,9 @@
 	return ticket.Wait(ctx)
 }
 
-// abandonQueued takes a request out of the queue whose deadline has passed or whose
-// caller has gone.
+// abandonQueued removes a request from the queue after its deadline has passed or
+// its caller has disconnected. If the request was decided in the meantime, that
+// decision applies.
 func (g *Gateway) abandonQueued(parent context.Context, ticket *admission.Ticket) (*admission.Ticket, *refusal.Refusal) {
 	if g.Admission.Abandon(g.Clock.Now(), ticket) {
 		cause := "the deadline passed in the queue"
@@ -73,7 +76,8 @@
 	case admission.DeadlineTooShort:
 		code = refusal.DeadlineTooShort
 	case admission.UnknownService, admission.UnknownAccount:
-		// The manifest in force knows both, and its limits follow at once.
+		// The manifest in force has both the service and the account, so admission
+		// is about to be configured with them.
 		code = refusal.NotReady
 	default:
 	}
--- a/gateway/answer_record.go
+++ b/gateway/answer_record.go
@@ -7,47 +7,49 @@
 	"monsoonlever/answer"
 )
 
-// answerRecord joins what the caller's side and the engines' side of a kept answer
-// know of it.
+// answerRecord holds the measurements of a retained answer that are shared between the
+// goroutine that streams it to the caller and the one that generates it.
 type answerRecord struct {
 	mu           sync.Mutex
 	firstTokenAt time.Time
 	final        answer.Result
 }
 
-// setFirstToken notes when the caller got its first token.
-func (k *answerRecord) setFirstToken(at time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// setFirstToken records the time at which the first token was sent to the caller.
+// Later calls have no effect.
+func (r *answerRecord) setFirstToken(at time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	if k.firstTokenAt.IsZero() {
-		k.firstTokenAt = at
+	if r.firstTokenAt.IsZero() {
+		r.firstTokenAt = at
 	}
 }
 
-// timeToFirstToken returns how long the caller waited for its first token.
-func (k *answerRecord) timeToFirstToken(arrived time.Time) time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// timeToFirstToken returns the time from the arrival of the request to its first
+// token, or 0 if no token was sent.
+func (r *answerRecord) timeToFirstToken(arrived time.Time) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	if k.firstTokenAt.IsZero() {
+	if r.firstTokenAt.IsZero() {
 		return 0
 	}
 
-	return k.firstTokenAt.Sub(arrived)
+	return r.firstTokenAt.Sub(arrived)
 }
 
-// setResult notes how the work at the answer ended.
-func (k *answerRecord) setResult(r answer.Result) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// setResult records the result of generating the answer on this instance.
+func (r *answerRecord) setResult(result answer.Result) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	k.final = r
+	r.final = result
 }
 
-func (k *answerRecord) result() answer.Result {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (r *answerRecord) result() answer.Result {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	return k.final
+	return r.final
 }
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -8,7 +8,8 @@
 	"monsoonlever/refusal"
 )
 
-// readBody reads a bounded body. The server's read timeout bounds a slow caller.
+// readBody reads a body of at most limit bytes. A slow caller is cut off by the
+// read timeout of the HTTP server.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *refusal.Refusal) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -11,20 +11,23 @@
 	"monsoonlever/refusal"
 )
 
-// HeaderPriority lowers or raises the priority of a request, up to the ceiling
-// of the client account.
+// HeaderPriority sets the priority of a request. The priority ceiling of the
+// client account caps it.
 const HeaderPriority = "X-Priority"
 
-// defaultRetryAfter is told where the state that refuses a request is a short one.
+// defaultRetryAfter is the Retry-After of refusals whose cause is expected to pass
+// soon.
 const defaultRetryAfter = time.Second
 
-// caller is who sent a request, by the manifest that was in force then.
+// caller is the sender of a request: its client account in the manifest that was
+// in force when the request arrived.
 type caller struct {
 	manifest *manifest.Manifest
 	account  manifest.Account
 }
 
-// authenticate finds the client account of a request.
+// authenticate returns the client account that the bearer key of a request belongs
+// to.
 func (g *Gateway) authenticate(r *http.Request) (caller, *refusal.Refusal) {
 	if g.stopping.Load() {
 		return caller{}, refusal.New(refusal.ShuttingDown, "this instance is stopping").WithRetryAfter(defaultRetryAfter)
@@ -52,7 +55,7 @@
 	return caller{manifest: m, account: account}, nil
 }
 
-// service returns a service that the caller may use.
+// service returns a service by name, or a refusal if the caller may not use it.
 func (c caller) service(name fleet.Service) (manifest.Service, *refusal.Refusal) {
 	service, ok := c.manifest.Service(name)
 	if !ok {
@@ -66,7 +69,7 @@
 	return service, nil
 }
 
-// modelService returns the service that serves a model to the caller.
+// modelService returns the service that offers a model to the caller.
 func (c caller) modelService(model fleet.Model) (manifest.Service, *refusal.Refusal) {
 	service, offered, ok := c.manifest.ServiceOf(model, c.account)
 
@@ -80,7 +83,8 @@
 	}
 }
 
-// priority returns the priority of a call within the caller's ceiling.
+// priority returns the priority of a call, from HeaderPriority or else from the kind
+// of call, capped by the ceiling of the client account.
 func (c caller) priority(h http.Header, call manifest.Call) (fleet.Priority, *refusal.Refusal) {
 	priority := call.Priority()
 
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -15,14 +15,15 @@
 	"monsoonlever/refusal"
 )
 
-// HeaderCallKind names the kind of call of a model request. Without it the first
-// kind of the service is taken.
+// HeaderCallKind names the kind of call of a model request. The default is the
+// first kind of the service.
 const HeaderCallKind = "X-Call"
 
-// bytesPerToken estimates the tokens of a prompt before an engine counts them.
+// bytesPerToken is the ratio by which the number of prompt tokens is estimated
+// before a model engine has counted them.
 const bytesPerToken = 4
 
-// chatCall is a parsed and authorised chat request.
+// chatCall is a parsed and authorized chat request.
 type chatCall struct {
 	caller   caller
 	request  chat.Request
@@ -70,9 +71,10 @@
 	}
 }
 
-// answerDirectly answers a request whose answer ends with its connection.
+// answerDirectly answers a request whose answer ends if its caller disconnects.
 func (g *Gateway) answerDirectly(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
-	// A panic must not keep the place of the request; Finish counts once.
+	// Releases the admission of the request after a panic. Calling Finish again has
+	// no effect.
 	defer func() { g.Admission.Finish(g.Clock.Now(), ticket, admission.Outcome{}) }()
 
 	model := call.modelRequest(g.NewID())
@@ -125,7 +127,8 @@
 	}, nil
 }
 
-// modelKind returns the kind of call that a model request says it is.
+// modelKind returns the kind of call that HeaderCallKind names, or the first kind
+// of the service.
 func modelKind(service manifest.Service, h http.Header) (manifest.Call, *refusal.Refusal) {
 	name := fleet.CallKind(h.Get(HeaderCallKind))
 	if name == "" {
@@ -199,11 +202,12 @@
 	g.observe(o)
 }
 
-// prefixBlocks is how many cached blocks of a prompt decide where it goes.
+// prefixBlocks is the number of leading prompt blocks whose hash is used for
+// prefix-aware routing.
 const prefixBlocks = 4
 
-// promptPrefix returns the hash by which engines know the start of a prompt, or
-// 0 for a prompt shorter than one block.
+// promptPrefix returns the hash under which engines cache the first blocks of a
+// prompt, or 0 if the prompt is shorter than one block.
 func promptPrefix(model fleet.Model, prompt string) uint64 {
 	hashes := backend.PrefixHashes(model, prompt)
 	if len(hashes) == 0 {
@@ -213,11 +217,11 @@
 	return hashes[min(len(hashes), prefixBlocks)-1]
 }
 
-// recomputedTokens counts the tokens that the last attempt computed again because an
-// earlier one was lost.
+// recomputedTokens returns the number of tokens that the last attempt computed again
+// because an earlier attempt failed.
 func recomputedTokens(result answer.Result) int {
-	complete, whole := result.Complete()
-	if !whole || result.Attempts() < 2 {
+	complete, ok := result.Complete()
+	if !ok || result.Attempts() < 2 {
 		return 0
 	}
 
--- a/gateway/client_test.go
+++ b/gateway/client_test.go
@@ -21,10 +21,10 @@
 
 const testQuestion = "Explain the mismatched remittances."
 
-// testPrompt is the prompt that the question makes.
+// testPrompt is the prompt that is built from testQuestion.
 const testPrompt = "user: " + testQuestion + "\n"
 
-// runnerModels answers model requests by a runner.
+// runnerModels answers model requests with an answer.Runner.
 type runnerModels struct {
 	runner *answer.Runner
 }
@@ -33,7 +33,7 @@
 	return m.runner.Run(ctx, r.Answer, sink)
 }
 
-// newClient returns an OpenAI client of the gateway that makes no retries.
+// newClient returns an OpenAI client of the gateway without retries.
 func newClient(t *testing.T, g *Gateway, secret string) openai.Client {
 	t.Helper()
 
@@ -57,27 +57,27 @@
 	return g, engine, tap
 }
 
-func question() openai.ChatCompletionNewParams {
+func chatParams() openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:    testModel,
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(testQuestion)},
 	}
 }
 
-func wantText() string {
+func expectedText() string {
 	return strings.Join(standin.ExpectedAnswer(testModel, testPrompt, 0), "")
 }
 
-func TestClientGetsTheWholeAnswer(t *testing.T) {
+func TestClientReceivesAnswer(t *testing.T) {
 	g, _, _ := newModelGateway(t)
 	client := newClient(t, g, testSecret)
 
-	got, err := client.Chat.Completions.New(t.Context(), question())
+	got, err := client.Chat.Completions.New(t.Context(), chatParams())
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	if got, want := got.Choices[0].Message.Content, wantText(); got != want {
+	if got, want := got.Choices[0].Message.Content, expectedText(); got != want {
 		t.Errorf("answer: got %q, want %q", got, want)
 	}
 
@@ -87,26 +87,26 @@
 
 	tokens := int64(len(standin.ExpectedAnswer(testModel, testPrompt, 0)))
 	if u := got.Usage; u.CompletionTokens != tokens || u.TotalTokens != u.PromptTokens+tokens || u.PromptTokens == 0 {
-		t.Errorf("usage: got %+v, want %d tokens of completion", u, tokens)
+		t.Errorf("usage: got %+v, want %d completion tokens", u, tokens)
 	}
 }
 
-func TestClientGetsTheStreamedAnswer(t *testing.T) {
+func TestClientReceivesStreamedAnswer(t *testing.T) {
 	for _, withUsage := range []bool{false, true} {
 		g, _, _ := newModelGateway(t)
 		client := newClient(t, g, testSecret)
 
-		params := question()
+		params := chatParams()
 		if withUsage {
 			params.StreamOptions.IncludeUsage = openai.Bool(true)
 		}
 
 		stream := client.Chat.Completions.NewStreaming(t.Context(), params)
 
-		var whole openai.ChatCompletionAccumulator
+		var accumulated openai.ChatCompletionAccumulator
 		for stream.Next() {
-			if !whole.AddChunk(stream.Current()) {
-				t.Fatal("chunk: got one that does not fit, want one that does")
+			if !accumulated.AddChunk(stream.Current()) {
+				t.Fatal("chunk: got one of another answer, want one of the same answer")
 			}
 		}
 
@@ -114,12 +114,12 @@
 			t.Fatal(err)
 		}
 
-		if got, want := whole.Choices[0].Message.Content, wantText(); got != want {
+		if got, want := accumulated.Choices[0].Message.Content, expectedText(); got != want {
 			t.Errorf("answer: got %q, want %q", got, want)
 		}
 
-		if got := whole.Usage.CompletionTokens > 0; got != withUsage {
-			t.Errorf("usage is told: got %v, want %v", got, withUsage)
+		if got := accumulated.Usage.CompletionTokens > 0; got != withUsage {
+			t.Errorf("usage is included: got %v, want %v", got, withUsage)
 		}
 	}
 }
@@ -137,17 +137,17 @@
 	}
 }
 
-func TestClientThatCancelsEndsTheAttempt(t *testing.T) {
+func TestClientCancelEndsAttempt(t *testing.T) {
 	for _, streamed := range []bool{true, false} {
 		g, _, tap := newModelGateway(t)
-		tap.holdAfter = 3
+		tap.blockAfter = 3
 		client := newClient(t, g, testSecret)
 
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 
 		if streamed {
-			stream := client.Chat.Completions.NewStreaming(ctx, question())
+			stream := client.Chat.Completions.NewStreaming(ctx, chatParams())
 			if !stream.Next() {
 				t.Fatalf("first chunk: got none (%v), want one", stream.Err())
 			}
@@ -158,12 +158,12 @@
 			}
 
 			if stream.Err() == nil {
-				t.Error("stream: got a whole answer, want an error")
+				t.Error("stream: got a complete answer, want an error")
 			}
 		} else {
 			failed := make(chan error, 1)
 			go func() {
-				_, err := client.Chat.Completions.New(ctx, question())
+				_, err := client.Chat.Completions.New(ctx, chatParams())
 				failed <- err
 			}()
 
@@ -175,13 +175,13 @@
 			}
 		}
 
-		// The test's own timeout bounds both waits.
+		// The timeout of the test run limits both waits.
 		<-tap.ended
 		<-tap.cancelled
 	}
 }
 
-func TestStreamGivenUpMidwayIsAnError(t *testing.T) {
+func TestInterruptedStreamIsAnError(t *testing.T) {
 	for _, kind := range []standin.FaultKind{standin.KillStream, standin.TruncateStream, standin.GarbleStream} {
 		for _, streamed := range []bool{true, false} {
 			g, engine, _ := newModelGateway(t)
@@ -196,14 +196,14 @@
 			chunks := 0
 
 			if streamed {
-				stream := client.Chat.Completions.NewStreaming(t.Context(), question())
+				stream := client.Chat.Completions.NewStreaming(t.Context(), chatParams())
 				for stream.Next() {
 					chunks++
 				}
 
 				err = stream.Err()
 			} else {
-				_, err = client.Chat.Completions.New(t.Context(), question())
+				_, err = client.Chat.Completions.New(t.Context(), chatParams())
 			}
 
 			if !isAnswerLost(err) {
@@ -217,8 +217,8 @@
 	}
 }
 
-// isAnswerLost tells whether the client was told so, in a stream or instead of
-// an answer.
+// isAnswerLost reports whether a client error is the refusal answerLost, sent within a
+// stream or in place of an answer.
 func isAnswerLost(err error) bool {
 	var (
 		apiError    *openai.Error
@@ -235,20 +235,20 @@
 	}
 }
 
-func TestClientIsToldTheRefusal(t *testing.T) {
+func TestClientReceivesRefusal(t *testing.T) {
 	tests := []struct {
-		desc      string
-		secret    string
-		model     string
-		prepare   func(*Gateway)
-		want      refusal.Code
-		comesBack bool
+		desc       string
+		secret     string
+		model      string
+		prepare    func(*Gateway)
+		want       refusal.Code
+		retryAfter bool
 	}{
 		{desc: "unknown model", model: "m", want: refusal.UnknownModel},
 		{desc: "bad key", secret: "x", want: refusal.Unauthorized},
-		{desc: "over the limit", prepare: useUpLimit, want: refusal.LimitExceeded, comesBack: true},
-		{desc: "not ready", prepare: func(g *Gateway) { g.Manifest = func() *manifest.Manifest { return nil } }, want: refusal.NotReady, comesBack: true},
-		{desc: "shutting down", prepare: (*Gateway).Stop, want: refusal.ShuttingDown, comesBack: true},
+		{desc: "over the limit", prepare: exhaustConcurrencyLimit, want: refusal.LimitExceeded, retryAfter: true},
+		{desc: "not ready", prepare: func(g *Gateway) { g.Manifest = func() *manifest.Manifest { return nil } }, want: refusal.NotReady, retryAfter: true},
+		{desc: "shutting down", prepare: (*Gateway).Stop, want: refusal.ShuttingDown, retryAfter: true},
 	}
 
 	for _, tt := range tests {
@@ -258,7 +258,7 @@
 				tt.prepare(g)
 			}
 
-			params := question()
+			params := chatParams()
 			if tt.model != "" {
 				params.Model = tt.model
 			}
@@ -274,19 +274,19 @@
 
 			var apiError *openai.Error
 			if !errors.As(err, &apiError) {
-				t.Fatalf("error: got %v, want one of the API", err)
+				t.Fatalf("error: got %v, want an API error", err)
 			}
 
 			if apiError.Code != string(tt.want) || apiError.StatusCode != tt.want.Status() || apiError.Type != "refusal" {
 				t.Errorf("error: got %d %s %s, want %d %s", apiError.StatusCode, apiError.Code, apiError.Type, tt.want.Status(), tt.want)
 			}
 
-			if got := apiError.Response.Header.Get("Retry-After") != ""; got != tt.comesBack {
-				t.Errorf("Retry-After is given: got %v, want %v", got, tt.comesBack)
+			if got := apiError.Response.Header.Get("Retry-After") != ""; got != tt.retryAfter {
+				t.Errorf("Retry-After is set: got %v, want %v", got, tt.retryAfter)
 			}
 
 			if got, bound := time.Since(start), 5*time.Second; got > bound {
-				t.Errorf("refused after: got %v, want at once", got)
+				t.Errorf("refused after: got %v, want an immediate refusal", got)
 			}
 		})
 	}
--- a/gateway/closing_writer.go
+++ b/gateway/closing_writer.go
@@ -2,29 +2,30 @@
 
 import "net/http"
 
-// closingWriter asks callers of a stopping instance to use another connection
-// for their next request. A connection that is closed under a request which is
-// just being sent would cut it, and the caller could not tell whether it ran.
+// closingWriter sets "Connection: close" on the responses of a stopping instance, so
+// that callers open another connection for their next request. Without it the
+// instance might close a connection while a request is being sent on it, and the
+// caller could not know whether that request ran.
 type closingWriter struct {
 	http.ResponseWriter
 	gateway *Gateway
 	started bool
 }
 
-// WriteHeader begins the response.
+// WriteHeader sends the header of the response.
 func (c *closingWriter) WriteHeader(status int) {
 	c.start()
 	c.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a part of the body.
+// Write writes a chunk of the body.
 func (c *closingWriter) Write(b []byte) (int, error) {
 	c.start()
 
 	return c.ResponseWriter.Write(b)
 }
 
-// Unwrap lets a response controller reach the connection.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (c *closingWriter) Unwrap() http.ResponseWriter {
 	return c.ResponseWriter
 }
--- a/gateway/closing_writer_test.go
+++ b/gateway/closing_writer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestStoppingInstanceAsksForAnotherConnection(t *testing.T) {
+func TestStoppingInstanceClosesConnections(t *testing.T) {
 	tests := []struct {
 		desc string
 		stop bool
@@ -33,7 +33,7 @@
 			defer response.Body.Close()
 
 			if got := response.Close; got != tt.want {
-				t.Errorf("connection ends with the response: got %v, want %v", got, tt.want)
+				t.Errorf("connection closes after the response: got %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -23,7 +23,8 @@
 	testHeaderTimeout = 5 * time.Second
 )
 
-// pipeListener accepts the far ends of pipes, which live on a bubble's time.
+// pipeListener accepts the server ends of in-memory pipes, which follow the fake clock
+// of a synctest bubble.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -58,7 +59,8 @@
 	return near
 }
 
-// servePipes runs test in a bubble against a server with the gateway's handler.
+// servePipes runs test against an HTTP server with the gateway's handler. It must be
+// called in a synctest bubble.
 func servePipes(t *testing.T, g *Gateway, test func(dial func() net.Conn)) {
 	t.Helper()
 
@@ -77,32 +79,32 @@
 	}
 
 	<-done
-	// The server waits a moment before it closes a connection that it refused.
+	// The server delays the close of a connection whose request it rejected.
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
-const chatHead = "POST " + PathChat + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testSecret + "\r\n"
+const chatHeader = "POST " + PathChat + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testSecret + "\r\n"
 
 const streamBody = `{"model":"` + testModel + `","stream":true,"messages":[{"role":"user","content":"x"}]}`
 
-func chatText(body string) string {
-	return chatHead + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
+func chatRequest(body string) string {
+	return chatHeader + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// slowModels makes a token a second, and notes how the answer ended.
+// slowModels generates one token per second and records how the answer ended.
 type slowModels struct {
 	tokens int
 
-	mu   sync.Mutex
-	gone bool
-	end  time.Time
+	mu         sync.Mutex
+	callerGone bool
+	endedAt    time.Time
 }
 
 func (m *slowModels) Answer(ctx context.Context, _ ModelRequest, sink answer.Sink) answer.Result {
 	defer func() {
 		m.mu.Lock()
-		m.end = time.Now()
+		m.endedAt = time.Now()
 		m.mu.Unlock()
 	}()
 
@@ -114,7 +116,7 @@
 
 		if ctx.Err() != nil || sink.Write(i, strings.Repeat("token ", 100)) != nil {
 			m.mu.Lock()
-			m.gone = true
+			m.callerGone = true
 			m.mu.Unlock()
 
 			_ = sink.GiveUp(answer.GiveUp{Reason: answer.ReasonCallerGone, Ran: answer.PartlyRan})
@@ -128,14 +130,14 @@
 	return answer.Result{}
 }
 
-func (m *slowModels) wasGone() bool {
+func (m *slowModels) sawCallerGone() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	return m.gone
+	return m.callerGone
 }
 
-func TestAnswerLongerThanTheReadTimeoutIsWhole(t *testing.T) {
+func TestAnswerMayOutlastReadTimeout(t *testing.T) {
 	for _, desc := range []string{"streamed", "whole"} {
 		t.Run(desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -152,11 +154,11 @@
 						body = strings.Replace(body, "true", "false", 1)
 					}
 
-					go io.WriteString(conn, chatText(body))
+					go io.WriteString(conn, chatRequest(body))
 
 					resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 					if err != nil {
-						t.Fatalf("answer: got %v, want none", err)
+						t.Fatalf("read response: got %v, want no error", err)
 					}
 
 					text, err := io.ReadAll(resp.Body)
@@ -165,15 +167,15 @@
 					}
 				})
 
-				if models.wasGone() {
-					t.Error("caller: got gone, want there")
+				if models.sawCallerGone() {
+					t.Error("caller: got disconnected, want connected")
 				}
 			})
 		})
 	}
 }
 
-func TestCallerWhoStopsReadingIsCut(t *testing.T) {
+func TestCallerThatStopsReadingIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGateway(t)
 		models := &slowModels{tokens: 1000}
@@ -183,14 +185,14 @@
 			conn := dial()
 			defer conn.Close()
 
-			io.WriteString(conn, chatText(streamBody))
-			// One token, and then nothing is read any more.
+			io.WriteString(conn, chatRequest(streamBody))
+			// Reads the start of the response and then stops reading.
 			io.ReadFull(conn, make([]byte, 64))
 			time.Sleep(time.Minute)
 			synctest.Wait()
 
-			if !models.wasGone() {
-				t.Error("caller: got there, want gone after the write timeout")
+			if !models.sawCallerGone() {
+				t.Error("caller: got connected, want disconnected after the write timeout")
 			}
 
 			wantMetric(t, g, `monsoonlever_callers_gone_total{cause="writeTimeout"} 1`)
@@ -198,16 +200,16 @@
 	})
 }
 
-func TestSlowRequestsAreBounded(t *testing.T) {
+func TestSlowAndOversizedRequestsAreRejected(t *testing.T) {
 	tests := []struct {
 		desc  string
 		sent  string
 		after time.Duration
 		want  int
 	}{
-		{desc: "slow header", sent: chatHead, after: testHeaderTimeout},
-		{desc: "slow body", sent: chatHead + "Content-Length: 100\r\n\r\n{", after: testBodyTimeout, want: http.StatusBadRequest},
-		{desc: "huge header", sent: chatHead + "X-A: " + strings.Repeat("a", 10<<10) + "\r\n\r\n", want: http.StatusRequestHeaderFieldsTooLarge},
+		{desc: "slow header", sent: chatHeader, after: testHeaderTimeout},
+		{desc: "slow body", sent: chatHeader + "Content-Length: 100\r\n\r\n{", after: testBodyTimeout, want: http.StatusBadRequest},
+		{desc: "oversized header", sent: chatHeader + "X-A: " + strings.Repeat("a", 10<<10) + "\r\n\r\n", want: http.StatusRequestHeaderFieldsTooLarge},
 	}
 
 	for _, tt := range tests {
@@ -224,19 +226,19 @@
 
 					resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 					if got := time.Since(start); got < tt.after || got > tt.after+time.Second {
-						t.Errorf("answer after: got %v, want %v", got, tt.after)
+						t.Errorf("response after: got %v, want %v", got, tt.after)
 					}
 
 					if tt.want == 0 {
 						if err == nil {
-							t.Errorf("answer: got %d, want a closed connection", resp.StatusCode)
+							t.Errorf("response: got %d, want a closed connection", resp.StatusCode)
 						}
 
 						return
 					}
 
 					if err != nil || resp.StatusCode != tt.want {
-						t.Fatalf("answer: got %v (%v), want %d", resp, err, tt.want)
+						t.Fatalf("response: got %v (%v), want %d", resp, err, tt.want)
 					}
 				})
 			})
@@ -244,17 +246,17 @@
 	}
 }
 
-// stuckPlain answers with more than a pipe takes.
-type stuckPlain struct{}
+// largePlain returns a reply that is larger than the buffers of a connection.
+type largePlain struct{}
 
-func (stuckPlain) Call(context.Context, PlainRequest) (backend.Reply, *refusal.Refusal) {
+func (largePlain) Call(context.Context, PlainRequest) (backend.Reply, *refusal.Refusal) {
 	return backend.Reply{Status: http.StatusOK, Body: make([]byte, 1<<20)}, nil
 }
 
-func TestReplyThatIsNotReadIsCut(t *testing.T) {
+func TestUnreadReplyIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGateway(t)
-		g.Plain = stuckPlain{}
+		g.Plain = largePlain{}
 
 		servePipes(t, g, func(dial func() net.Conn) {
 			conn := dial()
@@ -266,20 +268,20 @@
 
 			rest, err := io.ReadAll(conn)
 			if len(rest) >= 1<<20 {
-				t.Errorf("reply: got %d bytes (%v) after the write timeout, want a cut", len(rest), err)
+				t.Errorf("reply: got %d bytes (%v) after the write timeout, want a truncated reply", len(rest), err)
 			}
 		})
 	})
 }
 
-// outlivingPlain goes on with a call whose caller has gone, as a call that may
-// not be repeated does.
-type outlivingPlain struct {
+// detachedPlain continues a call for a minute after its caller has disconnected, as
+// non-idempotent calls do.
+type detachedPlain struct {
 	started chan struct{}
 	ended   chan struct{}
 }
 
-func (p outlivingPlain) Call(ctx context.Context, _ PlainRequest) (backend.Reply, *refusal.Refusal) {
+func (p detachedPlain) Call(ctx context.Context, _ PlainRequest) (backend.Reply, *refusal.Refusal) {
 	close(p.started)
 	<-ctx.Done()
 	time.Sleep(time.Minute)
@@ -288,10 +290,10 @@
 	return backend.Reply{Status: http.StatusOK}, nil
 }
 
-func TestCallGoesOnToItsOutcomeWithoutItsCaller(t *testing.T) {
+func TestCallContinuesAfterCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGateway(t)
-		plain := outlivingPlain{started: make(chan struct{}), ended: make(chan struct{})}
+		plain := detachedPlain{started: make(chan struct{}), ended: make(chan struct{})}
 		g.Plain = plain
 
 		servePipes(t, g, func(dial func() net.Conn) {
--- a/gateway/deadline.go
+++ b/gateway/deadline.go
@@ -7,18 +7,19 @@
 	"monsoonlever/refusal"
 )
 
-// The headers by which a caller bounds its wait.
+// The headers by which a caller limits how long it waits.
 const (
-	// HeaderDeadline holds a point in time, RFC 3339.
+	// HeaderDeadline is a time in RFC 3339 format.
 	HeaderDeadline = "X-Deadline"
-	// HeaderTimeout holds a duration such as "2s".
+	// HeaderTimeout is a duration such as "2s".
 	HeaderTimeout = "X-Timeout"
 )
 
-// maxDeadline bounds how long a caller may ask an instance to work for it.
+// maxDeadline is the longest time from now that a caller may set as deadline.
 const maxDeadline = 24 * time.Hour
 
-// requestDeadline returns the earlier of the caller's bounds, or fallback from now.
+// requestDeadline returns the earlier of HeaderTimeout and HeaderDeadline, or
+// fallback from now if the request has neither.
 func requestDeadline(h http.Header, now time.Time, fallback time.Duration) (time.Time, *refusal.Refusal) {
 	deadline := now.Add(fallback)
 	bounded := false
--- a/gateway/deadline_test.go
+++ b/gateway/deadline_test.go
@@ -18,14 +18,14 @@
 		want     time.Time
 		refused  refusal.Code
 	}{
-		{desc: "none takes the fallback", want: now.Add(time.Minute)},
+		{desc: "neither header", want: now.Add(time.Minute)},
 		{desc: "timeout", timeout: "2s", want: now.Add(2 * time.Second)},
 		{desc: "deadline later than the fallback", deadline: "2026-03-01T12:05:00Z", want: now.Add(5 * time.Minute)},
 		{desc: "the earlier of both", timeout: "10m", deadline: "2026-03-01T12:05:00Z", want: now.Add(5 * time.Minute)},
-		{desc: "further away than anybody waits", timeout: "25h", refused: refusal.BadRequest},
-		{desc: "no duration", timeout: "soon", refused: refusal.BadRequest},
+		{desc: "beyond the maximum", timeout: "25h", refused: refusal.BadRequest},
+		{desc: "invalid duration", timeout: "soon", refused: refusal.BadRequest},
 		{desc: "negative duration", timeout: "-1s", refused: refusal.BadRequest},
-		{desc: "no time", deadline: "noon", refused: refusal.BadRequest},
+		{desc: "invalid time", deadline: "noon", refused: refusal.BadRequest},
 		{desc: "already passed", deadline: "2026-03-01T11:59:59Z", refused: refusal.DeadlinePassed},
 	}
 
--- a/gateway/engine_tap_test.go
+++ b/gateway/engine_tap_test.go
@@ -13,16 +13,16 @@
 	"monsoonlever/standin"
 )
 
-// engineTap stands before an engine's stand-in. It can hold its streams, and
-// tells when one ended and when one was cancelled.
+// engineTap is a handler in front of a model engine stand-in. It can block streams, and
+// signals when a generate call starts and ends and when one is cancelled.
 type engineTap struct {
 	handler http.Handler
-	// holdAfter is the number of writes after which a stream is held until its
-	// caller has gone; zero holds none.
-	holdAfter int
-	started   chan struct{}
-	ended     chan struct{}
-	cancelled chan struct{}
+	// blockAfter is the number of writes after which a stream blocks until its caller
+	// disconnects; zero never blocks.
+	blockAfter int
+	started    chan struct{}
+	ended      chan struct{}
+	cancelled  chan struct{}
 }
 
 func (e *engineTap) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -31,8 +31,8 @@
 		e.started <- struct{}{}
 		defer func() { e.ended <- struct{}{} }()
 
-		if e.holdAfter > 0 {
-			w = &heldWriter{ResponseWriter: w, left: e.holdAfter, release: r.Context().Done()}
+		if e.blockAfter > 0 {
+			w = &blockingWriter{ResponseWriter: w, left: e.blockAfter, release: r.Context().Done()}
 		}
 
 		e.handler.ServeHTTP(w, r)
@@ -44,16 +44,16 @@
 	}
 }
 
-// heldWriter blocks after a number of writes.
-type heldWriter struct {
+// blockingWriter blocks after a number of writes until release is closed.
+type blockingWriter struct {
 	http.ResponseWriter
 	left    int
 	release <-chan struct{}
 }
 
-func (w *heldWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *blockingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *heldWriter) Write(p []byte) (int, error) {
+func (w *blockingWriter) Write(p []byte) (int, error) {
 	if w.left == 0 {
 		<-w.release
 	} else {
@@ -63,7 +63,7 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// singleEngine picks and finds the one engine there is.
+// singleEngine is an answer.Picker and an engine source with one engine.
 type singleEngine struct {
 	engine backend.Engine
 }
@@ -78,13 +78,13 @@
 
 func (s singleEngine) Address(fleet.InstanceID) (string, bool) { return "", false }
 
-// noRetries is a retry budget that is spent.
+// noRetries is an exhausted retry budget.
 type noRetries struct{}
 
 func (noRetries) Take(time.Time) bool { return false }
 
-// newEngine returns a stand-in of the test model behind a tap, and a source that
-// finds it.
+// newEngine returns a stand-in for an engine with the test model, the tap in front of
+// it, and a source that returns it.
 func newEngine(tb testing.TB) (*standin.Engine, *engineTap, singleEngine) {
 	tb.Helper()
 
@@ -106,7 +106,7 @@
 	return engine, tap, singleEngine{engine: backend.NewHTTPEngine(server.Listener.Addr().String(), client)}
 }
 
-// newRunner returns a runner that makes no second attempt.
+// newRunner returns a runner that makes only one attempt.
 func newRunner(source singleEngine) *answer.Runner {
 	limits := answer.DefaultLimits()
 	limits.Failures = 0
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -27,7 +27,7 @@
 	testModel   = "ledger-large"
 )
 
-// recordingPlain answers every call and keeps it.
+// recordingPlain records calls and replies to each with status 200, or refuses it.
 type recordingPlain struct {
 	mu      sync.Mutex
 	calls   []PlainRequest
@@ -115,7 +115,7 @@
 	return r
 }
 
-// send returns the status and, of a refusal, its detail.
+// send returns the status of the response and, if it is a refusal, its detail.
 func send(t *testing.T, h http.Handler, r *http.Request) (int, refusal.Detail) {
 	t.Helper()
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway serves callers over HTTP.
+// Package gateway serves the callers' HTTP API.
 //
-// It authenticates the client account, bounds what a caller may send, finds
+// It authenticates the client account, limits the size of requests, looks up
 // the service and the kind of call in the manifest in force, passes the request
-// through admission, and writes the answer or one final refusal. How a request
-// is answered is left to a ModelServer and a PlainServer.
+// through admission, and writes either the answer or one final refusal. The
+// answer itself comes from a ModelServer or a PlainServer.
 //
 // # Usage
 //
@@ -31,7 +31,7 @@
 	"monsoonlever/refusal"
 )
 
-// The paths of the callers' interface.
+// The paths of the callers' API.
 const (
 	PathChat     = "/v1/chat/completions"
 	PathModels   = "/v1/models"
@@ -41,36 +41,39 @@
 
 // ModelServer answers model requests.
 type ModelServer interface {
-	// Answer returns once the sink has its final answer.
+	// Answer writes the answer to the sink and returns after the sink received
+	// its end, which is either a complete answer or a give-up.
 	Answer(ctx context.Context, r ModelRequest, sink answer.Sink) answer.Result
 }
 
 // PlainServer answers calls of plain services.
 type PlainServer interface {
-	// Call returns the reply of the service, or why there is none.
+	// Call returns the reply of the service, or a refusal if there is none.
 	Call(ctx context.Context, r PlainRequest) (backend.Reply, *refusal.Refusal)
 }
 
-// Observer is told of each request that ended.
+// Observer receives an observation of each finished request.
 type Observer interface {
 	Observe(o Observation)
 }
 
-// Gateway is the callers' interface. The exported fields are set before Handler.
+// Gateway serves the callers' API. The exported fields must be set before Handler
+// is called.
 type Gateway struct {
 	Clock clock.Clock
-	// Manifest returns the manifest in force, or nil before there is one.
+	// Manifest returns the manifest in force, or nil if none has been loaded yet.
 	Manifest  func() *manifest.Manifest
 	Admission *admission.Controller
 	Models    ModelServer
 	Plain     PlainServer
-	// Retained lets streamed answers outlive their connection; nil lets none.
+	// Retained runs answers that outlive the connection of their caller. If it is
+	// nil, streams can't be resumed and answers can't be requested asynchronously.
 	Retained RetainedAnswers
 	Observer Observer
 	// NewID returns a new request ID.
 	NewID        func() answer.RequestID
 	MaxBodyBytes int64
-	// WriteTimeout bounds each write to a caller.
+	// WriteTimeout limits the duration of each write to a caller.
 	WriteTimeout time.Duration
 	Metrics      *metrics.Set
 
@@ -78,7 +81,7 @@
 	instruments *instruments
 }
 
-// Handler returns the handler of the callers' interface.
+// Handler returns the handler of the callers' API.
 func (g *Gateway) Handler() http.Handler {
 	g.instruments = newInstruments(g.Metrics)
 
@@ -106,17 +109,17 @@
 	})
 }
 
-// Stop refuses requests that come from now on; those that run go on.
+// Stop makes the gateway refuse new requests. Running requests continue.
 func (g *Gateway) Stop() {
 	g.stopping.Store(true)
 }
 
-// Stopping tells whether Stop was called.
+// Stopping reports whether Stop was called.
 func (g *Gateway) Stopping() bool {
 	return g.stopping.Load()
 }
 
-// OpenRequests returns the number of requests under way.
+// OpenRequests returns the number of requests in progress.
 func (g *Gateway) OpenRequests() int64 {
 	return g.instruments.open.Load()
 }
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// singleValueHeaders are the headers that the gateway goes by. Of two values
-// it could not tell which one the caller means.
+// singleValueHeaders are the headers that the gateway interprets. A request that
+// repeats one of them is refused, since it is ambiguous which value applies.
 var singleValueHeaders = []string{
 	"Authorization", HeaderIdempotencyKey, HeaderDeadline, HeaderTimeout, HeaderPriority, HeaderCallKind,
 }
 
-// repeatedHeader returns a header that must stand once and does not.
+// repeatedHeader returns the name of a header in singleValueHeaders that the request
+// has more than once, and reports whether there is one.
 func repeatedHeader(h http.Header) (string, bool) {
 	for _, name := range singleValueHeaders {
 		if len(h.Values(name)) > 1 {
@@ -22,8 +23,8 @@
 	return "", false
 }
 
-// hasIdempotencyKey tells whether a request brings an idempotency key, if only in one of
-// several headers.
+// hasIdempotencyKey reports whether any of the HeaderIdempotencyKey values of a
+// request is non-empty, also if the request repeats the header.
 func hasIdempotencyKey(h http.Header) bool {
 	return slices.ContainsFunc(h.Values(HeaderIdempotencyKey), func(key string) bool { return key != "" })
 }
--- a/gateway/instruments.go
+++ b/gateway/instruments.go
@@ -10,8 +10,8 @@
 	"monsoonlever/fleet"
 )
 
-// instruments are the metrics of a gateway. Those of a kind of call are found
-// once for each request, by a key that is not built from strings.
+// instruments are the metrics of a gateway. The metrics of a kind of call are looked
+// up once per request, by a struct key instead of a concatenated string.
 type instruments struct {
 	set   *metrics.Set
 	open  atomic.Int64
@@ -21,8 +21,8 @@
 	writeTimeout *metrics.Counter
 }
 
-// instrumentKey names a kind of call by the manifest's words, never by those of
-// a caller, which are without bound.
+// instrumentKey identifies a kind of call. Its names come from the manifest and never
+// from a request, which bounds the number of label values.
 type instrumentKey struct {
 	service fleet.Service
 	kind    fleet.CallKind
@@ -43,7 +43,7 @@
 	return i
 }
 
-// trackOpen counts an open request until the returned function is called.
+// trackOpen counts a request as open until the returned function is called.
 func (i *instruments) trackOpen() func() {
 	i.open.Add(1)
 
@@ -60,8 +60,8 @@
 	return k.(*kindInstruments) //nolint:errcheck,forcetypeassert // nothing else is stored
 }
 
-// observe counts a request that ended. One that was refused before its kind of
-// call was known has none.
+// observe counts a finished request. A request that was refused before its kind of
+// call was known is counted under empty labels.
 func (i *instruments) observe(o Observation) {
 	var key instrumentKey
 	if o.Service != "" {
--- a/gateway/instruments_test.go
+++ b/gateway/instruments_test.go
@@ -32,9 +32,9 @@
 	send(t, h, newRequest(http.MethodGet, "/services/payrun-api/unheard-of", ""))
 	send(t, h, newRequest(http.MethodGet, "/unheard-of", ""))
 
-	gone, cancel := context.WithCancel(t.Context())
+	disconnected, cancel := context.WithCancel(t.Context())
 	cancel()
-	send(t, h, newRequest(http.MethodGet, status, "").WithContext(gone))
+	send(t, h, newRequest(http.MethodGet, status, "").WithContext(disconnected))
 
 	plain.refused = refusal.New(refusal.NoServer, "none")
 	send(t, h, newRequest(http.MethodGet, status, ""))
@@ -52,7 +52,7 @@
 	g, _, _ := newModelGateway(t)
 	client := newClient(t, g, testSecret)
 
-	if _, err := client.Chat.Completions.New(t.Context(), question()); err != nil {
+	if _, err := client.Chat.Completions.New(t.Context(), chatParams()); err != nil {
 		t.Fatal(err)
 	}
 
@@ -63,10 +63,10 @@
 	wantMetric(t, g, "monsoonlever_resumed_attempts_total"+kind+" 0")
 }
 
-// panickingPlain fails in a way that nobody foresaw.
+// panickingPlain panics on each call, since its PlainServer is nil.
 type panickingPlain struct{ PlainServer }
 
-func TestPanicFreesThePlaceOfItsRequest(t *testing.T) {
+func TestPanicReleasesAdmission(t *testing.T) {
 	g := newGateway(t)
 	g.Plain = panickingPlain{}
 	h := g.Handler()
--- a/gateway/metrics_page_test.go
+++ b/gateway/metrics_page_test.go
@@ -14,8 +14,8 @@
 	metricOnPage = regexp.MustCompile("(?m)^\\| `(monsoonlever_[a-z_]+)` \\|")
 )
 
-// metricPatterns returns a pattern for each metric that the module's code names;
-// a name with a verb in it stands for several.
+// metricPatterns returns a pattern for each metric name in the code of the module. A
+// name with a formatting verb matches several metrics.
 func metricPatterns(t *testing.T) map[string]*regexp.Regexp {
 	t.Helper()
 
@@ -45,14 +45,14 @@
 	return patterns
 }
 
-func TestMetricsPageNamesEveryMetricAndNoOther(t *testing.T) {
+func TestMetricsPageMatchesCode(t *testing.T) {
 	page, err := os.ReadFile("../docs/metrics.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	patterns := metricPatterns(t)
-	named := map[string]bool{}
+	listed := map[string]bool{}
 
 	for _, match := range metricOnPage.FindAllStringSubmatch(string(page), -1) {
 		known := false
@@ -60,7 +60,7 @@
 		for pattern, re := range patterns {
 			if re.MatchString(match[1]) {
 				known = true
-				named[pattern] = true
+				listed[pattern] = true
 			}
 		}
 
@@ -70,7 +70,7 @@
 	}
 
 	for pattern := range patterns {
-		if !named[pattern] {
+		if !listed[pattern] {
 			t.Errorf("docs/metrics.md: got no row for %s, want one", pattern)
 		}
 	}
--- a/gateway/models.go
+++ b/gateway/models.go
@@ -9,7 +9,7 @@
 	"monsoonlever/fleet"
 )
 
-// modelList is the answer to a request for the models.
+// modelList is the response of PathModels.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -21,7 +21,7 @@
 	OwnedBy fleet.Service `json:"owned_by"`
 }
 
-// models lists the models that the caller may use.
+// models responds with the list of the models that the caller may use.
 func (g *Gateway) models(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	c, refused := g.authenticate(r)
 	if refused != nil {
@@ -44,6 +44,6 @@
 
 	g.setWriteDeadline(w)
 	w.Header().Set("Content-Type", "application/json")
-	// The caller is gone if this fails; there is nobody to tell.
+	// A write error means that the caller disconnected.
 	_ = json.NewEncoder(w).Encode(list)
 }
--- a/gateway/observation.go
+++ b/gateway/observation.go
@@ -8,26 +8,28 @@
 	"monsoonlever/refusal"
 )
 
-// Observation is what there is to know of one request that ended.
+// Observation describes one finished request.
 type Observation struct {
 	Account fleet.Account
 	Service fleet.Service
 	Kind    manifest.Call
 	// FirstToken is the time to the first token, 0 if there was none.
 	FirstToken time.Duration
-	// BetweenTokens is the mean time from one token to the next.
+	// BetweenTokens is the mean interval between tokens, 0 for fewer than two.
 	BetweenTokens time.Duration
 	Duration      time.Duration
 	Tokens        int
-	// Recomputed counts tokens that were computed again after earlier work was lost.
+	// Recomputed is the number of tokens that were computed again after an earlier
+	// attempt failed.
 	Recomputed int
-	// Attempts counts the attempts at a model answer.
+	// Attempts is the number of attempts at a model answer.
 	Attempts int
-	// Refused is nil for a whole answer.
+	// Refused is nil for a complete answer.
 	Refused *refusal.Refusal
-	// CallerGone tells that nobody waited for the answer any longer.
+	// CallerGone reports that the caller disconnected before the end of the answer.
 	CallerGone bool
-	// WriteTimedOut tells that the caller was cut because it did not read.
+	// WriteTimedOut reports that the caller was disconnected because it did not read
+	// its response within the write timeout.
 	WriteTimedOut bool
 }
 
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -1,6 +1,7 @@
 package gateway
 
-// outcome is how a request ended: a code of the table of errors, or one of these.
+// outcome is the metric label for the result of a request: a refusal.Code or one of
+// these constants.
 type outcome string
 
 const (
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -15,14 +15,14 @@
 	"monsoonlever/refusal"
 )
 
-// HeaderIdempotencyKey names a call, so that it runs at most once however often
-// it is sent.
+// HeaderIdempotencyKey identifies a call, so that it runs at most once even if it is
+// sent several times.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// maxKeyBytes bounds an idempotency key.
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 256
 
-// plainCall is a parsed and authorised call of a plain service.
+// plainCall is a parsed and authorized call of a plain service.
 type plainCall struct {
 	service manifest.Service
 	request PlainRequest
@@ -47,7 +47,8 @@
 		return
 	}
 
-	// A panic must not keep the place of the request; Finish counts once.
+	// Releases the admission of the request after a panic. Calling Finish again has
+	// no effect.
 	defer func() { g.Admission.Finish(g.Clock.Now(), ticket, admission.Outcome{}) }()
 
 	reply, refused := g.Plain.Call(r.Context(), call.request)
@@ -140,7 +141,7 @@
 	return key, nil
 }
 
-// requestHeaders are the headers of a call that the service gets.
+// requestHeaders are the request headers that are forwarded to the service.
 var requestHeaders = []string{"Accept", "Accept-Language", "Content-Type", "Traceparent"}
 
 func forwardedHeader(h http.Header) http.Header {
@@ -155,7 +156,7 @@
 	return out
 }
 
-// replyHeaders are the headers of a reply that the caller gets.
+// replyHeaders are the reply headers that are returned to the caller.
 var replyHeaders = []string{"Content-Type", "Content-Language", "Etag", "Last-Modified", "Location", "Retry-After"}
 
 func writeReply(w http.ResponseWriter, r PlainRequest, reply backend.Reply) {
@@ -167,7 +168,7 @@
 
 	w.Header().Set("X-Request-Id", string(r.ID))
 	w.WriteHeader(reply.Status)
-	// The caller is gone if this fails; there is nobody to tell.
+	// A write error means that the caller disconnected.
 	_, _ = w.Write(reply.Body)
 }
 
@@ -182,8 +183,9 @@
 	}
 }
 
-// notStartedIfKeyed says of a call with an idempotency key only that this attempt did
-// not start: an earlier one with the same key may have run.
+// notStartedIfKeyed changes the run state of a refusal from refusal.NotRun to
+// refusal.NotStarted if the request has an idempotency key, since an earlier attempt
+// with the same key may have run.
 func notStartedIfKeyed(h http.Header, r *refusal.Refusal) *refusal.Refusal {
 	if r.Run() != refusal.NotRun || !hasIdempotencyKey(h) {
 		return r
--- a/gateway/refusals_test.go
+++ b/gateway/refusals_test.go
@@ -13,7 +13,7 @@
 	"monsoonlever/refusal"
 )
 
-func TestRefusalOfAnAnswerGivenUp(t *testing.T) {
+func TestRefusalOfGiveUp(t *testing.T) {
 	tests := []struct {
 		desc   string
 		reason answer.Reason
@@ -22,11 +22,11 @@
 		run    refusal.RunState
 	}{
 		{desc: "no server, nothing sent", reason: answer.ReasonNoServer, ran: answer.NotRun, code: refusal.NoServer, run: refusal.NotRun},
-		{desc: "no server any more", reason: answer.ReasonNoServer, ran: answer.PartlyRan, code: refusal.AnswerLost, run: refusal.Unknown},
+		{desc: "no server, partly run", reason: answer.ReasonNoServer, ran: answer.PartlyRan, code: refusal.AnswerLost, run: refusal.Unknown},
 		{desc: "every server refused", reason: answer.ReasonRetryBudget, ran: answer.NotRun, code: refusal.ServerRefused, run: refusal.NotRun},
-		{desc: "no retry left", reason: answer.ReasonRetryBudget, ran: answer.RanUnknown, code: refusal.AnswerLost, run: refusal.Unknown},
-		{desc: "deadline before a start", reason: answer.ReasonDeadline, ran: answer.NotRun, code: refusal.DeadlinePassed, run: refusal.NotRun},
-		{desc: "deadline midway", reason: answer.ReasonDeadline, ran: answer.PartlyRan, code: refusal.DeadlinePassed, run: refusal.Unknown},
+		{desc: "retries exhausted, run unknown", reason: answer.ReasonRetryBudget, ran: answer.RanUnknown, code: refusal.AnswerLost, run: refusal.Unknown},
+		{desc: "deadline before the first attempt", reason: answer.ReasonDeadline, ran: answer.NotRun, code: refusal.DeadlinePassed, run: refusal.NotRun},
+		{desc: "deadline after some tokens", reason: answer.ReasonDeadline, ran: answer.PartlyRan, code: refusal.DeadlinePassed, run: refusal.Unknown},
 	}
 
 	for _, tt := range tests {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestGivenUpAnswerIsNeverAnEmptyOne(t *testing.T) {
+func TestGiveUpHasErrorStatus(t *testing.T) {
 	for _, reason := range []answer.Reason{answer.ReasonCallerGone, answer.ReasonDeadline, answer.ReasonNoServer} {
 		w := httptest.NewRecorder()
 		s := &sink{w: w, control: http.NewResponseController(w), clock: clock.System{}}
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestDeadlineThatPassesInTheQueueIsNotRun(t *testing.T) {
+func TestDeadlinePassedInQueueIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGateway(t)
 
@@ -73,7 +73,7 @@
 
 		_, detail := send(t, g.Handler(), r)
 		if detail.Code != refusal.DeadlinePassed || detail.Run != refusal.NotRun || detail.RetryAfterSeconds == 0 {
-			t.Errorf("refusal: got %+v, want deadlinePassed, notRun and when to come back", detail)
+			t.Errorf("refusal: got %+v, want deadlinePassed, notRun and a retry delay", detail)
 		}
 
 		if got := time.Since(start); got != 2*time.Second {
--- a/gateway/relay_bench_test.go
+++ b/gateway/relay_bench_test.go
@@ -17,8 +17,8 @@
 	"monsoonlever/refusal"
 )
 
-// cannedTransport answers a generate call with a stream that costs next to
-// nothing, so that a benchmark measures the relay and not the engine.
+// cannedTransport responds to a generate call with a stream that is cheap to produce,
+// so that a benchmark measures the relay and not the engine.
 type cannedTransport struct {
 	tokens int
 }
@@ -37,7 +37,7 @@
 	}, nil
 }
 
-// cannedEvents yields an event with each read.
+// cannedEvents returns one event per read.
 type cannedEvents struct {
 	attempt string
 	next    int
@@ -67,7 +67,7 @@
 	return len(buf), nil
 }
 
-// discardWriter is a response that nobody reads.
+// discardWriter is a response writer that discards the body.
 type discardWriter struct {
 	header http.Header
 }
@@ -78,8 +78,8 @@
 func (w *discardWriter) Flush()                           {}
 func (w *discardWriter) SetWriteDeadline(time.Time) error { return nil }
 
-// relayTokens relays an answer of so many tokens from an engine's stream to a
-// response, and tells whether it is whole.
+// relayTokens relays an answer of the given number of tokens from the stream of an
+// engine to a response, and reports whether the answer is complete.
 func relayTokens(tb testing.TB, g *Gateway, tokens int) bool {
 	tb.Helper()
 
@@ -92,13 +92,13 @@
 	request := answer.Request{ID: "request-1", Model: testModel, Deadline: time.Now().Add(time.Hour)}
 	out := g.newSink(&discardWriter{header: http.Header{}}, call, request.ID)
 
-	complete, whole := runner.Run(tb.Context(), request, out).Complete()
+	complete, ok := runner.Run(tb.Context(), request, out).Complete()
 
-	return whole && complete.Tokens == tokens
+	return ok && complete.Tokens == tokens
 }
 
-// BenchmarkRelayedToken relays b.N tokens as one answer, so that the costs of a
-// request vanish.
+// BenchmarkRelayedToken relays b.N tokens as one answer, so that the fixed cost of a
+// request is negligible.
 func BenchmarkRelayedToken(b *testing.B) {
 	g := newGateway(b)
 
@@ -106,14 +106,14 @@
 	b.ResetTimer()
 
 	if !relayTokens(b, g, b.N) {
-		b.Fatalf("answer: got a part, want %d tokens", b.N)
+		b.Fatalf("answer: got an incomplete one, want %d tokens", b.N)
 	}
 }
 
 func TestRelayedTokenCostsOneAllocation(t *testing.T) {
 	const (
 		tokens = 10_000
-		// bound leaves room for what a request costs once.
+		// bound allows for the fixed allocations of a request.
 		bound = 1.1
 	)
 
@@ -121,24 +121,24 @@
 
 	allocations := testing.AllocsPerRun(3, func() {
 		if !relayTokens(t, g, tokens) {
-			t.Fatal("answer: got a part, want the whole")
+			t.Fatal("answer: got an incomplete one, want a complete one")
 		}
 	})
 
 	if got := allocations / tokens; got > bound {
-		t.Errorf("allocations for a token: got %.2f, want at most %.1f", got, bound)
+		t.Errorf("allocations per token: got %.2f, want at most %.1f", got, bound)
 	}
 }
 
-// instantPlain answers at once.
+// instantPlain replies immediately.
 type instantPlain struct{}
 
 func (instantPlain) Call(context.Context, PlainRequest) (backend.Reply, *refusal.Refusal) {
 	return backend.Reply{Status: http.StatusOK, Body: []byte("ok")}, nil
 }
 
-// BenchmarkPlainRequest is the gateway's own part of a plain call, without
-// sockets and servers.
+// BenchmarkPlainRequest measures the gateway's share of a plain call, without sockets
+// and backend servers.
 func BenchmarkPlainRequest(b *testing.B) {
 	g := newGateway(b)
 	g.Plain = instantPlain{}
@@ -157,7 +157,7 @@
 	}
 }
 
-// BenchmarkChatRequest is a whole chat request of 100 tokens, without sockets.
+// BenchmarkChatRequest measures a complete chat request of 100 tokens, without sockets.
 func BenchmarkChatRequest(b *testing.B) {
 	transport := cannedTransport{tokens: 100}
 	source := singleEngine{engine: backend.NewHTTPEngine("127.0.0.1:1", &http.Client{Transport: transport})}
--- a/gateway/retained.go
+++ b/gateway/retained.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// HeaderLastEventID is sent by a caller who comes back for the rest of a
-	// streamed answer, to any entry instance.
+	// HeaderLastEventID is the ID of the last event that a caller received. The
+	// caller sends it to any entry instance to resume a streamed answer.
 	HeaderLastEventID = "Last-Event-Id"
-	// HeaderPrefer asks with "respond-async" that the answer be fetched later.
+	// HeaderPrefer requests with "respond-async" that the answer be available for
+	// retrieval later.
 	HeaderPrefer = "Prefer"
 
 	preferAsync = "respond-async"
 	answersPath = "/v1/answers/"
 )
 
-// RetainedAnswers keeps answers beyond the connection of their caller, and beyond
-// the entry instance that accepted them.
+// RetainedAnswers runs answers that outlive the connection of their caller and the
+// entry instance that accepted them.
 type RetainedAnswers interface {
-	// Start begins to answer a request. If durable is set it returns nil only once
-	// another failure domain holds a copy. The function is called once the work
-	// of this instance at the answer has ended.
+	// Start starts to answer a request. If durable is set, it returns nil only after
+	// another failure domain has stored a copy of the request. It calls ended when
+	// this instance has stopped working on the answer.
 	Start(ctx context.Context, r ModelRequest, durable bool, ended func(answer.Result)) error
-	// Follow passes an answer on to a caller, from right after an event.
+	// Follow writes an answer to a caller, starting after the given event.
 	Follow(ctx context.Context, account fleet.Account, after answer.EventID, to answer.Caller) error
-	// Release tells that the caller of an answer has gone. The answer is given up
-	// unless someone follows it again soon.
+	// Release reports that the caller of an answer has disconnected. The answer is
+	// abandoned unless a caller follows it again within a grace period.
 	Release(id answer.RequestID)
 }
 
@@ -52,7 +53,7 @@
 	return r == ',' || r == ';' || r == ' '
 }
 
-// streamRetained streams an answer that its caller may come back for.
+// streamRetained streams an answer that its caller can resume.
 func (g *Gateway) streamRetained(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
 	model := call.modelRequest(g.NewID())
 	out := g.newSink(w, call, model.Answer.ID)
@@ -75,13 +76,14 @@
 	g.observeRetained(call, out, record, err, r.Context().Err() != nil)
 }
 
-// acceptAsync accepts a request whose answer is fetched later, from any instance.
+// acceptAsync accepts a request whose answer the caller retrieves later, from any
+// entry instance.
 func (g *Gateway) acceptAsync(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
 	model := call.modelRequest(g.NewID())
-	times := &answerRecord{}
+	record := &answerRecord{}
 
 	err := g.Retained.Start(r.Context(), model, true, func(result answer.Result) {
-		g.finishRetained(ticket, call, times, result)
+		g.finishRetained(ticket, call, record, result)
 		g.observe(call.asyncObservation(g.Clock.Now(), result))
 	})
 	if err != nil {
@@ -96,8 +98,8 @@
 	writeProgress(w, http.StatusAccepted, Progress{ID: model.Answer.ID, Status: StatusRunning})
 }
 
-// refuseNotRetained tells that a request could not be kept. A copy that came late may
-// still go on with it.
+// refuseNotRetained refuses a request that could not be stored. Whether it runs is
+// unknown: a copy that was stored too late may still continue it.
 func (g *Gateway) refuseNotRetained(w http.ResponseWriter, ticket *admission.Ticket, call chatCall, err error) {
 	now := g.Clock.Now()
 	g.Admission.Finish(now, ticket, admission.Outcome{})
@@ -107,7 +109,8 @@
 	g.refuse(w, refused)
 }
 
-// resumeStream passes on the rest of an answer to a caller who came back.
+// resumeStream streams the rest of an answer after the event that HeaderLastEventID
+// names.
 func (g *Gateway) resumeStream(w http.ResponseWriter, r *http.Request, call chatCall) {
 	after, err := answer.ParseEventID(r.Header.Get(HeaderLastEventID))
 	if err != nil {
@@ -124,9 +127,9 @@
 	}
 }
 
-// endFailedFollow ends a connection whose answer could not be passed on to its end.
-// A caller who is still there is told; were nothing written, the response would
-// end as if it were whole.
+// endFailedFollow ends a response whose answer could not be followed to its end. It
+// releases the answer if the caller has disconnected. Otherwise it writes the refusal:
+// without it the response would end as if the answer were complete.
 func (g *Gateway) endFailedFollow(w http.ResponseWriter, r *http.Request, out *sink, id answer.RequestID, refused *refusal.Refusal) {
 	if r.Context().Err() != nil {
 		g.Retained.Release(id)
@@ -140,11 +143,12 @@
 		return
 	}
 
-	// The caller is gone if this fails; there is nobody to tell.
+	// A write error means that the caller disconnected.
 	_ = out.fail(refused)
 }
 
-// finishRetained gives the place of a request free once its answer has ended here.
+// finishRetained finishes the admission of a request after this instance has stopped
+// working on its answer.
 func (g *Gateway) finishRetained(ticket *admission.Ticket, call chatCall, record *answerRecord, result answer.Result) {
 	now := g.Clock.Now()
 	complete, _ := result.Complete()
@@ -157,7 +161,7 @@
 	record.setResult(result)
 }
 
-// observeRetained records a streamed answer as its caller saw it.
+// observeRetained observes a streamed answer as its caller received it.
 func (g *Gateway) observeRetained(call chatCall, out *sink, record *answerRecord, err error, callerGone bool) {
 	result := record.result()
 	o := out.observation()
@@ -176,7 +180,7 @@
 	g.observe(o)
 }
 
-// asyncObservation records an answer that no caller waited for.
+// asyncObservation returns the observation of an answer to an asynchronous request.
 func (c chatCall) asyncObservation(now time.Time, result answer.Result) Observation {
 	o := Observation{
 		Account:    c.caller.account.Name(),
@@ -187,7 +191,7 @@
 		Attempts:   result.Attempts(),
 	}
 
-	if complete, whole := result.Complete(); whole {
+	if complete, ok := result.Complete(); ok {
 		o.Tokens = complete.Tokens
 
 		return o
@@ -195,7 +199,8 @@
 
 	if giveUp, ok := result.Refusal(); ok {
 		o.Refused = refusalOfGiveUp(giveUp)
-		// Another instance goes on with an answer that was handed off.
+		// An answer that was handed off also ends with this reason here, while another
+		// instance continues it.
 		o.CallerGone = giveUp.Reason == answer.ReasonCallerGone
 	}
 
--- a/gateway/retained_answer.go
+++ b/gateway/retained_answer.go
@@ -15,33 +15,34 @@
 	"monsoonlever/refusal"
 )
 
-// The states of a kept answer.
+// The states of a retained answer.
 const (
 	StatusRunning  = "running"
 	StatusComplete = "whole"
 )
 
-// defaultAnswerWait is how long a question for a kept answer waits for its end.
+// defaultAnswerWait is how long a request for a retained answer waits for its end,
+// unless the request sets a deadline.
 const defaultAnswerWait = time.Second
 
-// minAnswerLookup is how long an answer is looked for at least before it is refused
-// as unknown, however short the question's own wait is.
+// minAnswerLookup is the minimum time to look for an answer before it is refused as
+// unknown, even if the deadline of the request is earlier.
 const minAnswerLookup = 2 * time.Second
 
-// Progress is the JSON form of a kept answer.
+// Progress is the JSON form of a retained answer.
 type Progress struct {
 	ID     answer.RequestID `json:"id"`
 	Status string           `json:"status"`
-	// Tokens counts the tokens so far.
+	// Tokens is the number of tokens generated so far.
 	Tokens int `json:"tokens"`
-	// Text, FinishReason and Usage are set once the answer is whole.
+	// Text, FinishReason and Usage are set once the answer is complete.
 	Text         string      `json:"text,omitempty"`
 	FinishReason string      `json:"finishReason,omitempty"`
 	Usage        *chat.Usage `json:"usage,omitempty"`
 }
 
-// retainedAnswer answers a question for a kept answer: the whole of it, or 202 if it
-// has not ended within the wait.
+// retainedAnswer responds to a request for a retained answer with the complete answer,
+// or with status 202 and the progress if the answer has not ended by the deadline.
 func (g *Gateway) retainedAnswer(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	c, refused := g.authenticate(r)
 	if refused != nil {
@@ -111,11 +112,11 @@
 func writeProgress(w http.ResponseWriter, status int, p Progress) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller is gone if this fails; there is nobody to tell.
+	// A write error means that the caller disconnected.
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// answerCollector gathers an answer.
+// answerCollector collects the text and the end of an answer.
 type answerCollector struct {
 	text   strings.Builder
 	tokens int
@@ -124,7 +125,7 @@
 
 var _ answer.Caller = (*answerCollector)(nil)
 
-// Write takes the next token.
+// Write adds the next token.
 func (p *answerCollector) Write(_ answer.EventID, token string) error {
 	p.text.WriteString(token)
 	p.tokens++
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// End takes the end of the answer.
+// End stores the end of the answer.
 func (p *answerCollector) End(e answer.Ending) error {
 	p.end = e
 
--- a/gateway/retained_test.go
+++ b/gateway/retained_test.go
@@ -13,19 +13,19 @@
 	"monsoonlever/fleet"
 )
 
-// lostAnswers keeps answers that are lost after a number of tokens.
-type lostAnswers struct {
+// losingAnswers is a RetainedAnswers whose answers are lost after a number of tokens.
+type losingAnswers struct {
 	tokens   int
 	released int
 }
 
-func (l *lostAnswers) Start(_ context.Context, _ ModelRequest, _ bool, ended func(answer.Result)) error {
+func (l *losingAnswers) Start(_ context.Context, _ ModelRequest, _ bool, ended func(answer.Result)) error {
 	ended(answer.Result{})
 
 	return nil
 }
 
-func (l *lostAnswers) Follow(_ context.Context, _ fleet.Account, after answer.EventID, to answer.Caller) error {
+func (l *losingAnswers) Follow(_ context.Context, _ fleet.Account, after answer.EventID, to answer.Caller) error {
 	for range l.tokens {
 		after.Offset++
 		after.Digest = after.Digest.Next("word ")
@@ -38,9 +38,9 @@
 	return errors.New("the answer was lost")
 }
 
-func (l *lostAnswers) Release(answer.RequestID) { l.released++ }
+func (l *losingAnswers) Release(answer.RequestID) { l.released++ }
 
-func TestLostStreamIsNeverTakenForWhole(t *testing.T) {
+func TestLostStreamEndsWithError(t *testing.T) {
 	tests := []struct {
 		desc   string
 		tokens int
@@ -53,7 +53,7 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			g := newGateway(t)
-			g.Retained = &lostAnswers{tokens: tt.tokens}
+			g.Retained = &losingAnswers{tokens: tt.tokens}
 
 			server := httptest.NewServer(g.Handler())
 			defer server.Close()
@@ -83,7 +83,7 @@
 			}
 
 			if !strings.Contains(string(got), `"error"`) || strings.Contains(string(got), "[DONE]") {
-				t.Errorf("body: got %s, want an error and no end marker", got)
+				t.Errorf("body: got %s, want an error and no [DONE] marker", got)
 			}
 		})
 	}
--- a/gateway/sink.go
+++ b/gateway/sink.go
@@ -14,7 +14,7 @@
 	"monsoonlever/refusal"
 )
 
-// sink writes one model answer to its caller, streamed or whole.
+// sink writes one model answer to its caller, as a stream or as one response.
 type sink struct {
 	w            http.ResponseWriter
 	control      *http.ResponseController
@@ -48,13 +48,13 @@
 	}
 }
 
-// Write takes the next token of an answer that ends with its connection.
+// Write sends the next token of an answer that can't be resumed.
 func (s *sink) Write(offset int, token string) error {
 	return s.writeToken(nil, offset, token)
 }
 
-// writeToken takes the next token. The event id is empty where the caller cannot come
-// back for the rest.
+// writeToken sends the next token of a stream, or collects it for a single response.
+// The event ID is empty if the caller can't resume the stream.
 func (s *sink) writeToken(eventID []byte, offset int, token string) error {
 	now := s.clock.Now()
 	if s.tokens == 0 {
@@ -79,7 +79,7 @@
 	return s.send(now)
 }
 
-// Complete ends a whole answer.
+// Complete sends the end of a complete answer.
 func (s *sink) Complete(c answer.Complete) error {
 	usage := chat.Usage{
 		PromptTokens:     c.Usage.PromptTokens,
@@ -105,7 +105,7 @@
 	return s.send(s.clock.Now())
 }
 
-// GiveUp tells the caller that there will be no whole answer.
+// GiveUp sends a refusal in place of the rest of the answer.
 func (s *sink) GiveUp(g answer.GiveUp) error {
 	s.callerGone = g.Reason == answer.ReasonCallerGone
 
@@ -115,8 +115,8 @@
 func (s *sink) fail(refused *refusal.Refusal) error {
 	s.refused = refused
 
-	// A caller who is gone is told as well: were nothing written, the server
-	// would end the response as if it were whole.
+	// The refusal is also written if the caller seems to have disconnected: without
+	// it the HTTP server would end the response as if the answer were complete.
 	if !s.call.request.Stream || s.tokens == 0 {
 		s.setWriteDeadline(s.clock.Now())
 		s.refused.Write(s.w)
@@ -157,9 +157,9 @@
 	return err
 }
 
-// setWriteDeadline bounds the next write.
+// setWriteDeadline sets the deadline of the next write to the write timeout from now.
 func (s *sink) setWriteDeadline(now time.Time) {
-	// A writer that knows no deadlines, as in tests, is not bounded.
+	// Writers without support for deadlines, as in tests, have no timeout.
 	_ = s.control.SetWriteDeadline(now.Add(s.writeTimeout))
 }
 
@@ -177,7 +177,7 @@
 	return json.NewEncoder(s.w).Encode(response)
 }
 
-// observation returns what the sink knows of the answer.
+// observation returns the fields of the observation that the sink knows.
 func (s *sink) observation() Observation {
 	o := Observation{Tokens: s.tokens, Refused: s.refused, CallerGone: s.callerGone, WriteTimedOut: s.writeTimedOut}
 
@@ -192,7 +192,7 @@
 	return o
 }
 
-// refusalOfGiveUp maps the reason an answer was given up to the table of errors.
+// refusalOfGiveUp returns the refusal for an answer that was given up.
 func refusalOfGiveUp(g answer.GiveUp) *refusal.Refusal {
 	run := refusal.Unknown
 	if g.Ran == answer.NotRun {
--- a/gateway/sink_caller.go
+++ b/gateway/sink_caller.go
@@ -2,7 +2,7 @@
 
 import "monsoonlever/answer"
 
-// sinkCaller writes an answer that is followed to its caller.
+// sinkCaller writes a retained answer to the sink of its caller.
 type sinkCaller struct {
 	sink    *sink
 	record  *answerRecord
@@ -11,21 +11,21 @@
 
 var _ answer.Caller = (*sinkCaller)(nil)
 
-// Write takes the next token, with the id from which the caller can go on.
-func (k *sinkCaller) Write(id answer.EventID, token string) error {
-	k.eventID = id.Append(k.eventID[:0])
+// Write sends the next token with the event ID after which the caller can resume.
+func (s *sinkCaller) Write(eventID answer.EventID, token string) error {
+	s.eventID = eventID.Append(s.eventID[:0])
 
-	err := k.sink.writeToken(k.eventID, id.Offset-1, token)
-	k.record.setFirstToken(k.sink.firstToken)
+	err := s.sink.writeToken(s.eventID, eventID.Offset-1, token)
+	s.record.setFirstToken(s.sink.firstToken)
 
 	return err
 }
 
-// End takes the end of the answer.
-func (k *sinkCaller) End(e answer.Ending) error {
+// End sends the end of the answer.
+func (s *sinkCaller) End(e answer.Ending) error {
 	if e.Refusal != nil {
-		return k.sink.GiveUp(*e.Refusal)
+		return s.sink.GiveUp(*e.Refusal)
 	}
 
-	return k.sink.Complete(answer.Complete{Reason: e.Finish, Tokens: e.Tokens, Usage: e.Usage})
+	return s.sink.Complete(answer.Complete{Reason: e.Finish, Tokens: e.Tokens, Usage: e.Usage})
 }
--- a/gateway/write.go
+++ b/gateway/write.go
@@ -6,20 +6,21 @@
 	"monsoonlever/refusal"
 )
 
-// setWriteDeadline bounds what is written to a caller from now on. The server lifts
-// the bound at the end of the request.
+// setWriteDeadline sets the deadline of all further writes of a response to the write
+// timeout from now. The HTTP server resets it at the end of the request.
 func (g *Gateway) setWriteDeadline(w http.ResponseWriter) {
-	// A writer that knows no deadlines, as in tests, is not bounded.
+	// Writers without support for deadlines, as in tests, have no timeout.
 	_ = http.NewResponseController(w).SetWriteDeadline(g.Clock.Now().Add(g.WriteTimeout))
 }
 
-// refuse writes a refusal as the whole response.
+// refuse writes a refusal as a complete response.
 func (g *Gateway) refuse(w http.ResponseWriter, r *refusal.Refusal) {
 	g.setWriteDeadline(w)
 	r.Write(w)
 }
 
-// refuseUnclassified refuses a request whose kind of call is not known.
+// refuseUnclassified refuses a request whose service and kind of call are not known
+// yet, and counts it under empty labels.
 func (g *Gateway) refuseUnclassified(w http.ResponseWriter, r *refusal.Refusal) {
 	g.instruments.observe(Observation{Refused: r})
 	g.refuse(w, r)
--- a/refusal/code.go
+++ b/refusal/code.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// Code names one kind of refusal.
+// Code identifies a kind of refusal.
 type Code string
 
-// The codes of the table.
+// The codes of refusals.
 const (
 	BadRequest       Code = "badRequest"
 	Unauthorized     Code = "unauthorized"
@@ -34,13 +34,13 @@
 	ShuttingDown     Code = "shuttingDown"
 )
 
-// row is what a code stands for.
-type row struct {
+// properties is what a code stands for.
+type properties struct {
 	status int
 	run    RunState
 }
 
-var table = map[Code]row{
+var table = map[Code]properties{
 	BadRequest:       {http.StatusBadRequest, NotRun},
 	Unauthorized:     {http.StatusUnauthorized, NotRun},
 	Forbidden:        {http.StatusForbidden, NotRun},
@@ -68,7 +68,7 @@
 	ShuttingDown:     {http.StatusServiceUnavailable, NotRun},
 }
 
-// Codes returns every code of the table.
+// Codes returns all codes in no particular order.
 func Codes() []Code {
 	codes := make([]Code, 0, len(table))
 	for code := range table {
@@ -78,12 +78,13 @@
 	return codes
 }
 
-// Status returns the HTTP status that the code travels with.
+// Status returns the HTTP status of the code.
 func (c Code) Status() int {
 	return table[c].status
 }
 
-// Run returns what the code says of the request unless a refusal says otherwise.
+// Run returns the default run state of the code, which WithRun can replace in a
+// refusal.
 func (c Code) Run() RunState {
 	return table[c].run
 }
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Refusal is one refused request. It is an error.
+// Refusal is the error of a refused request.
 type Refusal struct {
 	code       Code
 	run        RunState
@@ -22,14 +22,14 @@
 	return &Refusal{code: code, run: code.Run(), message: fmt.Sprintf(format, args...)}
 }
 
-// WithRun returns a copy that says otherwise of whether the request ran.
+// WithRun returns a copy with another run state than that of its code.
 func (r Refusal) WithRun(run RunState) *Refusal {
 	r.run = run
 
 	return &r
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy that tells the caller to retry after d.
 func (r Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.retryAfter = d
 
@@ -41,12 +41,12 @@
 	return r.code
 }
 
-// Run tells whether the request ran.
+// Run returns the run state: whether the request ran.
 func (r *Refusal) Run() RunState {
 	return r.run
 }
 
-// RetryAfter returns when to come back, or 0 where that is of no use.
+// RetryAfter returns the time to wait before a retry, or 0 if none is recommended.
 func (r *Refusal) RetryAfter() time.Duration {
 	return r.retryAfter
 }
@@ -56,7 +56,7 @@
 	return string(r.code) + ": " + r.message
 }
 
-// Body is the JSON form of a refusal.
+// Body is the JSON response body of a refusal.
 type Body struct {
 	Error Detail `json:"error"`
 }
@@ -67,11 +67,11 @@
 	Type    string   `json:"type"`
 	Message string   `json:"message"`
 	Run     RunState `json:"run"`
-	// RetryAfterSeconds repeats the Retry-After header.
+	// RetryAfterSeconds has the same value as the Retry-After header.
 	RetryAfterSeconds int `json:"retryAfterSeconds,omitempty"`
 }
 
-// Body returns the JSON form.
+// Body returns the JSON response body.
 func (r *Refusal) Body() Body {
 	return Body{Error: Detail{
 		Code:              r.code,
@@ -82,7 +82,7 @@
 	}}
 }
 
-// Write sends the refusal as the whole response.
+// Write sends the refusal as a complete HTTP response.
 func (r *Refusal) Write(w http.ResponseWriter) {
 	if s := r.retryAfterSeconds(); s > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(s))
@@ -90,11 +90,12 @@
 
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(r.code.Status())
-	// The caller is gone if this fails; there is nobody to tell.
+	// A write error means that the caller disconnected.
 	_ = json.NewEncoder(w).Encode(r.Body())
 }
 
-// retryAfterSeconds rounds up, since the header knows whole seconds only.
+// retryAfterSeconds returns the retry delay rounded up, since the Retry-After header
+// has a resolution of one second.
 func (r *Refusal) retryAfterSeconds() int {
 	return int(math.Ceil(r.retryAfter.Seconds()))
 }
--- a/refusal/refusal_test.go
+++ b/refusal/refusal_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestEveryCodeHasAStatusAndARunState(t *testing.T) {
+func TestEveryCodeHasStatusAndRunState(t *testing.T) {
 	for _, code := range Codes() {
 		if got := code.Status(); got < 400 || got > 599 {
 			t.Errorf("%s: got status %d, want an error status", code, got)
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestWriteTellsWhenToComeBack(t *testing.T) {
+func TestWriteSetsRetryAfter(t *testing.T) {
 	w := httptest.NewRecorder()
 	New(Overloaded, "queue is full").WithRun(NotStarted).WithRetryAfter(1200 * time.Millisecond).Write(w)
 
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestReferencePageHoldsTheTable(t *testing.T) {
+func TestErrorsPageListsEveryCode(t *testing.T) {
 	page, err := os.ReadFile("../docs/errors.md")
 	if err != nil {
 		t.Fatal(err)
--- a/refusal/run.go
+++ b/refusal/run.go
@@ -1,8 +1,8 @@
-// Package refusal holds the one table of errors that callers are told.
+// Package refusal defines the errors that callers receive.
 //
-// Each code says what status it travels with, whether the request ran, and
-// whether the caller should come back. A refusal is final: it is told at once,
-// with the time to come back, and nothing of the request goes on behind it.
+// Each code has an HTTP status and a run state, which says whether the request
+// ran. A refusal is final: it is sent immediately, with the time after which the
+// caller may retry, and the refused request is not processed any further.
 //
 // # Usage
 //
@@ -10,21 +10,20 @@
 //		WithRetryAfter(2 * time.Second)
 //	r.Write(w)
 //
-// docs/errors.md is the reference page of the table.
+// docs/errors.md is the reference page of the codes.
 package refusal
 
-// RunState tells whether a refused request ran.
+// RunState says whether a refused request ran.
 type RunState string
 
 const (
-	// NotRun means that nothing of the request reached a backend server, and
-	// nothing of it will.
+	// NotRun means that the request did not run on a backend server and never will.
 	NotRun RunState = "notRun"
-	// NotStarted means that this attempt sent nothing, but that an earlier
-	// attempt with the same idempotency key may have run.
+	// NotStarted means that this attempt was not sent to a backend server, but that an
+	// earlier attempt with the same idempotency key may have run.
 	NotStarted RunState = "notStarted"
 	// Unknown means that the request may have run, or may still run.
 	Unknown RunState = "unknown"
-	// Ran means that the request ran and its answer cannot be given.
+	// Ran means that the request ran, but that its answer is not available.
 	Ran RunState = "ran"
 )
