--- a/lease/config.go
+++ b/lease/config.go
@@ -58,12 +58,12 @@
 	return nil
 }
 
-// holdFor is how long a holder may act by its own clock.
-func (c Config) holdFor(term time.Duration) time.Duration {
+// shortenForDrift is how long a holder may act by its own clock.
+func (c Config) shortenForDrift(term time.Duration) time.Duration {
 	return time.Duration(float64(term) * (1 - c.MaxDrift))
 }
 
-// waitFor is how long a successor waits by its own clock.
-func (c Config) waitFor(d time.Duration) time.Duration {
+// lengthenForDrift is how long a successor waits by its own clock.
+func (c Config) lengthenForDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d)*(1+c.MaxDrift)) + time.Nanosecond
 }
--- a/lease/core.go
+++ b/lease/core.go
@@ -19,19 +19,19 @@
 	candidate bool
 	releasing bool
 	sequence  uint64
-	// pending holds when records were sent that have not been read yet.
-	pending map[uint64]time.Time
-	sentAt  time.Time
+	// pendingSentAt holds when records were sent that have not been read yet.
+	pendingSentAt map[uint64]time.Time
+	lastSentAt    time.Time
 
 	validUntil time.Time
-	// seenAt is when the last valid record was read.
-	seenAt time.Time
+	// lastValidAt is when the last valid record was read.
+	lastValidAt time.Time
 	// caughtUpAt is when the end of the log was last reached, and readableSince
 	// when that first happened after the last gap.
 	caughtUpAt    time.Time
 	readableSince time.Time
-	// quietUntil is until when nothing is taken after the log lost records.
-	quietUntil time.Time
+	// noAcquireBefore is until when nothing is taken after the log lost records.
+	noAcquireBefore time.Time
 }
 
 // NewCore returns a candidate for a role.
@@ -41,12 +41,12 @@
 	}
 
 	return &Core{
-		config:    config,
-		self:      self,
-		role:      role,
-		ledger:    NewLedger(role),
-		candidate: true,
-		pending:   make(map[uint64]time.Time),
+		config:        config,
+		self:          self,
+		role:          role,
+		ledger:        NewLedger(role),
+		candidate:     true,
+		pendingSentAt: make(map[uint64]time.Time),
 	}, nil
 }
 
@@ -57,7 +57,7 @@
 		return
 	}
 
-	c.seenAt = now
+	c.lastValidAt = now
 	c.validUntil = time.Time{}
 }
 
@@ -65,23 +65,23 @@
 func (c *Core) Observe(now time.Time, offset provider.Offset, r Record) {
 	if !c.ledger.Apply(offset, r) {
 		if r.Holder == c.self && r.Role == c.role {
-			delete(c.pending, r.Sequence)
+			delete(c.pendingSentAt, r.Sequence)
 		}
 
 		return
 	}
 
-	c.seenAt = now
+	c.lastValidAt = now
 
 	if r.Holder != c.self || r.Kind == Release {
 		c.validUntil = time.Time{}
 		c.releasing = false
-		clear(c.pending)
+		clear(c.pendingSentAt)
 
 		return
 	}
 
-	c.extend(r)
+	c.extendValidity(r)
 }
 
 // LogRolledBack says that the log came back at now from an older copy, in which what was written last
@@ -89,11 +89,11 @@
 // last that this process never read of.
 func (c *Core) LogRolledBack(now time.Time) {
 	c.ledger = NewLedger(c.role)
-	c.validUntil, c.seenAt, c.caughtUpAt, c.readableSince = time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	c.validUntil, c.lastValidAt, c.caughtUpAt, c.readableSince = time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	c.releasing = false
-	c.quietUntil = now.Add(c.config.waitFor(c.config.Term + c.config.MaxOrderDelay))
+	c.noAcquireBefore = now.Add(c.config.lengthenForDrift(c.config.Term + c.config.MaxOrderDelay))
 
-	clear(c.pending)
+	clear(c.pendingSentAt)
 }
 
 // CaughtUp says that the end of the log was reached at now.
@@ -107,7 +107,7 @@
 
 // Step returns the records to append at now.
 func (c *Core) Step(now time.Time) []Command {
-	if !c.sentAt.IsZero() && now.Sub(c.sentAt) < c.config.RenewInterval {
+	if !c.lastSentAt.IsZero() && now.Sub(c.lastSentAt) < c.config.RenewInterval {
 		return nil
 	}
 
@@ -115,17 +115,17 @@
 		if c.releasing || !c.candidate {
 			c.releasing = true
 
-			return c.send(now, Release)
+			return c.issueCommand(now, Release)
 		}
 
-		return c.send(now, Renew)
+		return c.issueCommand(now, Renew)
 	}
 
-	if !c.mayAcquire(now) {
+	if !c.acquireAllowed(now) {
 		return nil
 	}
 
-	return c.send(now, Acquire)
+	return c.issueCommand(now, Acquire)
 }
 
 // Check returns the fencing number under which an order may be sent at now. It
@@ -154,7 +154,7 @@
 	c.releasing = true
 	c.validUntil = time.Time{}
 
-	return c.send(now, Release)
+	return c.issueCommand(now, Release)
 }
 
 // SetCandidate tells whether this process should try to hold the role. A holder
@@ -173,11 +173,11 @@
 	return c.role
 }
 
-func (c *Core) extend(r Record) {
-	sent, ok := c.pending[r.Sequence]
-	for sequence := range c.pending {
+func (c *Core) extendValidity(r Record) {
+	sentAt, ok := c.pendingSentAt[r.Sequence]
+	for sequence := range c.pendingSentAt {
 		if sequence <= r.Sequence {
-			delete(c.pending, sequence)
+			delete(c.pendingSentAt, sequence)
 		}
 	}
 
@@ -185,7 +185,7 @@
 		return
 	}
 
-	until := sent.Add(c.config.holdFor(r.Term))
+	until := sentAt.Add(c.config.shortenForDrift(r.Term))
 	if until.After(c.validUntil) {
 		c.validUntil = until
 	}
@@ -193,11 +193,11 @@
 
 // CanAcquire tells whether a candidate would take the role now.
 func (c *Core) CanAcquire(now time.Time) bool {
-	return !c.ledger.heldBy(c.self) && c.mayAcquire(now)
+	return !c.ledger.heldBy(c.self) && c.acquireAllowed(now)
 }
 
-func (c *Core) mayAcquire(now time.Time) bool {
-	if now.Before(c.quietUntil) {
+func (c *Core) acquireAllowed(now time.Time) bool {
+	if now.Before(c.noAcquireBefore) {
 		return false
 	}
 
@@ -210,13 +210,13 @@
 		return true
 	}
 
-	start := c.seenAt
+	start := c.lastValidAt
 	if c.readableSince.After(start) {
 		start = c.readableSince
 	}
 
 	if c.config.SingleProcess && state.Holder.Instance == c.self.Instance {
-		return !now.Before(start.Add(c.config.waitFor(c.config.MaxOrderDelay)))
+		return !now.Before(start.Add(c.config.lengthenForDrift(c.config.MaxOrderDelay)))
 	}
 
 	wait := c.config.MaxOrderDelay
@@ -224,7 +224,7 @@
 		wait += state.Term
 	}
 
-	return !now.Before(start.Add(c.config.waitFor(wait) + c.stagger()))
+	return !now.Before(start.Add(c.config.lengthenForDrift(wait) + c.stagger()))
 }
 
 // stagger differs by candidate and by grant, so that no process is always first.
@@ -243,10 +243,10 @@
 	return time.Duration(sum % uint64(c.config.Stagger))
 }
 
-func (c *Core) send(now time.Time, kind Kind) []Command {
+func (c *Core) issueCommand(now time.Time, kind Kind) []Command {
 	c.sequence++
-	c.sentAt = now
-	c.pending[c.sequence] = now
+	c.lastSentAt = now
+	c.pendingSentAt[c.sequence] = now
 
 	return []Command{{Record: Record{
 		Kind:     kind,
--- a/lease/core_test.go
+++ b/lease/core_test.go
@@ -34,7 +34,7 @@
 
 var incarnations = map[string]fleet.Incarnation{"a": 0, "b": 1}
 
-func one(t *testing.T, commands []lease.Command) lease.Record {
+func onlyRecord(t *testing.T, commands []lease.Command) lease.Record {
 	t.Helper()
 
 	if got, want := len(commands), 1; got != want {
@@ -44,12 +44,12 @@
 	return commands[0].Record
 }
 
-func TestFirstInLogOrderHolds(t *testing.T) {
+func TestFirstAcquireInLogWins(t *testing.T) {
 	a, b := newCore(t, "a"), newCore(t, "b")
 	a.CaughtUp(start)
 	b.CaughtUp(start)
 
-	ra, rb := one(t, a.Step(start)), one(t, b.Step(start))
+	ra, rb := onlyRecord(t, a.Step(start)), onlyRecord(t, b.Step(start))
 	for _, c := range []*lease.Core{a, b} {
 		c.Observe(start, 7, rb)
 		c.Observe(start, 8, ra)
@@ -65,10 +65,10 @@
 	}
 }
 
-func TestTermCountsFromBeforeTheAppend(t *testing.T) {
+func TestTermStartsBeforeAppend(t *testing.T) {
 	a := newCore(t, "a")
 	a.CaughtUp(start)
-	r := one(t, a.Step(start))
+	r := onlyRecord(t, a.Step(start))
 	read := start.Add(8 * time.Second)
 	a.Observe(read, 1, r)
 
@@ -90,14 +90,14 @@
 	}
 }
 
-func TestReleaseLetsSuccessorInEarly(t *testing.T) {
+func TestReleaseShortensSuccessorWait(t *testing.T) {
 	a, b := newCore(t, "a"), newCore(t, "b")
 	a.CaughtUp(start)
-	grant := one(t, a.Step(start))
+	grant := onlyRecord(t, a.Step(start))
 	a.Observe(start, 1, grant)
 	b.Observe(start, 1, grant)
 
-	released := one(t, a.Release(start))
+	released := onlyRecord(t, a.Release(start))
 	if _, err := a.Check(start); !errors.Is(err, lease.ErrNotHeld) {
 		t.Errorf("after release: got %v, want %v", err, lease.ErrNotHeld)
 	}
@@ -123,66 +123,66 @@
 	}
 }
 
-func TestHolderStaysAcrossLogOutage(t *testing.T) {
+func TestHolderKeepsLeaseAcrossLogOutage(t *testing.T) {
 	a, b := newCore(t, "a"), newCore(t, "b")
 	a.CaughtUp(start)
-	grant := one(t, a.Step(start))
+	grant := onlyRecord(t, a.Step(start))
 	a.Observe(start, 1, grant)
 	b.Observe(start, 1, grant)
 	b.CaughtUp(start)
 
-	back := start.Add(time.Hour)
-	if got := len(b.Step(back.Add(-time.Second))); got != 0 {
+	recovered := start.Add(time.Hour)
+	if got := len(b.Step(recovered.Add(-time.Second))); got != 0 {
 		t.Errorf("successor in the outage: got %d commands, want 0", got)
 	}
 
-	b.CaughtUp(back)
-	a.CaughtUp(back)
+	b.CaughtUp(recovered)
+	a.CaughtUp(recovered)
 
-	if got := len(b.Step(back)); got != 0 {
+	if got := len(b.Step(recovered)); got != 0 {
 		t.Errorf("successor as the log is back: got %d commands, want 0", got)
 	}
 
-	renewal := one(t, a.Step(back))
-	a.Observe(back, 2, renewal)
+	renewal := onlyRecord(t, a.Step(recovered))
+	a.Observe(recovered, 2, renewal)
 
-	got, err := a.Check(back)
+	got, err := a.Check(recovered)
 	if want := lease.Fence(1); err != nil || got != want {
 		t.Errorf("holder after the outage: got %d, %v, want %d", got, err, want)
 	}
 }
 
-func TestSnapshotJudgesAsTheWholeLog(t *testing.T) {
-	whole := lease.NewLedger(role)
-	whole.Apply(3, lease.Record{Kind: lease.Acquire, Role: role, Holder: holder("a"), Term: time.Second})
+func TestRestoredLedgerMatchesFullLog(t *testing.T) {
+	full := lease.NewLedger(role)
+	full.Apply(3, lease.Record{Kind: lease.Acquire, Role: role, Holder: holder("a"), Term: time.Second})
 
 	restored := lease.NewLedger(role)
-	if !restored.Restore(whole.Snapshot()) {
+	if !restored.Restore(full.Snapshot()) {
 		t.Fatal("snapshot was not taken")
 	}
 
 	for offset := provider.Offset(4); offset < 6; offset++ {
 		r := lease.Record{Kind: lease.Renew, Role: role, Holder: holder("a"), Previous: 3}
-		if got, want := restored.Apply(offset, r), whole.Apply(offset, r); got != want {
+		if got, want := restored.Apply(offset, r), full.Apply(offset, r); got != want {
 			t.Errorf("record at %d: got %v, want %v", offset, got, want)
 		}
 	}
 }
 
 // A process that starts on the instance of the holder knows that the holder has ended.
-func TestANewProcessOfTheHoldersInstanceNeedNotWait(t *testing.T) {
+func TestNewProcessOnHolderInstanceSkipsTermWait(t *testing.T) {
 	for _, tt := range []struct {
-		desc string
-		one  bool
-		self lease.Holder
-		want bool
+		desc          string
+		singleProcess bool
+		self          lease.Holder
+		want          bool
 	}{
 		{"the same instance", true, lease.Holder{Instance: "entry-1", Incarnation: 2}, true},
 		{"the same instance, which may run two", false, lease.Holder{Instance: "entry-1", Incarnation: 2}, false},
 		{"another instance", true, lease.Holder{Instance: "entry-2", Incarnation: 2}, false},
 	} {
 		config := lease.DefaultConfig()
-		config.SingleProcess = tt.one
+		config.SingleProcess = tt.singleProcess
 
 		core, err := lease.NewCore(config, "duties", tt.self)
 		if err != nil {
--- a/lease/corrector.go
+++ b/lease/corrector.go
@@ -30,15 +30,15 @@
 }
 
 type target[S comparable] struct {
-	wanted  S
-	settled bool
-	orderAt time.Time
-	readAt  time.Time
-	fence   Fence
+	desired     S
+	settled     bool
+	lastOrderAt time.Time
+	lastReadAt  time.Time
+	fence       Fence
 	// outstanding is set while a call runs, and ordered is the state it asks for.
-	outstanding bool
-	ordered     S
-	uncertain   time.Time
+	outstanding    bool
+	orderedState   S
+	uncertainUntil time.Time
 }
 
 // SetDesired sets the wanted state of a target.
@@ -53,13 +53,13 @@
 		c.targets[id] = t
 	}
 
-	if ok && t.wanted == state {
+	if ok && t.desired == state {
 		return
 	}
 
-	t.wanted = state
+	t.desired = state
 	t.settled = false
-	t.orderAt = time.Time{}
+	t.lastOrderAt = time.Time{}
 }
 
 // Remove drops a target that is gone.
@@ -76,9 +76,9 @@
 		return
 	}
 
-	settled := r.State == t.wanted && (!r.ChecksFence || r.Fence == t.fence)
+	settled := r.State == t.desired && (!r.ChecksFence || r.Fence == t.fence)
 	if t.settled && !settled {
-		t.orderAt = time.Time{}
+		t.lastOrderAt = time.Time{}
 	}
 
 	t.settled = settled
@@ -94,7 +94,7 @@
 
 	t.outstanding = false
 	if !certain {
-		t.uncertain = now.Add(c.MaxOrderDelay)
+		t.uncertainUntil = now.Add(c.MaxOrderDelay)
 	}
 }
 
@@ -107,18 +107,18 @@
 		if t.fence != fence {
 			t.fence = fence
 			t.settled = false
-			t.orderAt = time.Time{}
+			t.lastOrderAt = time.Time{}
 		}
 
 		if t.mayOrder(now, c.RetryInterval) {
-			t.orderAt = now
+			t.lastOrderAt = now
 			t.outstanding = true
-			t.ordered = t.wanted
-			actions = append(actions, Action[S]{Target: id, State: t.wanted, Fence: fence})
+			t.orderedState = t.desired
+			actions = append(actions, Action[S]{Target: id, State: t.desired, Fence: fence})
 		}
 
-		if due(now, t.readAt, c.ReadInterval) {
-			t.readAt = now
+		if isDue(now, t.lastReadAt, c.ReadInterval) {
+			t.lastReadAt = now
 			actions = append(actions, Action[S]{Target: id, Read: true})
 		}
 	}
@@ -145,13 +145,13 @@
 }
 
 func (t *target[S]) mayOrder(now time.Time, retry time.Duration) bool {
-	if t.settled || t.outstanding || !due(now, t.orderAt, retry) {
+	if t.settled || t.outstanding || !isDue(now, t.lastOrderAt, retry) {
 		return false
 	}
 
-	return t.wanted == t.ordered || !now.Before(t.uncertain)
+	return t.desired == t.orderedState || !now.Before(t.uncertainUntil)
 }
 
-func due(now, last time.Time, every time.Duration) bool {
-	return last.IsZero() || now.Sub(last) >= every
+func isDue(now, last time.Time, interval time.Duration) bool {
+	return last.IsZero() || now.Sub(last) >= interval
 }
--- a/lease/corrector_test.go
+++ b/lease/corrector_test.go
@@ -7,7 +7,7 @@
 	"monsoonlever/lease"
 )
 
-func TestCorrectorWaitsOutAnUnansweredOrder(t *testing.T) {
+func TestCorrectorDelaysNewStateAfterUncertainOrder(t *testing.T) {
 	for _, tt := range []struct {
 		desc  string
 		state int
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestCorrectorHasOneOrderOutstanding(t *testing.T) {
+func TestCorrectorLimitsOutstandingOrdersToOne(t *testing.T) {
 	c := &lease.Corrector[int]{ReadInterval: time.Hour, RetryInterval: time.Second}
 	c.SetDesired("runner-1", 1)
 	c.Step(start, 7)
--- a/lease/drift_test.go
+++ b/lease/drift_test.go
@@ -9,17 +9,17 @@
 	"monsoonlever/lease"
 )
 
-// TestHoldsLeaseAcrossDrift pauses a holder right after its grant was read, and
+// TestHoldsLeaseAcrossClockDrift pauses a holder right after its grant was read, and
 // lets the successor in at the first moment its own clock allows.
-func TestHoldsLeaseAcrossDrift(t *testing.T) {
+func TestHoldsLeaseAcrossClockDrift(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := lease.DefaultConfig()
 		config.MaxOrderDelay, config.Stagger = 0, 0
 		config.MaxDrift = rapid.Float64Range(0, 0.09).Draw(t, "drift")
 		rates := []float64{1 - config.MaxDrift, 1, 1 + config.MaxDrift}
-		slow := rapid.SampledFrom(rates).Draw(t, "holder")
-		fast := rapid.SampledFrom(rates).Draw(t, "successor")
-		at := func(rate float64, elapsed time.Duration) time.Time {
+		holderRate := rapid.SampledFrom(rates).Draw(t, "holder")
+		successorRate := rapid.SampledFrom(rates).Draw(t, "successor")
+		clockAt := func(rate float64, elapsed time.Duration) time.Time {
 			return start.Add(time.Duration(float64(elapsed) * rate))
 		}
 
@@ -33,13 +33,13 @@
 		b.Observe(start, 1, grant)
 
 		for elapsed := time.Duration(0); elapsed < 2*config.Term; elapsed += 5 * time.Millisecond {
-			b.CaughtUp(at(fast, elapsed))
+			b.CaughtUp(clockAt(successorRate, elapsed))
 
-			if len(b.Step(at(fast, elapsed))) == 0 {
+			if len(b.Step(clockAt(successorRate, elapsed))) == 0 {
 				continue
 			}
 
-			if _, err := a.Check(at(slow, elapsed)); err == nil {
+			if _, err := a.Check(clockAt(holderRate, elapsed)); err == nil {
 				t.Fatalf("after %s the holder may act and the successor acquires", elapsed)
 			}
 
--- a/lease/holds_test.go
+++ b/lease/exclusive_test.go
@@ -16,40 +16,40 @@
 
 // node is one process with a clock that runs at its own rate.
 type node struct {
-	core   *lease.Core
-	self   lease.Holder
-	rate   float64
-	offset time.Duration
-	read   int
-	paused int
-	// lag keeps the node from reading the newest records.
-	lag int
+	core        *lease.Core
+	self        lease.Holder
+	rate        float64
+	offset      time.Duration
+	readCount   int
+	pausedTicks int
+	// lagRecords keeps the node from reading the newest records.
+	lagRecords int
 }
 
 func (n *node) now(elapsed time.Duration) time.Time {
 	return start.Add(n.offset + time.Duration(float64(elapsed)*n.rate))
 }
 
-type entry struct {
+type logEntry struct {
 	offset provider.Offset
 	record lease.Record
 }
 
-type flying struct {
-	record lease.Record
-	lands  time.Duration
+type delayedAppend struct {
+	record  lease.Record
+	landsAt time.Duration
 }
 
 // deployment is a log and some nodes that lose, delay and reorder appends.
 type deployment struct {
-	t       *rapid.T
-	config  lease.Config
-	elapsed time.Duration
-	nodes   []*node
-	log     []entry
-	flying  []flying
-	down    bool
-	highest lease.Fence
+	t            *rapid.T
+	config       lease.Config
+	elapsed      time.Duration
+	nodes        []*node
+	log          []logEntry
+	delayed      []delayedAppend
+	logDown      bool
+	highestFence lease.Fence
 }
 
 func newDeployment(t *rapid.T) *deployment {
@@ -69,66 +69,66 @@
 			offset: time.Duration(rapid.IntRange(0, 3600).Draw(t, "offset")) * time.Second,
 		}
 		d.nodes = append(d.nodes, n)
-		d.boot(n)
+		d.startProcess(n)
 	}
 
 	return d
 }
 
-func (d *deployment) boot(n *node) {
+func (d *deployment) startProcess(n *node) {
 	core, err := lease.NewCore(d.config, role, n.self)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 
 	n.core = core
-	n.read = 0
+	n.readCount = 0
 }
 
 func (d *deployment) step() {
 	d.elapsed += tick
-	d.land()
-	d.disturb()
+	d.deliverDelayed()
+	d.injectFault()
 
 	for _, n := range d.nodes {
-		d.run(n)
+		d.runNode(n)
 	}
 
-	d.check()
+	d.checkExclusive()
 }
 
-func (d *deployment) land() {
-	kept := d.flying[:0]
+func (d *deployment) deliverDelayed() {
+	remaining := d.delayed[:0]
 
-	for _, f := range d.flying {
-		if f.lands > d.elapsed || d.down {
-			kept = append(kept, f)
+	for _, f := range d.delayed {
+		if f.landsAt > d.elapsed || d.logDown {
+			remaining = append(remaining, f)
 
 			continue
 		}
 
-		d.log = append(d.log, entry{offset: provider.Offset(len(d.log) + 1), record: f.record})
+		d.log = append(d.log, logEntry{offset: provider.Offset(len(d.log) + 1), record: f.record})
 	}
 
-	d.flying = kept
+	d.delayed = remaining
 }
 
-func (d *deployment) disturb() {
+func (d *deployment) injectFault() {
 	n := d.nodes[rapid.IntRange(0, len(d.nodes)-1).Draw(d.t, "node")]
 
 	switch rapid.IntRange(0, 79).Draw(d.t, "disturbance") {
 	case 0, 1, 2:
-		n.paused = rapid.IntRange(1, 80).Draw(d.t, "pause")
+		n.pausedTicks = rapid.IntRange(1, 80).Draw(d.t, "pause")
 	case 3, 4, 5:
-		n.lag = rapid.IntRange(0, 3).Draw(d.t, "lag")
+		n.lagRecords = rapid.IntRange(0, 3).Draw(d.t, "lag")
 	case 6:
 		n.self.Incarnation++
-		d.boot(n)
+		d.startProcess(n)
 	case 7:
-		d.down = !d.down
+		d.logDown = !d.logDown
 	case 8:
 		for _, c := range n.core.Release(n.now(d.elapsed)) {
-			d.append(c.Record)
+			d.appendUnreliably(c.Record)
 		}
 	case 9, 10:
 		n.core.SetCandidate(true)
@@ -136,52 +136,52 @@
 	}
 }
 
-func (d *deployment) run(n *node) {
-	if n.paused > 0 {
-		n.paused--
+func (d *deployment) runNode(n *node) {
+	if n.pausedTicks > 0 {
+		n.pausedTicks--
 
 		return
 	}
 
 	now := n.now(d.elapsed)
 
-	for !d.down && n.read < len(d.log)-n.lag {
-		n.core.Observe(now, d.log[n.read].offset, d.log[n.read].record)
-		n.read++
+	for !d.logDown && n.readCount < len(d.log)-n.lagRecords {
+		n.core.Observe(now, d.log[n.readCount].offset, d.log[n.readCount].record)
+		n.readCount++
 	}
 
-	if !d.down {
+	if !d.logDown {
 		n.core.CaughtUp(now)
 	}
 
 	for _, c := range n.core.Step(now) {
-		d.append(c.Record)
+		d.appendUnreliably(c.Record)
 	}
 }
 
-// append loses the record, or lets it land at once, late or twice.
-func (d *deployment) append(r lease.Record) {
+// appendUnreliably loses the record, or lets it land at once, late or twice.
+func (d *deployment) appendUnreliably(r lease.Record) {
 	switch rapid.IntRange(0, 19).Draw(d.t, "append") {
 	case 0:
 		return
 	case 1:
-		d.fly(r, 80)
+		d.delayAppend(r, 80)
 	case 2:
-		d.fly(r, 4)
-		d.fly(r, 40)
+		d.delayAppend(r, 4)
+		d.delayAppend(r, 40)
 	default:
-		d.fly(r, 3)
+		d.delayAppend(r, 3)
 	}
 }
 
-func (d *deployment) fly(r lease.Record, most int) {
-	ticks := rapid.IntRange(0, most).Draw(d.t, "flight")
-	d.flying = append(d.flying, flying{record: r, lands: d.elapsed + time.Duration(ticks)*tick})
+func (d *deployment) delayAppend(r lease.Record, maxTicks int) {
+	ticks := rapid.IntRange(0, maxTicks).Draw(d.t, "flight")
+	d.delayed = append(d.delayed, delayedAppend{record: r, landsAt: d.elapsed + time.Duration(ticks)*tick})
 }
 
-// check holds at most one holder by its own judgement, and its fence never to
+// checkExclusive holds at most one holder by its own judgement, and its fence never to
 // be lower than one seen before. A paused holder counts: it may act as it wakes.
-func (d *deployment) check() {
+func (d *deployment) checkExclusive() {
 	holders := 0
 
 	for _, n := range d.nodes {
@@ -192,11 +192,11 @@
 
 		holders++
 
-		if fence < d.highest {
-			d.t.Fatalf("fence of %s: got %d, want at least %d", n.self, fence, d.highest)
+		if fence < d.highestFence {
+			d.t.Fatalf("fence of %s: got %d, want at least %d", n.self, fence, d.highestFence)
 		}
 
-		d.highest = fence
+		d.highestFence = fence
 	}
 
 	if holders > 1 {
@@ -204,8 +204,8 @@
 	}
 }
 
-func TestHoldsLeaseByOne(t *testing.T) {
-	changes, held := 0, 0
+func TestHoldsLeaseExclusively(t *testing.T) {
+	actedGrants, heldRuns := 0, 0
 
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDeployment(t)
@@ -214,20 +214,20 @@
 		for range 400 {
 			d.step()
 
-			if d.highest != last {
-				changes++
-				last = d.highest
+			if d.highestFence != last {
+				actedGrants++
+				last = d.highestFence
 			}
 		}
 
 		if last > 0 {
-			held++
+			heldRuns++
 		}
 	})
 
-	t.Logf("runs with a holder: %d, grants that were acted on: %d", held, changes)
+	t.Logf("runs with a holder: %d, grants that were acted on: %d", heldRuns, actedGrants)
 
-	if held == 0 {
+	if heldRuns == 0 {
 		t.Error("no run had a holder")
 	}
 }
