--- a/lease/action.go
+++ b/lease/action.go
@@ -2,10 +2,11 @@
 
 import "monsoonlever/fleet"
 
-// Action asks the shell to send an order to a target, or to read its state.
+// Action asks the caller to send an order to a target or to read the target's state.
 type Action[S comparable] struct {
 	Target fleet.InstanceID
-	// Read is set to read the state; otherwise State is ordered under Fence.
+	// Read requests a read of the state. If it is false, the caller sends an order for State
+	// with Fence.
 	Read  bool
 	State S
 	Fence Fence
--- a/lease/command.go
+++ b/lease/command.go
@@ -1,7 +1,7 @@
 package lease
 
-// Command asks the shell to append one record. The shell reports nothing back:
-// the record is seen, or not, when the log is read.
+// Command asks the caller to append one record to the log. The caller does not report the
+// result of the append: the core learns it from reading the log.
 type Command struct {
 	Record Record
 }
--- a/lease/config.go
+++ b/lease/config.go
@@ -6,30 +6,32 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Config holds the times of a lease. All processes of a deployment use the same
-// drift, and the same flight or a longer one.
+// Config holds the timing parameters of a lease. All processes of a deployment use the same
+// MaxDrift. The MaxOrderDelay of a successor is at least that of the holder, since the
+// successor waits by its own value.
 type Config struct {
-	// Term is how long a grant lasts.
+	// Term is the duration of a grant.
 	Term time.Duration
-	// RenewInterval is the time between two records of the holder.
+	// RenewInterval is the time between two renewals, and between two attempts to acquire.
 	RenewInterval time.Duration
-	// MaxDrift bounds how far the rate of a clock is off, as a share of one.
+	// MaxDrift is the largest error of a clock's rate, as a fraction: 0.001 is 1 ms per second.
 	MaxDrift float64
-	// MaxOrderDelay is the longest time between the check of an order and its effect
-	// in a process that is not paused.
+	// MaxOrderDelay is the longest time from Core.Check to the effect of the order that
+	// follows it, in a process that is not paused.
 	MaxOrderDelay time.Duration
-	// MaxReadGap is the longest time between two reads to the end of the log after
-	// which a successor starts its wait again. It keeps the holder in place
-	// across an outage of the log.
+	// MaxReadGap is the longest time between two reads that reach the end of the log. After a
+	// longer gap a successor restarts its wait, so that the holder can renew after an outage
+	// of the log and keeps the role.
 	MaxReadGap time.Duration
-	// SingleProcess tells that an instance never runs two processes at once: a new one
-	// need not wait for the term of the one before it on its own instance.
+	// SingleProcess guarantees that an instance never runs two processes at the same time, so
+	// that a new process need not wait for the term of its predecessor on the same instance.
 	SingleProcess bool
-	// Stagger spreads the candidates, so that they do not append all at once.
+	// Stagger is the upper bound of a candidate's extra wait, which keeps candidates from
+	// appending at the same time.
 	Stagger time.Duration
 }
 
-// DefaultConfig returns times that suit one region.
+// DefaultConfig returns the timing parameters for a deployment in one region.
 func DefaultConfig() Config {
 	return Config{
 		Term:          9 * time.Second,
@@ -41,7 +43,8 @@
 	}
 }
 
-// Validate tells whether the times fit each other.
+// Validate returns an error if a parameter is out of range or the term is too short for two
+// renewals.
 func (c Config) Validate() error {
 	if c.Term <= 0 || c.RenewInterval <= 0 || c.MaxOrderDelay < 0 || c.MaxReadGap <= 0 || c.Stagger < 0 {
 		return merry.New("lease times must be positive")
@@ -58,12 +61,14 @@
 	return nil
 }
 
-// shortenForDrift is how long a holder may act by its own clock.
+// shortenForDrift returns how long a holder may use a term as measured by its own clock, which
+// may run slow.
 func (c Config) shortenForDrift(term time.Duration) time.Duration {
 	return time.Duration(float64(term) * (1 - c.MaxDrift))
 }
 
-// lengthenForDrift is how long a successor waits by its own clock.
+// lengthenForDrift returns how long a successor waits as measured by its own clock, which may
+// run fast.
 func (c Config) lengthenForDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d)*(1+c.MaxDrift)) + time.Nanosecond
 }
--- a/lease/core.go
+++ b/lease/core.go
@@ -19,22 +19,23 @@
 	candidate bool
 	releasing bool
 	sequence  uint64
-	// pendingSentAt holds when records were sent that have not been read yet.
+	// pendingSentAt holds, by sequence number, the send times of records that this process
+	// has not read back from the log.
 	pendingSentAt map[uint64]time.Time
 	lastSentAt    time.Time
 
 	validUntil time.Time
-	// lastValidAt is when the last valid record was read.
+	// lastValidAt is when this process read the last valid record.
 	lastValidAt time.Time
-	// caughtUpAt is when the end of the log was last reached, and readableSince
-	// when that first happened after the last gap.
+	// caughtUpAt is the time of the last read that reached the end of the log. readableSince
+	// is the time of the first such read after the last gap above MaxReadGap.
 	caughtUpAt    time.Time
 	readableSince time.Time
-	// noAcquireBefore is until when nothing is taken after the log lost records.
+	// noAcquireBefore is the end of the wait after the log lost records.
 	noAcquireBefore time.Time
 }
 
-// NewCore returns a candidate for a role.
+// NewCore returns the state machine of a process that is a candidate for a role.
 func NewCore(config Config, role Role, self Holder) (*Core, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -50,8 +51,8 @@
 	}, nil
 }
 
-// Restore takes the state of the role from a checkpoint if that is newer. The
-// wait of a successor starts at now.
+// Restore replaces the state of the role by a checkpoint if the checkpoint is newer. The wait
+// of a successor then starts at now.
 func (c *Core) Restore(now time.Time, s Snapshot) {
 	if !c.ledger.Restore(s) {
 		return
@@ -61,7 +62,7 @@
 	c.validUntil = time.Time{}
 }
 
-// Observe takes in one record that was read from the log at now.
+// Observe applies one record that the process read from the log at now.
 func (c *Core) Observe(now time.Time, offset provider.Offset, r Record) {
 	if !c.ledger.Apply(offset, r) {
 		if r.Holder == c.self && r.Role == c.role {
@@ -84,9 +85,9 @@
 	c.extendValidity(r)
 }
 
-// LogRolledBack says that the log came back at now from an older copy, in which what was written last
-// is missing. What was held is held no more, and nothing is taken for as long as a grant may
-// last that this process never read of.
+// LogRolledBack reports that the log was restored at now from an older copy that lacks the
+// newest records. This process loses the role. It does not acquire the role until any grant
+// in the missing records must have expired.
 func (c *Core) LogRolledBack(now time.Time) {
 	c.ledger = NewLedger(c.role)
 	c.validUntil, c.lastValidAt, c.caughtUpAt, c.readableSince = time.Time{}, time.Time{}, time.Time{}, time.Time{}
@@ -96,7 +97,7 @@
 	clear(c.pendingSentAt)
 }
 
-// CaughtUp says that the end of the log was reached at now.
+// CaughtUp reports that a read reached the end of the log at now.
 func (c *Core) CaughtUp(now time.Time) {
 	if c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.MaxReadGap {
 		c.readableSince = now
@@ -128,8 +129,8 @@
 	return c.issueCommand(now, Acquire)
 }
 
-// Check returns the fencing number under which an order may be sent at now. It
-// is called right before every order.
+// Check returns the fencing token with which this process may send an order at now, or an
+// error that wraps ErrNotHeld. The caller calls it immediately before every order.
 func (c *Core) Check(now time.Time) (Fence, error) {
 	if c.releasing || !c.ledger.heldBy(c.self) {
 		return 0, merry.Prependf(ErrNotHeld, "role %s", c.role)
@@ -142,8 +143,8 @@
 	return c.ledger.state.Fence, nil
 }
 
-// Release gives the role up: Check fails from now on, and the record that lets
-// a successor in early is returned.
+// Release gives up the role: Check fails from now on. The returned record lets a successor
+// acquire the role before the term ends.
 func (c *Core) Release(now time.Time) []Command {
 	c.candidate = false
 
@@ -157,13 +158,13 @@
 	return c.issueCommand(now, Release)
 }
 
-// SetCandidate tells whether this process should try to hold the role. A holder
-// that is no candidate releases it.
+// SetCandidate sets whether this process tries to hold the role. A holder that is no candidate
+// releases the role.
 func (c *Core) SetCandidate(candidate bool) {
 	c.candidate = candidate
 }
 
-// Snapshot returns the state of the role for a checkpoint and for status.
+// Snapshot returns the state of the role for a checkpoint or a status report.
 func (c *Core) Snapshot() Snapshot {
 	return c.ledger.Snapshot()
 }
@@ -191,7 +192,7 @@
 	}
 }
 
-// CanAcquire tells whether a candidate would take the role now.
+// CanAcquire reports whether this process would try to acquire the role at now.
 func (c *Core) CanAcquire(now time.Time) bool {
 	return !c.ledger.heldBy(c.self) && c.acquireAllowed(now)
 }
@@ -227,7 +228,8 @@
 	return !now.Before(start.Add(c.config.lengthenForDrift(wait) + c.stagger()))
 }
 
-// stagger differs by candidate and by grant, so that no process is always first.
+// stagger returns the extra wait of this candidate. It depends on the candidate and on the last
+// record, so that no process is always first.
 func (c *Core) stagger() time.Duration {
 	if c.config.Stagger == 0 {
 		return 0
--- a/lease/core_test.go
+++ b/lease/core_test.go
@@ -110,8 +110,8 @@
 		wait time.Duration
 		want int
 	}{
-		{"before the flight of an order", time.Second, 0},
-		{"after the flight of an order", 2100 * time.Millisecond, 1},
+		{"within the order delay", time.Second, 0},
+		{"after the order delay", 2100 * time.Millisecond, 1},
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
 			b.CaughtUp(start.Add(tt.wait))
@@ -133,14 +133,14 @@
 
 	recovered := start.Add(time.Hour)
 	if got := len(b.Step(recovered.Add(-time.Second))); got != 0 {
-		t.Errorf("successor in the outage: got %d commands, want 0", got)
+		t.Errorf("successor during the outage: got %d commands, want 0", got)
 	}
 
 	b.CaughtUp(recovered)
 	a.CaughtUp(recovered)
 
 	if got := len(b.Step(recovered)); got != 0 {
-		t.Errorf("successor as the log is back: got %d commands, want 0", got)
+		t.Errorf("successor right after the outage: got %d commands, want 0", got)
 	}
 
 	renewal := onlyRecord(t, a.Step(recovered))
@@ -158,7 +158,7 @@
 
 	restored := lease.NewLedger(role)
 	if !restored.Restore(full.Snapshot()) {
-		t.Fatal("snapshot was not taken")
+		t.Fatal("snapshot was not restored")
 	}
 
 	for offset := provider.Offset(4); offset < 6; offset++ {
@@ -169,7 +169,7 @@
 	}
 }
 
-// A process that starts on the instance of the holder knows that the holder has ended.
+// A process that starts on the holder's instance knows that the holder has terminated.
 func TestNewProcessOnHolderInstanceSkipsTermWait(t *testing.T) {
 	for _, tt := range []struct {
 		desc          string
@@ -178,7 +178,7 @@
 		want          bool
 	}{
 		{"the same instance", true, lease.Holder{Instance: "entry-1", Incarnation: 2}, true},
-		{"the same instance, which may run two", false, lease.Holder{Instance: "entry-1", Incarnation: 2}, false},
+		{"the same instance, which may run two processes", false, lease.Holder{Instance: "entry-1", Incarnation: 2}, false},
 		{"another instance", true, lease.Holder{Instance: "entry-2", Incarnation: 2}, false},
 	} {
 		config := lease.DefaultConfig()
@@ -199,7 +199,7 @@
 		core.CaughtUp(later)
 
 		if got := core.CanAcquire(later); got != tt.want {
-			t.Errorf("%s: got open %v, want %v", tt.desc, got, tt.want)
+			t.Errorf("%s: can acquire: got %v, want %v", tt.desc, got, tt.want)
 		}
 	}
 }
--- a/lease/corrector.go
+++ b/lease/corrector.go
@@ -7,23 +7,22 @@
 	"monsoonlever/fleet"
 )
 
-// Corrector keeps targets at the wanted state. It orders the whole state under
-// the fencing number of the holder, reads it back, and orders again where the
-// state differs or is of another holder.
+// Corrector reconciles targets with their desired state. It orders the full state with the
+// fencing token of the holder, reads the state back, and repeats the order if the state
+// differs or carries the token of another holder.
 //
-// A target has one order outstanding at most, since the fencing number does not
-// put the orders of one holder in order. The shell reports the end of each by
-// Answered.
+// A target has at most one outstanding order, since the fencing token does not sequence the
+// orders of one holder. The caller reports the end of each order by OrderFinished.
 //
-// It reads each target every ReadEvery for as long as it is wanted, since an
-// engine that ignores the fencing number may take an old order at any time.
+// Corrector reads each target every ReadInterval until the target is removed, since an engine
+// that ignores fencing tokens may apply an old order at any time.
 type Corrector[S comparable] struct {
-	// ReadInterval is the time between two reads of one target.
+	// ReadInterval is the minimum time between two reads of one target.
 	ReadInterval time.Duration
-	// RetryInterval is the time between two orders of the same state to one target.
+	// RetryInterval is the minimum time between two orders of the same state to one target.
 	RetryInterval time.Duration
-	// MaxOrderDelay is how long an order may still take effect after its call ended
-	// without an answer. Another state is ordered only after that.
+	// MaxOrderDelay is how long an order may still take effect after its call ended without a
+	// response. Another state is ordered only after this time.
 	MaxOrderDelay time.Duration
 
 	targets map[fleet.InstanceID]*target[S]
@@ -35,13 +34,15 @@
 	lastOrderAt time.Time
 	lastReadAt  time.Time
 	fence       Fence
-	// outstanding is set while a call runs, and ordered is the state it asks for.
-	outstanding    bool
-	orderedState   S
+	// outstanding is set while the call of an order runs. orderedState is the state of the
+	// last order.
+	outstanding  bool
+	orderedState S
+	// uncertainUntil is how long the last order without a response may still take effect.
 	uncertainUntil time.Time
 }
 
-// SetDesired sets the wanted state of a target.
+// SetDesired sets the desired state of a target.
 func (c *Corrector[S]) SetDesired(id fleet.InstanceID, state S) {
 	if c.targets == nil {
 		c.targets = make(map[fleet.InstanceID]*target[S])
@@ -62,14 +63,14 @@
 	t.lastOrderAt = time.Time{}
 }
 
-// Remove drops a target that is gone.
+// Remove removes a target that no longer exists.
 func (c *Corrector[S]) Remove(id fleet.InstanceID) {
 	delete(c.targets, id)
 }
 
-// Observe takes in what was read from a target. A target that checks fencing
-// numbers is settled only once it holds that of this holder, since until then
-// it would still take an order of an older one.
+// Observe applies the state that the caller read from a target. A target that checks fencing
+// tokens is settled only once it has the token of this holder, since until then it would still
+// accept an order of an older holder.
 func (c *Corrector[S]) Observe(id fleet.InstanceID, r Readback[S]) {
 	t, ok := c.targets[id]
 	if !ok {
@@ -84,8 +85,9 @@
 	t.settled = settled
 }
 
-// OrderFinished takes in the end of the call of an order at now: certain if the target
-// took or refused it, and else it may still take effect within Flight.
+// OrderFinished reports that the call of an order ended at now. certain is set if the target
+// is known to have applied or refused the order; otherwise the order may still take effect
+// within MaxOrderDelay.
 func (c *Corrector[S]) OrderFinished(now time.Time, id fleet.InstanceID, certain bool) {
 	t, ok := c.targets[id]
 	if !ok {
@@ -98,7 +100,7 @@
 	}
 }
 
-// Step returns what to send at now under the fencing number from Core.Check.
+// Step returns the orders and reads to send at now with the fencing token from Core.Check.
 func (c *Corrector[S]) Step(now time.Time, fence Fence) []Action[S] {
 	var actions []Action[S]
 
@@ -126,7 +128,7 @@
 	return actions
 }
 
-// Settled tells whether a target was last read at its wanted state.
+// Settled reports whether the last read of a target showed the desired state.
 func (c *Corrector[S]) Settled(id fleet.InstanceID) bool {
 	t, ok := c.targets[id]
 
--- a/lease/corrector_property_test.go
+++ b/lease/corrector_property_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/lease"
 )
 
-// engine is a target that may ignore the fencing number.
+// engine is a target that may ignore fencing tokens.
 type engine struct {
 	checksFence bool
 	fence       lease.Fence
@@ -28,7 +28,8 @@
 	return true
 }
 
-// delayedOrder is an order on its way; a pause of its sender delays it at will.
+// delayedOrder is an order that was sent and has not arrived. A pause of its sender can delay
+// it for any time.
 type delayedOrder struct {
 	fence   lease.Fence
 	version int
@@ -41,8 +42,9 @@
 	maxOrderDelay = time.Second
 )
 
-// simulateHandovers runs an engine under successive holders whose orders may be delayed
-// past the next grant, and returns when the last stale order took effect.
+// simulateHandovers runs an engine under successive holders whose orders may arrive after the
+// next grant. It returns the corrector of the last holder and the time at which the last stale
+// order took effect.
 func simulateHandovers(t *rapid.T, e *engine, until time.Time) (*lease.Corrector[int], time.Time) {
 	var (
 		delayed      []delayedOrder
@@ -86,7 +88,7 @@
 
 		delayed = remaining
 
-		// Once the holder has read its own fence back, no older order gets in.
+		// Once the holder has read back its own fence, the engine refuses all older orders.
 		if e.checksFence && corrector.Settled("runner-1") && e.version != desired {
 			t.Fatalf("state of a settled engine: got %d, want %d", e.version, desired)
 		}
@@ -137,7 +139,7 @@
 			staleRuns++
 		}
 
-		// One read notices the stale state, and one order of at most flight mends it.
+		// One read detects the stale state, and one order corrects it within maxOrderDelay.
 		if until.Sub(lastStale) <= readInterval+2*maxOrderDelay {
 			return
 		}
--- a/lease/corrector_test.go
+++ b/lease/corrector_test.go
@@ -14,9 +14,9 @@
 		after time.Duration
 		want  int
 	}{
-		{"the same state again after the retry time", 1, time.Second, 1},
-		{"another state not within the flight", 2, 4 * time.Second, 0},
-		{"another state after the flight", 2, 5 * time.Second, 1},
+		{"the same state after the retry interval", 1, time.Second, 1},
+		{"another state within the order delay", 2, 4 * time.Second, 0},
+		{"another state after the order delay", 2, 5 * time.Second, 1},
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
 			c := &lease.Corrector[int]{ReadInterval: time.Hour, RetryInterval: time.Second, MaxOrderDelay: 5 * time.Second}
@@ -45,6 +45,6 @@
 	c.OrderFinished(start.Add(time.Minute), "runner-1", true)
 
 	if got, want := len(c.Step(start.Add(time.Minute), 7)), 1; got != want {
-		t.Errorf("orders after the answer: got %d, want %d", got, want)
+		t.Errorf("orders after the response: got %d, want %d", got, want)
 	}
 }
--- a/lease/drift_test.go
+++ b/lease/drift_test.go
@@ -9,8 +9,9 @@
 	"monsoonlever/lease"
 )
 
-// TestHoldsLeaseAcrossClockDrift pauses a holder right after its grant was read, and
-// lets the successor in at the first moment its own clock allows.
+// TestHoldsLeaseAcrossClockDrift lets a holder read its grant and nothing after it. The
+// successor must not acquire the role, at the first moment that its own clock allows, while
+// the holder may still act by its own clock.
 func TestHoldsLeaseAcrossClockDrift(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := lease.DefaultConfig()
@@ -40,7 +41,7 @@
 			}
 
 			if _, err := a.Check(clockAt(holderRate, elapsed)); err == nil {
-				t.Fatalf("after %s the holder may act and the successor acquires", elapsed)
+				t.Fatalf("after %s: the successor acquires while the holder may still act", elapsed)
 			}
 
 			return
--- a/lease/errors.go
+++ b/lease/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// ErrNotHeld is wrapped when a process may not act for a role.
+// ErrNotHeld means that this process does not hold the role, or that its term is over.
 var ErrNotHeld = errors.New("lease is not held")
--- a/lease/exclusive_test.go
+++ b/lease/exclusive_test.go
@@ -11,10 +11,10 @@
 	"monsoonlever/provider"
 )
 
-// tick is the step of true time in the simulated deployment.
+// tick is the step of real time in the simulated deployment.
 const tick = 50 * time.Millisecond
 
-// node is one process with a clock that runs at its own rate.
+// node is a process with a clock that runs at its own rate.
 type node struct {
 	core        *lease.Core
 	self        lease.Holder
@@ -22,7 +22,7 @@
 	offset      time.Duration
 	readCount   int
 	pausedTicks int
-	// lagRecords keeps the node from reading the newest records.
+	// lagRecords is how many of the newest records the node does not read.
 	lagRecords int
 }
 
@@ -40,7 +40,8 @@
 	landsAt time.Duration
 }
 
-// deployment is a log and some nodes that lose, delay and reorder appends.
+// deployment simulates a log and several nodes whose appends may be lost, delayed, reordered
+// and duplicated.
 type deployment struct {
 	t            *rapid.T
 	config       lease.Config
@@ -54,7 +55,7 @@
 
 func newDeployment(t *rapid.T) *deployment {
 	d := &deployment{t: t}
-	// Flight and stagger would hide a wait that is too short.
+	// MaxOrderDelay and Stagger stay 0, since they would hide a wait that is too short.
 	d.config = lease.Config{
 		Term:          2 * time.Second,
 		RenewInterval: 500 * time.Millisecond,
@@ -116,7 +117,7 @@
 func (d *deployment) injectFault() {
 	n := d.nodes[rapid.IntRange(0, len(d.nodes)-1).Draw(d.t, "node")]
 
-	switch rapid.IntRange(0, 79).Draw(d.t, "disturbance") {
+	switch rapid.IntRange(0, 79).Draw(d.t, "fault") {
 	case 0, 1, 2:
 		n.pausedTicks = rapid.IntRange(1, 80).Draw(d.t, "pause")
 	case 3, 4, 5:
@@ -159,7 +160,7 @@
 	}
 }
 
-// appendUnreliably loses the record, or lets it land at once, late or twice.
+// appendUnreliably loses the record, or appends it after a short or long delay, or twice.
 func (d *deployment) appendUnreliably(r lease.Record) {
 	switch rapid.IntRange(0, 19).Draw(d.t, "append") {
 	case 0:
@@ -175,12 +176,13 @@
 }
 
 func (d *deployment) delayAppend(r lease.Record, maxTicks int) {
-	ticks := rapid.IntRange(0, maxTicks).Draw(d.t, "flight")
+	ticks := rapid.IntRange(0, maxTicks).Draw(d.t, "delay")
 	d.delayed = append(d.delayed, delayedAppend{record: r, landsAt: d.elapsed + time.Duration(ticks)*tick})
 }
 
-// checkExclusive holds at most one holder by its own judgement, and its fence never to
-// be lower than one seen before. A paused holder counts: it may act as it wakes.
+// checkExclusive fails if more than one node considers itself the holder, or if the fencing
+// token of a holder is lower than an earlier one. A paused node counts as a holder, since it
+// may act when it resumes.
 func (d *deployment) checkExclusive() {
 	holders := 0
 
@@ -225,7 +227,7 @@
 		}
 	})
 
-	t.Logf("runs with a holder: %d, grants that were acted on: %d", heldRuns, actedGrants)
+	t.Logf("runs with a holder: %d, grants that a holder used: %d", heldRuns, actedGrants)
 
 	if heldRuns == 0 {
 		t.Error("no run had a holder")
--- a/lease/fence.go
+++ b/lease/fence.go
@@ -1,4 +1,4 @@
 package lease
 
-// Fence is the fencing number of a grant: the log offset of its Acquire.
+// Fence is the fencing token of a grant: the log offset of its Acquire record.
 type Fence uint64
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -6,7 +6,7 @@
 	"monsoonlever/fleet"
 )
 
-// Holder names one run of one process. A restarted process is another holder.
+// Holder identifies one incarnation of a process. A restarted process is another holder.
 type Holder struct {
 	Instance    fleet.InstanceID  `msgpack:"instance"`
 	Incarnation fleet.Incarnation `msgpack:"incarnation"`
--- a/lease/kind.go
+++ b/lease/kind.go
@@ -1,9 +1,9 @@
 package lease
 
-// Kind tells what a record asks for.
+// Kind is the operation that a record requests.
 type Kind string
 
-// The kinds of record.
+// The kinds of records.
 const (
 	Acquire Kind = "acquire"
 	Renew   Kind = "renew"
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,21 +1,21 @@
-// Package lease lets any entry instance hold a role, such as controller of a
-// region, by records on the log alone.
+// Package lease elects the holder of a role, such as the controller of a region, among the
+// entry instances. It needs only the records of an append-only log.
 //
-// The log decides: an Acquire, Renew or Release is valid only if it names the
-// offset of the last valid record of its role, so the first in log order wins.
-// The offset of a valid Acquire is the fencing number of the grant.
+// The order of the log decides: an Acquire, Renew or Release record is valid only if it names
+// the offset of the last valid record of its role, so the first record in the log wins. The
+// offset of a valid Acquire record is the fencing token of the grant.
 //
-// A holder counts its term from before it sent the record, on its monotonic
-// clock, less a margin for drift. A successor waits the term and the longest
-// flight of an order from when it read the record, plus that margin. So at most
-// one process believes that it holds the role as long as clocks keep the bound.
+// A holder counts its term from before it sent the record, on its monotonic clock, minus a
+// margin for clock drift. A successor waits for the term plus the maximum delay of an order,
+// counted from when it read the record, plus the same margin. So at most one process assumes
+// that it holds the role as long as the clocks stay within the drift bound.
 //
-// A holder can still be paused between Check and the send of an order. Orders
-// are therefore absolute, carry the fencing number, and are read back and
-// corrected by a Corrector.
+// A holder can still be paused between Check and the send of an order. Each order therefore
+// states the full desired state and carries the fencing token, and a Corrector reads the state
+// back and repeats the order if needed.
 //
-// Core and Corrector are deterministic: the time and the records go in and
-// commands come out. They are not safe for concurrent use.
+// Core and Corrector are deterministic: their inputs are the time and the records, their
+// outputs are commands. They are not safe for concurrent use.
 //
 // # Usage
 //
--- a/lease/ledger.go
+++ b/lease/ledger.go
@@ -2,18 +2,18 @@
 
 import "monsoonlever/provider"
 
-// Ledger folds the records of one role into the grant that is in force. Every
-// process that reads the same records comes to the same grant.
+// Ledger computes the current grant of one role from the records in the log. Every process
+// that reads the same records computes the same grant.
 type Ledger struct {
 	state Snapshot
 }
 
-// NewLedger returns a ledger of a role that nobody has held.
+// NewLedger returns a ledger of a role that has had no holder.
 func NewLedger(role Role) *Ledger {
 	return &Ledger{state: Snapshot{Role: role}}
 }
 
-// Apply judges one record and tells whether it is valid.
+// Apply applies one record if it is valid, and reports whether it is.
 func (l *Ledger) Apply(offset provider.Offset, r Record) bool {
 	if r.Role != l.state.Role || r.Previous != l.state.Last || offset <= l.state.Last {
 		return false
@@ -49,7 +49,8 @@
 	return l.state
 }
 
-// Restore replaces the state by a checkpoint of the same role if that is newer.
+// Restore replaces the state by a checkpoint of the same role if the checkpoint is newer, and
+// reports whether it did.
 func (l *Ledger) Restore(s Snapshot) bool {
 	if s.Role != l.state.Role || s.Last <= l.state.Last {
 		return false
--- a/lease/log_rollback_test.go
+++ b/lease/log_rollback_test.go
@@ -12,8 +12,8 @@
 	"monsoonlever/provider"
 )
 
-// simulation is a log that may come back from an older copy of itself, and processes that read
-// it, pause, and end.
+// simulation is a log that may be restored from an older copy, and processes that read it,
+// pause and restart.
 type simulation struct {
 	now       time.Time
 	era       uint64
@@ -21,7 +21,7 @@
 	processes []*process
 	config    Config
 
-	// checks are those that acted, each with its fence, in their order.
+	// checks holds the checks that succeeded, in order.
 	checks []passedCheck
 }
 
@@ -37,7 +37,7 @@
 	at      time.Time
 }
 
-// process is one process: its core, how far it has read, and until when it stands still.
+// process holds the core of a process, its read position and the end of its pause.
 type process struct {
 	core        *Core
 	era         uint64
@@ -56,7 +56,7 @@
 	c.processes[i] = &process{core: core}
 }
 
-// step lets a process write what it has to, read to the end, and act if it may.
+// step lets a process append its records, read to the end of the log, and check its lease.
 func (c *simulation) step(i int) {
 	r := c.processes[i]
 	if c.now.Before(r.pausedUntil) {
@@ -99,14 +99,14 @@
 	}
 
 	if lost && r.core.noAcquireBefore.IsZero() {
-		// One that started after the log came back.
+		// The process started after the log was restored.
 		r.core.LogRolledBack(c.now)
 	}
 
 	r.core.CaughtUp(c.now)
 }
 
-// rollBackLog brings the log back from a copy of some time ago.
+// rollBackLog restores the log from a copy that is ago old.
 func (c *simulation) rollBackLog(ago time.Duration) {
 	retained := 0
 	for retained < len(c.records) && !c.records[retained].appendedAt.After(c.now.Add(-ago)) {
@@ -117,9 +117,9 @@
 	c.era++
 }
 
-// However often the log comes back from an older copy, while processes start, end, stand
-// still and read late: fences never fall, none is used by two, and nobody acts again under
-// a grant that another's came after.
+// Guards against a lease that two processes use after the log was restored from an older copy
+// while processes restart, pause and read late: fencing tokens never decrease, no two processes
+// use the same token, and no process uses a grant after a newer one was used.
 func TestHoldsLeaseAcrossLogRollbacks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &simulation{
@@ -154,13 +154,13 @@
 
 		for n, a := range c.checks {
 			if holder, used := holders[a.fence]; used && holder != a.process {
-				t.Fatalf("fence %d: got used by %d and %d, want one", a.fence, holder, a.process)
+				t.Fatalf("fence %d: got used by processes %d and %d, want one", a.fence, holder, a.process)
 			}
 
 			holders[a.fence] = a.process
 
 			if n > 0 && a.fence < c.checks[n-1].fence {
-				t.Fatalf("at %v: got fence %d after %d, want none that falls", a.at, a.fence, c.checks[n-1].fence)
+				t.Fatalf("at %v: got fence %d after %d, want no decrease", a.at, a.fence, c.checks[n-1].fence)
 			}
 		}
 	})
--- a/lease/readback.go
+++ b/lease/readback.go
@@ -1,9 +1,9 @@
 package lease
 
-// Readback is the state that was read from a target.
+// Readback is the state that the caller read from a target.
 type Readback[S comparable] struct {
 	State S
 	Fence Fence
-	// ChecksFence tells whether the target refuses orders with an old fence.
+	// ChecksFence reports whether the target refuses orders with an old fencing token.
 	ChecksFence bool
 }
--- a/lease/record.go
+++ b/lease/record.go
@@ -11,11 +11,11 @@
 	Kind   Kind   `msgpack:"kind"`
 	Role   Role   `msgpack:"role"`
 	Holder Holder `msgpack:"holder"`
-	// Sequence counts the records of one holder. A retried append is sent as a
-	// new record with its own sequence.
+	// Sequence numbers the records of one holder. A retry of an append sends a new record
+	// with its own sequence number.
 	Sequence uint64 `msgpack:"sequence"`
 	// Previous is the offset of the last valid record of the role, or 0.
 	Previous provider.Offset `msgpack:"previous"`
-	// Term is how long the grant lasts, counted from before the append.
+	// Term is the duration of the grant, counted from before the append.
 	Term time.Duration `msgpack:"term"`
 }
--- a/lease/role.go
+++ b/lease/role.go
@@ -1,4 +1,5 @@
 package lease
 
-// Role names what a lease is held for, such as the controller of a region.
+// Role names the function that the holder of a lease performs, such as the controller of a
+// region.
 type Role string
--- a/lease/snapshot.go
+++ b/lease/snapshot.go
@@ -6,8 +6,8 @@
 	"monsoonlever/provider"
 )
 
-// Snapshot is the state of one role as a checkpoint keeps it, so that a process
-// that starts from the retained part of the log judges records as others do.
+// Snapshot is the state of one role in a checkpoint. It lets a process that starts from the
+// retained end of the log validate records as the other processes do.
 type Snapshot struct {
 	Role     Role            `msgpack:"role"`
 	Holder   Holder          `msgpack:"holder"`
