--- a/backend/event_decoder.go
+++ b/backend/event_decoder.go
@@ -26,7 +26,7 @@
 }
 
 func (d eventDecoder) decode(data []byte) (TokenEvent, error) {
-	if event, ok := d.decodeToken(data); ok {
+	if event, ok := d.decodeTokenOnly(data); ok {
 		return event, nil
 	}
 
@@ -42,7 +42,7 @@
 	return event, nil
 }
 
-func (d eventDecoder) decodeToken(data []byte) (TokenEvent, bool) {
+func (d eventDecoder) decodeTokenOnly(data []byte) (TokenEvent, bool) {
 	rest, ok := bytes.CutPrefix(data, fieldAttempt)
 	if !ok || len(rest) < len(d.attempt) || string(rest[:len(d.attempt)]) != string(d.attempt) {
 		return TokenEvent{}, false
@@ -64,7 +64,7 @@
 	}
 
 	token, ok := bytes.CutSuffix(rest, eventEnd)
-	if !ok || !isPlainText(token) {
+	if !ok || !isUnescapedText(token) {
 		return TokenEvent{}, false
 	}
 
@@ -89,8 +89,8 @@
 	return offset, data[digits:], digits > 0 && !leadingZero
 }
 
-// isPlainText tells whether a JSON string holds its bytes as they are.
-func isPlainText(s []byte) bool {
+// isUnescapedText tells whether a JSON string holds its bytes as they are.
+func isUnescapedText(s []byte) bool {
 	for _, b := range s {
 		if b < ' ' || b == '"' || b == '\\' {
 			return false
--- a/backend/event_stream.go
+++ b/backend/event_stream.go
@@ -22,11 +22,11 @@
 // eventStream reads server-sent events. It is for one reader at a time; Close
 // may come from another goroutine.
 type eventStream struct {
-	body    io.ReadCloser
-	reader  *bufio.Reader
-	decoder eventDecoder
-	long    []byte
-	err     error
+	body     io.ReadCloser
+	reader   *bufio.Reader
+	decoder  eventDecoder
+	longLine []byte
+	err      error
 }
 
 func newEventStream(body io.ReadCloser, attempt AttemptID) *eventStream {
@@ -59,7 +59,7 @@
 
 func (s *eventStream) next() (TokenEvent, error) {
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if errors.Is(err, io.EOF) {
 			return TokenEvent{}, io.ErrUnexpectedEOF
 		}
@@ -74,18 +74,18 @@
 	}
 }
 
-// line returns the next line in a buffer that the next call uses again.
-func (s *eventStream) line() ([]byte, error) {
+// readLine returns the next readLine in a buffer that the next call uses again.
+func (s *eventStream) readLine() ([]byte, error) {
 	line, err := s.reader.ReadSlice('\n')
 	if err == nil {
 		return line, nil
 	}
 
-	s.long = s.long[:0]
+	s.longLine = s.longLine[:0]
 
 	for errors.Is(err, bufio.ErrBufferFull) {
-		s.long = append(s.long, line...)
-		if len(s.long) > maxEventBytes {
+		s.longLine = append(s.longLine, line...)
+		if len(s.longLine) > maxEventBytes {
 			return nil, merry.Prepend(ErrMalformedEvent, "line is too long")
 		}
 
@@ -100,9 +100,9 @@
 		return nil, merry.Prepend(err, "read event stream")
 	}
 
-	s.long = append(s.long, line...)
+	s.longLine = append(s.longLine, line...)
 
-	return s.long, nil
+	return s.longLine, nil
 }
 
 // Close ends the stream; the engine sees the connection end.
--- a/backend/event_stream_test.go
+++ b/backend/event_stream_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestEventStreamEnds(t *testing.T) {
+func TestEventStreamTermination(t *testing.T) {
 	const token = `data: {"attempt":"a","offset":0,"token":"x"}` + "\n\n"
 
 	tests := []struct {
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestEventDecoderAgreesWithJSON(t *testing.T) {
+func TestEventDecoderMatchesJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := TokenEvent{
 			Attempt: AttemptID(rapid.SampledFrom([]string{"a", "b", `a"`, "aa"}).Draw(t, "attempt")),
@@ -90,7 +90,7 @@
 	})
 }
 
-func TestEventDecoderTakesNoMoreThanJSON(t *testing.T) {
+func TestEventDecoderAcceptsOnlyValidJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := []byte(`{"attempt":"a","offset":12,"token":"xyz"}`)
 		at := rapid.IntRange(0, len(data)-1).Draw(t, "at")
@@ -136,7 +136,7 @@
 	return newEventStream(&endlessTokens{line: line}, "a-1")
 }
 
-func TestTokenCostsOneAllocation(t *testing.T) {
+func TestNextAllocatesOncePerToken(t *testing.T) {
 	s := newEndlessStream()
 
 	got := testing.AllocsPerRun(1000, func() {
--- a/backend/http_engine.go
+++ b/backend/http_engine.go
@@ -69,10 +69,10 @@
 
 	resp, err := e.client.Send(ctx, http.MethodPost, GeneratePath, header, body)
 	if err != nil {
-		return nil, merry.Prepend(outcomeOf(err), "start attempt "+string(r.Attempt))
+		return nil, merry.Prepend(classifyError(err), "start attempt "+string(r.Attempt))
 	}
 
-	if err := checkStream(resp); err != nil {
+	if err := checkStreamResponse(resp); err != nil {
 		resp.Body.Close() //nolint:errcheck,gosec // the first error is the one to tell
 
 		return nil, merry.Prepend(err, "start attempt "+string(r.Attempt))
@@ -81,9 +81,9 @@
 	return newEventStream(resp.Body, r.Attempt), nil
 }
 
-func checkStream(resp *http.Response) error {
+func checkStreamResponse(resp *http.Response) error {
 	if resp.StatusCode != http.StatusOK {
-		return outcomeOf(httpclient.NewStatusError(resp))
+		return classifyError(httpclient.NewStatusError(resp))
 	}
 
 	if resp.Header.Get("Content-Type") != EventStreamType {
@@ -104,12 +104,12 @@
 
 // ExportKV copies the KV cache of an attempt to the engine at target.
 func (e *HTTPEngine) ExportKV(ctx context.Context, id AttemptID, target string) (string, error) {
-	var answer ExportResponse
-	if err := e.post(ctx, ExportPath, ExportRequest{Attempt: id, Target: target}, &answer); err != nil {
+	var response ExportResponse
+	if err := e.post(ctx, ExportPath, ExportRequest{Attempt: id, Target: target}, &response); err != nil {
 		return "", merry.Prepend(err, "export kv cache of attempt "+string(id))
 	}
 
-	return answer.KV, nil
+	return response.KV, nil
 }
 
 // Load returns what the engine last said of its load.
@@ -160,10 +160,10 @@
 	return state, nil
 }
 
-func (e *HTTPEngine) get(ctx context.Context, path string, answer any) error {
-	return outcomeOf(e.client.Get(ctx, path, answer))
+func (e *HTTPEngine) get(ctx context.Context, path string, result any) error {
+	return classifyError(e.client.Get(ctx, path, result))
 }
 
-func (e *HTTPEngine) post(ctx context.Context, path string, message, answer any) error {
-	return outcomeOf(e.client.Post(ctx, path, message, answer))
+func (e *HTTPEngine) post(ctx context.Context, path string, message, result any) error {
+	return classifyError(e.client.Post(ctx, path, message, result))
 }
--- a/backend/http_plain.go
+++ b/backend/http_plain.go
@@ -36,14 +36,14 @@
 
 // Do sends a call at most once; see PlainServer for what its errors mean.
 func (p *HTTPPlainServer) Do(ctx context.Context, c Call) (Reply, error) {
-	resp, err := p.client.Send(ctx, c.Method, c.Path, headerOf(c), c.Body)
+	resp, err := p.client.Send(ctx, c.Method, c.Path, requestHeader(c), c.Body)
 	if err != nil {
-		return Reply{}, merry.Prepend(outcomeOf(err), "call plain service")
+		return Reply{}, merry.Prepend(classifyError(err), "call plain service")
 	}
 	defer resp.Body.Close() //nolint:errcheck // nothing is left to be read
 
 	if isNotStarted(resp.StatusCode, resp.Header.Get(ExecutionHeader)) {
-		return Reply{}, merry.Prepend(outcomeOf(httpclient.NewStatusError(resp)), "call plain service")
+		return Reply{}, merry.Prepend(classifyError(httpclient.NewStatusError(resp)), "call plain service")
 	}
 
 	body, err := httpclient.ReadBody(resp.Body, maxReplyBytes)
@@ -58,8 +58,8 @@
 	return Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// headerOf returns a header of the call's own, since the caller may use his again.
-func headerOf(c Call) http.Header {
+// requestHeader returns a header of the call's own, since the caller may use his again.
+func requestHeader(c Call) http.Header {
 	header := c.Header.Clone()
 	if header == nil {
 		header = make(http.Header)
@@ -76,7 +76,7 @@
 func (p *HTTPPlainServer) Load(ctx context.Context) (LoadReport, error) {
 	var report LoadReport
 	if err := p.client.Get(ctx, LoadPath, &report); err != nil {
-		return LoadReport{}, merry.Prepend(outcomeOf(err), "read load of plain service")
+		return LoadReport{}, merry.Prepend(classifyError(err), "read load of plain service")
 	}
 
 	return report, nil
--- a/backend/http_test.go
+++ b/backend/http_test.go
@@ -43,11 +43,11 @@
 			return
 		}
 
-		go s.answer(conn)
+		go s.handle(conn)
 	}
 }
 
-func (s *breakingServer) answer(conn net.Conn) {
+func (s *breakingServer) handle(conn net.Conn) {
 	defer conn.Close()
 
 	reader := bufio.NewReader(conn)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestDoSendsACallOnce(t *testing.T) {
+func TestDoSendsCallOnce(t *testing.T) {
 	tests := []struct {
 		desc string
 		call backend.Call
@@ -113,7 +113,7 @@
 
 // The transport alone sends a request with a key again, which is why the test
 // above is needed.
-func TestTransportAloneSendsTwice(t *testing.T) {
+func TestTransportResendsRequestWithKey(t *testing.T) {
 	server := newBreakingServer(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	url := "http://" + server.listener.Addr().String() + "/"
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestGenerateSendsAnAttemptOnce(t *testing.T) {
+func TestGenerateSendsAttemptOnce(t *testing.T) {
 	server := newBreakingServer(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	engine := backend.NewHTTPEngine(server.listener.Addr().String(), client)
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestFailedDialIsNotSent(t *testing.T) {
+func TestFailedDialReturnsErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestDoReadsTheAnswer(t *testing.T) {
+func TestDoClassifiesResponse(t *testing.T) {
 	tests := []struct {
 		desc       string
 		status     int
--- a/backend/outcome.go
+++ b/backend/outcome.go
@@ -16,10 +16,10 @@
 	ExecutionNotStarted = "not-started"
 )
 
-// outcomeOf turns an error of the HTTP client into one of the port's: it wraps
+// classifyError turns an error of the HTTP client into one of the port's: it wraps
 // ErrNotSent, or ErrRefused only where the backend server said that it did not
 // start.
-func outcomeOf(err error) error {
+func classifyError(err error) error {
 	if errors.Is(err, httpclient.ErrNotSent) {
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
--- a/clock/manual.go
+++ b/clock/manual.go
@@ -13,8 +13,8 @@
 }
 
 type waiter struct {
-	at time.Time
-	ch chan time.Time
+	dueAt time.Time
+	ch    chan time.Time
 }
 
 // NewManual returns a clock that stands at start.
@@ -44,7 +44,7 @@
 		return ch
 	}
 
-	m.waiters = append(m.waiters, waiter{at: at, ch: ch})
+	m.waiters = append(m.waiters, waiter{dueAt: at, ch: ch})
 
 	return ch
 }
@@ -55,11 +55,11 @@
 	defer m.mu.Unlock()
 
 	m.now = m.now.Add(d)
-	kept := m.waiters[:0]
+	remaining := m.waiters[:0]
 
 	for _, w := range m.waiters {
-		if w.at.After(m.now) {
-			kept = append(kept, w)
+		if w.dueAt.After(m.now) {
+			remaining = append(remaining, w)
 
 			continue
 		}
@@ -67,5 +67,5 @@
 		w.ch <- m.now
 	}
 
-	m.waiters = kept
+	m.waiters = remaining
 }
--- a/clock/manual_test.go
+++ b/clock/manual_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestManualWakesWaitersInTheirTime(t *testing.T) {
+func TestManualWakesWaitersWhenDue(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
 	tests := []struct {
--- a/clock/sleep_test.go
+++ b/clock/sleep_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestSleepEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestSleepReturnsOnTimeoutOrCancel(t *testing.T) {
 	tests := []struct {
 		desc    string
 		timeout time.Duration
@@ -23,10 +23,10 @@
 				ctx, cancel := context.WithTimeout(t.Context(), tt.timeout)
 				defer cancel()
 
-				begun := time.Now()
+				began := time.Now()
 				Sleep(ctx, System{}, time.Minute)
 
-				if got := time.Since(begun); got != tt.want {
+				if got := time.Since(began); got != tt.want {
 					t.Errorf("slept: got %v, want %v", got, tt.want)
 				}
 			})
--- a/clock/steady.go
+++ b/clock/steady.go
@@ -11,19 +11,19 @@
 // day and goes on by CLOCK_BOOTTIME; Go's own monotonic clock stands still while
 // the machine is suspended.
 type Steady struct {
-	start time.Time
-	boot  time.Duration
+	start          time.Time
+	startSinceBoot time.Duration
 }
 
 // NewSteady returns a clock that shows the time of day now.
 func NewSteady() *Steady {
-	return &Steady{start: time.Now().Round(0), boot: sinceBoot()}
+	return &Steady{start: time.Now().Round(0), startSinceBoot: sinceBoot()}
 }
 
 // Now returns the start of the clock plus what has passed since, suspension
 // included. It has no monotonic reading, so that comparisons use this time alone.
 func (s *Steady) Now() time.Time {
-	return s.start.Add(sinceBoot() - s.boot)
+	return s.start.Add(sinceBoot() - s.startSinceBoot)
 }
 
 // After waits on the machine's clock.
--- a/codec/codec.go
+++ b/codec/codec.go
@@ -18,8 +18,8 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// ErrNotWhole means that a message holds less than it declares.
-var ErrNotWhole = merry.Sentinel("message is not whole")
+// ErrTruncated means that a message holds less than it declares.
+var ErrTruncated = merry.Sentinel("message is not whole")
 
 // Unmarshal decodes a message into a pointer. A message that holds less than it declares
 // is ErrNotWhole, and takes no memory.
@@ -33,16 +33,16 @@
 
 // Check returns ErrNotWhole for a message that holds less than it declares.
 func Check(data []byte) error {
-	if !whole(data) {
-		return merry.Prependf(ErrNotWhole, "%d bytes", len(data))
+	if !isComplete(data) {
+		return merry.Prependf(ErrTruncated, "%d bytes", len(data))
 	}
 
 	return nil
 }
 
-// whole reports whether a message holds all elements and bytes that it declares.
-func whole(data []byte) bool {
-	for left := uint64(1); left > 0; left-- {
+// isComplete reports whether a message holds all elements and bytes that it declares.
+func isComplete(data []byte) bool {
+	for remaining := uint64(1); remaining > 0; remaining-- {
 		if len(data) == 0 {
 			return false
 		}
@@ -50,7 +50,7 @@
 		code := data[0]
 		data = data[1:]
 
-		if bytes := scalars[code]; bytes != notScalar {
+		if bytes := fixedSizes[code]; bytes != variableSize {
 			if int(bytes) > len(data) {
 				return false
 			}
@@ -60,27 +60,27 @@
 			continue
 		}
 
-		size, ok := lengthOf(code, data)
+		declared, ok := parseLength(code, data)
 		// An element takes a byte at least.
-		if !ok || size.bytes+size.elements > uint64(len(data)-size.header) {
+		if !ok || declared.bytes+declared.elements > uint64(len(data)-declared.header) {
 			return false
 		}
 
-		data = data[uint64(size.header)+size.bytes:]
-		left += size.elements
+		data = data[uint64(declared.header)+declared.bytes:]
+		remaining += declared.elements
 	}
 
 	return true
 }
 
-// notScalar stands for codes of values whose length is declared.
-const notScalar = -1
+// variableSize stands for codes of values whose length is declared.
+const variableSize = -1
 
-// scalars are the bytes after each code of a value whose length is not declared.
-var scalars = func() (table [256]int8) {
+// fixedSizes are the bytes after each code of a value whose length is not declared.
+var fixedSizes = func() (table [256]int8) {
 	for code := range table {
 		if !msgpcode.IsFixedNum(byte(code)) {
-			table[code] = notScalar
+			table[code] = variableSize
 		}
 	}
 
@@ -89,8 +89,8 @@
 		msgpcode.Uint8: 1, msgpcode.Uint16: 2, msgpcode.Uint32: 4, msgpcode.Uint64: 8,
 		msgpcode.Int8: 1, msgpcode.Int16: 2, msgpcode.Int32: 4, msgpcode.Int64: 8,
 		msgpcode.Float: 4, msgpcode.Double: 8,
-		msgpcode.FixExt1: 1 + extensionType, msgpcode.FixExt2: 2 + extensionType, msgpcode.FixExt4: 4 + extensionType,
-		msgpcode.FixExt8: 8 + extensionType, msgpcode.FixExt16: 16 + extensionType,
+		msgpcode.FixExt1: 1 + extensionTypeBytes, msgpcode.FixExt2: 2 + extensionTypeBytes, msgpcode.FixExt4: 4 + extensionTypeBytes,
+		msgpcode.FixExt8: 8 + extensionTypeBytes, msgpcode.FixExt16: 16 + extensionTypeBytes,
 	} {
 		table[code] = bytes
 	}
@@ -98,26 +98,26 @@
 	return table
 }()
 
-// extensionType is the byte that names the type of an extension.
-const extensionType = 1
+// extensionTypeBytes is the byte that names the type of an extension.
+const extensionTypeBytes = 1
 
-// length is what a value declares.
-type length struct {
+// declaredLength is what a value declares.
+type declaredLength struct {
 	// header are the bytes of the length itself.
 	header   int
 	bytes    uint64
 	elements uint64
 }
 
-// lengthOf returns what a value declares. rest begins after its code.
-func lengthOf(code byte, rest []byte) (length, bool) {
+// parseLength returns what a value declares. rest begins after its code.
+func parseLength(code byte, rest []byte) (declaredLength, bool) {
 	switch {
 	case msgpcode.IsFixedMap(code):
-		return length{elements: 2 * uint64(code&msgpcode.FixedMapMask)}, true
+		return declaredLength{elements: 2 * uint64(code&msgpcode.FixedMapMask)}, true
 	case msgpcode.IsFixedArray(code):
-		return length{elements: uint64(code & msgpcode.FixedArrayMask)}, true
+		return declaredLength{elements: uint64(code & msgpcode.FixedArrayMask)}, true
 	case msgpcode.IsFixedString(code):
-		return length{bytes: uint64(code & msgpcode.FixedStrMask)}, true
+		return declaredLength{bytes: uint64(code & msgpcode.FixedStrMask)}, true
 	}
 
 	header := 4
@@ -130,7 +130,7 @@
 	}
 
 	if len(rest) < header {
-		return length{}, false
+		return declaredLength{}, false
 	}
 
 	n := uint64(0)
@@ -140,14 +140,14 @@
 
 	switch code {
 	case msgpcode.Str8, msgpcode.Str16, msgpcode.Str32, msgpcode.Bin8, msgpcode.Bin16, msgpcode.Bin32:
-		return length{header: header, bytes: n}, true
+		return declaredLength{header: header, bytes: n}, true
 	case msgpcode.Ext8, msgpcode.Ext16, msgpcode.Ext32:
-		return length{header: header, bytes: n + extensionType}, true
+		return declaredLength{header: header, bytes: n + extensionTypeBytes}, true
 	case msgpcode.Array16, msgpcode.Array32:
-		return length{header: header, elements: n}, true
+		return declaredLength{header: header, elements: n}, true
 	case msgpcode.Map16, msgpcode.Map32:
-		return length{header: header, elements: 2 * n}, true
+		return declaredLength{header: header, elements: 2 * n}, true
 	default:
-		return length{}, false
+		return declaredLength{}, false
 	}
 }
--- a/codec/codec_test.go
+++ b/codec/codec_test.go
@@ -25,8 +25,8 @@
 
 // A message of some bytes that declared a million elements took hundreds of megabytes,
 // more than an instance may use, and ended it. The bytes of a message bound its memory.
-func TestALengthThatIsNotThereTakesNoMemory(t *testing.T) {
-	const most = 64 << 10
+func TestUnmarshalAllocatesNoDeclaredLength(t *testing.T) {
+	const maxAllocBytes = 64 << 10
 
 	million := "\x00\x0f\x42\x40"
 
@@ -52,14 +52,14 @@
 				t.Error("got no error, want one")
 			}
 
-			if got := after.TotalAlloc - before.TotalAlloc; got > most {
-				t.Errorf("memory for %d bytes: got %d, want at most %d", len(data), got, most)
+			if got := after.TotalAlloc - before.TotalAlloc; got > maxAllocBytes {
+				t.Errorf("memory for %d bytes: got %d, want at most %d", len(data), got, maxAllocBytes)
 			}
 		})
 	}
 }
 
-func TestAWholeMessageIsDecoded(t *testing.T) {
+func TestUnmarshalDecodesCompleteMessage(t *testing.T) {
 	want := message{Items: []item{{Name: "a"}, {Name: "b"}}, Names: []string{"c"}, Text: "d", Texts: map[string]string{"e": "f"}}
 
 	data, err := msgpack.Marshal(&want)
@@ -103,7 +103,7 @@
 }
 
 // Whatever the decoder itself takes is whole, and what is cut anywhere is not.
-func FuzzWholeMessages(f *testing.F) {
+func FuzzIsComplete(f *testing.F) {
 	data, err := msgpack.Marshal(map[string]any{
 		"numbers": []any{1, -1, 1 << 10, 1 << 20, 1 << 40, 1.5, float32(2), true, nil}, "bytes": make([]byte, 300),
 		"time": time.Unix(1000, 1), "text": "text",
@@ -117,12 +117,12 @@
 		read := bytes.NewReader(data)
 
 		skipped := msgpack.NewDecoder(read).Skip()
-		if got, want := whole(data), skipped == nil; got != want {
+		if got, want := isComplete(data), skipped == nil; got != want {
 			t.Errorf("%x: got %t, want %t (%v)", data, got, want, skipped)
 		}
 
 		if skipped == nil {
-			if used := len(data) - read.Len(); whole(data[:used-1]) {
+			if used := len(data) - read.Len(); isComplete(data[:used-1]) {
 				t.Errorf("%x without its last byte: got whole, want not", data[:used])
 			}
 		}
--- a/currency/currency.go
+++ b/currency/currency.go
@@ -31,19 +31,19 @@
 	// MaxAge is the age above which the rules are not known to be in force.
 	MaxAge time.Duration
 
-	// asked is when the question of the newest confirmation was sent, in Unix
+	// requestedAt is when the question of the newest confirmation was sent, in Unix
 	// nanoseconds, or zero.
-	asked atomic.Int64
+	requestedAt atomic.Int64
 }
 
 // Confirm takes in that the rules were found to be the newest by a question that
 // was sent at asked. An older confirmation than the last changes nothing.
-func (t *Tracker) Confirm(asked time.Time) {
-	next := asked.UnixNano()
+func (t *Tracker) Confirm(requestedAt time.Time) {
+	next := requestedAt.UnixNano()
 
 	for {
-		last := t.asked.Load()
-		if next <= last || t.asked.CompareAndSwap(last, next) {
+		last := t.requestedAt.Load()
+		if next <= last || t.requestedAt.CompareAndSwap(last, next) {
 			return
 		}
 	}
@@ -52,12 +52,12 @@
 // Age returns the time since the newest confirmation was asked for, and whether
 // there is one.
 func (t *Tracker) Age() (time.Duration, bool) {
-	asked := t.asked.Load()
-	if asked == 0 {
+	requestedAt := t.requestedAt.Load()
+	if requestedAt == 0 {
 		return 0, false
 	}
 
-	return t.Clock.Now().Sub(time.Unix(0, asked)), true
+	return t.Clock.Now().Sub(time.Unix(0, requestedAt)), true
 }
 
 // Current tells whether the rules are known to be in force.
--- a/currency/currency_test.go
+++ b/currency/currency_test.go
@@ -7,7 +7,7 @@
 	"monsoonlever/clock"
 )
 
-func TestCurrencyCountsFromTheQuestion(t *testing.T) {
+func TestConfirmationAgesFromRequest(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	tracker := &Tracker{Clock: c, MaxAge: 4 * time.Second}
 
@@ -15,11 +15,11 @@
 		t.Error("before any answer: got current, want not")
 	}
 
-	asked := c.Now()
+	requestedAt := c.Now()
 
 	// The answer comes late, or the machine slept before it was read.
 	c.Advance(3 * time.Second)
-	tracker.Confirm(asked)
+	tracker.Confirm(requestedAt)
 
 	if !tracker.Current() {
 		t.Error("3s after the question: got not current, want current")
@@ -32,7 +32,7 @@
 	}
 
 	tracker.Confirm(c.Now())
-	tracker.Confirm(asked)
+	tracker.Confirm(requestedAt)
 
 	if !tracker.Current() {
 		t.Error("an old answer took a newer confirmation back")
--- a/finding/finding.go
+++ b/finding/finding.go
@@ -24,14 +24,14 @@
 
 // String returns the finding as file:line: field: message.
 func (f Finding) String() string {
-	place := f.File
+	location := f.File
 	if f.Line > 0 {
-		place = fmt.Sprintf("%s:%d", f.File, f.Line)
+		location = fmt.Sprintf("%s:%d", f.File, f.Line)
 	}
 
 	if f.Field == "" {
-		return place + ": " + f.Message
+		return location + ": " + f.Message
 	}
 
-	return place + ": " + f.Field + ": " + f.Message
+	return location + ": " + f.Field + ": " + f.Message
 }
--- a/finding/list_test.go
+++ b/finding/list_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestListReportsEveryFindingWithItsPlace(t *testing.T) {
+func TestListReportsFindingsWithLocation(t *testing.T) {
 	var l List
 	if err := l.Err(); err != nil {
 		t.Fatalf("empty list: got %v, want nil", err)
--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -14,7 +14,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-const maxAnswerBytes = 64 << 20
+const maxResponseBytes = 64 << 20
 
 var (
 	// ErrNotSent means that no byte of the request left this process.
@@ -45,9 +45,9 @@
 	ctx context.Context, method, path string, header http.Header, body []byte,
 ) (*http.Response, error) {
 	// Without GetBody the transport has no second body to send.
-	once := io.NopCloser(bytes.NewReader(body))
+	singleUseBody := io.NopCloser(bytes.NewReader(body))
 
-	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, once)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, singleUseBody)
 	if err != nil {
 		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
@@ -62,7 +62,7 @@
 }
 
 // Get decodes the answer to a request that may be sent again.
-func (c *Client) Get(ctx context.Context, path string, answer any) error {
+func (c *Client) Get(ctx context.Context, path string, result any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
@@ -73,27 +73,27 @@
 		return err
 	}
 
-	return decode(resp, answer)
+	return decode(resp, result)
 }
 
 // Post sends a message at most once, and decodes the answer if one is wanted.
-func (c *Client) Post(ctx context.Context, path string, message, answer any) error {
+func (c *Client) Post(ctx context.Context, path string, message, result any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
 
-	return c.PostBytes(ctx, path, body, answer)
+	return c.PostBytes(ctx, path, body, result)
 }
 
 // PostBytes is Post with a body that is encoded already.
-func (c *Client) PostBytes(ctx context.Context, path string, body []byte, answer any) error {
+func (c *Client) PostBytes(ctx context.Context, path string, body []byte, result any) error {
 	resp, err := c.Send(ctx, http.MethodPost, path, nil, body)
 	if err != nil {
 		return err
 	}
 
-	return decode(resp, answer)
+	return decode(resp, result)
 }
 
 func (c *Client) do(req *http.Request) (*http.Response, error) {
@@ -124,23 +124,23 @@
 }
 
 // decode reads an answer to its end and closes it.
-func decode(resp *http.Response, answer any) error {
+func decode(resp *http.Response, result any) error {
 	defer resp.Body.Close() //nolint:errcheck // nothing is left to be read
 
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		return merry.Wrap(NewStatusError(resp))
 	}
 
-	body, err := ReadBody(resp.Body, maxAnswerBytes)
+	body, err := ReadBody(resp.Body, maxResponseBytes)
 	if err != nil {
 		return merry.Prepend(err, "read answer")
 	}
 
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
 
-	if err := json.Unmarshal(body, answer); err != nil {
+	if err := json.Unmarshal(body, result); err != nil {
 		return merry.Prepend(err, "decode answer")
 	}
 
--- a/httpclient/client_test.go
+++ b/httpclient/client_test.go
@@ -14,13 +14,13 @@
 
 // A read that the transport sends again may fail to dial the second time, but
 // the first sending has left.
-func TestFailedDialAfterASendingIsNotErrNotSent(t *testing.T) {
+func TestDialFailureOnResendIsNotErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	go answerOnceAndLeave(l)
+	go serveOnceThenClose(l)
 
 	client := httpclient.New("http://"+l.Addr().String(), &http.Client{Transport: &http.Transport{}})
 	if err := client.Get(t.Context(), "/", nil); err != nil {
@@ -39,7 +39,7 @@
 	}
 }
 
-func answerOnceAndLeave(l net.Listener) {
+func serveOnceThenClose(l net.Listener) {
 	conn, err := l.Accept()
 	if err != nil {
 		return
@@ -69,7 +69,7 @@
 	return nil, io.ErrUnexpectedEOF
 }
 
-func TestErrorOfAnotherRoundTripperIsUnknown(t *testing.T) {
+func TestRoundTripperErrorIsNotErrNotSent(t *testing.T) {
 	client := httpclient.New("http://127.0.0.1:1", &http.Client{Transport: failingRoundTripper{}})
 
 	err := client.Post(t.Context(), "/", "x", nil)
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestReadBodyIsBounded(t *testing.T) {
+func TestReadBodyEnforcesLimit(t *testing.T) {
 	tests := []struct {
 		desc string
 		body string
--- a/httpclient/status_error.go
+++ b/httpclient/status_error.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-const maxErrorBytes = 512
+const maxErrorBodyBytes = 512
 
 // StatusError is an answer with a status that is not a success.
 type StatusError struct {
@@ -18,7 +18,7 @@
 
 // NewStatusError returns the error of an answer, of which it reads a little.
 func NewStatusError(resp *http.Response) *StatusError {
-	message, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
+	message, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	if err != nil {
 		message = []byte("unreadable body")
 	}
--- a/lease/corrector_property_test.go
+++ b/lease/corrector_property_test.go
@@ -31,10 +31,10 @@
 // delayedOrder is an order that was sent and has not arrived. A pause of its sender can delay
 // it for any time.
 type delayedOrder struct {
-	fence   lease.Fence
-	version int
-	landsAt time.Time
-	finish  func(now time.Time)
+	fence     lease.Fence
+	version   int
+	arrivesAt time.Time
+	finish    func(now time.Time)
 }
 
 const (
@@ -67,7 +67,7 @@
 		remaining := delayed[:0]
 
 		for _, o := range delayed {
-			if o.landsAt.After(now) {
+			if o.arrivesAt.After(now) {
 				remaining = append(remaining, o)
 
 				continue
@@ -105,7 +105,7 @@
 				delay = time.Duration(rapid.IntRange(0, 40).Draw(t, "paused")) * time.Second
 			}
 
-			delayed = append(delayed, delayedOrder{fence: a.Fence, version: a.State, landsAt: now.Add(delay), finish: finishOrder(corrector, a.Target)})
+			delayed = append(delayed, delayedOrder{fence: a.Fence, version: a.State, arrivesAt: now.Add(delay), finish: finishOrder(corrector, a.Target)})
 		}
 	}
 
--- a/lease/exclusive_test.go
+++ b/lease/exclusive_test.go
@@ -36,8 +36,8 @@
 }
 
 type delayedAppend struct {
-	record  lease.Record
-	landsAt time.Duration
+	record    lease.Record
+	arrivesAt time.Duration
 }
 
 // deployment simulates a log and several nodes whose appends may be lost, delayed, reordered
@@ -102,7 +102,7 @@
 	remaining := d.delayed[:0]
 
 	for _, f := range d.delayed {
-		if f.landsAt > d.elapsed || d.logDown {
+		if f.arrivesAt > d.elapsed || d.logDown {
 			remaining = append(remaining, f)
 
 			continue
@@ -177,7 +177,7 @@
 
 func (d *deployment) delayAppend(r lease.Record, maxTicks int) {
 	ticks := rapid.IntRange(0, maxTicks).Draw(d.t, "delay")
-	d.delayed = append(d.delayed, delayedAppend{record: r, landsAt: d.elapsed + time.Duration(ticks)*tick})
+	d.delayed = append(d.delayed, delayedAppend{record: r, arrivesAt: d.elapsed + time.Duration(ticks)*tick})
 }
 
 // checkExclusive fails if more than one node considers itself the holder, or if the fencing
--- a/property/property.go
+++ b/property/property.go
@@ -24,8 +24,8 @@
 	_ "pgregory.net/rapid"
 )
 
-// exitFailed is returned for a flag that could not be set.
-const exitFailed = 2
+// exitInvalidFlag is returned for a flag that could not be set.
+const exitInvalidFlag = 2
 
 // Flag is one further flag of a package's property tests.
 type Flag struct {
@@ -34,27 +34,27 @@
 }
 
 // Main runs the tests of a package, each property with a number of checks.
-func Main(m *testing.M, checks int, further ...Flag) int {
+func Main(m *testing.M, checks int, extra ...Flag) int {
 	flag.Parse()
 
-	given := make(map[string]bool)
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	setByUser := make(map[string]bool)
+	flag.Visit(func(f *flag.Flag) { setByUser[f.Name] = true })
 
 	flags := append([]Flag{
 		{Name: "rapid.seed", Value: "1"},
 		{Name: "rapid.checks", Value: strconv.Itoa(checks)},
 		{Name: "rapid.nofailfile", Value: "true"},
-	}, further...)
+	}, extra...)
 
 	for _, f := range flags {
-		if given[f.Name] {
+		if setByUser[f.Name] {
 			continue
 		}
 
 		if err := flag.Set(f.Name, f.Value); err != nil {
 			fmt.Fprintf(os.Stderr, "set flag %s: %v\n", f.Name, err)
 
-			return exitFailed
+			return exitInvalidFlag
 		}
 	}
 
--- a/provider/effect.go
+++ b/provider/effect.go
@@ -16,10 +16,10 @@
 // hadNoEffect tells whether the platform answered with a status that says,
 // together with EffectHeader, that the call did nothing.
 func hadNoEffect(err error, status int) bool {
-	var answer *httpclient.StatusError
-	if !errors.As(err, &answer) {
+	var statusErr *httpclient.StatusError
+	if !errors.As(err, &statusErr) {
 		return false
 	}
 
-	return answer.Status() == status && answer.Header(EffectHeader) == EffectNone
+	return statusErr.Status() == status && statusErr.Header(EffectHeader) == EffectNone
 }
--- a/provider/http_log.go
+++ b/provider/http_log.go
@@ -57,13 +57,13 @@
 // Append adds one record. The error wraps ErrRefused where the log said that
 // it did nothing, and where no connection to it could be made.
 func (l *HTTPLog) Append(ctx context.Context, stream Stream, data []byte) (Offset, error) {
-	var answer AppendResponse
+	var response AppendResponse
 
 	path := LogRecordsPath + "?" + url.Values{LogStreamParam: {string(stream)}}.Encode()
 
-	err := l.client.PostBytes(ctx, path, data, &answer)
+	err := l.client.PostBytes(ctx, path, data, &response)
 	if err == nil {
-		return answer.Offset, nil
+		return response.Offset, nil
 	}
 
 	if errors.Is(err, httpclient.ErrNotSent) || hadNoEffect(err, http.StatusServiceUnavailable) {
@@ -84,15 +84,15 @@
 		LogWaitParam:   {wait.String()},
 	}
 
-	var answer BatchResponse
-	if err := l.client.Get(ctx, LogRecordsPath+"?"+query.Encode(), &answer); err != nil {
+	var response BatchResponse
+	if err := l.client.Get(ctx, LogRecordsPath+"?"+query.Encode(), &response); err != nil {
 		return Batch{}, merry.Prepend(err, "read "+string(stream))
 	}
 
-	batch := Batch{First: answer.First, Next: answer.Next}
-	batch.Records = make([]Record, 0, len(answer.Records))
+	batch := Batch{First: response.First, Next: response.Next}
+	batch.Records = make([]Record, 0, len(response.Records))
 
-	for _, r := range answer.Records {
+	for _, r := range response.Records {
 		batch.Records = append(batch.Records, Record(r))
 	}
 
--- a/provider/http_test.go
+++ b/provider/http_test.go
@@ -9,7 +9,7 @@
 	"monsoonlever/provider"
 )
 
-func TestOnlyAMarkedAnswerIsARefusal(t *testing.T) {
+func TestRefusalRequiresEffectHeader(t *testing.T) {
 	tests := []struct {
 		desc       string
 		status     int
--- a/provider/http_weights.go
+++ b/provider/http_weight_store.go
@@ -42,14 +42,14 @@
 func (w *HTTPWeightStore) Fetch(
 	ctx context.Context, model fleet.Model, version fleet.ModelVersion,
 ) (time.Duration, error) {
-	var answer FetchResponse
+	var response FetchResponse
 
 	request := FetchRequest{Model: model, Version: version}
-	if err := w.client.Post(ctx, WeightsFetchesPath, request, &answer); err != nil {
+	if err := w.client.Post(ctx, WeightsFetchesPath, request, &response); err != nil {
 		return 0, merry.Prepend(err, "fetch weights of "+string(model))
 	}
 
-	took, err := time.ParseDuration(answer.Took)
+	took, err := time.ParseDuration(response.Took)
 	if err != nil {
 		return 0, merry.Prepend(err, "read transfer time of "+string(model))
 	}
