--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,8 +1,8 @@
-// Package backend holds the ports to backend servers: model engines and plain
-// services.
+// Package backend defines the interfaces to backend servers, which are model engines and plain
+// services, and implements them over HTTP.
 //
-// Consumers depend on Engine and PlainServer; HTTPEngine and HTTPPlainServer
-// speak the wire format. Only those files know that format.
+// Consumers depend on Engine and PlainServer. HTTPEngine and HTTPPlainServer implement the wire
+// format, and only their files contain it.
 //
 // # Usage
 //
--- a/backend/event_decoder.go
+++ b/backend/event_decoder.go
@@ -8,7 +8,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxOffsetDigits keeps a parsed offset within an int of any size.
+// maxOffsetDigits keeps a parsed offset within the range of a 32-bit int.
 const maxOffsetDigits = 9
 
 var (
@@ -18,9 +18,9 @@
 	eventEnd     = []byte(`"}`)
 )
 
-// eventDecoder decodes token events. An event with just a token, in the order
-// of fields that TokenEvent has, costs one allocation; the rest goes by
-// encoding/json.
+// eventDecoder decodes token events. An event of the decoder's attempt that has only an offset
+// and a token, in the field order of TokenEvent, costs one allocation. All other events are
+// decoded by encoding/json.
 type eventDecoder struct {
 	attempt AttemptID
 }
@@ -89,7 +89,8 @@
 	return offset, data[digits:], digits > 0 && !leadingZero
 }
 
-// isUnescapedText tells whether a JSON string holds its bytes as they are.
+// isUnescapedText reports whether the content of a JSON string is valid UTF-8 without escapes, so
+// that it needs no decoding.
 func isUnescapedText(s []byte) bool {
 	for _, b := range s {
 		if b < ' ' || b == '"' || b == '\\' {
--- a/backend/event_stream.go
+++ b/backend/event_stream.go
@@ -16,11 +16,11 @@
 
 var eventDataField = []byte("data:")
 
-// ErrMalformedEvent means that a stream held something that is not an event.
-var ErrMalformedEvent = errors.New("garbled event in the stream")
+// ErrMalformedEvent means that a stream contained an event that cannot be decoded.
+var ErrMalformedEvent = errors.New("malformed event in the stream")
 
-// eventStream reads server-sent events. It is for one reader at a time; Close
-// may come from another goroutine.
+// eventStream reads server-sent events. Next is not safe for concurrent use. Close may be
+// called from another goroutine.
 type eventStream struct {
 	body     io.ReadCloser
 	reader   *bufio.Reader
@@ -37,7 +37,7 @@
 	}
 }
 
-// Next returns the next event; its error, once there is one, stays.
+// Next returns the next event. After an error, every call returns the same error.
 func (s *eventStream) Next() (TokenEvent, error) {
 	if s.err != nil {
 		return TokenEvent{}, s.err
@@ -74,7 +74,7 @@
 	}
 }
 
-// readLine returns the next readLine in a buffer that the next call uses again.
+// readLine returns the next line, which is valid until the next call.
 func (s *eventStream) readLine() ([]byte, error) {
 	line, err := s.reader.ReadSlice('\n')
 	if err == nil {
@@ -105,7 +105,7 @@
 	return s.longLine, nil
 }
 
-// Close ends the stream; the engine sees the connection end.
+// Close closes the stream and thereby the connection to the engine.
 func (s *eventStream) Close() error {
 	if err := s.body.Close(); err != nil {
 		return merry.Prepend(err, "close event stream")
--- a/backend/event_stream_test.go
+++ b/backend/event_stream_test.go
@@ -37,12 +37,12 @@
 		events int
 		want   error
 	}{
-		{desc: "finished", body: token + finishLine, events: 2, want: io.EOF},
-		{desc: "nothing is read after the finish", body: token + finishLine + token, events: 2, want: io.EOF},
+		{desc: "finish", body: token + finishLine, events: 2, want: io.EOF},
+		{desc: "token after the finish", body: token + finishLine + token, events: 2, want: io.EOF},
 		{desc: "no finish", body: token, events: 1, want: io.ErrUnexpectedEOF},
 		{desc: "empty", body: "", want: io.ErrUnexpectedEOF},
-		{desc: "cut within the finish", body: token + finishLine[:40], events: 1, want: io.ErrUnexpectedEOF},
-		{desc: "cut before the line's end", body: strings.TrimSpace(finishLine), want: io.ErrUnexpectedEOF},
+		{desc: "truncated within the finish", body: token + finishLine[:40], events: 1, want: io.ErrUnexpectedEOF},
+		{desc: "truncated before the newline", body: strings.TrimSpace(finishLine), want: io.ErrUnexpectedEOF},
 		{desc: "comments and other fields", body: ": hi\nid: 4\n" + token + finishLine, events: 2, want: io.EOF},
 		{desc: "not json", body: token + "data: {\"attempt\":\n\n", events: 1, want: ErrMalformedEvent},
 		{desc: "no attempt", body: "data: {\"token\":\"x\"}\n\n", want: ErrMalformedEvent},
@@ -111,7 +111,7 @@
 	})
 }
 
-// endlessTokens repeats one event.
+// endlessTokens is a response body that repeats one event.
 type endlessTokens struct {
 	line string
 	rest string
--- a/backend/http_engine.go
+++ b/backend/http_engine.go
@@ -12,9 +12,9 @@
 	"monsoonlever/httpclient"
 )
 
-// The wire format of a model engine: JSON messages at these paths, and a
-// server-sent event with a TokenEvent for each token of an answer. An order
-// with an old fence is a 409.
+// The wire format of a model engine: JSON messages at these paths, and one server-sent event
+// with a TokenEvent for each token of an answer. An engine answers an order with an old fencing
+// token with status 409.
 const (
 	GeneratePath    = "/generate"
 	CancelPath      = "/cancel"
@@ -26,22 +26,21 @@
 	EventStreamType = "text/event-stream"
 )
 
-// ErrNotEventStream means that an engine answered a generate call with something
-// other than a stream of events.
-var ErrNotEventStream = errors.New("answer is not an event stream")
+// ErrNotEventStream means that the response to a generate call is not an event stream.
+var ErrNotEventStream = errors.New("response is not an event stream")
 
-// CancelRequest asks for the end of one attempt.
+// CancelRequest asks an engine to cancel one attempt.
 type CancelRequest struct {
 	Attempt AttemptID `json:"attempt"`
 }
 
-// ExportRequest asks for a copy of an attempt's KV cache.
+// ExportRequest asks an engine to copy an attempt's KV cache to the engine at Target.
 type ExportRequest struct {
 	Attempt AttemptID `json:"attempt"`
 	Target  string    `json:"target"`
 }
 
-// ExportResponse names the copy on the target.
+// ExportResponse holds the name of the copy on the target.
 type ExportResponse struct {
 	KV string `json:"kv"`
 }
@@ -58,7 +57,8 @@
 	return &HTTPEngine{client: httpclient.New("http://"+address, c)}
 }
 
-// Generate starts an attempt, at most once. The stream ends with ctx.
+// Generate starts an attempt. It sends the request at most once. The stream fails when ctx is
+// canceled.
 func (e *HTTPEngine) Generate(ctx context.Context, r GenerateRequest) (TokenStream, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 
 	if err := checkStreamResponse(resp); err != nil {
-		resp.Body.Close() //nolint:errcheck,gosec // the first error is the one to tell
+		resp.Body.Close() //nolint:errcheck,gosec // the first error is returned
 
 		return nil, merry.Prepend(err, "start attempt "+string(r.Attempt))
 	}
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// Cancel ends an attempt; one that has ended already stays as it is.
+// Cancel cancels an attempt. It has no effect on an attempt that has finished.
 func (e *HTTPEngine) Cancel(ctx context.Context, id AttemptID) error {
 	if err := e.post(ctx, CancelPath, CancelRequest{Attempt: id}, nil); err != nil {
 		return merry.Prepend(err, "cancel attempt "+string(id))
@@ -112,7 +112,7 @@
 	return response.KV, nil
 }
 
-// Load returns what the engine last said of its load.
+// Load returns the load that the engine last reported.
 func (e *HTTPEngine) Load(ctx context.Context) (LoadReport, error) {
 	var report LoadReport
 	if err := e.get(ctx, LoadPath, &report); err != nil {
@@ -134,8 +134,8 @@
 	return events, nil
 }
 
-// Order gives an order. The error wraps ErrOldFence if the engine refused it
-// for its fencing number.
+// Order sends an order. The error wraps ErrStaleFence if the engine refused the order for its
+// old fencing token.
 func (e *HTTPEngine) Order(ctx context.Context, o Order) error {
 	err := e.post(ctx, OrderPath, o, nil)
 	if err == nil {
@@ -144,13 +144,13 @@
 
 	var status *httpclient.StatusError
 	if errors.As(err, &status) && status.Status() == http.StatusConflict {
-		return merry.Prepend(ErrStaleFence, "give order", merry.WithCause(err))
+		return merry.Prepend(ErrStaleFence, "send order", merry.WithCause(err))
 	}
 
-	return merry.Prepend(err, "give order")
+	return merry.Prepend(err, "send order")
 }
 
-// State returns what the engine holds at present.
+// State returns the current state of the engine.
 func (e *HTTPEngine) State(ctx context.Context) (EngineState, error) {
 	var state EngineState
 	if err := e.get(ctx, StatePath, &state); err != nil {
--- a/backend/http_plain.go
+++ b/backend/http_plain.go
@@ -10,8 +10,8 @@
 	"monsoonlever/httpclient"
 )
 
-// The wire format of a plain service. A call is an HTTP request of the caller's
-// making with its key in IdempotencyKeyHeader; a LoadReport is at LoadPath.
+// The wire format of a plain service. A call is the caller's HTTP request with its idempotency
+// key in IdempotencyKeyHeader. A GET of LoadPath returns a LoadReport.
 const (
 	IdempotencyKeyHeader = "Idempotency-Key"
 	LoadPath             = "/load"
@@ -19,7 +19,7 @@
 	maxReplyBytes = 32 << 20
 )
 
-// ErrReplyTooLarge means that a plain service answered with more than is kept.
+// ErrReplyTooLarge means that the reply of a plain service is over the size limit.
 var ErrReplyTooLarge = errors.New("reply is too large")
 
 // HTTPPlainServer is a client of a plain service on one backend server.
@@ -34,13 +34,13 @@
 	return &HTTPPlainServer{client: httpclient.New("http://"+address, c)}
 }
 
-// Do sends a call at most once; see PlainServer for what its errors mean.
+// Do sends a call at most once. PlainServer documents its errors.
 func (p *HTTPPlainServer) Do(ctx context.Context, c Call) (Reply, error) {
 	resp, err := p.client.Send(ctx, c.Method, c.Path, requestHeader(c), c.Body)
 	if err != nil {
 		return Reply{}, merry.Prepend(classifyError(err), "call plain service")
 	}
-	defer resp.Body.Close() //nolint:errcheck // nothing is left to be read
+	defer resp.Body.Close() //nolint:errcheck // the body has been read
 
 	if isNotStarted(resp.StatusCode, resp.Header.Get(ExecutionHeader)) {
 		return Reply{}, merry.Prepend(classifyError(httpclient.NewStatusError(resp)), "call plain service")
@@ -58,7 +58,8 @@
 	return Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// requestHeader returns a header of the call's own, since the caller may use his again.
+// requestHeader returns a copy of the call's header with the idempotency key. The copy leaves
+// the caller's header unchanged.
 func requestHeader(c Call) http.Header {
 	header := c.Header.Clone()
 	if header == nil {
@@ -72,7 +73,7 @@
 	return header
 }
 
-// Load returns what the backend server last said of its load.
+// Load returns the load that the backend server last reported.
 func (p *HTTPPlainServer) Load(ctx context.Context) (LoadReport, error) {
 	var report LoadReport
 	if err := p.client.Get(ctx, LoadPath, &report); err != nil {
--- a/backend/http_test.go
+++ b/backend/http_test.go
@@ -13,8 +13,8 @@
 	"monsoonlever/backend"
 )
 
-// breakingServer answers the first request and closes its connection on each
-// later one, after having read it.
+// breakingServer answers the first request. It reads each later request and then closes the
+// connection.
 type breakingServer struct {
 	listener net.Listener
 	requests atomic.Int32
@@ -101,7 +101,7 @@
 			_, err := plain.Do(t.Context(), tt.call)
 
 			if err == nil || errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrRefused) {
-				t.Errorf("second call: got %v, want an error that leaves it unknown", err)
+				t.Errorf("second call: got %v, want an error with an unknown outcome", err)
 			}
 
 			if got := server.requests.Load(); got != 2 {
@@ -111,8 +111,8 @@
 	}
 }
 
-// The transport alone sends a request with a key again, which is why the test
-// above is needed.
+// Shows that http.Transport resends a request with an idempotency key by itself, which
+// TestDoSendsCallOnce guards against.
 func TestTransportResendsRequestWithKey(t *testing.T) {
 	server := newBreakingServer(t)
 	client := &http.Client{Transport: &http.Transport{}}
@@ -147,7 +147,7 @@
 
 	_, err := engine.Generate(t.Context(), backend.GenerateRequest{Attempt: "b"})
 	if err == nil || errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrRefused) {
-		t.Errorf("second attempt: got %v, want an error that leaves it unknown", err)
+		t.Errorf("second attempt: got %v, want an error with an unknown outcome", err)
 	}
 
 	if got := server.requests.Load(); got != 2 {
@@ -185,18 +185,18 @@
 	}{
 		{desc: "success", status: 200, wantStatus: 200},
 		{desc: "redirect is not followed", status: 307, header: http.Header{"Location": {"/again"}}, wantStatus: 307},
-		{desc: "nor is one that changes the method", status: 303, header: http.Header{"Location": {"/again"}}, wantStatus: 303},
-		{desc: "unmarked 503 is an answer", status: 503, wantStatus: 503},
+		{desc: "redirect with another method is not followed", status: 303, header: http.Header{"Location": {"/again"}}, wantStatus: 303},
+		{desc: "503 without X-Execution is a reply", status: 503, wantStatus: 503},
 		{
-			desc: "503 before the start", status: 503,
+			desc: "503 with X-Execution is a refusal", status: 503,
 			header: http.Header{"X-Execution": {"not-started"}}, wantErr: backend.ErrRefused,
 		},
 		{
-			desc: "429 before the start", status: 429,
+			desc: "429 with X-Execution is a refusal", status: 429,
 			header: http.Header{"X-Execution": {"not-started"}}, wantErr: backend.ErrRefused,
 		},
 		{
-			desc: "mark on another status means nothing", status: 500,
+			desc: "X-Execution with another status is ignored", status: 500,
 			header: http.Header{"X-Execution": {"not-started"}}, wantStatus: 500,
 		},
 	}
--- a/backend/outcome.go
+++ b/backend/outcome.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// ExecutionHeader tells on a 503 or 429 whether the call was started.
+	// ExecutionHeader states in a response with status 503 or 429 whether the call was started.
 	ExecutionHeader = "X-Execution"
-	// ExecutionNotStarted is its value for a call that was refused before it ran.
+	// ExecutionNotStarted is the value of ExecutionHeader for a call that was refused before
+	// it ran.
 	ExecutionNotStarted = "not-started"
 )
 
-// classifyError turns an error of the HTTP client into one of the port's: it wraps
-// ErrNotSent, or ErrRefused only where the backend server said that it did not
-// start.
+// classifyError turns an error of the HTTP client into an error of this package. The result
+// wraps ErrNotSent if the request was not sent, and ErrRefused if the response states that the
+// call was not started. Other errors are returned unchanged.
 func classifyError(err error) error {
 	if errors.Is(err, httpclient.ErrNotSent) {
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
--- a/backend/plain.go
+++ b/backend/plain.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// Call is one call of a plain service.
+// Call is a request to a plain service.
 type Call struct {
 	Method         string
 	Path           string
@@ -14,7 +14,7 @@
 	IdempotencyKey string
 }
 
-// Reply is the whole answer of a plain service.
+// Reply is the complete response of a plain service.
 type Reply struct {
 	Status int
 	Header http.Header
@@ -23,8 +23,8 @@
 
 // PlainServer is a plain service on a backend server.
 type PlainServer interface {
-	// Do returns an error that wraps ErrNotSent or ErrRefused where the call
-	// certainly did not run. Any other error leaves that unknown.
+	// Do sends a call. Its error wraps ErrNotSent or ErrRefused if the call did not run. After
+	// any other error, the call may have run.
 	Do(ctx context.Context, c Call) (Reply, error)
 	Load(ctx context.Context) (LoadReport, error)
 }
--- a/backend/prefix.go
+++ b/backend/prefix.go
@@ -8,11 +8,11 @@
 	"monsoonlever/fleet"
 )
 
-// PrefixBlockWords is how many words of a prompt an engine caches as one block.
+// PrefixBlockWords is the number of prompt words that an engine caches as one block.
 const PrefixBlockWords = 16
 
-// PrefixHasher hashes the prefixes of a prompt block by block, as engines do
-// for their cache events.
+// PrefixHasher hashes the prefixes of a prompt block by block. Engines report the same hashes in
+// their cache events.
 type PrefixHasher struct {
 	digest xxhash.Digest
 	words  int
@@ -27,8 +27,8 @@
 	return h
 }
 
-// Add takes the next word. It returns the hash of all words so far, and true,
-// where the word completes a block.
+// Add adds the next word of the prompt. If the word completes a block, Add returns the hash of
+// all words so far and true.
 func (h *PrefixHasher) Add(word string) (uint64, bool) {
 	h.write(word)
 	h.words++
@@ -41,13 +41,13 @@
 }
 
 func (h *PrefixHasher) write(s string) {
-	// A digest never returns an error.
+	// The methods of xxhash.Digest never return an error.
 	_, _ = h.digest.WriteString(s)
 	_, _ = h.digest.Write([]byte{0})
 }
 
-// PrefixHashes returns the hash of each prefix of whole blocks of a prompt, the
-// shortest first. CacheEvent.Prefix is one of them.
+// PrefixHashes returns the hash of each prompt prefix that consists of complete blocks, the
+// shortest prefix first. CacheEvent.Prefix holds such a hash.
 func PrefixHashes(model fleet.Model, prompt string) []uint64 {
 	h := NewPrefixHasher(model)
 
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock passes time into code that must not read the wall clock itself.
+// Package clock provides the time to code that must not read the system clock directly.
 //
-// Decision packages take the current time as an argument of each step. The
-// shells around them take a Clock, so that a test drives them by hand.
+// Deterministic packages take the current time as an argument. The code that calls them takes a
+// Clock, so that a test can control the time.
 //
 // # Usage
 //
@@ -11,14 +11,14 @@
 //	case <-ctx.Done():
 //	}
 //
-// A test uses Manual instead and moves it with Advance.
+// A test uses Manual and advances it with Advance.
 package clock
 
 import "time"
 
-// Clock tells the time and waits for it.
+// Clock returns the current time and signals when a duration has passed.
 type Clock interface {
-	// Now returns the current time, with a monotonic reading where there is one.
+	// Now returns the current time, with a monotonic reading if the clock has one.
 	Now() time.Time
 	// After returns a channel that receives the time once d has passed.
 	After(d time.Duration) <-chan time.Time
--- a/clock/manual.go
+++ b/clock/manual.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Manual is a clock that moves only when Advance is called.
+// Manual is a clock that advances only when Advance is called. It is safe for concurrent use.
 type Manual struct {
 	mu      sync.Mutex
 	now     time.Time
@@ -17,12 +17,12 @@
 	ch    chan time.Time
 }
 
-// NewManual returns a clock that stands at start.
+// NewManual returns a clock whose time is start.
 func NewManual(start time.Time) *Manual {
 	return &Manual{now: start}
 }
 
-// Now returns the time the clock stands at.
+// Now returns the time of the clock.
 func (m *Manual) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -30,7 +30,8 @@
 	return m.now
 }
 
-// After returns a channel that receives once Advance has passed d.
+// After returns a channel that receives the time once the clock has advanced by d. It receives
+// immediately if d is not positive.
 func (m *Manual) After(d time.Duration) <-chan time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -49,7 +50,7 @@
 	return ch
 }
 
-// Advance moves the clock by d and wakes every waiter whose time has come.
+// Advance advances the clock by d and wakes every waiter that is due.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/clock/manual_test.go
+++ b/clock/manual_test.go
@@ -14,10 +14,10 @@
 		advance time.Duration
 		want    bool
 	}{
-		{desc: "no wait fires at once", wait: 0, advance: 0, want: true},
-		{desc: "too early", wait: time.Second, advance: time.Second - 1, want: false},
-		{desc: "exactly on time", wait: time.Second, advance: time.Second, want: true},
-		{desc: "late", wait: time.Second, advance: time.Minute, want: true},
+		{desc: "zero wait fires immediately", wait: 0, advance: 0, want: true},
+		{desc: "before the due time", wait: time.Second, advance: time.Second - 1, want: false},
+		{desc: "at the due time", wait: time.Second, advance: time.Second, want: true},
+		{desc: "after the due time", wait: time.Second, advance: time.Minute, want: true},
 	}
 
 	for _, tt := range tests {
--- a/clock/sleep.go
+++ b/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep returns after d, or once ctx has ended.
+// Sleep returns after d, or earlier when ctx is done.
 func Sleep(ctx context.Context, c Clock, d time.Duration) {
 	select {
 	case <-c.After(d):
--- a/clock/sleep_test.go
+++ b/clock/sleep_test.go
@@ -13,8 +13,8 @@
 		timeout time.Duration
 		want    time.Duration
 	}{
-		{desc: "the time passes", timeout: time.Hour, want: time.Minute},
-		{desc: "the context ends", timeout: time.Second, want: time.Second},
+		{desc: "duration passes", timeout: time.Hour, want: time.Minute},
+		{desc: "context is done", timeout: time.Second, want: time.Second},
 	}
 
 	for _, tt := range tests {
--- a/clock/system.go
+++ b/clock/system.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// System is the clock of the machine.
+// System is the system clock.
 type System struct{}
 
-// Now returns the machine's time.
+// Now returns time.Now.
 func (System) Now() time.Time {
 	return time.Now()
 }
 
-// After waits on the machine's clock.
+// After returns time.After.
 func (System) After(d time.Duration) <-chan time.Time {
 	return time.After(d)
 }
--- a/codec/codec.go
+++ b/codec/codec.go
@@ -1,8 +1,8 @@
-// Package codec decodes msgpack messages of other processes without trust in the lengths
-// that they declare.
+// Package codec decodes msgpack messages from other processes without trusting the lengths that
+// the messages declare.
 //
-// The decoder makes room for as many elements as a message announces before it reads the
-// first one, so that some bytes can ask for more memory than the process may use.
+// The msgpack decoder allocates memory for the declared number of elements before it reads the
+// first one, so that a message of a few bytes can exceed the memory limit of the process.
 //
 // # Usage
 //
@@ -18,11 +18,11 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// ErrTruncated means that a message holds less than it declares.
-var ErrTruncated = merry.Sentinel("message is not whole")
+// ErrTruncated means that a message holds fewer elements or bytes than it declares.
+var ErrTruncated = merry.Sentinel("message is truncated")
 
-// Unmarshal decodes a message into a pointer. A message that holds less than it declares
-// is ErrNotWhole, and takes no memory.
+// Unmarshal decodes a message into a pointer. It returns an error that wraps ErrTruncated,
+// without allocating memory for the elements, if the message holds less than it declares.
 func Unmarshal(data []byte, into any) error {
 	if err := Check(data); err != nil {
 		return err
@@ -31,7 +31,7 @@
 	return msgpack.Unmarshal(data, into)
 }
 
-// Check returns ErrNotWhole for a message that holds less than it declares.
+// Check returns an error that wraps ErrTruncated if a message holds less than it declares.
 func Check(data []byte) error {
 	if !isComplete(data) {
 		return merry.Prependf(ErrTruncated, "%d bytes", len(data))
@@ -61,7 +61,7 @@
 		}
 
 		declared, ok := parseLength(code, data)
-		// An element takes a byte at least.
+		// Every element takes at least one byte.
 		if !ok || declared.bytes+declared.elements > uint64(len(data)-declared.header) {
 			return false
 		}
@@ -73,10 +73,11 @@
 	return true
 }
 
-// variableSize stands for codes of values whose length is declared.
+// variableSize marks the codes of values that declare their length.
 const variableSize = -1
 
-// fixedSizes are the bytes after each code of a value whose length is not declared.
+// fixedSizes holds, by code, the number of bytes that follow the code. It is variableSize for
+// values that declare their length.
 var fixedSizes = func() (table [256]int8) {
 	for code := range table {
 		if !msgpcode.IsFixedNum(byte(code)) {
@@ -98,18 +99,21 @@
 	return table
 }()
 
-// extensionTypeBytes is the byte that names the type of an extension.
+// extensionTypeBytes is the size of the type field of an extension.
 const extensionTypeBytes = 1
 
-// declaredLength is what a value declares.
+// declaredLength is the length that a value declares.
 type declaredLength struct {
-	// header are the bytes of the length itself.
-	header   int
-	bytes    uint64
+	// header is the size of the encoded length in bytes.
+	header int
+	// bytes is the size of the data of a string, binary value or extension.
+	bytes uint64
+	// elements is the number of elements of an array, or of keys and values of a map.
 	elements uint64
 }
 
-// parseLength returns what a value declares. rest begins after its code.
+// parseLength returns the length that a value declares. rest is the message after the value's
+// code.
 func parseLength(code byte, rest []byte) (declaredLength, bool) {
 	switch {
 	case msgpcode.IsFixedMap(code):
--- a/codec/codec_test.go
+++ b/codec/codec_test.go
@@ -23,8 +23,9 @@
 	Texts map[string]string `msgpack:"s"`
 }
 
-// A message of some bytes that declared a million elements took hundreds of megabytes,
-// more than an instance may use, and ended it. The bytes of a message bound its memory.
+// Guards against messages that exhaust the memory: a message of a few bytes that declared a
+// million elements allocated hundreds of megabytes, above the memory limit of an instance, and
+// crashed the instance. The size of a message must bound the memory that decoding it takes.
 func TestUnmarshalAllocatesNoDeclaredLength(t *testing.T) {
 	const maxAllocBytes = 64 << 10
 
@@ -49,7 +50,7 @@
 			runtime.ReadMemStats(&after)
 
 			if err == nil {
-				t.Error("got no error, want one")
+				t.Error("error: got none, want one")
 			}
 
 			if got := after.TotalAlloc - before.TotalAlloc; got > maxAllocBytes {
@@ -102,7 +103,8 @@
 	})
 }
 
-// Whatever the decoder itself takes is whole, and what is cut anywhere is not.
+// A message is complete if and only if the msgpack decoder can skip it. Without its last byte
+// it is incomplete.
 func FuzzIsComplete(f *testing.F) {
 	data, err := msgpack.Marshal(map[string]any{
 		"numbers": []any{1, -1, 1 << 10, 1 << 20, 1 << 40, 1.5, float32(2), true, nil}, "bytes": make([]byte, 300),
@@ -123,7 +125,7 @@
 
 		if skipped == nil {
 			if used := len(data) - read.Len(); isComplete(data[:used-1]) {
-				t.Errorf("%x without its last byte: got whole, want not", data[:used])
+				t.Errorf("%x without its last byte: got complete, want incomplete", data[:used])
 			}
 		}
 	})
--- a/currency/currency.go
+++ b/currency/currency.go
@@ -1,20 +1,20 @@
-// Package currency tells how old what an instance believes of the operators'
-// rules may be.
+// Package currency tracks how long ago an instance confirmed that its copy of shared state, such
+// as the operators' rules, is up to date.
 //
-// A confirmation counts from when the question for it was sent, on a clock that
-// counts suspension: an answer that was delayed, or read after the machine slept,
-// says nothing of the time since. A key that operators have revoked may therefore
-// be used for no longer than the bound, also by an instance that is cut off from
-// the platform's store.
+// The age of a confirmation counts from when the request for it was sent, on a clock that
+// includes suspension: a response that was delayed, or read after the machine was suspended,
+// proves nothing about the time since the request. A key that operators have revoked therefore
+// stays usable for at most MaxAge, even on an instance that is cut off from the platform's
+// store.
 //
 // # Usage
 //
 //	c := &currency.Tracker{Clock: clk, Bound: 4 * time.Second}
-//	asked := clk.Now()
-//	// … read to the end of the operators' records …
-//	c.Confirm(asked)
+//	requestedAt := clk.Now()
+//	// Read to the end of the operators' records.
+//	c.Confirm(requestedAt)
 //	if !c.Current() {
-//		// Refuse: it is not known whether the key still holds.
+//		// Refuse the request: the key may have been revoked.
 //	}
 package currency
 
@@ -25,19 +25,20 @@
 	"monsoonlever/clock"
 )
 
-// Tracker keeps the newest confirmation. Its fields are set before its first use.
+// Tracker records the newest confirmation. Its fields are set before its first use; its methods
+// are safe for concurrent use.
 type Tracker struct {
 	Clock clock.Clock
-	// MaxAge is the age above which the rules are not known to be in force.
+	// MaxAge is the largest age of a confirmation at which the copy counts as up to date.
 	MaxAge time.Duration
 
-	// requestedAt is when the question of the newest confirmation was sent, in Unix
-	// nanoseconds, or zero.
+	// requestedAt is when the request of the newest confirmation was sent, in Unix
+	// nanoseconds, or zero if there is no confirmation.
 	requestedAt atomic.Int64
 }
 
-// Confirm takes in that the rules were found to be the newest by a question that
-// was sent at asked. An older confirmation than the last changes nothing.
+// Confirm records that a request that was sent at requestedAt found the copy to be up to date. A
+// confirmation that is older than the newest one has no effect.
 func (t *Tracker) Confirm(requestedAt time.Time) {
 	next := requestedAt.UnixNano()
 
@@ -49,8 +50,8 @@
 	}
 }
 
-// Age returns the time since the newest confirmation was asked for, and whether
-// there is one.
+// Age returns the time since the request of the newest confirmation was sent, and whether there
+// is a confirmation.
 func (t *Tracker) Age() (time.Duration, bool) {
 	requestedAt := t.requestedAt.Load()
 	if requestedAt == 0 {
@@ -60,7 +61,7 @@
 	return t.Clock.Now().Sub(time.Unix(0, requestedAt)), true
 }
 
-// Current tells whether the rules are known to be in force.
+// Current reports whether the newest confirmation is at most MaxAge old.
 func (t *Tracker) Current() bool {
 	age, ok := t.Age()
 
--- a/currency/currency_test.go
+++ b/currency/currency_test.go
@@ -12,29 +12,29 @@
 	tracker := &Tracker{Clock: c, MaxAge: 4 * time.Second}
 
 	if tracker.Current() {
-		t.Error("before any answer: got current, want not")
+		t.Error("before any confirmation: got current, want not current")
 	}
 
 	requestedAt := c.Now()
 
-	// The answer comes late, or the machine slept before it was read.
+	// The response is delayed, or the machine is suspended before the response is read.
 	c.Advance(3 * time.Second)
 	tracker.Confirm(requestedAt)
 
 	if !tracker.Current() {
-		t.Error("3s after the question: got not current, want current")
+		t.Error("3s after the request: got not current, want current")
 	}
 
 	c.Advance(time.Second + time.Millisecond)
 
 	if tracker.Current() {
-		t.Error("4s after the question: got current, want not")
+		t.Error("over 4s after the request: got current, want not current")
 	}
 
 	tracker.Confirm(c.Now())
 	tracker.Confirm(requestedAt)
 
 	if !tracker.Current() {
-		t.Error("an old answer took a newer confirmation back")
+		t.Error("after an older confirmation: got not current, want current")
 	}
 }
--- a/finding/finding.go
+++ b/finding/finding.go
@@ -1,7 +1,7 @@
-// Package finding collects what is wrong with a file and reports it all at once.
+// Package finding collects the errors of a file, so that they are reported together.
 //
-// A check does not stop at the first fault. It adds a Finding with its place
-// to a List and goes on; the caller turns the List into one error at the end.
+// A check does not stop at the first error. It adds a Finding with its location to a List and
+// continues; the caller turns the List into one error at the end.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 
 import "fmt"
 
-// Finding is one fault with its place.
+// Finding is an error in a file and its location.
 type Finding struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
@@ -22,7 +22,8 @@
 	Message string `json:"message"`
 }
 
-// String returns the finding as file:line: field: message.
+// String returns the finding as "file:line: field: message". It leaves out a line of 0 and an
+// empty field.
 func (f Finding) String() string {
 	location := f.File
 	if f.Line > 0 {
--- a/finding/list.go
+++ b/finding/list.go
@@ -5,13 +5,12 @@
 	"strings"
 )
 
-// List holds findings in the order they were made. The zero value is empty and
-// ready for use.
+// List holds findings in the order in which they were added. The zero value is an empty list.
 type List struct {
 	items []Finding
 }
 
-// Add appends a finding. The message may use fmt verbs.
+// Add appends a finding. The message is a format string for args.
 func (l *List) Add(file string, line int, field, message string, args ...any) {
 	l.items = append(l.items, Finding{
 		File:    file,
@@ -40,12 +39,12 @@
 	items []Finding
 }
 
-// Items returns a copy of the findings behind the error.
+// Items returns a copy of the findings.
 func (e *Error) Items() []Finding {
 	return append([]Finding(nil), e.items...)
 }
 
-// Error returns one finding a line.
+// Error returns the findings, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.items))
 	for _, f := range e.items {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet holds the identifiers that every other package shares.
+// Package fleet defines the identifiers that the other packages share.
 //
-// They are typed strings, so that a service name is never passed where a
-// client account is meant.
+// Each kind of identifier has its own type, so that the compiler rejects, for example, a service
+// name in place of a client account.
 //
 // # Usage
 //
@@ -9,16 +9,17 @@
 //	domain := fleet.FailureDomain("ballerup-a")
 package fleet
 
-// InstanceID names one instance for its lifetime; a replacement has another.
+// InstanceID identifies one instance during its lifetime. A replacement has another ID.
 type InstanceID string
 
-// Incarnation counts the starts of a process on one instance.
+// Incarnation identifies one start of a process on an instance; a later start has a greater
+// number.
 type Incarnation uint64
 
-// Region names a group of failure domains with one location.
+// Region names a group of failure domains in one location.
 type Region string
 
-// FailureDomain names a part of a region that is lost as a whole.
+// FailureDomain names a part of a region whose instances can fail together.
 type FailureDomain string
 
 // Service names a service of the manifest.
@@ -27,7 +28,7 @@
 // Model names a model of the manifest.
 type Model string
 
-// Version names a version of the program of a service's backend servers.
+// Version names a software version of a service's backend servers.
 type Version string
 
 // ModelVersion names a version of a model.
@@ -36,8 +37,8 @@
 // Account names a client account.
 type Account string
 
-// CallKind names a kind of call of a service, with its own latency target.
+// CallKind names a kind of call to a service. Each kind has its own latency target.
 type CallKind string
 
-// Priority orders requests; a greater number is served first.
+// Priority is the priority of a request. Requests with a greater value are served first.
 type Priority int
--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -19,8 +19,8 @@
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrResponseTooLarge means that an answer was longer than its bound.
-	ErrResponseTooLarge = errors.New("answer is too large")
+	// ErrResponseTooLarge means that a response body is over the size limit.
+	ErrResponseTooLarge = errors.New("response is too large")
 )
 
 // Client sends requests to one server.
@@ -29,8 +29,8 @@
 	client  http.Client
 }
 
-// New returns a client of the server at a base URL. It works on a copy of c,
-// which follows no redirect.
+// New returns a client of the server at a base URL. The client uses a copy of c that does not
+// follow redirects.
 func New(baseURL string, c *http.Client) *Client {
 	client := &Client{baseURL: baseURL, client: *c}
 	client.client.CheckRedirect = func(*http.Request, []*http.Request) error {
@@ -40,11 +40,12 @@
 	return client
 }
 
-// Send sends a request at most once, with whatever status it is answered.
+// Send sends a request at most once. It returns the response for any status.
 func (c *Client) Send(
 	ctx context.Context, method, path string, header http.Header, body []byte,
 ) (*http.Response, error) {
-	// Without GetBody the transport has no second body to send.
+	// A NopCloser prevents NewRequestWithContext from setting GetBody, which the transport
+	// needs to resend a body.
 	singleUseBody := io.NopCloser(bytes.NewReader(body))
 
 	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, singleUseBody)
@@ -61,7 +62,8 @@
 	return c.do(req)
 }
 
-// Get decodes the answer to a request that may be sent again.
+// Get sends an idempotent request, which the transport may resend, and decodes the response
+// into result.
 func (c *Client) Get(ctx context.Context, path string, result any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
@@ -76,7 +78,7 @@
 	return decode(resp, result)
 }
 
-// Post sends a message at most once, and decodes the answer if one is wanted.
+// Post sends a message at most once. It decodes the response into result unless result is nil.
 func (c *Client) Post(ctx context.Context, path string, message, result any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -86,7 +88,7 @@
 	return c.PostBytes(ctx, path, body, result)
 }
 
-// PostBytes is Post with a body that is encoded already.
+// PostBytes is Post for a message that is already encoded.
 func (c *Client) PostBytes(ctx context.Context, path string, body []byte, result any) error {
 	resp, err := c.Send(ctx, http.MethodPost, path, nil, body)
 	if err != nil {
@@ -108,8 +110,8 @@
 		return resp, nil
 	}
 
-	// Both signs are asked for: a round tripper of another make may not run the
-	// hooks, and a dial may fail after an earlier connection was written to.
+	// Both conditions are needed: a custom round tripper may not call the trace hooks, and a
+	// dial may fail after the request was written to an earlier connection.
 	if isDialError(err) && !connected.Load() {
 		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
@@ -123,9 +125,9 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// decode reads an answer to its end and closes it.
+// decode decodes a response into result unless result is nil, and closes the response body.
 func decode(resp *http.Response, result any) error {
-	defer resp.Body.Close() //nolint:errcheck // nothing is left to be read
+	defer resp.Body.Close() //nolint:errcheck // the body has been read
 
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		return merry.Wrap(NewStatusError(resp))
@@ -133,7 +135,7 @@
 
 	body, err := ReadBody(resp.Body, maxResponseBytes)
 	if err != nil {
-		return merry.Prepend(err, "read answer")
+		return merry.Prepend(err, "read response")
 	}
 
 	if result == nil {
@@ -141,13 +143,14 @@
 	}
 
 	if err := json.Unmarshal(body, result); err != nil {
-		return merry.Prepend(err, "decode answer")
+		return merry.Prepend(err, "decode response")
 	}
 
 	return nil
 }
 
-// ReadBody reads up to limit bytes, and fails if there are more.
+// ReadBody reads a body of up to limit bytes. The error wraps ErrResponseTooLarge if the body
+// is longer.
 func ReadBody(r io.Reader, limit int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
 	if err != nil {
--- a/httpclient/client_test.go
+++ b/httpclient/client_test.go
@@ -12,8 +12,8 @@
 	"monsoonlever/httpclient"
 )
 
-// A read that the transport sends again may fail to dial the second time, but
-// the first sending has left.
+// Guards against ErrNotSent for a request that the transport resends: the dial for the second
+// send fails, but the first send has reached the server.
 func TestDialFailureOnResendIsNotErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 
 	if errors.Is(err, httpclient.ErrNotSent) {
-		t.Errorf("second read: got %v, want an error that leaves it unknown", err)
+		t.Errorf("second read: got %v, want an error with an unknown outcome", err)
 	}
 }
 
@@ -62,7 +62,7 @@
 	l.Close()
 }
 
-// failingRoundTripper may have sent the request; it runs no trace hooks.
+// failingRoundTripper fails after it may have sent the request. It calls no trace hooks.
 type failingRoundTripper struct{}
 
 func (failingRoundTripper) RoundTrip(*http.Request) (*http.Response, error) {
@@ -74,7 +74,7 @@
 
 	err := client.Post(t.Context(), "/", "x", nil)
 	if err == nil || errors.Is(err, httpclient.ErrNotSent) {
-		t.Errorf("post: got %v, want an error that leaves it unknown", err)
+		t.Errorf("post: got %v, want an error with an unknown outcome", err)
 	}
 }
 
@@ -85,8 +85,8 @@
 		want error
 	}{
 		{desc: "empty", body: ""},
-		{desc: "at the bound", body: "1234"},
-		{desc: "over the bound", body: "12345", want: httpclient.ErrResponseTooLarge},
+		{desc: "at the limit", body: "1234"},
+		{desc: "over the limit", body: "12345", want: httpclient.ErrResponseTooLarge},
 	}
 
 	for _, tt := range tests {
--- a/httpclient/httpclient.go
+++ b/httpclient/httpclient.go
@@ -1,15 +1,14 @@
-// Package httpclient sends HTTP requests at most once and tells whether they
-// left this process at all. The clients of the ports are built on it.
+// Package httpclient sends HTTP requests at most once and reports whether a failed request was
+// sent. The HTTP clients of packages backend and provider use it.
 //
-// net/http sends some requests again by itself when a reused connection breaks:
-// those with a method that is idempotent, and those with an Idempotency-Key.
-// It follows redirects as well. Send prevents both.
+// When a reused connection breaks, net/http resends requests with an idempotent method or an
+// Idempotency-Key header. It also follows redirects. Send prevents both.
 //
 // # Usage
 //
 //	client := httpclient.New("http://127.0.0.1:7001", http.DefaultClient)
 //	err := client.Post(ctx, "/purchases", purchase, &instance)
 //	if errors.Is(err, httpclient.ErrNotSent) {
-//		// nothing of it left
+//		// The server received nothing.
 //	}
 package httpclient
--- a/httpclient/status_error.go
+++ b/httpclient/status_error.go
@@ -9,14 +9,15 @@
 
 const maxErrorBodyBytes = 512
 
-// StatusError is an answer with a status that is not a success.
+// StatusError is a response whose status is not a success.
 type StatusError struct {
 	status  int
 	header  http.Header
 	message string
 }
 
-// NewStatusError returns the error of an answer, of which it reads a little.
+// NewStatusError returns the error for a response. It reads the first maxErrorBodyBytes of the
+// body.
 func NewStatusError(resp *http.Response) *StatusError {
 	message, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	if err != nil {
@@ -30,7 +31,7 @@
 	}
 }
 
-// Error returns the status and the first bytes of the body.
+// Error returns the status and the beginning of the body.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("status %d: %s", e.status, e.message)
 }
@@ -40,7 +41,7 @@
 	return e.status
 }
 
-// Header returns the first value of a header of the answer.
+// Header returns the first value of a response header.
 func (e *StatusError) Header(key string) string {
 	return e.header.Get(key)
 }
--- a/lease/log_rollback_test.go
+++ b/lease/log_rollback_test.go
@@ -106,7 +106,7 @@
 	r.core.CaughtUp(c.now)
 }
 
-// rollBackLog restores the log from a copy that is ago old.
+// rollBackLog restores the log to its state at the current time minus ago.
 func (c *simulation) rollBackLog(ago time.Duration) {
 	retained := 0
 	for retained < len(c.records) && !c.records[retained].appendedAt.After(c.now.Add(-ago)) {
--- a/property/property.go
+++ b/property/property.go
@@ -1,6 +1,5 @@
-// Package property runs the property tests of a package with the same flags on
-// every machine, so that they have one verdict. What the command line gives goes
-// first.
+// Package property runs the property tests of a package with the same flags on every machine,
+// so that their results are reproducible. Flags on the command line take precedence.
 //
 // # Usage
 //
@@ -8,7 +7,7 @@
 //		os.Exit(property.Main(m, 300))
 //	}
 //
-// A longer run gives its own flags:
+// A longer run sets its own flags:
 //
 //	go test ./claim -rapid.checks=10000 -rapid.seed=0
 package property
@@ -24,16 +23,17 @@
 	_ "pgregory.net/rapid"
 )
 
-// exitInvalidFlag is returned for a flag that could not be set.
+// exitInvalidFlag is the exit code for a flag that cannot be set.
 const exitInvalidFlag = 2
 
-// Flag is one further flag of a package's property tests.
+// Flag is a command-line flag and its value.
 type Flag struct {
 	Name  string
 	Value string
 }
 
-// Main runs the tests of a package, each property with a number of checks.
+// Main runs the tests of a package and returns the exit code. checks is the number of test cases
+// of each property; extra flags are set after the default ones.
 func Main(m *testing.M, checks int, extra ...Flag) int {
 	flag.Parse()
 
--- a/provider/cloud.go
+++ b/provider/cloud.go
@@ -11,16 +11,16 @@
 // Class names a machine class of the cloud API.
 type Class string
 
-// Market tells how an instance is paid for.
+// Market is the purchasing option of an instance.
 type Market string
 
-// The two markets of the cloud API.
+// The markets of the cloud API.
 const (
 	Reclaimable Market = "reclaimable"
 	OnDemand    Market = "onDemand"
 )
 
-// Offer is the present price of a class in a failure domain.
+// Offer is the current price of a class in a failure domain and market.
 type Offer struct {
 	Class        Class               `json:"class"`
 	Domain       fleet.FailureDomain `json:"domain"`
@@ -28,8 +28,8 @@
 	PricePerHour float64             `json:"pricePerHour"`
 }
 
-// Purchase asks for one instance. Token makes it idempotent: the cloud API
-// returns the instance that the first purchase with that token made.
+// Purchase requests one instance. Token makes the purchase idempotent: the cloud API returns
+// the instance of the first purchase with the same token.
 type Purchase struct {
 	Token  string              `json:"token"`
 	Class  Class               `json:"class"`
@@ -37,7 +37,8 @@
 	Market Market              `json:"market"`
 }
 
-// Instance is an instance the cloud API knows, paid for until released.
+// Instance is an instance that was bought from the cloud API. It is charged until it is
+// released.
 type Instance struct {
 	ID      fleet.InstanceID    `json:"id"`
 	Token   string              `json:"token"`
@@ -48,24 +49,24 @@
 	Since   time.Time           `json:"since"`
 }
 
-// ReclaimNotice says that an instance will be reclaimed.
+// ReclaimNotice announces that the cloud API will reclaim an instance.
 type ReclaimNotice struct {
 	Sequence uint64           `json:"sequence"`
 	Instance fleet.InstanceID `json:"instance"`
 	At       time.Time        `json:"at"`
 }
 
-// Cloud is the platform's API for instances.
+// Cloud is the platform's API to buy and release instances.
 type Cloud interface {
 	Offers(ctx context.Context) ([]Offer, error)
-	// Buy returns ErrNoCapacity if the purchase was refused. Any other error
-	// means that it may have taken effect.
+	// Buy buys one instance. Its error wraps ErrNoCapacity if the purchase was refused. After
+	// any other error, the purchase may have taken effect.
 	Buy(ctx context.Context, p Purchase) (Instance, error)
 	Release(ctx context.Context, id fleet.InstanceID) error
 	Instances(ctx context.Context) ([]Instance, error)
-	// Notices returns the reclaim notices after a sequence number.
+	// Notices returns the reclaim notices with a sequence number above after.
 	Notices(ctx context.Context, after uint64) ([]ReclaimNotice, error)
 }
 
-// ErrNoCapacity is wrapped by a purchase that the cloud API refused.
+// ErrNoCapacity means that the cloud API refused a purchase.
 var ErrNoCapacity = errors.New("no capacity for the purchase")
--- a/provider/effect.go
+++ b/provider/effect.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// EffectHeader tells on an error status whether the call took effect.
+	// EffectHeader states in an error response whether the call took effect.
 	EffectHeader = "X-Effect"
-	// EffectNone is the value of EffectHeader for a call that did nothing.
+	// EffectNone is the value of EffectHeader for a call that had no effect.
 	EffectNone = "none"
 )
 
-// hadNoEffect tells whether the platform answered with a status that says,
-// together with EffectHeader, that the call did nothing.
+// hadNoEffect reports whether err is a response with the given status whose EffectHeader states
+// that the call had no effect.
 func hadNoEffect(err error, status int) bool {
 	var statusErr *httpclient.StatusError
 	if !errors.As(err, &statusErr) {
--- a/provider/http_cloud.go
+++ b/provider/http_cloud.go
@@ -11,8 +11,8 @@
 	"monsoonlever/httpclient"
 )
 
-// The wire format of the cloud API: JSON messages at these paths. A refused
-// purchase is a 409 with EffectHeader set to EffectNone.
+// The wire format of the cloud API: JSON messages at these paths. The cloud API refuses a
+// purchase with status 409 and EffectHeader set to EffectNone.
 const (
 	CloudOffersPath    = "/cloud/offers"
 	CloudPurchasesPath = "/cloud/purchases"
@@ -22,7 +22,7 @@
 	CloudAfterParam    = "after"
 )
 
-// ReleaseRequest asks for the end of one instance.
+// ReleaseRequest asks the cloud API to release one instance.
 type ReleaseRequest struct {
 	ID fleet.InstanceID `json:"id"`
 }
@@ -39,7 +39,7 @@
 	return &HTTPCloud{client: httpclient.New(baseURL, c)}
 }
 
-// Offers returns the present prices.
+// Offers returns the current prices.
 func (c *HTTPCloud) Offers(ctx context.Context) ([]Offer, error) {
 	var offers []Offer
 	if err := c.client.Get(ctx, CloudOffersPath, &offers); err != nil {
@@ -49,7 +49,7 @@
 	return offers, nil
 }
 
-// Buy asks for one instance; see Cloud for what its errors mean.
+// Buy buys one instance. Cloud documents its errors.
 func (c *HTTPCloud) Buy(ctx context.Context, p Purchase) (Instance, error) {
 	var instance Instance
 
@@ -65,7 +65,7 @@
 	return Instance{}, merry.Prepend(err, "buy instance")
 }
 
-// Release ends an instance; releasing it again does nothing.
+// Release releases an instance. It has no effect on an instance that was released before.
 func (c *HTTPCloud) Release(ctx context.Context, id fleet.InstanceID) error {
 	if err := c.client.Post(ctx, CloudReleasesPath, ReleaseRequest{ID: id}, nil); err != nil {
 		return merry.Prepend(err, "release instance "+string(id))
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// Instances returns the instances that are paid for.
+// Instances returns the instances that are charged.
 func (c *HTTPCloud) Instances(ctx context.Context) ([]Instance, error) {
 	var instances []Instance
 	if err := c.client.Get(ctx, CloudInstancesPath, &instances); err != nil {
@@ -84,7 +84,7 @@
 	return instances, nil
 }
 
-// Notices returns the reclaim notices after a sequence number.
+// Notices returns the reclaim notices with a sequence number above after.
 func (c *HTTPCloud) Notices(ctx context.Context, after uint64) ([]ReclaimNotice, error) {
 	path := CloudNoticesPath + "?" + CloudAfterParam + "=" + strconv.FormatUint(after, 10)
 
--- a/provider/http_instance_list.go
+++ b/provider/http_instance_list.go
@@ -9,7 +9,7 @@
 	"monsoonlever/httpclient"
 )
 
-// ListingsPath is where the instance list answers with a JSON array of Listing.
+// ListingsPath is the path at which the instance list returns a JSON array of Listing.
 const ListingsPath = "/list/listings"
 
 // HTTPInstanceList is a client of the instance list.
@@ -24,7 +24,7 @@
 	return &HTTPInstanceList{client: httpclient.New(baseURL, c)}
 }
 
-// Listings returns the list as it is at present.
+// Listings returns the current entries of the list.
 func (l *HTTPInstanceList) Listings(ctx context.Context) ([]Listing, error) {
 	var listings []Listing
 	if err := l.client.Get(ctx, ListingsPath, &listings); err != nil {
--- a/provider/http_log.go
+++ b/provider/http_log.go
@@ -13,8 +13,8 @@
 	"monsoonlever/httpclient"
 )
 
-// The wire format of the log service. An append posts the record's bytes and
-// gets an AppendAnswer; a read gets a BatchAnswer.
+// The wire format of the log service. An append posts the record's bytes and returns an
+// AppendResponse. A read returns a BatchResponse.
 const (
 	LogRecordsPath = "/log/records"
 	LogStreamParam = "stream"
@@ -23,7 +23,7 @@
 	LogWaitParam   = "wait"
 )
 
-// AppendResponse is the answer to an append.
+// AppendResponse is the response to an append.
 type AppendResponse struct {
 	Offset Offset `json:"offset"`
 }
@@ -35,7 +35,7 @@
 	Data   []byte    `json:"data"`
 }
 
-// BatchResponse is the answer to a read.
+// BatchResponse is the response to a read.
 type BatchResponse struct {
 	Records []RecordResponse `json:"records"`
 	First   Offset           `json:"first"`
@@ -54,8 +54,8 @@
 	return &HTTPLog{client: httpclient.New(baseURL, c)}
 }
 
-// Append adds one record. The error wraps ErrRefused where the log said that
-// it did nothing, and where no connection to it could be made.
+// Append appends one record. The error wraps ErrRefused if the log service states that the
+// append had no effect, or if the request was not sent.
 func (l *HTTPLog) Append(ctx context.Context, stream Stream, data []byte) (Offset, error) {
 	var response AppendResponse
 
@@ -73,7 +73,7 @@
 	return 0, merry.Prepend(err, "append to "+string(stream))
 }
 
-// Read returns up to limit records from an offset on.
+// Read returns up to limit records, starting at offset from. Log documents the wait.
 func (l *HTTPLog) Read(
 	ctx context.Context, stream Stream, from Offset, limit int, wait time.Duration,
 ) (Batch, error) {
--- a/provider/http_test.go
+++ b/provider/http_test.go
@@ -17,12 +17,12 @@
 		logRefused bool
 		noCapacity bool
 	}{
-		{desc: "marked 503", status: 503, effect: "none", logRefused: true},
-		{desc: "marked 409", status: 409, effect: "none", noCapacity: true},
-		{desc: "unmarked 503", status: 503},
-		{desc: "unmarked 409", status: 409},
-		{desc: "other mark", status: 503, effect: "some"},
-		{desc: "marked 500", status: 500, effect: "none"},
+		{desc: "503 without effect", status: 503, effect: "none", logRefused: true},
+		{desc: "409 without effect", status: 409, effect: "none", noCapacity: true},
+		{desc: "503 without the header", status: 503},
+		{desc: "409 without the header", status: 409},
+		{desc: "503 with another header value", status: 503, effect: "some"},
+		{desc: "500 without effect", status: 500, effect: "none"},
 	}
 
 	for _, tt := range tests {
--- a/provider/http_weight_store.go
+++ b/provider/http_weight_store.go
@@ -11,17 +11,17 @@
 	"monsoonlever/httpclient"
 )
 
-// WeightsFetchesPath is where the weight store takes a FetchRequest and answers,
-// at the end of the transfer, with a FetchAnswer.
+// WeightsFetchesPath is the path at which the weight store accepts a FetchRequest. It returns a
+// FetchResponse at the end of the transfer.
 const WeightsFetchesPath = "/weights/fetches"
 
-// FetchRequest asks for one model version.
+// FetchRequest asks the weight store to transfer one model version.
 type FetchRequest struct {
 	Model   fleet.Model        `json:"model"`
 	Version fleet.ModelVersion `json:"version"`
 }
 
-// FetchResponse tells how long the transfer took, as time.Duration writes it.
+// FetchResponse holds the duration of the transfer in the format of time.Duration.
 type FetchResponse struct {
 	Took string `json:"took"`
 }
@@ -38,7 +38,7 @@
 	return &HTTPWeightStore{client: httpclient.New(baseURL, c)}
 }
 
-// Fetch takes one model version and returns the time the transfer took.
+// Fetch fetches one model version and returns the duration of the transfer.
 func (w *HTTPWeightStore) Fetch(
 	ctx context.Context, model fleet.Model, version fleet.ModelVersion,
 ) (time.Duration, error) {
--- a/provider/instance_list.go
+++ b/provider/instance_list.go
@@ -15,7 +15,7 @@
 	Leaving State = "leaving"
 )
 
-// Listing is one entry of the instance list.
+// Listing is the entry of one instance in the instance list.
 type Listing struct {
 	ID      fleet.InstanceID    `json:"id"`
 	Service fleet.Service       `json:"service"`
--- a/provider/log.go
+++ b/provider/log.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Stream names one append-only sequence of the log service.
+// Stream names one append-only sequence of records in the log service.
 type Stream string
 
 // Offset is a position in a stream. The first record has offset 1.
@@ -19,25 +19,25 @@
 	Data   []byte
 }
 
-// Batch is the answer to one read.
+// Batch is the result of one read.
 type Batch struct {
 	// Records are in offset order and may be empty.
 	Records []Record
-	// First is the oldest offset still retained, or Next if none is.
+	// First is the offset of the oldest retained record, or Next if none is retained.
 	First Offset
-	// Next is the offset the next append will get.
+	// Next is the offset of the next record to be appended.
 	Next Offset
 }
 
 // Log is the platform's append-only log service.
 type Log interface {
-	// Append adds one record. An error that is not ErrRefused means that the
-	// record may or may not have been added.
+	// Append appends one record. Its error wraps ErrRefused if the record was not appended.
+	// After any other error, the record may have been appended.
 	Append(ctx context.Context, stream Stream, data []byte) (Offset, error)
-	// Read returns up to limit records from offset from on. Where there is none
-	// yet it waits up to wait for one. A from before First reads from First.
+	// Read returns up to limit records, starting at offset from. If there is none yet, Read
+	// waits for one for up to wait. If from is below First, Read starts at First.
 	Read(ctx context.Context, stream Stream, from Offset, limit int, wait time.Duration) (Batch, error)
 }
 
-// ErrRefused is wrapped by an append that certainly did not take effect.
+// ErrRefused means that an append had no effect.
 var ErrRefused = errors.New("log refused the append")
--- a/provider/provider.go
+++ b/provider/provider.go
@@ -1,5 +1,5 @@
-// Package provider holds the ports to the platform's services: the append-only
-// log, the cloud API, the instance list and the weight store.
+// Package provider defines the interfaces to the platform's services, which are the append-only
+// log, the cloud API, the instance list and the weight store, and implements them over HTTP.
 //
 // Consumers depend on the interfaces here; HTTPLog, HTTPCloud, HTTPList and
 // HTTPWeights speak the wire format. Only those files know that format.
--- a/provider/weight_store.go
+++ b/provider/weight_store.go
@@ -9,7 +9,7 @@
 
 // WeightStore is the platform's rate-limited weight store.
 type WeightStore interface {
-	// Fetch takes one model version from the store and returns the time that
-	// the transfer took at the store's rate.
+	// Fetch fetches one model version and returns the duration of the transfer, which depends
+	// on the rate limit of the store.
 	Fetch(ctx context.Context, model fleet.Model, version fleet.ModelVersion) (time.Duration, error)
 }
