--- a/monsoonleverd/entry.go
+++ b/monsoonleverd/entry.go
@@ -19,34 +19,34 @@
 	Check    bool   `help:"Check the settings and stop."`
 }
 
-// memoryShare is the part of the machine's memory at which collection of garbage
+// memoryLimitFraction is the part of the machine's memory at which collection of garbage
 // becomes eager; the rest is for what the runtime does not count.
-const memoryShare = 0.7
+const memoryLimitFraction = 0.7
 
 // Run serves until ctx ends.
-func (c *entryCommand) Run(ctx context.Context, hangups hangups, ready logReady) error {
+func (c *entryCommand) Run(ctx context.Context, reloads reloadSignals, ready logReady) error {
 	s, err := settings.LoadEntry(c.Settings)
 	if err != nil || c.Check {
 		return err
 	}
 
-	debug.SetMemoryLimit(int64(float64(s.Limits.MemoryBytes()) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(s.Limits.MemoryBytes()) * memoryLimitFraction))
 
 	clk := clock.NewSteady()
 	pipe := &logpipe.Pipe{Out: os.Stdout, Clock: clk}
-	stop := logTo(pipe)
-	defer stop()
+	stopLog := redirectLog(pipe)
+	defer stopLog()
 
 	ready()
 
-	e := &entry.Entry{Settings: s, Clock: clk, Reload: c.reloads(ctx, hangups), LogHasRoom: pipe.HasSpareCapacity}
+	e := &entry.Entry{Settings: s, Clock: clk, Reload: c.watchReloads(ctx, reloads), LogHasRoom: pipe.HasSpareCapacity}
 
 	return e.Run(ctx)
 }
 
-// logTo sends log lines to standard output through a pipe that never makes them wait.
+// redirectLog sends log lines to standard output through a pipe that never makes them wait.
 // The returned function ends that once all lines are written.
-func logTo(pipe *logpipe.Pipe) func() {
+func redirectLog(pipe *logpipe.Pipe) func() {
 	setLogFlags(map[string]string{"logtostderr": "false", "one_output": "true", "stderrthreshold": "FATAL"})
 	klog.SetOutput(pipe)
 
@@ -65,13 +65,13 @@
 	}
 }
 
-// reloads reads the settings again on each hangup, until the instance stops. Settings with
+// watchReloads reads the settings again on each hangup, until the instance stops. Settings with
 // findings change nothing.
-func (c *entryCommand) reloads(ctx context.Context, hangups hangups) <-chan settings.Entry {
-	read := make(chan settings.Entry)
+func (c *entryCommand) watchReloads(ctx context.Context, reloads reloadSignals) <-chan settings.Entry {
+	reloaded := make(chan settings.Entry)
 
 	go func() {
-		for range hangups {
+		for range reloads {
 			if ctx.Err() != nil {
 				klog.InfoS("settings are not reloaded, the instance stops")
 
@@ -86,11 +86,11 @@
 			}
 
 			select {
-			case read <- s:
+			case reloaded <- s:
 			case <-ctx.Done():
 			}
 		}
 	}()
 
-	return read
+	return reloaded
 }
--- a/monsoonleverd/main.go
+++ b/monsoonleverd/main.go
@@ -30,8 +30,8 @@
 	exitBadSettings = 2
 )
 
-// arguments is the command line.
-type arguments struct {
+// commandLine is the command line.
+type commandLine struct {
 	Serve serveCommand `cmd:"" default:"withargs" help:"Run an entry instance of a deployment with a manifest."`
 	Entry entryCommand `cmd:"" help:"Run an entry instance on the users' platform."`
 
@@ -39,23 +39,23 @@
 }
 
 func main() {
-	ctx, hangups, ready := takeSignals()
+	ctx, reloads, ready := handleSignals()
 
-	var line arguments
+	var args commandLine
 
-	parsed := kong.Parse(&line, kong.Description("Runs an entry instance of monsoonlever until SIGTERM."))
-	setLogFlags(map[string]string{"v": strconv.Itoa(line.Verbose)})
+	parsed := kong.Parse(&args, kong.Description("Runs an entry instance of monsoonlever until SIGTERM."))
+	setLogFlags(map[string]string{"v": strconv.Itoa(args.Verbose)})
 
 	parsed.BindTo(ctx, (*context.Context)(nil))
-	parsed.Bind(hangups, ready)
-	code := exitCode(parsed.Run())
+	parsed.Bind(reloads, ready)
+	code := reportError(parsed.Run())
 
 	klog.Flush()
 	os.Exit(code)
 }
 
-// exitCode says what is wrong on standard error and returns the exit code for it.
-func exitCode(err error) int {
+// reportError says what is wrong on standard error and returns the exit code for it.
+func reportError(err error) int {
 	if err == nil {
 		return 0
 	}
--- a/monsoonleverd/serve.go
+++ b/monsoonleverd/serve.go
@@ -19,7 +19,7 @@
 }
 
 // Run serves until ctx ends.
-func (c *serveCommand) Run(ctx context.Context, hangups hangups, ready logReady) error {
+func (c *serveCommand) Run(ctx context.Context, reloads reloadSignals, ready logReady) error {
 	ready()
 
 	s, err := settings.Load(c.Settings)
@@ -28,7 +28,7 @@
 	}
 
 	go func() {
-		for range hangups {
+		for range reloads {
 			klog.InfoS("settings are read at the start only, SIGHUP changes nothing")
 		}
 	}()
--- a/monsoonleverd/signals_test.go
+++ b/monsoonleverd/signals_test.go
@@ -17,14 +17,14 @@
 	"monsoonlever/platform/soak"
 )
 
-// asProgram makes this test binary run the program itself, as a process of its own.
-const asProgram = "MONSOONLEVERD_TEST_AS_PROGRAM"
+// runMainEnv makes this test binary run the program itself, as a process of its own.
+const runMainEnv = "MONSOONLEVERD_TEST_AS_PROGRAM"
 
-// inTime bounds the wait for what must come about.
-const inTime = 20 * time.Second
+// eventTimeout bounds the wait for what must come about.
+const eventTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		main()
 	}
 
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 
-	return soak.Program{Path: path, Env: []string{asProgram + "=1"}}
+	return soak.Program{Path: path, Env: []string{runMainEnv + "=1"}}
 }
 
 // operatorSignals are those that operators and their tools send.
@@ -49,7 +49,7 @@
 	syscall.SIGTERM, syscall.SIGINT, syscall.SIGQUIT,
 }
 
-func ends(s syscall.Signal) bool {
+func isStopSignal(s syscall.Signal) bool {
 	return s == syscall.SIGTERM || s == syscall.SIGINT || s == syscall.SIGQUIT
 }
 
@@ -57,11 +57,11 @@
 // nothing took that signal in any more, and it ended the process. In no phase of its life may
 // a signal that operators send, once or twice, cut a request or end the process in another
 // way than a stop.
-func TestSignalsCutNothing(t *testing.T) {
+func TestSignalsCutNoRequest(t *testing.T) {
 	for _, s := range operatorSignals {
 		for phase, send := range map[string]func(*testing.T, syscall.Signal){
-			"at the start": signalAtStart, "while it runs": signalWhileItRuns,
-			"while it stops": signalWhileItStops, "at the end": signalAtTheEnd,
+			"at the start": signalDuringStart, "while it runs": signalWhileRunning,
+			"while it stops": signalWhileStopping, "at the end": signalDuringExit,
 		} {
 			t.Run(fmt.Sprint(s, " ", phase), func(t *testing.T) {
 				t.Parallel()
@@ -71,8 +71,8 @@
 	}
 }
 
-func TestAStopIsNotLoggedWhileTheLogIsSetUp(t *testing.T) {
-	ctx, _, ready := takeSignals()
+func TestStopWaitsForLogSetup(t *testing.T) {
+	ctx, _, ready := handleSignals()
 
 	t.Cleanup(func() { signal.Reset() })
 
@@ -97,14 +97,14 @@
 
 // Standard output may lose its reader in any phase. What can't be written is lost, the
 // requests are not.
-func TestALogWithoutAReaderCutsNothing(t *testing.T) {
+func TestClosedStandardOutputCutsNoRequest(t *testing.T) {
 	t.Parallel()
 
 	p := soak.NewPlatform()
 	defer p.Close()
 
 	e := start(t, p)
-	got := stream(t, p, e)
+	got := beginStream(t, p, e)
 
 	if err := e.log.Close(); err != nil {
 		t.Fatal(err)
@@ -112,11 +112,11 @@
 
 	e.signal(t, syscall.SIGHUP)
 	e.signal(t, syscall.SIGTERM)
-	e.whole(t, got)
-	e.endsWell(t)
+	e.expectWholeStream(t, got)
+	e.expectCleanExit(t)
 }
 
-func signalAtStart(t *testing.T, s syscall.Signal) {
+func signalDuringStart(t *testing.T, s syscall.Signal) {
 	t.Helper()
 
 	p := soak.NewPlatform()
@@ -136,13 +136,13 @@
 	}
 
 	settings := p.Settings("entry-1", e.addresses)
-	replaced := fifo + ".new"
+	settingsFile := fifo + ".new"
 
-	if err := os.WriteFile(replaced, settings, 0o600); err != nil {
+	if err := os.WriteFile(settingsFile, settings, 0o600); err != nil {
 		t.Fatal(err)
 	}
 
-	if err := os.Rename(replaced, fifo); err != nil {
+	if err := os.Rename(settingsFile, fifo); err != nil {
 		t.Fatal(err)
 	}
 
@@ -157,53 +157,53 @@
 		t.Fatal(err)
 	}
 
-	if !ends(s) {
+	if !isStopSignal(s) {
 		e.awaitReady(t, p)
 		e.signal(t, syscall.SIGTERM)
 	}
 
-	e.endsWell(t)
+	e.expectCleanExit(t)
 }
 
-func signalWhileItRuns(t *testing.T, s syscall.Signal) {
+func signalWhileRunning(t *testing.T, s syscall.Signal) {
 	t.Helper()
 
 	p := soak.NewPlatform()
 	defer p.Close()
 
 	e := start(t, p)
-	got := stream(t, p, e)
+	got := beginStream(t, p, e)
 
 	e.signal(t, s)
 	e.signal(t, s)
-	e.whole(t, got)
+	e.expectWholeStream(t, got)
 
-	if !ends(s) {
-		e.whole(t, stream(t, p, e))
+	if !isStopSignal(s) {
+		e.expectWholeStream(t, beginStream(t, p, e))
 		e.signal(t, syscall.SIGTERM)
 	}
 
-	e.endsWell(t)
+	e.expectCleanExit(t)
 }
 
-func signalWhileItStops(t *testing.T, s syscall.Signal) {
+func signalWhileStopping(t *testing.T, s syscall.Signal) {
 	t.Helper()
 
 	p := soak.NewPlatform()
 	defer p.Close()
 
 	e := start(t, p)
-	got := stream(t, p, e)
+	got := beginStream(t, p, e)
 
 	e.signal(t, syscall.SIGTERM)
-	e.await(t, "instance stops")
+	e.awaitLog(t, "instance stops")
 	e.signal(t, s)
 	e.signal(t, s)
-	e.whole(t, got)
-	e.endsWell(t)
+	e.expectWholeStream(t, got)
+	e.expectCleanExit(t)
 }
 
-func signalAtTheEnd(t *testing.T, s syscall.Signal) {
+func signalDuringExit(t *testing.T, s syscall.Signal) {
 	t.Helper()
 
 	p := soak.NewPlatform()
@@ -212,12 +212,12 @@
 	e := start(t, p)
 
 	e.signal(t, syscall.SIGTERM)
-	e.await(t, "instance stopped")
+	e.awaitLog(t, "instance stopped")
 
-	for e.command.Process.Signal(s) == nil && !e.ended() {
+	for e.command.Process.Signal(s) == nil && !e.hasExited() {
 	}
 
-	e.endsWell(t)
+	e.expectCleanExit(t)
 }
 
 // process is an instance that runs as a process of its own.
@@ -227,9 +227,9 @@
 	log       *os.File
 	done      chan error
 
-	mu   sync.Mutex
-	said bytes.Buffer
-	gone bool
+	mu     sync.Mutex
+	output bytes.Buffer
+	exited bool
 }
 
 // start runs an instance and waits until it is ready.
@@ -269,13 +269,13 @@
 
 	_ = writer.Close()
 
-	go e.read()
+	go e.collectOutput()
 
 	go func() {
 		err := e.command.Wait()
 
 		e.mu.Lock()
-		e.gone = true
+		e.exited = true
 		e.mu.Unlock()
 		e.done <- err
 	}()
@@ -287,21 +287,21 @@
 		if t.Failed() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			t.Log(e.said.String())
+			t.Log(e.output.String())
 		}
 	})
 
 	return e
 }
 
-func (e *process) read() {
+func (e *process) collectOutput() {
 	buffer := make([]byte, 4096)
 
 	for {
 		n, err := e.log.Read(buffer)
 
 		e.mu.Lock()
-		e.said.Write(buffer[:n])
+		e.output.Write(buffer[:n])
 		e.mu.Unlock()
 
 		if err != nil {
@@ -310,54 +310,54 @@
 	}
 }
 
-func (e *process) ended() bool {
+func (e *process) hasExited() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	return e.gone
+	return e.exited
 }
 
 func (e *process) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 
-	if err := e.command.Process.Signal(s); err != nil && !e.ended() {
+	if err := e.command.Process.Signal(s); err != nil && !e.hasExited() {
 		t.Fatalf("%v: got %v, want it sent", s, err)
 	}
 }
 
-// await waits for a line of the log.
-func (e *process) await(t *testing.T, text string) {
+// awaitLog waits for a line of the log.
+func (e *process) awaitLog(t *testing.T, text string) {
 	t.Helper()
-	e.awaitThat(t, text, func() bool {
+	e.awaitCondition(t, text, func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 
-		return strings.Contains(e.said.String(), text)
+		return strings.Contains(e.output.String(), text)
 	})
 }
 
 func (e *process) awaitReady(t *testing.T, p *soak.Platform) {
 	t.Helper()
-	e.awaitThat(t, "ready", func() bool { return p.Ready(t.Context(), e.addresses) })
+	e.awaitCondition(t, "ready", func() bool { return p.Ready(t.Context(), e.addresses) })
 }
 
-func (e *process) awaitThat(t *testing.T, what string, holds func() bool) {
+func (e *process) awaitCondition(t *testing.T, what string, met func() bool) {
 	t.Helper()
 
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 
-	for limit := time.After(inTime); !holds(); {
+	for limit := time.After(eventTimeout); !met(); {
 		select {
 		case <-tick.C:
 		case <-limit:
-			t.Fatalf("%s: got not within %v, want it", what, inTime)
+			t.Fatalf("%s: got not within %v, want it", what, eventTimeout)
 		}
 	}
 }
 
-// stream begins a stream and returns once it has begun. The channel brings how it ended.
-func stream(t *testing.T, p *soak.Platform, e *process) <-chan error {
+// beginStream begins a beginStream and returns once it has begun. The channel brings how it ended.
+func beginStream(t *testing.T, p *soak.Platform, e *process) <-chan error {
 	t.Helper()
 
 	ended, err := p.BeginStream(t.Context(), e.addresses)
@@ -368,7 +368,7 @@
 	return ended
 }
 
-func (e *process) whole(t *testing.T, ended <-chan error) {
+func (e *process) expectWholeStream(t *testing.T, ended <-chan error) {
 	t.Helper()
 
 	select {
@@ -376,12 +376,12 @@
 		if err != nil {
 			t.Errorf("stream: got %v, want it whole", err)
 		}
-	case <-time.After(inTime):
-		t.Errorf("stream: got no end within %v, want one", inTime)
+	case <-time.After(eventTimeout):
+		t.Errorf("stream: got no end within %v, want one", eventTimeout)
 	}
 }
 
-func (e *process) endsWell(t *testing.T) {
+func (e *process) expectCleanExit(t *testing.T) {
 	t.Helper()
 
 	select {
@@ -389,14 +389,14 @@
 		if err != nil {
 			t.Errorf("end of the process: got %v, want exit code 0", err)
 		}
-	case <-time.After(inTime):
-		t.Errorf("end of the process: got none within %v, want one", inTime)
+	case <-time.After(eventTimeout):
+		t.Errorf("end of the process: got none within %v, want one", eventTimeout)
 	}
 }
 
 // Processes get series of signals that overlap, under callers that keep their connections
 // until a process is gone.
-func TestASoakOfSignalsBreaksNoPromise(t *testing.T) {
+func TestSignalSoakFindsNoBreach(t *testing.T) {
 	t.Parallel()
 
 	s := &soak.Soak{Program: program(t), Dir: t.TempDir(), Seed: 1, Instances: 3, Callers: 4, Duration: 10 * time.Second}
