--- a/admission/sharecontrol.go
+++ b/admission/sharecontrol.go
@@ -6,8 +6,8 @@
 	"monsoonlever/fleet"
 )
 
-// Join tells of another entry instance, before or after its first digest.
-func (c *Controller) Join(now time.Time, id fleet.InstanceID) {
+// AddMember tells of another entry instance, before or after its first digest.
+func (c *Controller) AddMember(now time.Time, id fleet.InstanceID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -16,18 +16,18 @@
 	}
 }
 
-// Leave tells that another entry instance has stopped admitting requests: it
+// RemoveMember tells that another entry instance has stopped admitting requests: it
 // said so itself, or the platform's list says that it is gone.
-func (c *Controller) Leave(id fleet.InstanceID) {
+func (c *Controller) RemoveMember(id fleet.InstanceID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	c.shares.leave(id)
 }
 
-// Demand makes the digest to send to the other entry instances. What it
+// PublishDemand makes the digest to send to the other entry instances. What it
 // returns counts as published.
-func (c *Controller) Demand(now time.Time) Demand {
+func (c *Controller) PublishDemand(now time.Time) Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
--- a/dispatch/answers.go
+++ b/dispatch/answers.go
@@ -25,15 +25,15 @@
 	Budget *retry.Budget
 	// CopyTimeout bounds the wait for a copy in another failure domain.
 	CopyTimeout time.Duration
-	// Grace is how long an answer goes on without a caller.
-	Grace time.Duration
+	// GracePeriod is how long an answer goes on without a caller.
+	GracePeriod time.Duration
 
 	mu      sync.Mutex
 	running map[answer.RequestID]*runningAnswer
 	group   conc.WaitGroup
 }
 
-var _ gateway.KeptAnswers = (*Answers)(nil)
+var _ gateway.RetainedAnswers = (*Answers)(nil)
 
 // runningAnswer is an answer that this instance works at.
 type runningAnswer struct {
@@ -51,8 +51,8 @@
 	followedAt time.Time
 }
 
-// Keep begins to answer a request.
-func (a *Answers) Keep(ctx context.Context, r gateway.ModelRequest, durable bool, ended func(answer.Result)) error {
+// Start begins to answer a request.
+func (a *Answers) Start(ctx context.Context, r gateway.ModelRequest, durable bool, ended func(answer.Result)) error {
 	a.Budget.CountRequest(a.Clock.Now())
 
 	if !durable {
@@ -171,7 +171,7 @@
 	a.mu.Unlock()
 
 	a.group.Go(func() {
-		for left := a.Grace; left > 0; left = a.giveUp(id, r, released) {
+		for left := a.GracePeriod; left > 0; left = a.giveUp(id, r, released) {
 			select {
 			case <-a.Clock.After(left):
 			case <-r.over:
@@ -181,8 +181,8 @@
 	})
 }
 
-// Followed notes that a caller reads an answer of this instance elsewhere.
-func (a *Answers) Followed(id answer.RequestID) {
+// MarkFollowed notes that a caller reads an answer of this instance elsewhere.
+func (a *Answers) MarkFollowed(id answer.RequestID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -195,7 +195,7 @@
 // elsewhere it returns when to look again.
 func (a *Answers) giveUp(id answer.RequestID, r *runningAnswer, released int) time.Duration {
 	a.mu.Lock()
-	left := r.followedAt.Add(a.Grace).Sub(a.Clock.Now())
+	left := r.followedAt.Add(a.GracePeriod).Sub(a.Clock.Now())
 	wanted := a.running[id] != r || r.followers > 0 || r.released != released
 	a.mu.Unlock()
 
--- a/gateway/kept_test.go
+++ b/gateway/retained_test.go
@@ -19,7 +19,7 @@
 	released int
 }
 
-func (l *lostAnswers) Keep(_ context.Context, _ ModelRequest, _ bool, ended func(answer.Result)) error {
+func (l *lostAnswers) Start(_ context.Context, _ ModelRequest, _ bool, ended func(answer.Result)) error {
 	ended(answer.Result{})
 
 	return nil
@@ -53,7 +53,7 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			g := newGateway(t)
-			g.Kept = &lostAnswers{tokens: tt.tokens}
+			g.Retained = &lostAnswers{tokens: tt.tokens}
 
 			server := httptest.NewServer(g.Handler())
 			defer server.Close()
--- a/ruleset/ruleset_test.go
+++ b/ruleset/ruleset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func sample() Spec {
+func testSpec() Spec {
 	return Spec{
 		Version:  3,
 		Services: []Service{{Name: "ledger-llm"}, {Name: "payrun-api"}},
@@ -18,8 +18,8 @@
 	}
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
-	r, err := New(sample())
+func TestMatchPicksLongestPrefixOfHost(t *testing.T) {
+	r, err := New(testSpec())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestTargetsShareByWeight(t *testing.T) {
-	r, err := New(sample())
+func TestPickServiceFollowsWeights(t *testing.T) {
+	r, err := New(testSpec())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,14 +56,14 @@
 		draw float64
 		want string
 	}{{0, "ledger-llm"}, {0.74, "ledger-llm"}, {0.76, "payrun-api"}, {0.999, "payrun-api"}} {
-		if got := string(route.Target(tt.draw)); got != tt.want {
+		if got := string(route.PickService(tt.draw)); got != tt.want {
 			t.Errorf("draw %v: got %q, want %q", tt.draw, got, tt.want)
 		}
 	}
 }
 
-func TestNewReportsEachFault(t *testing.T) {
-	s := sample()
+func TestNewReportsEveryFinding(t *testing.T) {
+	s := testSpec()
 	s.Routes[0].Prefix = "recon"
 	s.Routes[1].Targets = nil
 	s.Routes[2].Targets = []Target{{"nobody", 1}}
