--- a/provider/http_log.go
+++ b/provider/http_log.go
@@ -28,7 +28,7 @@
 	Offset Offset `json:"offset"`
 }
 
-// RecordResponse is one record of a BatchAnswer.
+// RecordResponse is one record of a BatchResponse.
 type RecordResponse struct {
 	Offset Offset    `json:"offset"`
 	Time   time.Time `json:"time"`
--- a/provider/provider.go
+++ b/provider/provider.go
@@ -1,8 +1,8 @@
 // Package provider defines the interfaces to the platform's services, which are the append-only
 // log, the cloud API, the instance list and the weight store, and implements them over HTTP.
 //
-// Consumers depend on the interfaces here; HTTPLog, HTTPCloud, HTTPList and
-// HTTPWeights speak the wire format. Only those files know that format.
+// Consumers depend on the interfaces. HTTPLog, HTTPCloud, HTTPInstanceList and HTTPWeightStore
+// implement the wire format, and only their files contain it.
 //
 // # Usage
 //
