--- a/lease/log_rollback_test.go
+++ b/lease/log_rollback_test.go
@@ -45,76 +45,76 @@
 	pausedUntil time.Time
 }
 
-func (c *simulation) start(i int) {
-	core, err := NewCore(c.config, "duties", Holder{
-		Instance: fleet.InstanceID(fmt.Sprint("entry-", i)), Incarnation: fleet.Incarnation(c.now.UnixNano()),
+func (s *simulation) start(i int) {
+	core, err := NewCore(s.config, "duties", Holder{
+		Instance: fleet.InstanceID(fmt.Sprint("entry-", i)), Incarnation: fleet.Incarnation(s.now.UnixNano()),
 	})
 	if err != nil {
 		panic(err)
 	}
 
-	c.processes[i] = &process{core: core}
+	s.processes[i] = &process{core: core}
 }
 
 // step lets a process append its records, read to the end of the log, and check its lease.
-func (c *simulation) step(i int) {
-	r := c.processes[i]
-	if c.now.Before(r.pausedUntil) {
+func (s *simulation) step(i int) {
+	p := s.processes[i]
+	if s.now.Before(p.pausedUntil) {
 		return
 	}
 
-	for _, command := range r.core.Step(c.now) {
-		c.records = append(c.records, logRecord{appendedAt: c.now, era: max(r.era, 0), record: command.Record})
+	for _, command := range p.core.Step(s.now) {
+		s.records = append(s.records, logRecord{appendedAt: s.now, era: max(p.era, 0), record: command.Record})
 	}
 
-	c.read(r)
+	s.read(p)
 
-	if fence, err := r.core.Check(c.now); err == nil {
-		c.checks = append(c.checks, passedCheck{process: i, fence: fence, at: c.now})
+	if fence, err := p.core.Check(s.now); err == nil {
+		s.checks = append(s.checks, passedCheck{process: i, fence: fence, at: s.now})
 	}
 }
 
-func (c *simulation) read(r *process) {
-	if r.era != c.era {
-		if r.era != 0 {
-			r.core.LogRolledBack(c.now)
+func (s *simulation) read(p *process) {
+	if p.era != s.era {
+		if p.era != 0 {
+			p.core.LogRolledBack(s.now)
 		}
 
-		r.era, r.next = c.era, 0
+		p.era, p.next = s.era, 0
 	}
 
 	lost := false
 
-	for ; r.next < len(c.records); r.next++ {
-		entry := c.records[r.next]
+	for ; p.next < len(s.records); p.next++ {
+		entry := s.records[p.next]
 
-		if entry.era < c.era {
+		if entry.era < s.era {
 			lost = true
 
 			continue
 		}
 
-		at := feed.PositionOf(c.era, uint64(r.next))
-		r.core.Observe(c.now, provider.Offset(at)+1, entry.record)
+		at := feed.PositionOf(s.era, uint64(p.next))
+		p.core.Observe(s.now, provider.Offset(at)+1, entry.record)
 	}
 
-	if lost && r.core.noAcquireBefore.IsZero() {
+	if lost && p.core.noAcquireBefore.IsZero() {
 		// The process started after the log was restored.
-		r.core.LogRolledBack(c.now)
+		p.core.LogRolledBack(s.now)
 	}
 
-	r.core.CaughtUp(c.now)
+	p.core.CaughtUp(s.now)
 }
 
 // rollBackLog restores the log to its state at the current time minus ago.
-func (c *simulation) rollBackLog(ago time.Duration) {
+func (s *simulation) rollBackLog(ago time.Duration) {
 	retained := 0
-	for retained < len(c.records) && !c.records[retained].appendedAt.After(c.now.Add(-ago)) {
+	for retained < len(s.records) && !s.records[retained].appendedAt.After(s.now.Add(-ago)) {
 		retained++
 	}
 
-	c.records = c.records[:retained]
-	c.era++
+	s.records = s.records[:retained]
+	s.era++
 }
 
 // Guards against a lease that two processes use after the log was restored from an older copy
@@ -122,7 +122,7 @@
 // use the same token, and no process uses a grant after a newer one was used.
 func TestHoldsLeaseAcrossLogRollbacks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := &simulation{
+		s := &simulation{
 			now: time.Unix(1000, 0), era: 1, processes: make([]*process, 3),
 			config: Config{
 				Term: 4 * time.Second, RenewInterval: time.Second, MaxOrderDelay: 500 * time.Millisecond, MaxReadGap: 5 * time.Second,
@@ -130,37 +130,37 @@
 			},
 		}
 
-		for i := range c.processes {
-			c.start(i)
+		for i := range s.processes {
+			s.start(i)
 		}
 
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
-			c.now = c.now.Add(time.Duration(rapid.IntRange(50, 600).Draw(t, "ms")) * time.Millisecond)
-			i := rapid.IntRange(0, len(c.processes)-1).Draw(t, "process")
+			s.now = s.now.Add(time.Duration(rapid.IntRange(50, 600).Draw(t, "ms")) * time.Millisecond)
+			i := rapid.IntRange(0, len(s.processes)-1).Draw(t, "process")
 
 			switch rapid.IntRange(0, 20).Draw(t, "what") {
 			case 0:
-				c.rollBackLog(time.Duration(rapid.IntRange(0, 8000).Draw(t, "lost ms")) * time.Millisecond)
+				s.rollBackLog(time.Duration(rapid.IntRange(0, 8000).Draw(t, "lost ms")) * time.Millisecond)
 			case 1:
-				c.start(i)
+				s.start(i)
 			case 2:
-				c.processes[i].pausedUntil = c.now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(t, "pause ms")) * time.Millisecond)
+				s.processes[i].pausedUntil = s.now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(t, "pause ms")) * time.Millisecond)
 			default:
-				c.step(i)
+				s.step(i)
 			}
 		}
 
 		holders := make(map[Fence]int)
 
-		for n, a := range c.checks {
+		for n, a := range s.checks {
 			if holder, used := holders[a.fence]; used && holder != a.process {
 				t.Fatalf("fence %d: got used by processes %d and %d, want one", a.fence, holder, a.process)
 			}
 
 			holders[a.fence] = a.process
 
-			if n > 0 && a.fence < c.checks[n-1].fence {
-				t.Fatalf("at %v: got fence %d after %d, want no decrease", a.at, a.fence, c.checks[n-1].fence)
+			if n > 0 && a.fence < s.checks[n-1].fence {
+				t.Fatalf("at %v: got fence %d after %d, want no decrease", a.at, a.fence, s.checks[n-1].fence)
 			}
 		}
 	})
