--- a/backend/event_stream.go
+++ b/backend/event_stream.go
@@ -16,7 +16,7 @@
 
 var eventDataField = []byte("data:")
 
-// ErrMalformedEvent means that a stream contained an event that cannot be decoded.
+// ErrMalformedEvent means that a stream contained an invalid event.
 var ErrMalformedEvent = errors.New("malformed event in the stream")
 
 // eventStream reads server-sent events. Next is not safe for concurrent use. Close may be
--- a/lease/core.go
+++ b/lease/core.go
@@ -137,7 +137,7 @@
 	}
 
 	if !now.Before(c.validUntil) {
-		return 0, merry.Prependf(ErrNotHeld, "term of role %s is over", c.role)
+		return 0, merry.Prependf(ErrNotHeld, "term of role %s has expired", c.role)
 	}
 
 	return c.ledger.state.Fence, nil
--- a/lease/errors.go
+++ b/lease/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// ErrNotHeld means that this process does not hold the role, or that its term is over.
+// ErrNotHeld means that this process does not hold the role, or that its term has expired.
 var ErrNotHeld = errors.New("lease is not held")
--- a/lease/log_rollback_test.go
+++ b/lease/log_rollback_test.go
@@ -138,7 +138,7 @@
 			s.now = s.now.Add(time.Duration(rapid.IntRange(50, 600).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, len(s.processes)-1).Draw(t, "process")
 
-			switch rapid.IntRange(0, 20).Draw(t, "what") {
+			switch rapid.IntRange(0, 20).Draw(t, "action") {
 			case 0:
 				s.rollBackLog(time.Duration(rapid.IntRange(0, 8000).Draw(t, "lost ms")) * time.Millisecond)
 			case 1:
