--- a/admission/shares_holds_test.go
+++ b/admission/shares_holds_test.go
@@ -53,7 +53,7 @@
 	c := &Controller{
 		Instance: fleet.InstanceID(rune('a' + i)),
 		// A digest has room for one of the two accounts.
-		Sharing: Sharing{Spread: modelSpread, Lapse: modelLapse, DigestAccounts: 1},
+		Sharing: Sharing{PropagationDelay: modelSpread, MemberTimeout: modelLapse, DigestAccounts: 1},
 	}
 	config := testConfig(1000, 1,
 		AccountConfig{Account: testAccount, RequestsPerSecond: modelLimit},
@@ -101,7 +101,7 @@
 			continue
 		}
 
-		digest := member.c.Demand(m.now.Add(member.skew))
+		digest := member.c.PublishDemand(m.now.Add(member.skew))
 
 		for j := range m.members {
 			m.send(t, i, j, digest)
@@ -143,7 +143,7 @@
 		switch {
 		case to.dead:
 		case msg.join:
-			to.c.Join(m.now.Add(to.skew), from.id)
+			to.c.AddMember(m.now.Add(to.skew), from.id)
 		default:
 			to.c.ApplyDemand(m.now.Add(to.skew), from.id, msg.digest)
 		}
--- a/codec/codec.go
+++ b/codec/codec.go
@@ -1,8 +1,8 @@
-// Package codec decodes msgpack messages of other processes without trust in the lengths
-// that they declare.
+// Package codec decodes msgpack messages from other processes without trusting the lengths that
+// the messages declare.
 //
-// The decoder makes room for as many elements as a message announces before it reads the
-// first one, so that some bytes can ask for more memory than the process may use.
+// The msgpack decoder allocates memory for the declared number of elements before it reads the
+// first one, so that a message of a few bytes can exceed the memory limit of the process.
 //
 // # Usage
 //
@@ -18,11 +18,11 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// ErrNotWhole means that a message holds less than it declares.
-var ErrNotWhole = merry.Sentinel("message is not whole")
+// ErrTruncated means that a message holds fewer elements or bytes than it declares.
+var ErrTruncated = merry.Sentinel("message is truncated")
 
-// Unmarshal decodes a message into a pointer. A message that holds less than it declares
-// is ErrNotWhole, and takes no memory.
+// Unmarshal decodes a message into a pointer. It returns an error that wraps ErrTruncated,
+// without allocating memory for the elements, if the message holds less than it declares.
 func Unmarshal(data []byte, into any) error {
 	if err := Check(data); err != nil {
 		return err
@@ -31,18 +31,18 @@
 	return msgpack.Unmarshal(data, into)
 }
 
-// Check returns ErrNotWhole for a message that holds less than it declares.
+// Check returns an error that wraps ErrTruncated if a message holds less than it declares.
 func Check(data []byte) error {
-	if !whole(data) {
-		return merry.Prependf(ErrNotWhole, "%d bytes", len(data))
+	if !isComplete(data) {
+		return merry.Prependf(ErrTruncated, "%d bytes", len(data))
 	}
 
 	return nil
 }
 
-// whole reports whether a message holds all elements and bytes that it declares.
-func whole(data []byte) bool {
-	for left := uint64(1); left > 0; left-- {
+// isComplete reports whether a message holds all elements and bytes that it declares.
+func isComplete(data []byte) bool {
+	for remaining := uint64(1); remaining > 0; remaining-- {
 		if len(data) == 0 {
 			return false
 		}
@@ -50,7 +50,7 @@
 		code := data[0]
 		data = data[1:]
 
-		if bytes := scalars[code]; bytes != notScalar {
+		if bytes := fixedSizes[code]; bytes != variableSize {
 			if int(bytes) > len(data) {
 				return false
 			}
@@ -60,27 +60,28 @@
 			continue
 		}
 
-		size, ok := lengthOf(code, data)
-		// An element takes a byte at least.
-		if !ok || size.bytes+size.elements > uint64(len(data)-size.header) {
+		declared, ok := parseLength(code, data)
+		// Every element takes at least one byte.
+		if !ok || declared.bytes+declared.elements > uint64(len(data)-declared.header) {
 			return false
 		}
 
-		data = data[uint64(size.header)+size.bytes:]
-		left += size.elements
+		data = data[uint64(declared.header)+declared.bytes:]
+		remaining += declared.elements
 	}
 
 	return true
 }
 
-// notScalar stands for codes of values whose length is declared.
-const notScalar = -1
+// variableSize marks the codes of values that declare their length.
+const variableSize = -1
 
-// scalars are the bytes after each code of a value whose length is not declared.
-var scalars = func() (table [256]int8) {
+// fixedSizes holds, by code, the number of bytes that follow the code. It is variableSize for
+// values that declare their length.
+var fixedSizes = func() (table [256]int8) {
 	for code := range table {
 		if !msgpcode.IsFixedNum(byte(code)) {
-			table[code] = notScalar
+			table[code] = variableSize
 		}
 	}
 
@@ -89,8 +90,8 @@
 		msgpcode.Uint8: 1, msgpcode.Uint16: 2, msgpcode.Uint32: 4, msgpcode.Uint64: 8,
 		msgpcode.Int8: 1, msgpcode.Int16: 2, msgpcode.Int32: 4, msgpcode.Int64: 8,
 		msgpcode.Float: 4, msgpcode.Double: 8,
-		msgpcode.FixExt1: 1 + extensionType, msgpcode.FixExt2: 2 + extensionType, msgpcode.FixExt4: 4 + extensionType,
-		msgpcode.FixExt8: 8 + extensionType, msgpcode.FixExt16: 16 + extensionType,
+		msgpcode.FixExt1: 1 + extensionTypeBytes, msgpcode.FixExt2: 2 + extensionTypeBytes, msgpcode.FixExt4: 4 + extensionTypeBytes,
+		msgpcode.FixExt8: 8 + extensionTypeBytes, msgpcode.FixExt16: 16 + extensionTypeBytes,
 	} {
 		table[code] = bytes
 	}
@@ -98,26 +99,29 @@
 	return table
 }()
 
-// extensionType is the byte that names the type of an extension.
-const extensionType = 1
+// extensionTypeBytes is the size of the type field of an extension.
+const extensionTypeBytes = 1
 
-// length is what a value declares.
-type length struct {
-	// header are the bytes of the length itself.
-	header   int
-	bytes    uint64
+// declaredLength is the length that a value declares.
+type declaredLength struct {
+	// header is the size of the encoded length in bytes.
+	header int
+	// bytes is the size of the data of a string, binary value or extension.
+	bytes uint64
+	// elements is the number of elements of an array, or of keys and values of a map.
 	elements uint64
 }
 
-// lengthOf returns what a value declares. rest begins after its code.
-func lengthOf(code byte, rest []byte) (length, bool) {
+// parseLength returns the length that a value declares. rest is the message after the value's
+// code.
+func parseLength(code byte, rest []byte) (declaredLength, bool) {
 	switch {
 	case msgpcode.IsFixedMap(code):
-		return length{elements: 2 * uint64(code&msgpcode.FixedMapMask)}, true
+		return declaredLength{elements: 2 * uint64(code&msgpcode.FixedMapMask)}, true
 	case msgpcode.IsFixedArray(code):
-		return length{elements: uint64(code & msgpcode.FixedArrayMask)}, true
+		return declaredLength{elements: uint64(code & msgpcode.FixedArrayMask)}, true
 	case msgpcode.IsFixedString(code):
-		return length{bytes: uint64(code & msgpcode.FixedStrMask)}, true
+		return declaredLength{bytes: uint64(code & msgpcode.FixedStrMask)}, true
 	}
 
 	header := 4
@@ -130,7 +134,7 @@
 	}
 
 	if len(rest) < header {
-		return length{}, false
+		return declaredLength{}, false
 	}
 
 	n := uint64(0)
@@ -140,14 +144,14 @@
 
 	switch code {
 	case msgpcode.Str8, msgpcode.Str16, msgpcode.Str32, msgpcode.Bin8, msgpcode.Bin16, msgpcode.Bin32:
-		return length{header: header, bytes: n}, true
+		return declaredLength{header: header, bytes: n}, true
 	case msgpcode.Ext8, msgpcode.Ext16, msgpcode.Ext32:
-		return length{header: header, bytes: n + extensionType}, true
+		return declaredLength{header: header, bytes: n + extensionTypeBytes}, true
 	case msgpcode.Array16, msgpcode.Array32:
-		return length{header: header, elements: n}, true
+		return declaredLength{header: header, elements: n}, true
 	case msgpcode.Map16, msgpcode.Map32:
-		return length{header: header, elements: 2 * n}, true
+		return declaredLength{header: header, elements: 2 * n}, true
 	default:
-		return length{}, false
+		return declaredLength{}, false
 	}
 }
--- a/daemon/peer_members.go
+++ b/daemon/peer_members.go
@@ -37,7 +37,7 @@
 		others = append(others, answer.Member{
 			ID: m.ID(), Incarnation: m.Incarnation(), Domain: m.Domain(), Leaving: !m.Usable(),
 		})
-		p.admission.Join(now, m.ID())
+		p.admission.AddMember(now, m.ID())
 	}
 
 	p.replicator.SetMembers(others)
@@ -59,7 +59,7 @@
 		p.claims.instanceGone(id, incarnation)
 
 		if m := view.Member(id); m != nil && m.Phase() == membership.Left {
-			p.admission.Leave(id)
+			p.admission.RemoveMember(id)
 		}
 	}
 
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -50,7 +50,7 @@
 // newSource returns a source of a feed that reads from the store or from another instance.
 func newSource(name string, origin feed.Source, log *replica.Log, upstreamOf func() replica.Upstream, servesSubscribers func() bool) *replica.Source {
 	return &replica.Source{
-		Feed: name, Origin: origin, Log: log, Upstream: upstreamOf, Kept: servesSubscribers, Dialer: upstream.Dialer(relayDialTimeout),
+		Feed: name, Origin: origin, Log: log, Upstream: upstreamOf, KeepLog: servesSubscribers, Dialer: upstream.Dialer(relayDialTimeout),
 	}
 }
 
@@ -70,7 +70,7 @@
 
 	for follower, log := range p.relayLogs {
 		if !log.Loaded() {
-			follower.Reread()
+			follower.RequestSnapshot()
 		}
 	}
 }
@@ -79,7 +79,7 @@
 // may be older.
 func confirmStoreReads(s *replica.Source, confirm func(requestedAt time.Time)) func(time.Time) {
 	return func(requestedAt time.Time) {
-		if !s.Relayed() {
+		if !s.LastReadRelayed() {
 			confirm(requestedAt)
 		}
 	}
@@ -95,12 +95,12 @@
 func sameEntry(before, after feed.Entry) bool { return bytes.Equal(before.Data, after.Data) }
 
 // directoryPace returns how the directory is read.
-func (p *components) directoryPace() feed.Pace {
+func (p *components) directoryPace() feed.PollTiming {
 	if pace, ok := p.memberPace(); ok && p.directory.Load() != nil {
 		return pace
 	}
 
-	return feed.Pace{Wait: relaxedRulesWait, Every: minReadInterval, MaxBackoff: p.storeFallbackInterval()}
+	return feed.PollTiming{MaxWait: relaxedRulesWait, Interval: minReadInterval, MaxBackoff: p.storeFallbackInterval()}
 }
 
 // upstream returns where this instance reads the rules and the register.
@@ -140,7 +140,7 @@
 // reads from those, since its subscribers have no other source.
 func (p *components) lagsBehind(plan *topology.Plan) bool {
 	own := p.ownConfirmedAt.Load()
-	if own == 0 || p.clock.Now().Sub(p.directoryFeed.Reached()) < storeRecoveryWindow {
+	if own == 0 || p.clock.Now().Sub(p.directoryFeed.LastRead()) < storeRecoveryWindow {
 		return false
 	}
 
@@ -211,8 +211,8 @@
 
 	next := p.upstream()
 	if before := p.lastUpstream.Swap(&next); before == nil || *before != next {
-		p.rulesFeed.Redirect()
-		p.registerFeed.Redirect()
+		p.rulesFeed.SourceChanged()
+		p.registerFeed.SourceChanged()
 		p.directoryFeed.Wake()
 	}
 }
@@ -220,15 +220,15 @@
 // memberPace returns the pace of any feed at an instance that follows others outside of a full
 // mesh: of reads from another instance, or from the store while no relay is reachable. It returns
 // false for leaders, and members of a full mesh, that read the store.
-func (p *components) memberPace() (feed.Pace, bool) {
+func (p *components) memberPace() (feed.PollTiming, bool) {
 	switch {
 	case !p.readsStore():
-		return feed.Pace{Wait: relayReadWait, Every: relayReadInterval}, true
+		return feed.PollTiming{MaxWait: relayReadWait, Interval: relayReadInterval}, true
 	case !p.fullMesh() && !p.isLeader():
 		interval := p.storeFallbackInterval()
 
-		return feed.Pace{Every: interval, MaxBackoff: interval}, true
+		return feed.PollTiming{Interval: interval, MaxBackoff: interval}, true
 	default:
-		return feed.Pace{}, false
+		return feed.PollTiming{}, false
 	}
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -204,7 +204,7 @@
 		return j, refusal
 	}
 
-	j.service = route.Target(rand.Float64())
+	j.service = route.PickService(rand.Float64())
 	f.Retries.Of(retry.NewScope(j.service, "")).CountRequest(f.Clock.Now())
 
 	return j, f.takeLimit(ctx, j)
@@ -212,7 +212,7 @@
 
 // authorize sets the client account of a request from its API key, if the route requires one.
 func (f *Forwarder) authorize(j *job) *Refusal {
-	if !j.rules.Keyed() || j.route.Public {
+	if !j.rules.RequiresKey() || j.route.Public {
 		return nil
 	}
 
@@ -220,7 +220,7 @@
 		return notRunRefusal(StaleRules, unavailableRetryAfter)
 	}
 
-	account, ok := j.rules.AccountOf(j.request.APIKey)
+	account, ok := j.rules.AccountByKey(j.request.APIKey)
 	if !ok {
 		return &Refusal{Reason: Unauthorized, NotRun: true}
 	}
--- a/gateway/retained.go
+++ b/gateway/retained.go
@@ -154,9 +154,9 @@
 	complete, _ := result.Complete()
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
-		Latency: record.timeToFirstToken(call.arrived),
-		Whole:   now.Sub(call.arrived),
-		Tokens:  call.bytes/bytesPerToken + complete.Tokens,
+		Latency:  record.timeToFirstToken(call.arrived),
+		Duration: now.Sub(call.arrived),
+		Tokens:   call.bytes/bytesPerToken + complete.Tokens,
 	})
 	record.setResult(result)
 }
--- a/listener/limit.go
+++ b/listener/limit.go
@@ -24,10 +24,10 @@
 type Limit struct {
 	net.Listener
 	Max int64
-	// Answer is written to a connection over the bound.
-	Answer []byte
-	// Refused is called for each connection over the bound; it may be nil.
-	Refused func()
+	// Refusal is written to a connection over the bound.
+	Refusal []byte
+	// OnRefused is called for each connection over the bound; it may be nil.
+	OnRefused func()
 
 	open atomic.Int64
 }
@@ -46,7 +46,7 @@
 		}
 
 		if l.open.Add(1) <= l.Max {
-			return &conn{Conn: c, open: &l.open}, nil
+			return &countedConn{Conn: c, open: &l.open}, nil
 		}
 
 		l.open.Add(-1)
@@ -55,26 +55,26 @@
 }
 
 func (l *Limit) refuse(c net.Conn) {
-	if l.Refused != nil {
-		l.Refused()
+	if l.OnRefused != nil {
+		l.OnRefused()
 	}
 
 	// A caller that does not read its refusal must not hold up the others; the
 	// answer fits into the send buffer of a new connection.
 	_ = c.SetWriteDeadline(time.Now().Add(refusalTimeout))
-	_, _ = c.Write(l.Answer)
+	_, _ = c.Write(l.Refusal)
 	_ = c.Close()
 }
 
-// conn counts itself out when it is closed.
-type conn struct {
+// countedConn counts itself out when it is closed.
+type countedConn struct {
 	net.Conn
 	once sync.Once
 	open *atomic.Int64
 }
 
 // Close closes the connection.
-func (c *conn) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 
 	return c.Conn.Close()
