--- a/backend/event_stream_test.go
+++ b/backend/event_stream_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestEventStreamEnds(t *testing.T) {
+func TestEventStreamTermination(t *testing.T) {
 	const token = `data: {"attempt":"a","offset":0,"token":"x"}` + "\n\n"
 
 	tests := []struct {
@@ -37,12 +37,12 @@
 		events int
 		want   error
 	}{
-		{desc: "finished", body: token + finishLine, events: 2, want: io.EOF},
-		{desc: "nothing is read after the finish", body: token + finishLine + token, events: 2, want: io.EOF},
+		{desc: "finish", body: token + finishLine, events: 2, want: io.EOF},
+		{desc: "token after the finish", body: token + finishLine + token, events: 2, want: io.EOF},
 		{desc: "no finish", body: token, events: 1, want: io.ErrUnexpectedEOF},
 		{desc: "empty", body: "", want: io.ErrUnexpectedEOF},
-		{desc: "cut within the finish", body: token + finishLine[:40], events: 1, want: io.ErrUnexpectedEOF},
-		{desc: "cut before the line's end", body: strings.TrimSpace(finishLine), want: io.ErrUnexpectedEOF},
+		{desc: "truncated within the finish", body: token + finishLine[:40], events: 1, want: io.ErrUnexpectedEOF},
+		{desc: "truncated before the newline", body: strings.TrimSpace(finishLine), want: io.ErrUnexpectedEOF},
 		{desc: "comments and other fields", body: ": hi\nid: 4\n" + token + finishLine, events: 2, want: io.EOF},
 		{desc: "not json", body: token + "data: {\"attempt\":\n\n", events: 1, want: ErrMalformedEvent},
 		{desc: "no attempt", body: "data: {\"token\":\"x\"}\n\n", want: ErrMalformedEvent},
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestEventDecoderAgreesWithJSON(t *testing.T) {
+func TestEventDecoderMatchesJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := TokenEvent{
 			Attempt: AttemptID(rapid.SampledFrom([]string{"a", "b", `a"`, "aa"}).Draw(t, "attempt")),
@@ -90,7 +90,7 @@
 	})
 }
 
-func TestEventDecoderTakesNoMoreThanJSON(t *testing.T) {
+func TestEventDecoderAcceptsOnlyValidJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := []byte(`{"attempt":"a","offset":12,"token":"xyz"}`)
 		at := rapid.IntRange(0, len(data)-1).Draw(t, "at")
@@ -111,7 +111,7 @@
 	})
 }
 
-// endlessTokens repeats one event.
+// endlessTokens is a response body that repeats one event.
 type endlessTokens struct {
 	line string
 	rest string
@@ -136,7 +136,7 @@
 	return newEventStream(&endlessTokens{line: line}, "a-1")
 }
 
-func TestTokenCostsOneAllocation(t *testing.T) {
+func TestNextAllocatesOncePerToken(t *testing.T) {
 	s := newEndlessStream()
 
 	got := testing.AllocsPerRun(1000, func() {
--- a/backend/http_test.go
+++ b/backend/http_test.go
@@ -13,8 +13,8 @@
 	"monsoonlever/backend"
 )
 
-// breakingServer answers the first request and closes its connection on each
-// later one, after having read it.
+// breakingServer answers the first request. It reads each later request and then closes the
+// connection.
 type breakingServer struct {
 	listener net.Listener
 	requests atomic.Int32
@@ -43,11 +43,11 @@
 			return
 		}
 
-		go s.answer(conn)
+		go s.handle(conn)
 	}
 }
 
-func (s *breakingServer) answer(conn net.Conn) {
+func (s *breakingServer) handle(conn net.Conn) {
 	defer conn.Close()
 
 	reader := bufio.NewReader(conn)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestDoSendsACallOnce(t *testing.T) {
+func TestDoSendsCallOnce(t *testing.T) {
 	tests := []struct {
 		desc string
 		call backend.Call
@@ -101,7 +101,7 @@
 			_, err := plain.Do(t.Context(), tt.call)
 
 			if err == nil || errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrRefused) {
-				t.Errorf("second call: got %v, want an error that leaves it unknown", err)
+				t.Errorf("second call: got %v, want an error with an unknown outcome", err)
 			}
 
 			if got := server.requests.Load(); got != 2 {
@@ -111,9 +111,9 @@
 	}
 }
 
-// The transport alone sends a request with a key again, which is why the test
-// above is needed.
-func TestTransportAloneSendsTwice(t *testing.T) {
+// Shows that http.Transport resends a request with an idempotency key by itself, which
+// TestDoSendsCallOnce guards against.
+func TestTransportResendsRequestWithKey(t *testing.T) {
 	server := newBreakingServer(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	url := "http://" + server.listener.Addr().String() + "/"
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestGenerateSendsAnAttemptOnce(t *testing.T) {
+func TestGenerateSendsAttemptOnce(t *testing.T) {
 	server := newBreakingServer(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	engine := backend.NewHTTPEngine(server.listener.Addr().String(), client)
@@ -147,7 +147,7 @@
 
 	_, err := engine.Generate(t.Context(), backend.GenerateRequest{Attempt: "b"})
 	if err == nil || errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrRefused) {
-		t.Errorf("second attempt: got %v, want an error that leaves it unknown", err)
+		t.Errorf("second attempt: got %v, want an error with an unknown outcome", err)
 	}
 
 	if got := server.requests.Load(); got != 2 {
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestFailedDialIsNotSent(t *testing.T) {
+func TestFailedDialReturnsErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestDoReadsTheAnswer(t *testing.T) {
+func TestDoClassifiesResponse(t *testing.T) {
 	tests := []struct {
 		desc       string
 		status     int
@@ -185,18 +185,18 @@
 	}{
 		{desc: "success", status: 200, wantStatus: 200},
 		{desc: "redirect is not followed", status: 307, header: http.Header{"Location": {"/again"}}, wantStatus: 307},
-		{desc: "nor is one that changes the method", status: 303, header: http.Header{"Location": {"/again"}}, wantStatus: 303},
-		{desc: "unmarked 503 is an answer", status: 503, wantStatus: 503},
+		{desc: "redirect with another method is not followed", status: 303, header: http.Header{"Location": {"/again"}}, wantStatus: 303},
+		{desc: "503 without X-Execution is a reply", status: 503, wantStatus: 503},
 		{
-			desc: "503 before the start", status: 503,
+			desc: "503 with X-Execution is a refusal", status: 503,
 			header: http.Header{"X-Execution": {"not-started"}}, wantErr: backend.ErrRefused,
 		},
 		{
-			desc: "429 before the start", status: 429,
+			desc: "429 with X-Execution is a refusal", status: 429,
 			header: http.Header{"X-Execution": {"not-started"}}, wantErr: backend.ErrRefused,
 		},
 		{
-			desc: "mark on another status means nothing", status: 500,
+			desc: "X-Execution with another status is ignored", status: 500,
 			header: http.Header{"X-Execution": {"not-started"}}, wantStatus: 500,
 		},
 	}
--- a/gateway/answer_record.go
+++ b/gateway/answer_record.go
@@ -7,47 +7,49 @@
 	"monsoonlever/answer"
 )
 
-// keptTimes joins what the caller's side and the engines' side of a kept answer
-// know of it.
-type keptTimes struct {
-	mu    sync.Mutex
-	first time.Time
-	ended answer.Result
+// answerRecord holds the measurements of a retained answer that are shared between the
+// goroutine that streams it to the caller and the one that generates it.
+type answerRecord struct {
+	mu           sync.Mutex
+	firstTokenAt time.Time
+	final        answer.Result
 }
 
-// begin notes when the caller got its first token.
-func (k *keptTimes) begin(at time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// setFirstToken records the time at which the first token was sent to the caller.
+// Later calls have no effect.
+func (r *answerRecord) setFirstToken(at time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	if k.first.IsZero() {
-		k.first = at
+	if r.firstTokenAt.IsZero() {
+		r.firstTokenAt = at
 	}
 }
 
-// firstToken returns how long the caller waited for its first token.
-func (k *keptTimes) firstToken(arrived time.Time) time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// timeToFirstToken returns the time from the arrival of the request to its first
+// token, or 0 if no token was sent.
+func (r *answerRecord) timeToFirstToken(arrived time.Time) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	if k.first.IsZero() {
+	if r.firstTokenAt.IsZero() {
 		return 0
 	}
 
-	return k.first.Sub(arrived)
+	return r.firstTokenAt.Sub(arrived)
 }
 
-// end notes how the work at the answer ended.
-func (k *keptTimes) end(r answer.Result) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// setResult records the result of generating the answer on this instance.
+func (r *answerRecord) setResult(result answer.Result) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	k.ended = r
+	r.final = result
 }
 
-func (k *keptTimes) result() answer.Result {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (r *answerRecord) result() answer.Result {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	return k.ended
+	return r.final
 }
--- a/gateway/instruments.go
+++ b/gateway/instruments.go
@@ -10,8 +10,8 @@
 	"monsoonlever/fleet"
 )
 
-// instruments are the metrics of a gateway. Those of a kind of call are found
-// once for each request, by a key that is not built from strings.
+// instruments are the metrics of a gateway. The metrics of a kind of call are looked
+// up once per request, by a struct key instead of a concatenated string.
 type instruments struct {
 	set   *metrics.Set
 	open  atomic.Int64
@@ -21,8 +21,8 @@
 	writeTimeout *metrics.Counter
 }
 
-// instrumentKey names a kind of call by the manifest's words, never by those of
-// a caller, which are without bound.
+// instrumentKey identifies a kind of call. Its names come from the manifest and never
+// from a request, which bounds the number of label values.
 type instrumentKey struct {
 	service fleet.Service
 	kind    fleet.CallKind
@@ -43,14 +43,14 @@
 	return i
 }
 
-// enter counts an open request until the returned function is called.
-func (i *instruments) enter() func() {
+// trackOpen counts a request as open until the returned function is called.
+func (i *instruments) trackOpen() func() {
 	i.open.Add(1)
 
 	return func() { i.open.Add(-1) }
 }
 
-func (i *instruments) kind(key instrumentKey) *kindInstruments {
+func (i *instruments) forKind(key instrumentKey) *kindInstruments {
 	if k, ok := i.kinds.Load(key); ok {
 		return k.(*kindInstruments) //nolint:errcheck,forcetypeassert // nothing else is stored
 	}
@@ -60,15 +60,15 @@
 	return k.(*kindInstruments) //nolint:errcheck,forcetypeassert // nothing else is stored
 }
 
-// observe counts a request that ended. One that was refused before its kind of
-// call was known has none.
+// observe counts a finished request. A request that was refused before its kind of
+// call was known is counted under empty labels.
 func (i *instruments) observe(o Observation) {
 	var key instrumentKey
 	if o.Service != "" {
 		key = instrumentKey{service: o.Service, kind: o.Kind.Name()}
 	}
 
-	i.kind(key).observe(o)
+	i.forKind(key).observe(o)
 
 	switch {
 	case o.WriteTimedOut:
@@ -83,7 +83,7 @@
 	set        *metrics.Set
 	labels     string
 	firstToken *metrics.Histogram
-	whole      *metrics.Histogram
+	duration   *metrics.Histogram
 	tokens     *metrics.Counter
 	recomputed *metrics.Counter
 	resumed    *metrics.Counter
@@ -97,7 +97,7 @@
 		set:        set,
 		labels:     labels,
 		firstToken: set.GetOrCreateHistogram("monsoonlever_first_token_seconds{" + labels + "}"),
-		whole:      set.GetOrCreateHistogram("monsoonlever_request_duration_seconds{" + labels + "}"),
+		duration:   set.GetOrCreateHistogram("monsoonlever_request_duration_seconds{" + labels + "}"),
 		tokens:     set.GetOrCreateCounter("monsoonlever_tokens_total{" + labels + "}"),
 		recomputed: set.GetOrCreateCounter("monsoonlever_recomputed_tokens_total{" + labels + "}"),
 		resumed:    set.GetOrCreateCounter("monsoonlever_resumed_attempts_total{" + labels + "}"),
@@ -112,7 +112,7 @@
 	}
 
 	if o.Refused == nil {
-		k.whole.Update(o.Duration.Seconds())
+		k.duration.Update(o.Duration.Seconds())
 	}
 
 	k.tokens.Add(o.Tokens)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -15,39 +15,40 @@
 	"monsoonlever/refusal"
 )
 
-// HeaderIdempotencyKey names a call, so that it runs at most once however often
-// it is sent.
+// HeaderIdempotencyKey identifies a call, so that it runs at most once even if it is
+// sent several times.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// maxKeyBytes bounds an idempotency key.
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 256
 
-// plainCall is a parsed and authorised call of a plain service.
+// plainCall is a parsed and authorized call of a plain service.
 type plainCall struct {
 	service manifest.Service
 	request PlainRequest
 }
 
 func (g *Gateway) plain(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	defer g.instruments.enter()()
+	defer g.instruments.trackOpen()()
 
 	call, refused := g.parsePlain(w, r, params)
 	if refused != nil {
-		g.refuseUnknown(w, beforeClaim(r.Header, refused))
+		g.refuseUnclassified(w, notStartedIfKeyed(r.Header, refused))
 
 		return
 	}
 
 	ticket, refused := g.admit(r.Context(), call.request.Deadline, call.admissionRequest())
 	if refused != nil {
-		refused = beforeClaim(r.Header, refused)
+		refused = notStartedIfKeyed(r.Header, refused)
 		g.observe(call.observation(r.Context(), g.Clock.Now(), refused))
 		g.refuse(w, refused)
 
 		return
 	}
 
-	// A panic must not keep the place of the request; Finish counts once.
+	// Releases the admission of the request after a panic. Calling Finish again has
+	// no effect.
 	defer func() { g.Admission.Finish(g.Clock.Now(), ticket, admission.Outcome{}) }()
 
 	reply, refused := g.Plain.Call(r.Context(), call.request)
@@ -61,7 +62,7 @@
 		return
 	}
 
-	g.boundWrite(w)
+	g.setWriteDeadline(w)
 	writeReply(w, call.request, reply)
 }
 
@@ -70,12 +71,12 @@
 ) (plainCall, *refusal.Refusal) {
 	arrived := g.Clock.Now()
 
-	who, refused := g.authenticate(r)
+	c, refused := g.authenticate(r)
 	if refused != nil {
 		return plainCall{}, refused
 	}
 
-	service, refused := who.service(fleet.Service(params.ByName("service")))
+	service, refused := c.service(fleet.Service(params.ByName("service")))
 	if refused != nil {
 		return plainCall{}, refused
 	}
@@ -87,7 +88,7 @@
 		return plainCall{}, refusal.New(refusal.UnknownCall, "%q has no call %s %s", service.Name(), r.Method, path)
 	}
 
-	sent, refused := servicePath(r.URL, path)
+	forwardedPath, refused := servicePath(r.URL, path)
 	if refused != nil {
 		return plainCall{}, refused
 	}
@@ -97,12 +98,12 @@
 		return plainCall{}, refused
 	}
 
-	priority, refused := who.priority(r.Header, kind)
+	priority, refused := c.priority(r.Header, kind)
 	if refused != nil {
 		return plainCall{}, refused
 	}
 
-	at, refused := deadline(r.Header, arrived, kind.Deadline())
+	deadline, refused := requestDeadline(r.Header, arrived, kind.Deadline())
 	if refused != nil {
 		return plainCall{}, refused
 	}
@@ -114,15 +115,15 @@
 
 	return plainCall{service: service, request: PlainRequest{
 		ID:      g.NewID(),
-		Account: who.account.Name(),
+		Account: c.account.Name(),
 		Service: service.Name(),
 		Kind:    kind,
 		Call: backend.Call{
-			Method: r.Method, Path: sent, Header: forwardedHeader(r.Header), Body: body, IdempotencyKey: key,
+			Method: r.Method, Path: forwardedPath, Header: forwardedHeader(r.Header), Body: body, IdempotencyKey: key,
 		},
 		Priority: priority,
 		Arrived:  arrived,
-		Deadline: at,
+		Deadline: deadline,
 	}}, nil
 }
 
@@ -140,13 +141,13 @@
 	return key, nil
 }
 
-// forwardedHeaders are the headers of a call that the service gets.
-var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "Traceparent"}
+// requestHeaders are the request headers that are forwarded to the service.
+var requestHeaders = []string{"Accept", "Accept-Language", "Content-Type", "Traceparent"}
 
 func forwardedHeader(h http.Header) http.Header {
 	out := http.Header{}
 
-	for _, name := range forwardedHeaders {
+	for _, name := range requestHeaders {
 		if values := h.Values(name); len(values) > 0 {
 			out[textproto.CanonicalMIMEHeaderKey(name)] = values
 		}
@@ -155,11 +156,11 @@
 	return out
 }
 
-// repliedHeaders are the headers of a reply that the caller gets.
-var repliedHeaders = []string{"Content-Type", "Content-Language", "Etag", "Last-Modified", "Location", "Retry-After"}
+// replyHeaders are the reply headers that are returned to the caller.
+var replyHeaders = []string{"Content-Type", "Content-Language", "Etag", "Last-Modified", "Location", "Retry-After"}
 
 func writeReply(w http.ResponseWriter, r PlainRequest, reply backend.Reply) {
-	for _, name := range repliedHeaders {
+	for _, name := range replyHeaders {
 		if values := reply.Header.Values(name); len(values) > 0 {
 			w.Header()[name] = values
 		}
@@ -167,7 +168,7 @@
 
 	w.Header().Set("X-Request-Id", string(r.ID))
 	w.WriteHeader(reply.Status)
-	// The caller is gone if this fails; there is nobody to tell.
+	// A write error means that the caller disconnected.
 	_, _ = w.Write(reply.Body)
 }
 
@@ -182,10 +183,11 @@
 	}
 }
 
-// beforeClaim says of a call with an idempotency key only that this attempt did
-// not start: an earlier one with the same key may have run.
-func beforeClaim(h http.Header, r *refusal.Refusal) *refusal.Refusal {
-	if r.Run() != refusal.NotRun || !isKeyed(h) {
+// notStartedIfKeyed changes the run state of a refusal from refusal.NotRun to
+// refusal.NotStarted if the request has an idempotency key, since an earlier attempt
+// with the same key may have run.
+func notStartedIfKeyed(h http.Header, r *refusal.Refusal) *refusal.Refusal {
+	if r.Run() != refusal.NotRun || !hasIdempotencyKey(h) {
 		return r
 	}
 
