--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -34,10 +34,10 @@
 	Deadline time.Time
 }
 
-// Keeper runs a Table over a journal. It is safe for concurrent use. Set the
+// Executor runs a Table over a journal. It is safe for concurrent use. Set the
 // exported fields before Run, and add the keeper to Journal.Subscribers before
 // the journal runs.
-type Keeper struct {
+type Executor struct {
 	Journal *logstream.Client
 	Clock   clock.Clock
 	Config  Config
@@ -68,7 +68,7 @@
 	ticket  *logstream.Ticket
 }
 
-func (k *Keeper) init() {
+func (k *Executor) init() {
 	k.once.Do(func() {
 		k.table = NewTable(k.Config)
 		k.calls = make(map[RequestID]*call)
@@ -80,7 +80,7 @@
 // Do brings an attempt to its final verdict. It calls send if and only if the
 // attempt won its key. The error of ctx is returned if ctx ended first; what
 // was sent then goes on without its caller.
-func (k *Keeper) Do(ctx context.Context, a Attempt, send Send) (Verdict, error) {
+func (k *Executor) Do(ctx context.Context, a Attempt, send Send) (Verdict, error) {
 	k.init()
 	k.counters.requests.Inc()
 
@@ -97,7 +97,7 @@
 	}
 }
 
-func (k *Keeper) submit(a Attempt) (RequestID, *call) {
+func (k *Executor) submit(a Attempt) (RequestID, *call) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -110,7 +110,7 @@
 	return id, c
 }
 
-func (k *Keeper) forget(id RequestID) {
+func (k *Executor) forget(id RequestID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -119,7 +119,7 @@
 
 // abandon ends a call whose caller is gone. One that has won its key in the
 // meantime is declined, since nothing of it was sent.
-func (k *Keeper) abandon(ctx context.Context, id RequestID, c *call, send Send) (Verdict, error) {
+func (k *Executor) abandon(ctx context.Context, id RequestID, c *call, send Send) (Verdict, error) {
 	k.step(func(now time.Time) []Command { return k.table.Abandon(now, id) })
 
 	select {
@@ -131,7 +131,7 @@
 }
 
 // dispatch sends a request that won its key, unless its time has passed.
-func (k *Keeper) dispatch(ctx context.Context, d Dispatch, c *call, send Send) (Verdict, error) {
+func (k *Executor) dispatch(ctx context.Context, d Dispatch, c *call, send Send) (Verdict, error) {
 	if ctx.Err() != nil || !d.deadline.After(k.Clock.Now()) {
 		k.step(func(now time.Time) []Command { return k.table.Declined(now, d.request) })
 
@@ -159,7 +159,7 @@
 }
 
 // send makes the call. Should it panic, it is unknown whether it ran.
-func (k *Keeper) send(ctx context.Context, id RequestID, send Send) (Result, error) {
+func (k *Executor) send(ctx context.Context, id RequestID, send Send) (Result, error) {
 	returned := false
 
 	defer func() {
@@ -174,7 +174,7 @@
 	return result, err
 }
 
-func (k *Keeper) wait(ctx context.Context, c *call) (Verdict, error) {
+func (k *Executor) wait(ctx context.Context, c *call) (Verdict, error) {
 	select {
 	case v := <-c.answer:
 		return v, nil
@@ -183,7 +183,7 @@
 	}
 }
 
-func (k *Keeper) subset(header []Field) []Field {
+func (k *Executor) subset(header []Field) []Field {
 	var kept []Field
 
 	for _, f := range header {
@@ -198,24 +198,24 @@
 }
 
 // Horizon implements logstream.Subscriber.
-func (k *Keeper) Horizon(since time.Time) {
+func (k *Executor) Horizon(since time.Time) {
 	k.step(func(time.Time) []Command { return k.table.Horizon(since) })
 }
 
 // Entries implements logstream.Subscriber.
-func (k *Keeper) Entries(entries []logstream.Entry) {
+func (k *Executor) Entries(entries []logstream.Entry) {
 	for _, e := range entries {
 		k.step(func(now time.Time) []Command { return k.table.Read(now, e) })
 	}
 }
 
 // InstanceGone says that an incarnation of an entry instance is no longer live.
-func (k *Keeper) InstanceGone(id fleet.InstanceID, incarnation fleet.Incarnation) {
+func (k *Executor) InstanceGone(id fleet.InstanceID, incarnation fleet.Incarnation) {
 	k.step(func(time.Time) []Command { return k.table.InstanceGone(id, incarnation) })
 }
 
 // Run watches deadlines and the log until ctx ends. The journal runs beside it.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Executor) Run(ctx context.Context) error {
 	k.init()
 
 	ready := k.Journal.Ready()
@@ -238,7 +238,7 @@
 	}
 }
 
-func (k *Keeper) tick() {
+func (k *Executor) tick() {
 	healthy := k.Journal.Healthy()
 
 	k.step(func(now time.Time) []Command {
@@ -253,7 +253,7 @@
 }
 
 // watch passes changes of the log's health on.
-func (k *Keeper) watch(healthy bool) []Command {
+func (k *Executor) watch(healthy bool) []Command {
 	if healthy != k.down {
 		return nil
 	}
@@ -274,7 +274,7 @@
 }
 
 // failed tells the table of the appends that ended without effect.
-func (k *Keeper) failed(now time.Time) []Command {
+func (k *Executor) failed(now time.Time) []Command {
 	var commands []Command
 
 	open := k.appends
@@ -301,7 +301,7 @@
 }
 
 // step makes one step of the table and carries its commands out.
-func (k *Keeper) step(f func(now time.Time) []Command) {
+func (k *Executor) step(f func(now time.Time) []Command) {
 	k.init()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -310,7 +310,7 @@
 }
 
 // run carries commands out. None of them waits.
-func (k *Keeper) run(commands []Command) {
+func (k *Executor) run(commands []Command) {
 	for _, command := range commands {
 		switch c := command.(type) {
 		case Append:
--- a/claim/keeper_test.go
+++ b/claim/keeper_test.go
@@ -21,7 +21,7 @@
 // entries is several entry instances over one log.
 type entries struct {
 	log     *memoryLog
-	keepers []*Keeper
+	keepers []*Executor
 	stop    func()
 }
 
@@ -35,7 +35,7 @@
 		client := &logstream.Client{
 			Log: e.log, Clock: clock.System{}, Stream: "claims", Writer: id, Incarnation: 1, Retention: 2 * time.Hour,
 		}
-		keeper := &Keeper{
+		keeper := &Executor{
 			Journal:    client,
 			Clock:      clock.System{},
 			Config:     Config{Self: id, Incarnation: 1},
--- a/daemon/build_control.go
+++ b/daemon/build_control.go
@@ -36,7 +36,7 @@
 		Writer: p.settings.Instance, Incarnation: p.incarnation,
 		AppendsPerSecond: p.settings.AppendsPerSecond - p.controlShare(), Rand: newRandom(),
 	}
-	p.claims = newClaims(&claim.Keeper{
+	p.claims = newClaims(&claim.Executor{
 		Journal: client, Clock: p.clock, KeepHeader: dispatch.StoredHeaders,
 		Config: claim.Config{Self: p.settings.Instance, Incarnation: p.incarnation},
 	}, client)
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -17,7 +17,7 @@
 // claims runs the keeper of claims from the first manifest on, which says how
 // long keys are remembered and how long the log keeps a record.
 type claims struct {
-	keeper  *claim.Keeper
+	keeper  *claim.Executor
 	journal *logstream.Client
 	once    sync.Once
 	begun   chan struct{}
@@ -25,7 +25,7 @@
 
 var _ dispatch.Claims = (*claims)(nil)
 
-func newClaims(k *claim.Keeper, j *logstream.Client) *claims {
+func newClaims(k *claim.Executor, j *logstream.Client) *claims {
 	j.Subscribers = append(j.Subscribers, k)
 
 	return &claims{keeper: k, journal: j, begun: make(chan struct{})}
