--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -38,7 +38,7 @@
 // exported fields before Run, and add the keeper to Journal.Subscribers before
 // the journal runs.
 type Executor struct {
-	Journal *logstream.Client
+	Log *logstream.Client
 	Clock   clock.Clock
 	Config  Config
 	// KeepHeader names the header fields that are kept with an outcome.
@@ -218,7 +218,7 @@
 func (k *Executor) Run(ctx context.Context) error {
 	k.init()
 
-	ready := k.Journal.Ready()
+	ready := k.Log.Ready()
 
 	for {
 		select {
@@ -239,7 +239,7 @@
 }
 
 func (k *Executor) tick() {
-	healthy := k.Journal.Healthy()
+	healthy := k.Log.Healthy()
 
 	k.step(func(now time.Time) []Command {
 		commands := k.watch(healthy)
@@ -318,7 +318,7 @@
 				k.counters.voids.Inc()
 			}
 
-			k.appends = append(k.appends, openAppend{command: c, ticket: k.Journal.Append(c.kind, c.payload)})
+			k.appends = append(k.appends, openAppend{command: c, ticket: k.Log.Append(c.kind, c.payload)})
 		case Dispatch:
 			if open, ok := k.calls[c.request]; ok {
 				open.dispatch <- c
--- a/claim/keeper_test.go
+++ b/claim/keeper_test.go
@@ -36,7 +36,7 @@
 			Log: e.log, Clock: clock.System{}, Stream: "claims", Writer: id, Incarnation: 1, Retention: 2 * time.Hour,
 		}
 		keeper := &Executor{
-			Journal:    client,
+			Log:    client,
 			Clock:      clock.System{},
 			Config:     Config{Self: id, Incarnation: 1},
 			KeepHeader: []string{"Content-Type"},
