--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -41,8 +41,8 @@
 	Log *logstream.Client
 	Clock   clock.Clock
 	Config  Config
-	// KeepHeader names the header fields that are kept with an outcome.
-	KeepHeader []string
+	// StoredHeaders names the header fields that are kept with an outcome.
+	StoredHeaders []string
 	// TickEvery is the time between two looks at deadlines and at the log.
 	TickEvery time.Duration
 
@@ -187,7 +187,7 @@
 	var kept []Field
 
 	for _, f := range header {
-		for _, name := range k.KeepHeader {
+		for _, name := range k.StoredHeaders {
 			if f.Name == name {
 				kept = append(kept, f)
 			}
--- a/claim/keeper_test.go
+++ b/claim/keeper_test.go
@@ -39,7 +39,7 @@
 			Log:    client,
 			Clock:      clock.System{},
 			Config:     Config{Self: id, Incarnation: 1},
-			KeepHeader: []string{"Content-Type"},
+			StoredHeaders: []string{"Content-Type"},
 		}
 		client.Subscribers = []logstream.Subscriber{keeper}
 		e.keepers = append(e.keepers, keeper)
--- a/daemon/build_control.go
+++ b/daemon/build_control.go
@@ -37,7 +37,7 @@
 		AppendsPerSecond: p.settings.AppendsPerSecond - p.controlShare(), Rand: newRandom(),
 	}
 	p.claims = newClaims(&claim.Executor{
-		Log: client, Clock: p.clock, KeepHeader: dispatch.StoredHeaders,
+		Log: client, Clock: p.clock, StoredHeaders: dispatch.StoredHeaders,
 		Config: claim.Config{Self: p.settings.Instance, Incarnation: p.incarnation},
 	}, client)
 
