--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -327,7 +327,7 @@
 		m.t.Fatalf("%s was told ran: got status %d, want %d", a.key.key.Value(), got, want)
 	}
 
-	if got, want := string(v.Result().Body()), string(a.key.answer.Body()); v.Kept() && got != want {
+	if got, want := string(v.Result().Body()), string(a.key.answer.Body()); v.BodyStored() && got != want {
 		m.t.Fatalf("%s was told ran: got body %q, want %q", a.key.key.Value(), got, want)
 	}
 }
--- a/claim/verdict.go
+++ b/claim/verdict.go
@@ -20,9 +20,9 @@
 // Result returns the service's answer, if Run is Ran.
 func (v Verdict) Result() Result { return v.result }
 
-// Kept tells whether Result holds the body. An answer that was too large to be
+// BodyStored tells whether Result holds the body. An answer that was too large to be
 // kept on the log has its status only.
-func (v Verdict) Kept() bool { return v.kept }
+func (v Verdict) BodyStored() bool { return v.kept }
 
 // RetryAfter returns when asking again with the same key may bring more, or
 // zero if it won't.
--- a/dispatch/verdict.go
+++ b/dispatch/verdict.go
@@ -30,7 +30,7 @@
 		return backend.Reply{}, refusalOfVerdict(v)
 	}
 
-	if !v.Kept() {
+	if !v.BodyStored() {
 		return backend.Reply{}, refusal.New(refusal.AnswerNotKept, "the call ran with status %d", v.Result().Status())
 	}
 
