--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// InstanceGone says that an incarnation of an entry instance is no longer live.
-func (k *Executor) InstanceGone(id fleet.InstanceID, incarnation fleet.Incarnation) {
+// InstanceRemoved says that an incarnation of an entry instance is no longer live.
+func (k *Executor) InstanceRemoved(id fleet.InstanceID, incarnation fleet.Incarnation) {
 	k.step(func(time.Time) []Command { return k.table.InstanceGone(id, incarnation) })
 }
 
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -111,6 +111,6 @@
 // instanceGone says that an incarnation of an entry instance is no longer live.
 func (c *claims) instanceGone(id fleet.InstanceID, incarnation fleet.Incarnation) {
 	if c.hasBegun() {
-		c.keeper.InstanceGone(id, incarnation)
+		c.keeper.InstanceRemoved(id, incarnation)
 	}
 }
