--- a/chat/chunk.go
+++ b/chat/chunk.go
@@ -12,8 +12,8 @@
 	prefix []byte
 }
 
-// NewChunkWriter returns a writer for the answer with the given ID. The time created is
-// in Unix seconds.
+// NewChunkWriter returns a writer for the answer with the given ID; created is in Unix
+// seconds.
 func NewChunkWriter(id, model string, created int64) *ChunkWriter {
 	prefix := []byte(`data: {"id":`)
 	prefix = appendString(prefix, id)
--- a/chat/request.go
+++ b/chat/request.go
@@ -19,10 +19,11 @@
 )
 
 const (
-	// DefaultMaxTokens is the maximum length of an answer whose request sets none.
+	// DefaultMaxTokens is the maximum length in tokens of an answer whose request sets
+	// none.
 	DefaultMaxTokens = 2048
-	// MaxTokensLimit is the highest maximum that a request may set. It keeps token
-	// estimates from overflowing.
+	// MaxTokensLimit is the highest maximum length in tokens that a request may set. It
+	// keeps token estimates from overflowing.
 	MaxTokensLimit = 1 << 20
 )
 
--- a/chat/response.go
+++ b/chat/response.go
@@ -24,7 +24,7 @@
 	FinishReason string  `json:"finish_reason"`
 }
 
-// NewResponse returns a response with one choice. The time created is in Unix seconds.
+// NewResponse returns a response with one choice; created is in Unix seconds.
 func NewResponse(id, model string, created int64, text, finish string, usage Usage) Response {
 	return Response{
 		ID:      id,
--- a/dispatch/failover.go
+++ b/dispatch/failover.go
@@ -16,7 +16,8 @@
 	"monsoonlever/routing"
 )
 
-// failover sends one call to one server after another.
+// failover sends one call to one server after another until a server replies or no
+// retry is allowed.
 type failover struct {
 	plain   *Plain
 	request gateway.PlainRequest
--- a/dispatch/plain.go
+++ b/dispatch/plain.go
@@ -27,7 +27,8 @@
 // Claims runs non-idempotent calls at most once.
 type Claims interface {
 	// Do claims the key of an attempt, calls send if the attempt won the claim, and
-	// returns the verdict.
+	// returns the verdict. It returns the error of ctx if ctx ends first; a call that
+	// was sent then continues.
 	Do(ctx context.Context, a claim.Attempt, send claim.Send) (claim.Verdict, error)
 }
 
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// answerDirectly answers a request whose answer ends if its caller disconnects.
+// answerDirectly answers a request whose answer is not retained: it ends if the caller
+// disconnects.
 func (g *Gateway) answerDirectly(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
 	// Releases the admission of the request after a panic. Calling Finish again has
 	// no effect.
--- a/gateway/instruments.go
+++ b/gateway/instruments.go
@@ -61,7 +61,7 @@
 }
 
 // observe counts a finished request. A request that was refused before its kind of
-// call was known is counted under empty labels.
+// call was known is counted with empty service and kind labels.
 func (i *instruments) observe(o Observation) {
 	var key instrumentKey
 	if o.Service != "" {
--- a/gateway/models.go
+++ b/gateway/models.go
@@ -44,6 +44,6 @@
 
 	g.setWriteDeadline(w)
 	w.Header().Set("Content-Type", "application/json")
-	// A write error means that the caller disconnected.
+	// Ignores write errors: the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(list)
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -168,7 +168,7 @@
 
 	w.Header().Set("X-Request-Id", string(r.ID))
 	w.WriteHeader(reply.Status)
-	// A write error means that the caller disconnected.
+	// Ignores write errors: the caller has disconnected.
 	_, _ = w.Write(reply.Body)
 }
 
--- a/gateway/retained.go
+++ b/gateway/retained.go
@@ -143,7 +143,7 @@
 		return
 	}
 
-	// A write error means that the caller disconnected.
+	// Ignores write errors: the caller has disconnected.
 	_ = out.fail(refused)
 }
 
--- a/gateway/retained_answer.go
+++ b/gateway/retained_answer.go
@@ -112,7 +112,7 @@
 func writeProgress(w http.ResponseWriter, status int, p Progress) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A write error means that the caller disconnected.
+	// Ignores write errors: the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(p)
 }
 
--- a/gateway/sink.go
+++ b/gateway/sink.go
@@ -79,7 +79,7 @@
 	return s.send(now)
 }
 
-// Complete sends the end of a complete answer.
+// Complete sends the end of a stream, or the collected answer as a single response.
 func (s *sink) Complete(c answer.Complete) error {
 	usage := chat.Usage{
 		PromptTokens:     c.Usage.PromptTokens,
@@ -177,7 +177,7 @@
 	return json.NewEncoder(s.w).Encode(response)
 }
 
-// observation returns the fields of the observation that the sink knows.
+// observation returns an observation with the fields that the sink measures.
 func (s *sink) observation() Observation {
 	o := Observation{Tokens: s.tokens, Refused: s.refused, CallerGone: s.callerGone, WriteTimedOut: s.writeTimedOut}
 
--- a/gateway/write.go
+++ b/gateway/write.go
@@ -19,8 +19,8 @@
 	r.Write(w)
 }
 
-// refuseUnclassified refuses a request whose service and kind of call are not known
-// yet, and counts it under empty labels.
+// refuseUnclassified refuses a request before its service and kind of call have been
+// established, and counts it with empty service and kind labels.
 func (g *Gateway) refuseUnclassified(w http.ResponseWriter, r *refusal.Refusal) {
 	g.instruments.observe(Observation{Refused: r})
 	g.refuse(w, r)
--- a/refusal/code.go
+++ b/refusal/code.go
@@ -34,7 +34,7 @@
 	ShuttingDown     Code = "shuttingDown"
 )
 
-// properties is what a code stands for.
+// properties are the HTTP status and the default run state of a code.
 type properties struct {
 	status int
 	run    RunState
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -90,7 +90,7 @@
 
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(r.code.Status())
-	// A write error means that the caller disconnected.
+	// Ignores write errors: the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(r.Body())
 }
 
