--- a/admission/burst_test.go
+++ b/admission/burst_test.go
@@ -23,7 +23,7 @@
 	now := start
 
 	for i, id := range ids {
-		controllers[i] = &Controller{Instance: id, Sharing: Sharing{Spread: time.Second, Lapse: 10 * time.Second, Floor: 0.1}}
+		controllers[i] = &Controller{Instance: id, Sharing: Sharing{PropagationDelay: time.Second, MemberTimeout: 10 * time.Second, EvenFraction: 0.1}}
 
 		err := controllers[i].Configure(now, Config{
 			Services: []ServiceConfig{{Service: testService}},
@@ -36,7 +36,7 @@
 
 	tell := func() {
 		for i, from := range controllers {
-			d := from.Demand(now)
+			d := from.PublishDemand(now)
 			for j, to := range controllers {
 				if i != j {
 					to.ApplyDemand(now, ids[i], d)
@@ -62,7 +62,7 @@
 				}
 
 				admitted[i]++
-				c.Finish(now, ticket, Outcome{Whole: time.Millisecond})
+				c.Finish(now, ticket, Outcome{Duration: time.Millisecond})
 			}
 
 			if now.Equal(began) {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -24,8 +24,8 @@
 	// Seed makes the jitter of Retry-After repeatable.
 	Seed uint64
 	// Clock and TickEvery drive Run; TickEvery has a default.
-	Clock     clock.Clock
-	TickEvery time.Duration
+	Clock        clock.Clock
+	TickInterval time.Duration
 	// Metrics is where counters are registered; nil is a set of its own.
 	Metrics *metrics.Set
 
@@ -220,7 +220,7 @@
 
 	waited := t.decision.Waited
 	o.Latency = max(o.Latency-waited, 0)
-	o.Whole = max(o.Whole-waited, 0)
+	o.Duration = max(o.Duration-waited, 0)
 
 	t.account.finish(now, &t.request, o)
 	t.service.finish(now, t, o)
@@ -262,7 +262,7 @@
 
 // Run ticks until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	every := c.TickEvery
+	every := c.TickInterval
 	if every <= 0 {
 		every = defaultTickEvery
 	}
--- a/backend/http_plain.go
+++ b/backend/http_plain.go
@@ -10,8 +10,8 @@
 	"monsoonlever/httpclient"
 )
 
-// The wire format of a plain service. A call is an HTTP request of the caller's
-// making with its key in IdempotencyKeyHeader; a LoadReport is at LoadPath.
+// The wire format of a plain service. A call is the caller's HTTP request with its idempotency
+// key in IdempotencyKeyHeader. A GET of LoadPath returns a LoadReport.
 const (
 	IdempotencyKeyHeader = "Idempotency-Key"
 	LoadPath             = "/load"
@@ -19,7 +19,7 @@
 	maxReplyBytes = 32 << 20
 )
 
-// ErrReplyTooLarge means that a plain service answered with more than is kept.
+// ErrReplyTooLarge means that the reply of a plain service is over the size limit.
 var ErrReplyTooLarge = errors.New("reply is too large")
 
 // HTTPPlainServer is a client of a plain service on one backend server.
@@ -34,16 +34,16 @@
 	return &HTTPPlainServer{client: httpclient.New("http://"+address, c)}
 }
 
-// Do sends a call at most once; see PlainServer for what its errors mean.
+// Do sends a call at most once. PlainServer documents its errors.
 func (p *HTTPPlainServer) Do(ctx context.Context, c Call) (Reply, error) {
-	resp, err := p.client.Send(ctx, c.Method, c.Path, headerOf(c), c.Body)
+	resp, err := p.client.Send(ctx, c.Method, c.Path, requestHeader(c), c.Body)
 	if err != nil {
-		return Reply{}, merry.Prepend(outcomeOf(err), "call plain service")
+		return Reply{}, merry.Prepend(classifyError(err), "call plain service")
 	}
-	defer resp.Body.Close() //nolint:errcheck // nothing is left to be read
+	defer resp.Body.Close() //nolint:errcheck // the body has been read
 
 	if isNotStarted(resp.StatusCode, resp.Header.Get(ExecutionHeader)) {
-		return Reply{}, merry.Prepend(outcomeOf(httpclient.NewStatusError(resp)), "call plain service")
+		return Reply{}, merry.Prepend(classifyError(httpclient.NewStatusError(resp)), "call plain service")
 	}
 
 	body, err := httpclient.ReadBody(resp.Body, maxReplyBytes)
@@ -58,8 +58,9 @@
 	return Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// headerOf returns a header of the call's own, since the caller may use his again.
-func headerOf(c Call) http.Header {
+// requestHeader returns a copy of the call's header with the idempotency key. The copy leaves
+// the caller's header unchanged.
+func requestHeader(c Call) http.Header {
 	header := c.Header.Clone()
 	if header == nil {
 		header = make(http.Header)
@@ -72,11 +73,11 @@
 	return header
 }
 
-// Load returns what the backend server last said of its load.
+// Load returns the load that the backend server last reported.
 func (p *HTTPPlainServer) Load(ctx context.Context) (LoadReport, error) {
 	var report LoadReport
 	if err := p.client.Get(ctx, LoadPath, &report); err != nil {
-		return LoadReport{}, merry.Prepend(outcomeOf(err), "read load of plain service")
+		return LoadReport{}, merry.Prepend(classifyError(err), "read load of plain service")
 	}
 
 	return report, nil
--- a/daemon/build_control.go
+++ b/daemon/build_control.go
@@ -36,8 +36,8 @@
 		Writer: p.settings.Instance, Incarnation: p.incarnation,
 		AppendsPerSecond: p.settings.AppendsPerSecond - p.controlShare(), Rand: newRandom(),
 	}
-	p.claims = newClaims(&claim.Keeper{
-		Journal: client, Clock: p.clock, KeepHeader: dispatch.StoredHeaders,
+	p.claims = newClaims(&claim.Executor{
+		Log: client, Clock: p.clock, StoredHeaders: dispatch.StoredHeaders,
 		Config: claim.Config{Self: p.settings.Instance, Incarnation: p.incarnation},
 	}, client)
 
@@ -45,7 +45,7 @@
 	p.admission = &admission.Controller{Instance: p.settings.Instance, Clock: p.clock, Metrics: p.metrics}
 
 	if p.settings.TLS != nil {
-		p.admission.Sharing = admission.Sharing{Spread: demandSpread, Lapse: demandLapse, Floor: demandFloor}
+		p.admission.Sharing = admission.Sharing{PropagationDelay: demandSpread, MemberTimeout: demandLapse, EvenFraction: demandFloor}
 	}
 }
 
--- a/entry/components.go
+++ b/entry/components.go
@@ -239,27 +239,27 @@
 
 // buildFeeds creates the feeds that follow the store, or other instances' replicas of it.
 func (p *components) buildFeeds() {
-	rulesLog, registerLog := &replica.Log{Clock: p.clock}, &replica.Log{Clock: p.clock, Same: sameServerEntry}
-	p.directoryLog = &replica.Log{Clock: p.clock, Same: sameEntry}
+	rulesLog, registerLog := &replica.Log{Clock: p.clock}, &replica.Log{Clock: p.clock, Equivalent: sameServerEntry}
+	p.directoryLog = &replica.Log{Clock: p.clock, Equivalent: sameEntry}
 
 	rules := newSource(feedRules, p.store.Rules(), rulesLog, p.upstream, p.servesSubscribers)
 	servers := newSource(feedRegister, p.store.Register(), registerLog, p.upstream, p.servesSubscribers)
-	servers.Ahead = p.takeNewerLeader
+	servers.NewerInstance = p.takeNewerLeader
 	relays := newSource(feedDirectory, p.store.Directory(), p.directoryLog, p.directoryUpstream, nil)
 
 	p.rulesFeed = &feed.Follower{
-		Name: feedRules, Source: rules, Clock: p.clock, Pace: p.rulesPace,
+		Name: feedRules, Source: rules, Clock: p.clock, Timing: p.rulesPace,
 		Apply: p.applyRules, Confirm: confirmStoreReads(rules, func(requestedAt time.Time) {
 			p.ownConfirmedAt.Store(requestedAt.UnixNano())
 			p.confirmRules(requestedAt)
 		}),
 	}
 	p.registerFeed = &feed.Follower{
-		Name: feedRegister, Source: servers, Clock: p.clock, Pace: p.registerPace, Due: p.registerDue,
+		Name: feedRegister, Source: servers, Clock: p.clock, Timing: p.registerPace, ExtraDelay: p.registerDue,
 		Apply: p.applyRegister, Confirm: confirmStoreReads(servers, p.registerCurrency.Confirm),
 	}
 	p.directoryFeed = &feed.Follower{
-		Name: feedDirectory, Source: relays, Clock: p.clock, Pace: p.directoryPace, Apply: p.applyDirectory,
+		Name: feedDirectory, Source: relays, Clock: p.clock, Timing: p.directoryPace, Apply: p.applyDirectory,
 	}
 	p.relayLogs = map[*feed.Follower]*replica.Log{p.rulesFeed: rulesLog, p.registerFeed: registerLog}
 	p.replicas = &replica.Server{Clock: p.clock, Feeds: map[string]*replica.Log{
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -190,7 +190,7 @@
 	now := p.clock.Now()
 
 	return !view.FullMesh() && !p.links.Connected(now) && !view.HasRelay(p.self()) && now.Sub(view.at) > directoryTTL &&
-		now.Sub(p.directoryFeed.Reached()) < directoryRefreshInterval
+		now.Sub(p.directoryFeed.LastRead()) < directoryRefreshInterval
 }
 
 // updateDirectory writes the directory if it has changed, or has not been written for a while. The
--- a/entry/refresh.go
+++ b/entry/refresh.go
@@ -67,13 +67,13 @@
 }
 
 // rulesPace returns how the rules are read.
-func (p *components) rulesPace() feed.Pace {
+func (p *components) rulesPace() feed.PollTiming {
 	if pace, ok := p.memberPace(); ok {
 		return pace
 	}
 
 	if !p.isLeader() && !p.rulesStale() {
-		return feed.Pace{Wait: relaxedRulesWait, Every: relaxedRulesInterval}
+		return feed.PollTiming{MaxWait: relaxedRulesWait, Interval: relaxedRulesInterval}
 	}
 
 	wait := min(maxRulesWait, time.Duration(float64(p.rulesCurrency.MaxAge)*rulesWaitShare))
@@ -82,23 +82,23 @@
 		wait /= 2
 	}
 
-	return feed.Pace{Wait: wait, Every: minReadInterval}
+	return feed.PollTiming{MaxWait: wait, Interval: minReadInterval}
 }
 
 // registerPace returns how the register is read.
-func (p *components) registerPace() feed.Pace {
+func (p *components) registerPace() feed.PollTiming {
 	if pace, ok := p.memberPace(); ok {
 		return pace
 	}
 
 	if !p.isLeader() && !p.registerStale() {
-		return feed.Pace{Every: relaxedRegisterInterval}
+		return feed.PollTiming{Interval: relaxedRegisterInterval}
 	}
 
 	// An unknown age is zero. The last read may have been that of another leader.
 	age, _ := p.registerCurrency.Age()
 
-	return feed.Pace{Every: max(p.registerReadAge(registerReadShare)-age, 0)}
+	return feed.PollTiming{Interval: max(p.registerReadAge(registerReadShare)-age, 0)}
 }
 
 // registerReadAge returns the age of the register at which this instance reads it: a fixed one for
@@ -183,7 +183,7 @@
 		return
 	}
 
-	if !p.isLeader() && now.Sub(p.rulesFeed.Reached()) < relaxedRulesInterval {
+	if !p.isLeader() && now.Sub(p.rulesFeed.LastRead()) < relaxedRulesInterval {
 		// The next heartbeat requests them again.
 		return
 	}
@@ -221,7 +221,7 @@
 	plan := p.plan.Load()
 	if !plan.FullMesh && plan.IsLeader(p.self()) && plan.IsLeader(id) && now.Sub(f.newerLeaderAt) >= maxRegisterDivergence {
 		f.newerLeader, f.newerLeaderAt = id, now
-		p.registerFeed.Redirect()
+		p.registerFeed.SourceChanged()
 	}
 }
 
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -15,14 +15,15 @@
 	"monsoonlever/refusal"
 )
 
-// HeaderCallKind names the kind of call of a model request. Without it the first
-// kind of the service is taken.
+// HeaderCallKind names the kind of call of a model request. The default is the
+// first kind of the service.
 const HeaderCallKind = "X-Call"
 
-// bytesPerToken estimates the tokens of a prompt before an engine counts them.
+// bytesPerToken is the ratio by which the number of prompt tokens is estimated
+// before a model engine has counted them.
 const bytesPerToken = 4
 
-// chatCall is a parsed and authorised chat request.
+// chatCall is a parsed and authorized chat request.
 type chatCall struct {
 	caller   caller
 	request  chat.Request
@@ -35,17 +36,17 @@
 }
 
 func (g *Gateway) chat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	defer g.instruments.enter()()
+	defer g.instruments.trackOpen()()
 
 	call, refused := g.parseChat(w, r)
 	if refused != nil {
-		g.refuseUnknown(w, refused)
+		g.refuseUnclassified(w, refused)
 
 		return
 	}
 
 	if g.Retained != nil && r.Header.Get(HeaderLastEventID) != "" {
-		g.resume(w, r, call)
+		g.resumeStream(w, r, call)
 
 		return
 	}
@@ -61,18 +62,20 @@
 	}
 
 	switch {
-	case g.Retained != nil && wantsAsync(r.Header):
+	case g.Retained != nil && prefersAsync(r.Header):
 		g.acceptAsync(w, r, ticket, call)
 	case g.Retained != nil && call.request.Stream:
-		g.streamKept(w, r, ticket, call)
+		g.streamRetained(w, r, ticket, call)
 	default:
 		g.answerDirectly(w, r, ticket, call)
 	}
 }
 
-// answerDirectly answers a request whose answer ends with its connection.
+// answerDirectly answers a request whose answer is not retained: it ends if the caller
+// disconnects.
 func (g *Gateway) answerDirectly(w http.ResponseWriter, r *http.Request, ticket *admission.Ticket, call chatCall) {
-	// A panic must not keep the place of the request; Finish counts once.
+	// Releases the admission of the request after a panic. Calling Finish again has
+	// no effect.
 	defer func() { g.Admission.Finish(g.Clock.Now(), ticket, admission.Outcome{}) }()
 
 	model := call.modelRequest(g.NewID())
@@ -84,7 +87,7 @@
 func (g *Gateway) parseChat(w http.ResponseWriter, r *http.Request) (chatCall, *refusal.Refusal) {
 	arrived := g.Clock.Now()
 
-	who, refused := g.authenticate(r)
+	c, refused := g.authenticate(r)
 	if refused != nil {
 		return chatCall{}, refused
 	}
@@ -99,7 +102,7 @@
 		return chatCall{}, refusal.New(refusal.BadRequest, "%v", err)
 	}
 
-	service, refused := who.modelService(fleet.Model(request.Model))
+	service, refused := c.modelService(fleet.Model(request.Model))
 	if refused != nil {
 		return chatCall{}, refused
 	}
@@ -109,23 +112,24 @@
 		return chatCall{}, refused
 	}
 
-	priority, refused := who.priority(r.Header, kind)
+	priority, refused := c.priority(r.Header, kind)
 	if refused != nil {
 		return chatCall{}, refused
 	}
 
-	at, refused := deadline(r.Header, arrived, kind.Deadline())
+	deadline, refused := requestDeadline(r.Header, arrived, kind.Deadline())
 	if refused != nil {
 		return chatCall{}, refused
 	}
 
 	return chatCall{
-		caller: who, request: request, service: service, kind: kind, priority: priority,
-		arrived: arrived, deadline: at, bytes: len(body),
+		caller: c, request: request, service: service, kind: kind, priority: priority,
+		arrived: arrived, deadline: deadline, bytes: len(body),
 	}, nil
 }
 
-// modelKind returns the kind of call that a model request says it is.
+// modelKind returns the kind of call that HeaderCallKind names, or the first kind
+// of the service.
 func modelKind(service manifest.Service, h http.Header) (manifest.Call, *refusal.Refusal) {
 	name := fleet.CallKind(h.Get(HeaderCallKind))
 	if name == "" {
@@ -188,22 +192,23 @@
 	o.Service = call.service.Name()
 	o.Kind = call.kind
 	o.Duration = now.Sub(call.arrived)
-	o.Recomputed = recomputed(result)
+	o.Recomputed = recomputedTokens(result)
 	o.Attempts = result.Attempts()
 
 	g.Admission.Finish(now, ticket, admission.Outcome{
-		Latency: o.FirstToken,
-		Whole:   o.Duration,
-		Tokens:  call.bytes/bytesPerToken + o.Tokens,
+		Latency:  o.FirstToken,
+		Duration: o.Duration,
+		Tokens:   call.bytes/bytesPerToken + o.Tokens,
 	})
 	g.observe(o)
 }
 
-// prefixBlocks is how many cached blocks of a prompt decide where it goes.
+// prefixBlocks is the number of leading prompt blocks whose hash is used for
+// prefix-aware routing.
 const prefixBlocks = 4
 
-// promptPrefix returns the hash by which engines know the start of a prompt, or
-// 0 for a prompt shorter than one block.
+// promptPrefix returns the hash under which engines cache the first blocks of a
+// prompt, or 0 if the prompt is shorter than one block.
 func promptPrefix(model fleet.Model, prompt string) uint64 {
 	hashes := backend.PrefixHashes(model, prompt)
 	if len(hashes) == 0 {
@@ -213,11 +218,11 @@
 	return hashes[min(len(hashes), prefixBlocks)-1]
 }
 
-// recomputed counts the tokens that the last attempt computed again because an
-// earlier one was lost.
-func recomputed(result answer.Result) int {
-	complete, whole := result.Complete()
-	if !whole || result.Attempts() < 2 {
+// recomputedTokens returns the number of tokens that the last attempt computed again
+// because an earlier attempt failed.
+func recomputedTokens(result answer.Result) int {
+	complete, ok := result.Complete()
+	if !ok || result.Attempts() < 2 {
 		return 0
 	}
 
--- a/lease/core.go
+++ b/lease/core.go
@@ -19,84 +19,85 @@
 	candidate bool
 	releasing bool
 	sequence  uint64
-	// pending holds when records were sent that have not been read yet.
-	pending map[uint64]time.Time
-	sentAt  time.Time
+	// pendingSentAt holds, by sequence number, the send times of records that this process
+	// has not read back from the log.
+	pendingSentAt map[uint64]time.Time
+	lastSentAt    time.Time
 
 	validUntil time.Time
-	// seenAt is when the last valid record was read.
-	seenAt time.Time
-	// caughtUpAt is when the end of the log was last reached, and readableSince
-	// when that first happened after the last gap.
+	// lastValidAt is when this process read the last valid record.
+	lastValidAt time.Time
+	// caughtUpAt is the time of the last read that reached the end of the log. readableSince
+	// is the time of the first such read after the last gap above MaxReadGap.
 	caughtUpAt    time.Time
 	readableSince time.Time
-	// quietUntil is until when nothing is taken after the log lost records.
-	quietUntil time.Time
+	// noAcquireBefore is the end of the wait after the log lost records.
+	noAcquireBefore time.Time
 }
 
-// NewCore returns a candidate for a role.
+// NewCore returns the state machine of a process that is a candidate for a role.
 func NewCore(config Config, role Role, self Holder) (*Core, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 
 	return &Core{
-		config:    config,
-		self:      self,
-		role:      role,
-		ledger:    NewLedger(role),
-		candidate: true,
-		pending:   make(map[uint64]time.Time),
+		config:        config,
+		self:          self,
+		role:          role,
+		ledger:        NewLedger(role),
+		candidate:     true,
+		pendingSentAt: make(map[uint64]time.Time),
 	}, nil
 }
 
-// Restore takes the state of the role from a checkpoint if that is newer. The
-// wait of a successor starts at now.
+// Restore replaces the state of the role by a checkpoint if the checkpoint is newer. The wait
+// of a successor then starts at now.
 func (c *Core) Restore(now time.Time, s Snapshot) {
 	if !c.ledger.Restore(s) {
 		return
 	}
 
-	c.seenAt = now
+	c.lastValidAt = now
 	c.validUntil = time.Time{}
 }
 
-// Observe takes in one record that was read from the log at now.
+// Observe applies one record that the process read from the log at now.
 func (c *Core) Observe(now time.Time, offset provider.Offset, r Record) {
 	if !c.ledger.Apply(offset, r) {
 		if r.Holder == c.self && r.Role == c.role {
-			delete(c.pending, r.Sequence)
+			delete(c.pendingSentAt, r.Sequence)
 		}
 
 		return
 	}
 
-	c.seenAt = now
+	c.lastValidAt = now
 
 	if r.Holder != c.self || r.Kind == Release {
 		c.validUntil = time.Time{}
 		c.releasing = false
-		clear(c.pending)
+		clear(c.pendingSentAt)
 
 		return
 	}
 
-	c.extend(r)
+	c.extendValidity(r)
 }
 
-// LogRolledBack says that the log came back at now from an older copy, in which what was written last
-// is missing. What was held is held no more, and nothing is taken for as long as a grant may
-// last that this process never read of.
+// LogRolledBack reports that the log was restored at now from an older copy that lacks the
+// newest records. This process loses the role. It does not acquire the role until any grant
+// in the missing records must have expired.
 func (c *Core) LogRolledBack(now time.Time) {
 	c.ledger = NewLedger(c.role)
-	c.validUntil, c.seenAt, c.caughtUpAt, c.readableSince = time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	c.validUntil, c.lastValidAt, c.caughtUpAt, c.readableSince = time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	c.releasing = false
-	c.quietUntil = now.Add(c.config.waitFor(c.config.Term + c.config.MaxOrderDelay))
+	c.noAcquireBefore = now.Add(c.config.lengthenForDrift(c.config.Term + c.config.MaxOrderDelay))
 
-	clear(c.pending)
+	clear(c.pendingSentAt)
 }
 
-// CaughtUp says that the end of the log was reached at now.
+// CaughtUp reports that a read reached the end of the log at now.
 func (c *Core) CaughtUp(now time.Time) {
 	if c.caughtUpAt.IsZero() || now.Sub(c.caughtUpAt) > c.config.MaxReadGap {
 		c.readableSince = now
@@ -107,7 +108,7 @@
 
 // Step returns the records to append at now.
 func (c *Core) Step(now time.Time) []Command {
-	if !c.sentAt.IsZero() && now.Sub(c.sentAt) < c.config.RenewInterval {
+	if !c.lastSentAt.IsZero() && now.Sub(c.lastSentAt) < c.config.RenewInterval {
 		return nil
 	}
 
@@ -115,35 +116,35 @@
 		if c.releasing || !c.candidate {
 			c.releasing = true
 
-			return c.send(now, Release)
+			return c.issueCommand(now, Release)
 		}
 
-		return c.send(now, Renew)
+		return c.issueCommand(now, Renew)
 	}
 
-	if !c.mayAcquire(now) {
+	if !c.acquireAllowed(now) {
 		return nil
 	}
 
-	return c.send(now, Acquire)
+	return c.issueCommand(now, Acquire)
 }
 
-// Check returns the fencing number under which an order may be sent at now. It
-// is called right before every order.
+// Check returns the fencing token with which this process may send an order at now, or an
+// error that wraps ErrNotHeld. The caller calls it immediately before every order.
 func (c *Core) Check(now time.Time) (Fence, error) {
 	if c.releasing || !c.ledger.heldBy(c.self) {
 		return 0, merry.Prependf(ErrNotHeld, "role %s", c.role)
 	}
 
 	if !now.Before(c.validUntil) {
-		return 0, merry.Prependf(ErrNotHeld, "term of role %s is over", c.role)
+		return 0, merry.Prependf(ErrNotHeld, "term of role %s has expired", c.role)
 	}
 
 	return c.ledger.state.Fence, nil
 }
 
-// Release gives the role up: Check fails from now on, and the record that lets
-// a successor in early is returned.
+// Release gives up the role: Check fails from now on. The returned record lets a successor
+// acquire the role before the term ends.
 func (c *Core) Release(now time.Time) []Command {
 	c.candidate = false
 
@@ -154,16 +155,16 @@
 	c.releasing = true
 	c.validUntil = time.Time{}
 
-	return c.send(now, Release)
+	return c.issueCommand(now, Release)
 }
 
-// SetCandidate tells whether this process should try to hold the role. A holder
-// that is no candidate releases it.
+// SetCandidate sets whether this process tries to hold the role. A holder that is no candidate
+// releases the role.
 func (c *Core) SetCandidate(candidate bool) {
 	c.candidate = candidate
 }
 
-// Snapshot returns the state of the role for a checkpoint and for status.
+// Snapshot returns the state of the role for a checkpoint or a status report.
 func (c *Core) Snapshot() Snapshot {
 	return c.ledger.Snapshot()
 }
@@ -173,11 +174,11 @@
 	return c.role
 }
 
-func (c *Core) extend(r Record) {
-	sent, ok := c.pending[r.Sequence]
-	for sequence := range c.pending {
+func (c *Core) extendValidity(r Record) {
+	sentAt, ok := c.pendingSentAt[r.Sequence]
+	for sequence := range c.pendingSentAt {
 		if sequence <= r.Sequence {
-			delete(c.pending, sequence)
+			delete(c.pendingSentAt, sequence)
 		}
 	}
 
@@ -185,19 +186,19 @@
 		return
 	}
 
-	until := sent.Add(c.config.holdFor(r.Term))
+	until := sentAt.Add(c.config.shortenForDrift(r.Term))
 	if until.After(c.validUntil) {
 		c.validUntil = until
 	}
 }
 
-// CanAcquire tells whether a candidate would take the role now.
+// CanAcquire reports whether this process would try to acquire the role at now.
 func (c *Core) CanAcquire(now time.Time) bool {
-	return !c.ledger.heldBy(c.self) && c.mayAcquire(now)
+	return !c.ledger.heldBy(c.self) && c.acquireAllowed(now)
 }
 
-func (c *Core) mayAcquire(now time.Time) bool {
-	if now.Before(c.quietUntil) {
+func (c *Core) acquireAllowed(now time.Time) bool {
+	if now.Before(c.noAcquireBefore) {
 		return false
 	}
 
@@ -210,13 +211,13 @@
 		return true
 	}
 
-	start := c.seenAt
+	start := c.lastValidAt
 	if c.readableSince.After(start) {
 		start = c.readableSince
 	}
 
 	if c.config.SingleProcess && state.Holder.Instance == c.self.Instance {
-		return !now.Before(start.Add(c.config.waitFor(c.config.MaxOrderDelay)))
+		return !now.Before(start.Add(c.config.lengthenForDrift(c.config.MaxOrderDelay)))
 	}
 
 	wait := c.config.MaxOrderDelay
@@ -224,10 +225,11 @@
 		wait += state.Term
 	}
 
-	return !now.Before(start.Add(c.config.waitFor(wait) + c.stagger()))
+	return !now.Before(start.Add(c.config.lengthenForDrift(wait) + c.stagger()))
 }
 
-// stagger differs by candidate and by grant, so that no process is always first.
+// stagger returns the extra wait of this candidate. It depends on the candidate and on the last
+// record, so that no process is always first.
 func (c *Core) stagger() time.Duration {
 	if c.config.Stagger == 0 {
 		return 0
@@ -243,10 +245,10 @@
 	return time.Duration(sum % uint64(c.config.Stagger))
 }
 
-func (c *Core) send(now time.Time, kind Kind) []Command {
+func (c *Core) issueCommand(now time.Time, kind Kind) []Command {
 	c.sequence++
-	c.sentAt = now
-	c.pending[c.sequence] = now
+	c.lastSentAt = now
+	c.pendingSentAt[c.sequence] = now
 
 	return []Command{{Record: Record{
 		Kind:     kind,
