--- a/peer/backoff.go
+++ b/peer/backoff.go
@@ -8,9 +8,9 @@
 const (
 	backoffBase = 100 * time.Millisecond
 	backoffMax  = 5 * time.Second
-	// maxDials is the number of failed dials in a row after which a remote's
+	// maxDialAttempts is the number of failed dials in a row after which a remote's
 	// queued messages are dropped.
-	maxDials = 5
+	maxDialAttempts = 5
 )
 
 // backoff returns the wait before dial number attempt, counted from 1: it
--- a/peer/call.go
+++ b/peer/call.go
@@ -11,51 +11,51 @@
 
 // pendingCalls holds the callers that wait for an answer.
 type pendingCalls struct {
-	mu      sync.Mutex
-	last    uint32
-	waiting map[uint32]pendingCall
+	mu     sync.Mutex
+	lastID uint32
+	byID   map[uint32]pendingCall
 }
 
 type pendingCall struct {
-	address string
-	answer  chan frame
+	address  string
+	response chan frame
 }
 
 func (p *pendingCalls) add(address string) (uint32, chan frame) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	if p.waiting == nil {
-		p.waiting = make(map[uint32]pendingCall)
+	if p.byID == nil {
+		p.byID = make(map[uint32]pendingCall)
 	}
 
-	p.last++
-	answer := make(chan frame, 1)
-	p.waiting[p.last] = pendingCall{address: address, answer: answer}
+	p.lastID++
+	response := make(chan frame, 1)
+	p.byID[p.lastID] = pendingCall{address: address, response: response}
 
-	return p.last, answer
+	return p.lastID, response
 }
 
 func (p *pendingCalls) remove(id uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	delete(p.waiting, id)
+	delete(p.byID, id)
 }
 
-// answer hands f to its caller. A late answer, or one from another remote than
+// deliver hands f to its caller. A late deliver, or one from another remote than
 // was asked, finds no caller.
-func (p *pendingCalls) answer(address string, f frame) {
+func (p *pendingCalls) deliver(address string, f frame) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	call, ok := p.waiting[f.call]
+	call, ok := p.byID[f.call]
 	if !ok || call.address != address {
 		return
 	}
 
-	delete(p.waiting, f.call)
-	call.answer <- f
+	delete(p.byID, f.call)
+	call.response <- f
 }
 
 // fail ends every call to address; a closed channel means unreachable.
@@ -63,10 +63,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	for id, call := range p.waiting {
+	for id, call := range p.byID {
 		if call.address == address {
-			delete(p.waiting, id)
-			close(call.answer)
+			delete(p.byID, id)
+			close(call.response)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 		return resp, merry.Prepend(err, "encode request")
 	}
 
-	id, answer := n.calls.add(to.Address)
+	id, response := n.calls.add(to.Address)
 	defer n.calls.remove(id)
 
 	if err := n.enqueue(to, frame{form: formRequest, kind: kind, call: id, body: body}); err != nil {
@@ -98,16 +98,16 @@
 		return resp, ctx.Err()
 	case <-n.Clock.After(n.callTimeout()):
 		return resp, ErrTimeout
-	case f, ok := <-answer:
+	case f, ok := <-response:
 		if !ok {
 			return resp, ErrUnreachable
 		}
 
-		return decodeAnswer[Resp](f)
+		return decodeResponse[Resp](f)
 	}
 }
 
-func decodeAnswer[Resp any](f frame) (Resp, error) {
+func decodeResponse[Resp any](f frame) (Resp, error) {
 	var resp Resp
 
 	if f.form == formFailure {
--- a/peer/connect.go
+++ b/peer/connect.go
@@ -9,11 +9,11 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// welcome makes the handshake with a remote that connected, and reads from it.
-func (n *Node) welcome(ctx context.Context, raw net.Conn) {
+// serveConn makes the handshake with a remote that connected, and reads from it.
+func (n *Node) serveConn(ctx context.Context, raw net.Conn) {
 	c, err := n.handshake(ctx, tls.Server(raw, n.TLS))
 	if err != nil {
-		n.refuse(raw.RemoteAddr().String(), err)
+		n.reportRefusal(raw.RemoteAddr().String(), err)
 		_ = raw.Close()
 
 		return
@@ -23,7 +23,7 @@
 		l.attach(c)
 	}
 
-	n.read(ctx, c)
+	n.readFrames(ctx, c)
 }
 
 // dial connects to address and starts to read from it.
@@ -37,14 +37,14 @@
 
 	c, err := n.handshake(ctx, tls.Client(raw, n.TLS))
 	if err != nil {
-		n.refuse(address, err)
+		n.reportRefusal(address, err)
 		_ = raw.Close()
 
 		return nil, err
 	}
 
 	connects.Inc()
-	n.tasks.Go(func() { n.read(ctx, c) })
+	n.tasks.Go(func() { n.readFrames(ctx, c) })
 
 	return c, nil
 }
@@ -62,7 +62,7 @@
 	// The end of ctx closes the connection; were it told of it too, it would hide
 	// a refusal that was found just before.
 	if err := t.HandshakeContext(context.WithoutCancel(ctx)); err != nil {
-		return nil, asRefusal(err)
+		return nil, classifyHandshakeError(err)
 	}
 
 	f, err := n.helloFrame()
@@ -71,24 +71,24 @@
 	}
 
 	if _, err := t.Write(appendFrame(nil, f)); err != nil {
-		return nil, asRefusal(err)
+		return nil, classifyHandshakeError(err)
 	}
 
-	answer, err := readFrame(t, n.maxBody())
+	reply, err := readFrame(t, n.maxBody())
 	if err != nil {
-		return nil, asRefusal(err)
+		return nil, classifyHandshakeError(err)
 	}
 
-	sender, err := n.checkHello(answer, t.ConnectionState())
+	sender, err := n.checkHello(reply, t.ConnectionState())
 	if err != nil {
 		return nil, err
 	}
 
-	return n.register(&conn{tls: t, sender: sender})
+	return n.trackConn(&conn{tls: t, sender: sender})
 }
 
-// register keeps the connection for end to close.
-func (n *Node) register(c *conn) (*conn, error) {
+// trackConn keeps the connection for end to close.
+func (n *Node) trackConn(c *conn) (*conn, error) {
 	if err := c.tls.SetDeadline(time.Time{}); err != nil {
 		return nil, err
 	}
@@ -109,25 +109,25 @@
 	return c, nil
 }
 
-// read hands each frame to its handler until the connection breaks.
-func (n *Node) read(ctx context.Context, c *conn) {
-	defer n.drop(c)
+// readFrames hands each frame to its handler until the connection breaks.
+func (n *Node) readFrames(ctx context.Context, c *conn) {
+	defer n.removeConn(c)
 
 	for ctx.Err() == nil {
 		f, err := readFrame(c.tls, n.maxBody())
 		if err != nil {
-			noteFault(err)
+			countFrameError(err)
 
 			return
 		}
 
 		receivedFrames.Inc()
 		receivedBytes.Add(f.size())
-		noteFault(n.dispatch(ctx, c, f))
+		countFrameError(n.dispatch(ctx, c, f))
 	}
 }
 
-func (n *Node) drop(c *conn) {
+func (n *Node) removeConn(c *conn) {
 	c.close()
 	n.mu.Lock()
 	delete(n.conns, c)
--- a/peer/cost_test.go
+++ b/peer/cost_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// connectionBound is the memory that one end of an idle connection may take:
+// maxConnectionBytes is the memory that one end of an idle connection may take:
 // 250 of them stay under 16 MB.
-const connectionBound = 64 << 10
+const maxConnectionBytes = 64 << 10
 
-// memory returns what heap objects and stacks take.
-func memory() uint64 {
+// memoryInUse returns what heap objects and stacks take.
+func memoryInUse() uint64 {
 	var stats runtime.MemStats
 
 	runtime.GC()
@@ -64,7 +64,7 @@
 		names = append(names, fmt.Sprintf("entry-%d", i))
 	}
 
-	dir := deployment(t, names...)
+	dir := writeKeys(t, names...)
 	arrived := make(chan struct{}, remotes)
 	hub := newNode(t, dir, "hub")
 	start(t, hub)
@@ -77,16 +77,16 @@
 	for _, name := range names[1:] {
 		n := newNode(t, dir, name)
 		n.Listener = countingListener{Listener: n.Listener, bytes: &bytes}
-		Handle(n, testKind, func(Sender, note) { arrived <- struct{}{} })
+		Handle(n, testKind, func(Sender, textMessage) { arrived <- struct{}{} })
 		start(t, n)
 
 		nodes = append(nodes, n)
 	}
 
-	before := memory()
+	before := memoryInUse()
 
 	for _, n := range nodes {
-		if err := hub.Send(Target{Address: n.Advertise}, testKind, note{Text: "hello"}); err != nil {
+		if err := hub.Send(Target{Address: n.Advertise}, testKind, textMessage{Text: "hello"}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -95,26 +95,26 @@
 		<-arrived
 	}
 
-	got := (int64(memory()) - int64(before)) / (2 * remotes)
+	got := (int64(memoryInUse()) - int64(before)) / (2 * remotes)
 	t.Logf("one end of an idle connection takes %d bytes; %d bytes open it and carry one message", got, bytes.Load()/remotes)
 
-	if got > connectionBound {
-		t.Errorf("got %d bytes, want at most %d", got, connectionBound)
+	if got > maxConnectionBytes {
+		t.Errorf("got %d bytes, want at most %d", got, maxConnectionBytes)
 	}
 }
 
 func BenchmarkMessage(b *testing.B) {
-	dir := deployment(b, "a", "b")
+	dir := writeKeys(b, "a", "b")
 	x, y := newNode(b, dir, "a"), newNode(b, dir, "b")
 	got := make(chan struct{})
 
-	Handle(y, testKind, func(Sender, note) { got <- struct{}{} })
+	Handle(y, testKind, func(Sender, textMessage) { got <- struct{}{} })
 	start(b, x)
 	start(b, y)
 	b.ReportAllocs()
 
 	for b.Loop() {
-		if err := x.Send(Target{Address: y.Advertise}, testKind, note{Text: "a message of some forty bytes in its body"}); err != nil {
+		if err := x.Send(Target{Address: y.Advertise}, testKind, textMessage{Text: "a message of some forty bytes in its body"}); err != nil {
 			b.Fatal(err)
 		}
 
--- a/peer/flush.go
+++ b/peer/flush.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// flushInterval is the time between looks at the queues.
-const flushInterval = 10 * time.Millisecond
+// flushPollInterval is the time between looks at the queues.
+const flushPollInterval = 10 * time.Millisecond
 
 // Flush waits until what is queued has been written or dropped, or ctx ends.
 func (n *Node) Flush(ctx context.Context) {
@@ -14,7 +14,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.Clock.After(flushInterval):
+		case <-n.Clock.After(flushPollInterval):
 		}
 	}
 }
@@ -37,5 +37,5 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	return l.writing || len(l.must.frames)+len(l.droppable.frames) > 0
+	return l.writing || len(l.undroppable.frames)+len(l.droppable.frames) > 0
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -44,7 +44,7 @@
 func readFrame(r io.Reader, maxBody int) (frame, error) {
 	var header [HeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
-		return frame{}, truncated(err)
+		return frame{}, classifyReadError(err)
 	}
 
 	f, length, err := decodeHeader(header, maxBody)
@@ -54,7 +54,7 @@
 
 	f.body = make([]byte, length)
 	if _, err := io.ReadFull(r, f.body); err != nil {
-		return frame{}, truncated(noEOF(err))
+		return frame{}, classifyReadError(asUnexpectedEOF(err))
 	}
 
 	return f, nil
@@ -82,8 +82,8 @@
 	return f, int(length), nil
 }
 
-// noEOF turns an end between header and body into an unexpected one.
-func noEOF(err error) error {
+// asUnexpectedEOF turns an end between header and body into an unexpected one.
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -91,8 +91,8 @@
 	return err
 }
 
-// truncated types an end inside a frame; an end between frames stays io.EOF.
-func truncated(err error) error {
+// classifyReadError types an end inside a frame; an end between frames stays io.EOF.
+func classifyReadError(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return &FrameError{fault: FaultTruncated}
 	}
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestReadFrameTypesItsFaults(t *testing.T) {
+func TestReadFrameReportsFault(t *testing.T) {
 	whole := appendFrame(nil, frame{form: formRequest, kind: testKind, call: 9, body: []byte("body")})
 
 	change := func(at int, to byte) []byte {
--- a/peer/handle.go
+++ b/peer/handle.go
@@ -15,11 +15,11 @@
 // Handle registers f for messages of a kind, before Run. Messages of one
 // connection are handed over in their order; f must not block.
 func Handle[T any](n *Node, kind Kind, f func(from Sender, msg T)) {
-	if n.handlers == nil {
-		n.handlers = make(map[Kind]messageHandler)
+	if n.messageHandlers == nil {
+		n.messageHandlers = make(map[Kind]messageHandler)
 	}
 
-	n.handlers[kind] = func(from Sender, body []byte) error {
+	n.messageHandlers[kind] = func(from Sender, body []byte) error {
 		var msg T
 		if err := codec.Unmarshal(body, &msg); err != nil {
 			return &FrameError{fault: FaultBody, value: uint64(kind)}
@@ -35,11 +35,11 @@
 // its own goroutine; beyond a bound of running requests the caller gets an
 // error. An error of f reaches the caller as a RemoteError.
 func HandleCall[Req, Resp any](n *Node, kind Kind, f func(ctx context.Context, from Sender, req Req) (Resp, error)) {
-	if n.serving == nil {
-		n.serving = make(map[Kind]callHandler)
+	if n.callHandlers == nil {
+		n.callHandlers = make(map[Kind]callHandler)
 	}
 
-	n.serving[kind] = func(ctx context.Context, from Sender, body []byte) ([]byte, error) {
+	n.callHandlers[kind] = func(ctx context.Context, from Sender, body []byte) ([]byte, error) {
 		var req Req
 		if err := codec.Unmarshal(body, &req); err != nil {
 			countFault(FaultBody)
@@ -60,13 +60,13 @@
 func (n *Node) dispatch(ctx context.Context, c *conn, f frame) error {
 	switch f.form {
 	case formResponse, formFailure:
-		n.calls.answer(c.sender.address, f)
+		n.calls.deliver(c.sender.address, f)
 
 		return nil
 	case formRequest:
-		return n.serve(ctx, c.sender, f)
+		return n.serveRequest(ctx, c.sender, f)
 	default:
-		handler, ok := n.handlers[f.kind]
+		handler, ok := n.messageHandlers[f.kind]
 		if !ok {
 			return &FrameError{fault: FaultKind, value: uint64(f.kind)}
 		}
@@ -75,44 +75,44 @@
 	}
 }
 
-// serve runs the handler of a request beside the reader.
-func (n *Node) serve(ctx context.Context, from Sender, f frame) error {
-	handler, ok := n.serving[f.kind]
+// serveRequest runs the handler of a request beside the reader.
+func (n *Node) serveRequest(ctx context.Context, from Sender, f frame) error {
+	handler, ok := n.callHandlers[f.kind]
 	if !ok {
-		n.answer(from, failure(f, "no handler"))
+		n.respond(from, failure(f, "no handler"))
 
 		return &FrameError{fault: FaultKind, value: uint64(f.kind)}
 	}
 
 	select {
-	case n.running <- struct{}{}:
+	case n.callSlots <- struct{}{}:
 	default:
-		n.answer(from, failure(f, "too many running requests"))
+		n.respond(from, failure(f, "too many running requests"))
 
 		return nil
 	}
 
 	n.tasks.Go(func() {
-		defer func() { <-n.running }()
+		defer func() { <-n.callSlots }()
 
 		body, err := handler(ctx, from, f.body)
 		if err != nil {
-			n.answer(from, failure(f, err.Error()))
+			n.respond(from, failure(f, err.Error()))
 
 			return
 		}
 
-		n.answer(from, frame{form: formResponse, kind: f.kind, call: f.call, body: body})
+		n.respond(from, frame{form: formResponse, kind: f.kind, call: f.call, body: body})
 	})
 
 	return nil
 }
 
-// answer queues the answer to a request. Where it does not fit the caller
+// respond queues the respond to a request. Where it does not fit the caller
 // finds its timeout.
-func (n *Node) answer(to Sender, f frame) {
+func (n *Node) respond(to Sender, f frame) {
 	if err := n.enqueue(to.Target(), f); err != nil {
-		undeliverable.Inc()
+		undeliverableFrames.Inc()
 	}
 }
 
@@ -120,8 +120,8 @@
 	return frame{form: formFailure, kind: request.kind, call: request.call, body: []byte(message)}
 }
 
-// noteFault counts a malformed frame.
-func noteFault(err error) {
+// countFrameError counts a malformed frame.
+func countFrameError(err error) {
 	var fault *FrameError
 	if errors.As(err, &fault) {
 		countFault(fault.fault)
--- a/peer/helper_test.go
+++ b/peer/helper_test.go
@@ -15,12 +15,12 @@
 
 const testKind = FirstKind
 
-type note struct {
+type textMessage struct {
 	Text string
 }
 
-// deployment writes keys for the names and returns their directory.
-func deployment(tb testing.TB, names ...string) string {
+// writeKeys writes keys for the names and returns their directory.
+func writeKeys(tb testing.TB, names ...string) string {
 	tb.Helper()
 
 	dir := tb.TempDir()
--- a/peer/link.go
+++ b/peer/link.go
@@ -13,22 +13,22 @@
 	wake    chan struct{}
 	random  *rand.Rand
 
-	mu        sync.Mutex
-	must      queue
-	droppable queue
-	conn      *conn
-	writing   bool
-	closed    bool
+	mu          sync.Mutex
+	undroppable queue
+	droppable   queue
+	conn        *conn
+	writing     bool
+	closed      bool
 }
 
 func newLink(n *Node, address string) *link {
 	return &link{
-		node:      n,
-		address:   address,
-		wake:      make(chan struct{}, 1),
-		random:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		must:      queue{limit: n.queueLength()},
-		droppable: queue{limit: n.queueLength()},
+		node:        n,
+		address:     address,
+		wake:        make(chan struct{}, 1),
+		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		undroppable: queue{limit: n.queueLength()},
+		droppable:   queue{limit: n.queueLength()},
 	}
 }
 
@@ -43,11 +43,11 @@
 	}
 
 	if !droppable {
-		if !l.must.push(f) {
+		if !l.undroppable.push(f) {
 			return true, ErrQueueFull
 		}
-	} else if l.droppable.displace(f) {
-		displaced.Inc()
+	} else if l.droppable.pushDroppingOldest(f) {
+		displacedFrames.Inc()
 	}
 
 	l.signal()
@@ -84,17 +84,17 @@
 	return l.conn
 }
 
-func (l *link) take() []frame {
+func (l *link) takeAll() []frame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	frames := append(l.must.take(), l.droppable.take()...)
+	frames := append(l.undroppable.takeAll(), l.droppable.takeAll()...)
 	l.writing = len(frames) > 0
 
 	return frames
 }
 
-func (l *link) written() {
+func (l *link) finishWrite() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -121,13 +121,13 @@
 func (l *link) flush(ctx context.Context) {
 	c := l.connect(ctx)
 	if c == nil {
-		l.abandon()
+		l.dropQueued()
 
 		return
 	}
 
-	frames := l.take()
-	defer l.written()
+	frames := l.takeAll()
+	defer l.finishWrite()
 
 	var buffer []byte
 	for _, f := range frames {
@@ -140,7 +140,7 @@
 
 	if err := c.write(buffer); err != nil {
 		c.close()
-		undeliverable.Add(len(frames))
+		undeliverableFrames.Add(len(frames))
 		l.node.failCalls(l.address)
 
 		return
@@ -152,7 +152,7 @@
 // connect returns the working connection or dials one, with a bounded number
 // of attempts.
 func (l *link) connect(ctx context.Context) *conn {
-	for attempt := 1; attempt <= maxDials; attempt++ {
+	for attempt := 1; attempt <= maxDialAttempts; attempt++ {
 		if c := l.current(); c != nil {
 			return c
 		}
@@ -174,21 +174,21 @@
 	return l.current()
 }
 
-// abandon drops what is queued for a remote that cannot be reached.
-func (l *link) abandon() {
-	undeliverable.Add(len(l.take()))
-	l.written()
+// dropQueued drops what is queued for a remote that cannot be reached.
+func (l *link) dropQueued() {
+	undeliverableFrames.Add(len(l.takeAll()))
+	l.finishWrite()
 	l.node.failCalls(l.address)
 }
 
 // close ends the link. A message that races with it takes a new link.
 func (l *link) close() {
-	l.node.forget(l)
+	l.node.removeLink(l)
 	l.mu.Lock()
 	l.closed = true
 	c := l.conn
 	l.mu.Unlock()
-	l.abandon()
+	l.dropQueued()
 
 	if c != nil {
 		c.close()
--- a/peer/node.go
+++ b/peer/node.go
@@ -25,8 +25,8 @@
 	keepAliveIdle = 2 * time.Minute
 	// maxRunningCalls bounds the handlers of requests that run at once.
 	maxRunningCalls = 256
-	// acceptPause is the wait after a connection that could not be accepted.
-	acceptPause = 100 * time.Millisecond
+	// acceptRetryDelay is the wait after a connection that could not be accepted.
+	acceptRetryDelay = 100 * time.Millisecond
 )
 
 // Node sends and receives messages for one instance. The exported fields are
@@ -62,11 +62,11 @@
 	// CallTimeout bounds a Call; 0 means 5 seconds.
 	CallTimeout time.Duration
 
-	handlers map[Kind]messageHandler
-	serving  map[Kind]callHandler
-	refusals refusalLog
-	calls    pendingCalls
-	running  chan struct{}
+	messageHandlers map[Kind]messageHandler
+	callHandlers    map[Kind]callHandler
+	refusals        refusalLog
+	calls           pendingCalls
+	callSlots       chan struct{}
 
 	mu      sync.Mutex
 	started bool
@@ -92,9 +92,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	n.running = make(chan struct{}, maxRunningCalls)
+	n.callSlots = make(chan struct{}, maxRunningCalls)
 	tasks := conc.NewWaitGroup()
-	n.begin(ctx, tasks)
+	n.start(ctx, tasks)
 
 	tasks.Go(func() {
 		<-ctx.Done()
@@ -105,7 +105,7 @@
 	err = n.accept(ctx, listener)
 
 	cancel()
-	n.end()
+	n.stop()
 	tasks.Wait()
 
 	return err
@@ -126,8 +126,8 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: 15 * time.Second, Count: 4}
 }
 
-// begin starts the links of messages that were sent before Run.
-func (n *Node) begin(ctx context.Context, tasks *conc.WaitGroup) {
+// start starts the links of messages that were sent before Run.
+func (n *Node) start(ctx context.Context, tasks *conc.WaitGroup) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -145,8 +145,8 @@
 	n.tasks.Go(func() { l.run(ctx) })
 }
 
-// end closes every connection, so that their readers return.
-func (n *Node) end() {
+// stop closes every connection, so that their readers return.
+func (n *Node) stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -174,12 +174,12 @@
 			return merry.Prepend(err, "accept peer")
 		case err != nil:
 			acceptFailures.Inc()
-			n.pause(ctx, acceptPause)
+			n.pause(ctx, acceptRetryDelay)
 
 			continue
 		}
 
-		n.tasks.Go(func() { n.welcome(ctx, raw) })
+		n.tasks.Go(func() { n.serveConn(ctx, raw) })
 	}
 }
 
@@ -210,7 +210,7 @@
 	return l
 }
 
-func (n *Node) forget(l *link) {
+func (n *Node) removeLink(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -14,12 +14,12 @@
 )
 
 func TestNodeDeliversMessagesBothWaysOverOneConnection(t *testing.T) {
-	dir := deployment(t, "a", "b")
+	dir := writeKeys(t, "a", "b")
 	a, b := newNode(t, dir, "a"), newNode(t, dir, "b")
-	atA, atB := make(chan note, 1), make(chan Sender, 1)
+	atA, atB := make(chan textMessage, 1), make(chan Sender, 1)
 
-	Handle(a, testKind, func(_ Sender, msg note) { atA <- msg })
-	Handle(b, testKind, func(from Sender, msg note) {
+	Handle(a, testKind, func(_ Sender, msg textMessage) { atA <- msg })
+	Handle(b, testKind, func(from Sender, msg textMessage) {
 		if got, want := msg.Text, "ping"; got != want {
 			t.Errorf("text: got %q, want %q", got, want)
 		}
@@ -29,7 +29,7 @@
 	start(t, a)
 	start(t, b)
 
-	if err := a.Send(Target{ID: "b", Address: b.Advertise}, testKind, note{Text: "ping"}); err != nil {
+	if err := a.Send(Target{ID: "b", Address: b.Advertise}, testKind, textMessage{Text: "ping"}); err != nil {
 		t.Fatal(err)
 	}
 
@@ -38,7 +38,7 @@
 		t.Errorf("sender: got %+v, want %+v", got, want)
 	}
 
-	if err := b.Send(from.Target(), testKind, note{Text: "pong"}); err != nil {
+	if err := b.Send(from.Target(), testKind, textMessage{Text: "pong"}); err != nil {
 		t.Fatal(err)
 	}
 
@@ -55,22 +55,22 @@
 }
 
 func TestCall(t *testing.T) {
-	dir := deployment(t, "a", "b")
+	dir := writeKeys(t, "a", "b")
 	a, b := newNode(t, dir, "a"), newNode(t, dir, "b")
 
-	HandleCall(b, testKind, func(_ context.Context, _ Sender, req note) (note, error) {
+	HandleCall(b, testKind, func(_ context.Context, _ Sender, req textMessage) (textMessage, error) {
 		if req.Text == "fail" {
-			return note{}, merry.New("no such note")
+			return textMessage{}, merry.New("no such note")
 		}
 
-		return note{Text: req.Text + "!"}, nil
+		return textMessage{Text: req.Text + "!"}, nil
 	})
 	start(t, a)
 	start(t, b)
 
 	to := Target{Address: b.Advertise}
 
-	resp, err := Call[note, note](t.Context(), a, to, testKind, note{Text: "hi"})
+	resp, err := Call[textMessage, textMessage](t.Context(), a, to, testKind, textMessage{Text: "hi"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,56 +80,56 @@
 	}
 
 	var remote *RemoteError
-	if _, err := Call[note, note](t.Context(), a, to, testKind, note{Text: "fail"}); !errors.As(err, &remote) {
+	if _, err := Call[textMessage, textMessage](t.Context(), a, to, testKind, textMessage{Text: "fail"}); !errors.As(err, &remote) {
 		t.Errorf("failing handler: got %v, want a RemoteError", err)
 	}
 
-	if _, err := Call[note, note](t.Context(), a, to, testKind+1, note{}); !errors.As(err, &remote) {
+	if _, err := Call[textMessage, textMessage](t.Context(), a, to, testKind+1, textMessage{}); !errors.As(err, &remote) {
 		t.Errorf("unknown kind: got %v, want a RemoteError", err)
 	}
 }
 
-func TestCallTimesOutByTheClock(t *testing.T) {
-	dir := deployment(t, "a", "b")
+func TestCallTimesOutByNodeClock(t *testing.T) {
+	dir := writeKeys(t, "a", "b")
 	a, b := newNode(t, dir, "a"), newNode(t, dir, "b")
 	manual := clock.NewManual(clock.System{}.Now())
 	a.Clock = manual
-	asked := make(chan struct{})
+	received := make(chan struct{})
 	release := make(chan struct{})
 
-	HandleCall(b, testKind, func(context.Context, Sender, note) (note, error) {
-		close(asked)
+	HandleCall(b, testKind, func(context.Context, Sender, textMessage) (textMessage, error) {
+		close(received)
 		<-release
 
-		return note{}, nil
+		return textMessage{}, nil
 	})
 	start(t, a)
 	start(t, b)
 	t.Cleanup(func() { close(release) })
 
 	go func() {
-		<-asked
+		<-received
 		manual.Advance(defaultCallTimeout)
 	}()
 
-	if _, err := Call[note, note](t.Context(), a, Target{Address: b.Advertise}, testKind, note{}); !errors.Is(err, ErrTimeout) {
+	if _, err := Call[textMessage, textMessage](t.Context(), a, Target{Address: b.Advertise}, testKind, textMessage{}); !errors.Is(err, ErrTimeout) {
 		t.Errorf("error: got %v, want %v", err, ErrTimeout)
 	}
 }
 
-func TestSendRefusesBadTargets(t *testing.T) {
+func TestSendRejectsInvalidTargetOrSize(t *testing.T) {
 	n := &Node{ID: "a", Advertise: "127.0.0.1:1", MaxBody: 8, Clock: clock.System{}}
 
 	tests := []struct {
 		desc string
 		to   Target
-		msg  note
+		msg  textMessage
 		want error
 	}{
 		{desc: "no address", to: Target{ID: "b"}, want: ErrNoAddress},
 		{desc: "own address", to: Target{Address: "127.0.0.1:1"}, want: ErrSelf},
 		{desc: "own ID", to: Target{ID: "a", Address: "127.0.0.1:2"}, want: ErrSelf},
-		{desc: "too large", to: Target{Address: "127.0.0.1:2"}, msg: note{Text: "more than eight"}, want: ErrTooLarge},
+		{desc: "too large", to: Target{Address: "127.0.0.1:2"}, msg: textMessage{Text: "more than eight"}, want: ErrTooLarge},
 	}
 
 	for _, tt := range tests {
@@ -146,27 +146,27 @@
 	to := Target{Address: "127.0.0.1:2"}
 
 	for i := range 3 {
-		err := n.Send(to, testKind, note{})
+		err := n.Send(to, testKind, textMessage{})
 		if got, want := errors.Is(err, ErrQueueFull), i == 2; got != want {
 			t.Errorf("message %d refused: got %v, want %v", i, got, want)
 		}
 
-		if err := n.Send(to, testKind+1, note{Text: string(rune('0' + i))}); err != nil {
+		if err := n.Send(to, testKind+1, textMessage{Text: string(rune('0' + i))}); err != nil {
 			t.Errorf("droppable message %d: got %v, want nil", i, err)
 		}
 	}
 
-	if got, want := len(n.links[to.Address].take()), 4; got != want {
+	if got, want := len(n.links[to.Address].takeAll()), 4; got != want {
 		t.Errorf("queued: got %d, want %d", got, want)
 	}
 }
 
-// eager is a clock on which short waits end at once.
-type eager struct {
+// shortWaitClock is a clock on which short waits end at once.
+type shortWaitClock struct {
 	clock.System
 }
 
-func (e eager) After(d time.Duration) <-chan time.Time {
+func (e shortWaitClock) After(d time.Duration) <-chan time.Time {
 	if d > backoffMax {
 		return e.System.After(d)
 	}
@@ -188,18 +188,18 @@
 	return l.Listener.Accept()
 }
 
-func TestNodeGoesOnAfterAFailedAccept(t *testing.T) {
-	dir := deployment(t, "a", "b")
+func TestNodeAcceptsAfterFailedAccept(t *testing.T) {
+	dir := writeKeys(t, "a", "b")
 	a, b := newNode(t, dir, "a"), newNode(t, dir, "b")
-	a.Clock = eager{}
+	a.Clock = shortWaitClock{}
 	a.Listener = &failingListener{Listener: a.Listener}
-	got := make(chan note, 1)
+	got := make(chan textMessage, 1)
 
-	Handle(a, testKind, func(_ Sender, msg note) { got <- msg })
+	Handle(a, testKind, func(_ Sender, msg textMessage) { got <- msg })
 	start(t, a)
 	start(t, b)
 
-	if err := b.Send(Target{Address: a.Advertise}, testKind, note{Text: "after"}); err != nil {
+	if err := b.Send(Target{Address: a.Advertise}, testKind, textMessage{Text: "after"}); err != nil {
 		t.Fatal(err)
 	}
 
@@ -208,15 +208,15 @@
 	}
 }
 
-func TestCallFailsForARemoteThatCannotBeReached(t *testing.T) {
-	dir := deployment(t, "a", "b")
+func TestCallFailsForUnreachableRemote(t *testing.T) {
+	dir := writeKeys(t, "a", "b")
 	a, b := newNode(t, dir, "a"), newNode(t, dir, "b")
-	a.Clock = eager{}
+	a.Clock = shortWaitClock{}
 	a.CallTimeout = time.Hour
 	_ = b.Listener.Close()
 	start(t, a)
 
-	if _, err := Call[note, note](t.Context(), a, Target{Address: b.Advertise}, testKind, note{}); !errors.Is(err, ErrUnreachable) {
+	if _, err := Call[textMessage, textMessage](t.Context(), a, Target{Address: b.Advertise}, testKind, textMessage{}); !errors.Is(err, ErrUnreachable) {
 		t.Errorf("error: got %v, want %v", err, ErrUnreachable)
 	}
 }
--- a/peer/queue.go
+++ b/peer/queue.go
@@ -17,8 +17,8 @@
 	return true
 }
 
-// displace adds f and reports whether the oldest frame was dropped for it.
-func (q *queue) displace(f frame) bool {
+// pushDroppingOldest adds f and reports whether the oldest frame was dropped for it.
+func (q *queue) pushDroppingOldest(f frame) bool {
 	full := len(q.frames) >= q.limit
 	if full {
 		q.frames[0] = frame{}
@@ -30,8 +30,8 @@
 	return full
 }
 
-// take removes and returns all frames.
-func (q *queue) take() []frame {
+// takeAll removes and returns all frames.
+func (q *queue) takeAll() []frame {
 	frames := q.frames
 	q.frames = nil
 
--- a/peer/refusal_test.go
+++ b/peer/refusal_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-func TestNodeRefusesRemotes(t *testing.T) {
-	own := deployment(t, "a", "b", "c")
-	foreign := deployment(t, "b")
+func TestNodeRefusesUnverifiedRemotes(t *testing.T) {
+	own := writeKeys(t, "a", "b", "c")
+	foreign := writeKeys(t, "b")
 
 	tests := []struct {
 		desc   string
@@ -25,7 +25,7 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			a, b := newNode(t, own, "a"), newNode(t, own, "b")
-			Handle(a, testKind, func(Sender, note) { t.Error("message of a refused remote was handled") })
+			Handle(a, testKind, func(Sender, textMessage) { t.Error("message of a refused remote was handled") })
 			tt.change(b)
 
 			ctx, cancel := context.WithCancel(t.Context())
@@ -36,7 +36,7 @@
 			before := refusedCounter(tt.want).Get()
 
 			for range 2 {
-				connectAndWait(t, b, a.Advertise)
+				connectAndAwaitClose(t, b, a.Advertise)
 			}
 
 			// The remote sees the refusal before it is counted; Run waits for both.
@@ -53,16 +53,16 @@
 			a.refusals.mu.Lock()
 			defer a.refusals.mu.Unlock()
 
-			if got, want := a.refusals.seen["127.0.0.1"], tt.want; got != want {
+			if got, want := a.refusals.lastReason["127.0.0.1"], tt.want; got != want {
 				t.Errorf("logged reason: got %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-// connectAndWait sends b's hello and a message, and waits until the remote has
+// connectAndAwaitClose sends b's hello and a message, and waits until the remote has
 // closed the connection.
-func connectAndWait(t *testing.T, b *Node, address string) {
+func connectAndAwaitClose(t *testing.T, b *Node, address string) {
 	t.Helper()
 
 	// This remote takes any server, so that the refusal is the server's.
@@ -102,7 +102,7 @@
 	}
 
 	for _, tt := range tests {
-		if got := r.first(tt.remote, tt.reason); got != tt.want {
+		if got := r.record(tt.remote, tt.reason); got != tt.want {
 			t.Errorf("%s: got %v, want %v", tt.desc, got, tt.want)
 		}
 	}
--- a/peer/refusallog.go
+++ b/peer/refusallog.go
@@ -16,34 +16,34 @@
 
 // refusalLog remembers which remotes were logged as refused.
 type refusalLog struct {
-	mu   sync.Mutex
-	seen map[string]Reason
+	mu         sync.Mutex
+	lastReason map[string]Reason
 }
 
-// first reports whether the remote has not been logged with this reason.
-func (r *refusalLog) first(remote string, reason Reason) bool {
+// record reports whether the remote has not been logged with this reason.
+func (r *refusalLog) record(remote string, reason Reason) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if r.seen == nil || len(r.seen) >= maxLoggedRemotes {
-		r.seen = make(map[string]Reason)
+	if r.lastReason == nil || len(r.lastReason) >= maxLoggedRemotes {
+		r.lastReason = make(map[string]Reason)
 	}
 
-	if r.seen[remote] == reason {
+	if r.lastReason[remote] == reason {
 		return false
 	}
 
-	r.seen[remote] = reason
+	r.lastReason[remote] = reason
 
 	return true
 }
 
-// refuse counts a refused remote and logs it once. Other failures of a
+// reportRefusal counts a refused remote and logs it once. Other failures of a
 // handshake, such as a reset, are no refusal.
-func (n *Node) refuse(address string, err error) {
+func (n *Node) reportRefusal(address string, err error) {
 	var refusal *RefusalError
 	if !errors.As(err, &refusal) {
-		noteFault(err)
+		countFrameError(err)
 
 		return
 	}
@@ -56,14 +56,14 @@
 		host = address
 	}
 
-	if n.refusals.first(host, refusal.reason) {
+	if n.refusals.record(host, refusal.reason) {
 		klog.InfoS("peer refused", "remote", host, "reason", refusal.reason.String(), "err", err)
 	}
 }
 
-// asRefusal types the failures of a TLS handshake that a wrong or missing key
+// classifyHandshakeError types the failures of a TLS handshake that a wrong or missing key
 // causes on either side.
-func asRefusal(err error) error {
+func classifyHandshakeError(err error) error {
 	var (
 		verification *tls.CertificateVerificationError
 		authority    x509.UnknownAuthorityError
