--- a/peer/backoff.go
+++ b/peer/backoff.go
@@ -8,13 +8,13 @@
 const (
 	backoffBase = 100 * time.Millisecond
 	backoffMax  = 5 * time.Second
-	// maxDialAttempts is the number of failed dials in a row after which a remote's
-	// queued messages are dropped.
+	// maxDialAttempts is the number of consecutive failed dials after which the
+	// messages queued for a remote are dropped.
 	maxDialAttempts = 5
 )
 
-// backoff returns the wait before dial number attempt, counted from 1: it
-// doubles up to backoffMax, and half of it is random.
+// backoff returns the delay after failed dial number attempt, counted from 1. It
+// doubles from backoffBase up to backoffMax; half of it is random jitter.
 func backoff(attempt int, random *rand.Rand) time.Duration {
 	wait := backoffMax
 	if shift := attempt - 1; shift < 10 {
--- a/peer/call.go
+++ b/peer/call.go
@@ -9,7 +9,7 @@
 	"monsoonlever/codec"
 )
 
-// pendingCalls holds the callers that wait for an answer.
+// pendingCalls holds the calls that wait for a response, by call number.
 type pendingCalls struct {
 	mu     sync.Mutex
 	lastID uint32
@@ -43,8 +43,9 @@
 	delete(p.byID, id)
 }
 
-// deliver hands f to its caller. A late deliver, or one from another remote than
-// was asked, finds no caller.
+// deliver passes the response f from the remote at address to its caller. It
+// discards a response that arrives after the call has ended or that comes from
+// another remote than the called one.
 func (p *pendingCalls) deliver(address string, f frame) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +59,8 @@
 	call.response <- f
 }
 
-// fail ends every call to address; a closed channel means unreachable.
+// fail ends every call to address. It closes the response channels, which makes
+// Call return ErrUnreachable.
 func (p *pendingCalls) fail(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,9 +77,9 @@
 	n.calls.fail(address)
 }
 
-// Call sends a request and waits for its response, until ctx ends or the
-// node's CallTimeout has passed. After ErrTimeout and ErrUnreachable the
-// request may have been handled or not.
+// Call sends a request and waits for its response until ctx ends or the node's
+// CallTimeout has passed. After ErrTimeout and ErrUnreachable the remote may or
+// may not have handled the request.
 func Call[Req, Resp any](ctx context.Context, n *Node, to Target, kind Kind, req Req) (Resp, error) {
 	var resp Resp
 
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -6,10 +6,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// encode returns msg with its structs as arrays and its integers as short as
-// they go. The names of fields are not sent, so a field may be appended to a
-// message but never moved or removed: a receiver skips what it does not know
-// and leaves what is missing at its zero value.
+// encode returns msg in msgpack, with structs as arrays and integers in their
+// shortest form. Field names are not sent, so a field may be appended to a
+// message but never moved or removed: a receiver skips unknown trailing fields
+// and leaves missing ones at their zero values.
 func encode(msg any) ([]byte, error) {
 	var buffer bytes.Buffer
 
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -6,19 +6,21 @@
 	"time"
 )
 
-// writeTimeout bounds one write to a remote that does not read.
+// writeTimeout bounds one write, so that a remote that does not read cannot
+// block the link.
 const writeTimeout = 5 * time.Second
 
-// conn is one connection after both hellos.
+// conn is an open connection on which both sides have sent their hello.
 type conn struct {
 	tls    *tls.Conn
 	sender Sender
 	broken atomic.Bool
 }
 
-// write sends encoded frames in one piece. Only the link's goroutine writes.
+// write sends encoded frames in one write. Only the goroutine of the link that
+// the connection is attached to calls it.
 func (c *conn) write(b []byte) error {
-	// The socket's deadline is kept by the kernel against its own clock.
+	// Socket deadlines run on the system clock, not on Node.Clock.
 	if err := c.tls.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
--- a/peer/connect.go
+++ b/peer/connect.go
@@ -9,7 +9,8 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// serveConn makes the handshake with a remote that connected, and reads from it.
+// serveConn performs the handshake on an accepted connection and reads frames
+// until it breaks.
 func (n *Node) serveConn(ctx context.Context, raw net.Conn) {
 	c, err := n.handshake(ctx, tls.Server(raw, n.TLS))
 	if err != nil {
@@ -26,7 +27,8 @@
 	n.readFrames(ctx, c)
 }
 
-// dial connects to address and starts to read from it.
+// dial connects to address, performs the handshake and starts a goroutine that
+// reads frames.
 func (n *Node) dial(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{Timeout: handshakeTimeout, KeepAliveConfig: keepAlive()}
 
@@ -49,18 +51,19 @@
 	return c, nil
 }
 
-// handshake makes the TLS handshake and exchanges hellos.
+// handshake performs the TLS handshake and exchanges hellos.
 func (n *Node) handshake(ctx context.Context, t *tls.Conn) (*conn, error) {
 	stop := context.AfterFunc(ctx, func() { _ = t.NetConn().Close() })
 	defer stop()
 
-	// The socket's deadline is kept by the kernel against its own clock.
+	// Socket deadlines run on the system clock, not on Node.Clock.
 	if err := t.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
 	}
 
-	// The end of ctx closes the connection; were it told of it too, it would hide
-	// a refusal that was found just before.
+	// The AfterFunc closes the connection when ctx ends. With ctx itself, the
+	// handshake would return the error of ctx instead of a refusal found just
+	// before.
 	if err := t.HandshakeContext(context.WithoutCancel(ctx)); err != nil {
 		return nil, classifyHandshakeError(err)
 	}
@@ -87,7 +90,8 @@
 	return n.trackConn(&conn{tls: t, sender: sender})
 }
 
-// trackConn keeps the connection for end to close.
+// trackConn clears the handshake deadline and records the connection, so that
+// stop closes it.
 func (n *Node) trackConn(c *conn) (*conn, error) {
 	if err := c.tls.SetDeadline(time.Time{}); err != nil {
 		return nil, err
@@ -109,7 +113,8 @@
 	return c, nil
 }
 
-// readFrames hands each frame to its handler until the connection breaks.
+// readFrames dispatches each received frame until the connection breaks or ctx
+// ends.
 func (n *Node) readFrames(ctx context.Context, c *conn) {
 	defer n.removeConn(c)
 
--- a/peer/cost_test.go
+++ b/peer/cost_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// maxConnectionBytes is the memory that one end of an idle connection may take:
-// 250 of them stay under 16 MB.
+// maxConnectionBytes bounds the memory of one end of an idle connection, so that
+// 250 of them take less than 16 MB.
 const maxConnectionBytes = 64 << 10
 
-// memoryInUse returns what heap objects and stacks take.
+// memoryInUse returns the bytes that heap objects and stacks occupy.
 func memoryInUse() uint64 {
 	var stats runtime.MemStats
 
@@ -23,7 +23,7 @@
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// countingListener counts the bytes of all connections, both ways.
+// countingListener counts the bytes that its connections read and write.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -54,8 +54,9 @@
 	return n, err
 }
 
-// TestConnectionCost measures what an idle connection with its links,
-// goroutines and TLS state takes at each end, and the bytes that open it.
+// TestConnectionCost measures the memory that an idle connection occupies at
+// each end, with its link, goroutines and TLS state, and the bytes exchanged to
+// open it.
 func TestConnectionCost(t *testing.T) {
 	const remotes = 60
 
--- a/peer/counters.go
+++ b/peer/counters.go
@@ -2,7 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// counters of the transport; they are shared by all nodes of a process.
+// Counters of the transport, shared by all nodes of a process.
 var (
 	sentFrames          = metrics.GetOrCreateCounter("monsoonlever_peer_sent_frames_total")
 	sentBytes           = metrics.GetOrCreateCounter("monsoonlever_peer_sent_bytes_total")
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -5,13 +5,14 @@
 // it in both directions. After the TLS handshake each side sends a hello with
 // its deployment, instance ID, incarnation and failure domain. The instance ID
 // must be a DNS name of the sender's certificate, and the deployment must be
-// the receiver's own; anything else is refused, counted, and logged once per
-// remote.
+// the receiver's own. Any other remote is refused and counted; repeated refusals
+// of a remote for the same reason are logged once.
 //
-// Send never blocks. Each remote has two bounded queues: kinds listed in
-// Droppable lose their oldest message when the queue is full, every other kind
-// gets ErrQueueFull. Delivery is at most once: what was written to a
-// connection that breaks is lost, and the caller learns it by its own timeout.
+// Send never blocks. Each remote has two bounded queues: when the queue for the
+// kinds listed in Droppable is full, its oldest message is dropped; for every
+// other kind Send returns ErrQueueFull. Delivery is at most once: messages
+// written to a connection that breaks are lost, and the sender detects the loss
+// only by its own timeout.
 //
 // # Usage
 //
--- a/peer/flush.go
+++ b/peer/flush.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// flushPollInterval is the time between looks at the queues.
+// flushPollInterval is the interval at which Flush checks the queues.
 const flushPollInterval = 10 * time.Millisecond
 
-// Flush waits until what is queued has been written or dropped, or ctx ends.
+// Flush waits until all queued messages have been written or dropped, or ctx
+// ends.
 func (n *Node) Flush(ctx context.Context) {
 	for !n.drained() {
 		select {
@@ -32,7 +33,7 @@
 	return true
 }
 
-// pending reports whether a message is queued or being written.
+// pending reports whether the link has a message queued or being written.
 func (l *link) pending() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -17,7 +17,7 @@
 	DefaultMaxBody = 1 << 20
 )
 
-// frame is one message on the wire with its header decoded.
+// frame is one message on the wire: its decoded header and its encoded body.
 type frame struct {
 	form form
 	kind Kind
@@ -39,8 +39,8 @@
 	return append(b, f.body...)
 }
 
-// readFrame reads one frame. It allocates a body only after its length has
-// been checked against maxBody.
+// readFrame reads one frame. It checks the declared length against maxBody
+// before it allocates the body.
 func readFrame(r io.Reader, maxBody int) (frame, error) {
 	var header [HeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -82,7 +82,7 @@
 	return f, int(length), nil
 }
 
-// asUnexpectedEOF turns an end between header and body into an unexpected one.
+// asUnexpectedEOF turns io.EOF after a frame's header into io.ErrUnexpectedEOF.
 func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -91,7 +91,8 @@
 	return err
 }
 
-// classifyReadError types an end inside a frame; an end between frames stays io.EOF.
+// classifyReadError returns a FrameError for a stream that ends inside a frame,
+// and io.EOF for one that ends between frames.
 func classifyReadError(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return &FrameError{fault: FaultTruncated}
--- a/peer/frameerror.go
+++ b/peer/frameerror.go
@@ -2,20 +2,22 @@
 
 import "fmt"
 
-// Fault says what is wrong with a frame.
+// Fault is the kind of error in a malformed frame.
 type Fault uint8
 
 // The faults of a frame.
 const (
 	// FaultVersion is a frame of another version of the protocol.
 	FaultVersion Fault = iota + 1
-	// FaultForm is a frame that is neither message, request nor answer.
+	// FaultForm is a frame that is neither a message, request, response nor
+	// failure.
 	FaultForm
-	// FaultSize is a frame whose body is longer than the receiver takes.
+	// FaultSize is a frame whose body is longer than the receiver's MaxBody.
 	FaultSize
-	// FaultTruncated is a frame that ends too early.
+	// FaultTruncated is a frame that is cut off.
 	FaultTruncated
-	// FaultBody is a frame whose body is not the message its kind promises.
+	// FaultBody is a frame whose body does not decode as the message type of its
+	// kind.
 	FaultBody
 	// FaultKind is a frame of a kind that has no handler.
 	FaultKind
@@ -47,7 +49,7 @@
 	value uint64
 }
 
-// Fault returns what is wrong.
+// Fault returns the kind of error.
 func (e *FrameError) Fault() Fault {
 	return e.fault
 }
--- a/peer/handle.go
+++ b/peer/handle.go
@@ -12,8 +12,9 @@
 	callHandler    func(ctx context.Context, from Sender, body []byte) ([]byte, error)
 )
 
-// Handle registers f for messages of a kind, before Run. Messages of one
-// connection are handed over in their order; f must not block.
+// Handle registers f for messages of a kind; it must be called before Run. The
+// messages of one connection reach f in the order received. f must not block,
+// since it runs in the goroutine that reads the connection.
 func Handle[T any](n *Node, kind Kind, f func(from Sender, msg T)) {
 	if n.messageHandlers == nil {
 		n.messageHandlers = make(map[Kind]messageHandler)
@@ -31,9 +32,10 @@
 	}
 }
 
-// HandleCall registers f for requests of a kind, before Run. Each request has
-// its own goroutine; beyond a bound of running requests the caller gets an
-// error. An error of f reaches the caller as a RemoteError.
+// HandleCall registers f for requests of a kind; it must be called before Run.
+// Each request runs in its own goroutine. A request above the limit of running
+// requests fails, as does one for which f returns an error; the caller receives
+// a RemoteError.
 func HandleCall[Req, Resp any](n *Node, kind Kind, f func(ctx context.Context, from Sender, req Req) (Resp, error)) {
 	if n.callHandlers == nil {
 		n.callHandlers = make(map[Kind]callHandler)
@@ -56,7 +58,8 @@
 	}
 }
 
-// dispatch hands one frame to its handler or its waiting caller.
+// dispatch passes one received frame to its handler, or a response to the caller
+// that waits for it.
 func (n *Node) dispatch(ctx context.Context, c *conn, f frame) error {
 	switch f.form {
 	case formResponse, formFailure:
@@ -75,7 +78,8 @@
 	}
 }
 
-// serveRequest runs the handler of a request beside the reader.
+// serveRequest runs the handler of a request in a goroutine of its own, so that
+// reading the connection continues.
 func (n *Node) serveRequest(ctx context.Context, from Sender, f frame) error {
 	handler, ok := n.callHandlers[f.kind]
 	if !ok {
@@ -108,8 +112,8 @@
 	return nil
 }
 
-// respond queues the respond to a request. Where it does not fit the caller
-// finds its timeout.
+// respond queues the response to a request. If the queue is full, the response
+// is dropped and the caller times out.
 func (n *Node) respond(to Sender, f frame) {
 	if err := n.enqueue(to.Target(), f); err != nil {
 		undeliverableFrames.Inc()
@@ -120,7 +124,7 @@
 	return frame{form: formFailure, kind: request.kind, call: request.call, body: []byte(message)}
 }
 
-// countFrameError counts a malformed frame.
+// countFrameError counts err by its fault if it is a FrameError.
 func countFrameError(err error) {
 	var fault *FrameError
 	if errors.As(err, &fault) {
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -8,7 +8,7 @@
 	"monsoonlever/fleet"
 )
 
-// hello is the first frame of each side of a connection.
+// hello is the body of the first frame that each side of a connection sends.
 type hello struct {
 	Deployment  string
 	ID          fleet.InstanceID
@@ -29,7 +29,8 @@
 	return frame{form: formMessage, kind: kindHello, body: body}, err
 }
 
-// checkHello returns the verified sender of a connection's first frame.
+// checkHello verifies a connection's first frame against the remote's
+// certificate and returns its sender.
 func (n *Node) checkHello(f frame, state tls.ConnectionState) (Sender, error) {
 	if f.kind != kindHello {
 		return Sender{}, &RefusalError{reason: ReasonHello}
--- a/peer/helper_test.go
+++ b/peer/helper_test.go
@@ -19,7 +19,8 @@
 	Text string
 }
 
-// writeKeys writes keys for the names and returns their directory.
+// writeKeys writes the CA and the keys of a deployment of the named instances,
+// and returns their directory.
 func writeKeys(tb testing.TB, names ...string) string {
 	tb.Helper()
 
@@ -48,7 +49,7 @@
 	return config
 }
 
-// newNode returns a node with a listener; the test runs it with start.
+// newNode returns a node with an open listener; the test runs it with start.
 func newNode(tb testing.TB, dir, name string) *Node {
 	tb.Helper()
 
@@ -71,7 +72,7 @@
 	}
 }
 
-// start runs the node until the test ends, and checks that Run returns.
+// start runs the node until the test ends, and checks that Run returns nil.
 func start(tb testing.TB, n *Node) {
 	tb.Helper()
 
--- a/peer/kind.go
+++ b/peer/kind.go
@@ -1,7 +1,8 @@
 package peer
 
-// Kind numbers a type of message. Kinds below FirstKind belong to the
-// transport; each package that sends messages owns a range above it.
+// Kind identifies a type of message on the wire. Kinds below FirstKind are
+// reserved for the transport; each package that sends messages owns a range of
+// the others.
 type Kind uint16
 
 // FirstKind is the lowest kind that a handler may be registered for.
@@ -9,7 +10,8 @@
 
 const kindHello Kind = 1
 
-// form says which part of an exchange a frame is.
+// form distinguishes one-way messages from the requests, responses and failures
+// of calls.
 type form uint8
 
 const (
--- a/peer/link.go
+++ b/peer/link.go
@@ -6,7 +6,8 @@
 	"sync"
 )
 
-// link holds what waits for one remote address, and the connection to it.
+// link holds the messages queued for one remote address and the connection that
+// they are written to.
 type link struct {
 	node    *Node
 	address string
@@ -32,8 +33,8 @@
 	}
 }
 
-// enqueue adds f to its queue. It reports false when the link has closed and
-// the caller must take a new one.
+// enqueue adds f to the queue for its kind. It reports false if the link is
+// closed and the caller must get a new one from Node.link.
 func (l *link) enqueue(f frame, droppable bool) (bool, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +63,8 @@
 	}
 }
 
-// attach makes c the connection to write to, unless a working one is there.
+// attach makes c the connection to write to, unless the link is closed or has a
+// working connection.
 func (l *link) attach(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +74,7 @@
 	}
 }
 
-// current returns the working connection, or nil.
+// current returns the link's working connection, or nil if it has none.
 func (l *link) current() *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +103,8 @@
 	l.writing = false
 }
 
-// run writes what is queued until ctx ends or the link has been idle.
+// run writes queued messages until ctx ends or none was queued for the node's
+// IdleTimeout.
 func (l *link) run(ctx context.Context) {
 	defer l.close()
 
@@ -117,7 +120,8 @@
 	}
 }
 
-// flush connects if need be and writes every queued frame.
+// flush connects to the remote unless a working connection exists, and writes
+// every queued frame. If no connection can be established, it drops the frames.
 func (l *link) flush(ctx context.Context) {
 	c := l.connect(ctx)
 	if c == nil {
@@ -149,8 +153,8 @@
 	sentFrames.Add(len(frames))
 }
 
-// connect returns the working connection or dials one, with a bounded number
-// of attempts.
+// connect returns the working connection, or dials up to maxDialAttempts times.
+// It returns nil if no connection could be established.
 func (l *link) connect(ctx context.Context) *conn {
 	for attempt := 1; attempt <= maxDialAttempts; attempt++ {
 		if c := l.current(); c != nil {
@@ -174,14 +178,16 @@
 	return l.current()
 }
 
-// dropQueued drops what is queued for a remote that cannot be reached.
+// dropQueued drops the queued messages and fails the pending calls to the
+// remote.
 func (l *link) dropQueued() {
 	undeliverableFrames.Add(len(l.takeAll()))
 	l.finishWrite()
 	l.node.failCalls(l.address)
 }
 
-// close ends the link. A message that races with it takes a new link.
+// close removes the link from the node, drops its queued messages and closes its
+// connection. A message that finds the link closed is queued on a new link.
 func (l *link) close() {
 	l.node.removeLink(l)
 	l.mu.Lock()
--- a/peer/node.go
+++ b/peer/node.go
@@ -21,36 +21,39 @@
 	defaultCallTimeout = 5 * time.Second
 	// handshakeTimeout bounds dialing, the TLS handshake and both hellos.
 	handshakeTimeout = 5 * time.Second
-	// keepAliveIdle keeps the probes of some hundred idle connections small.
+	// keepAliveIdle is long enough to keep the probe traffic of a few hundred
+	// idle connections small.
 	keepAliveIdle = 2 * time.Minute
-	// maxRunningCalls bounds the handlers of requests that run at once.
+	// maxRunningCalls bounds the request handlers that run at the same time.
 	maxRunningCalls = 256
-	// acceptRetryDelay is the wait after a connection that could not be accepted.
+	// acceptRetryDelay is the delay before the next accept after a failed one.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Node sends and receives messages for one instance. The exported fields are
-// set, and handlers registered, before Run.
+// Node sends and receives messages for one instance. The exported fields must be
+// set and the handlers registered before Run.
 type Node struct {
 	// ID names the instance; the certificate must carry it as a DNS name.
 	ID fleet.InstanceID
-	// Incarnation counts the starts of the process on this instance.
+	// Incarnation identifies this start of the process on the instance.
 	Incarnation fleet.Incarnation
 	// Domain is the failure domain of the instance.
 	Domain fleet.FailureDomain
-	// Deployment names the deployment; remotes of another are refused.
+	// Deployment names the deployment; remotes of other deployments are refused.
 	Deployment string
-	// Listen is the host:port to listen on. It is unused with a Listener.
+	// Listen is the host:port to listen on. It is ignored if Listener is set.
 	Listen string
-	// Listener is taken instead of Listen when it is set; Run closes it.
+	// Listener, if set, accepts the connections instead of a new listener on
+	// Listen. Run closes it.
 	Listener net.Listener
 	// Advertise is the host:port at which remotes reach the node.
 	Advertise string
 	// TLS holds the node's key and the CA, as keys.Files.TLS returns them.
 	TLS *tls.Config
-	// Clock drives backoff, idle time and call timeouts.
+	// Clock drives backoff, idle timeouts and call timeouts.
 	Clock clock.Clock
-	// Droppable lists the kinds whose oldest message gives way in a full queue.
+	// Droppable lists the kinds whose oldest queued message is dropped when a
+	// new one finds the queue full.
 	Droppable []Kind
 	// QueueLength bounds each of the two queues to a remote; 0 means 256.
 	QueueLength int
@@ -77,8 +80,8 @@
 	ctx     context.Context
 }
 
-// Run listens and serves until ctx ends. It returns once every goroutine of
-// the node has ended.
+// Run accepts connections and exchanges messages until ctx ends or the listener
+// is closed. It returns after every goroutine of the node has ended.
 func (n *Node) Run(ctx context.Context) error {
 	if n.TLS == nil {
 		return ErrNoTLS
@@ -126,7 +129,8 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: 15 * time.Second, Count: 4}
 }
 
-// start starts the links of messages that were sent before Run.
+// start marks the node as running and starts the links that Send created before
+// Run.
 func (n *Node) start(ctx context.Context, tasks *conc.WaitGroup) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -145,7 +149,8 @@
 	n.tasks.Go(func() { l.run(ctx) })
 }
 
-// stop closes every connection, so that their readers return.
+// stop marks the node as stopped and closes every connection, so that the
+// goroutines that read them return.
 func (n *Node) stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -157,8 +162,9 @@
 	}
 }
 
-// accept takes connections until the listener is closed. Other failures, such
-// as too many open files, pass.
+// accept serves incoming connections until ctx ends or the listener is closed.
+// Other errors, such as too many open files, are temporary: it retries after
+// acceptRetryDelay.
 func (n *Node) accept(ctx context.Context, listener net.Listener) error {
 	for {
 		raw, err := listener.Accept()
@@ -183,7 +189,8 @@
 	}
 }
 
-// link returns the link to address, or nil once the node has stopped.
+// link returns the link to address and creates it if needed. It returns nil once
+// the node has stopped.
 func (n *Node) link(address string) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -219,7 +226,7 @@
 	}
 }
 
-// pause waits and reports whether ctx is still in force.
+// pause waits for the given duration. It reports false if ctx ends before that.
 func (n *Node) pause(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -43,7 +43,7 @@
 	}
 
 	if got, want := (<-atA).Text, "pong"; got != want {
-		t.Errorf("answer: got %q, want %q", got, want)
+		t.Errorf("reply: got %q, want %q", got, want)
 	}
 
 	a.mu.Lock()
@@ -60,7 +60,7 @@
 
 	HandleCall(b, testKind, func(_ context.Context, _ Sender, req textMessage) (textMessage, error) {
 		if req.Text == "fail" {
-			return textMessage{}, merry.New("no such note")
+			return textMessage{}, merry.New("no such message")
 		}
 
 		return textMessage{Text: req.Text + "!"}, nil
@@ -161,20 +161,20 @@
 	}
 }
 
-// shortWaitClock is a clock on which short waits end at once.
+// shortWaitClock is a clock on which waits of up to backoffMax end immediately.
 type shortWaitClock struct {
 	clock.System
 }
 
-func (e shortWaitClock) After(d time.Duration) <-chan time.Time {
+func (c shortWaitClock) After(d time.Duration) <-chan time.Time {
 	if d > backoffMax {
-		return e.System.After(d)
+		return c.System.After(d)
 	}
 
-	return e.System.After(0)
+	return c.System.After(0)
 }
 
-// failingListener fails once before it accepts.
+// failingListener returns an error from its first Accept.
 type failingListener struct {
 	net.Listener
 	failed atomic.Bool
--- a/peer/queue.go
+++ b/peer/queue.go
@@ -6,7 +6,7 @@
 	frames []frame
 }
 
-// push adds f and reports whether it fitted.
+// push adds f unless the queue is full, and reports whether it did.
 func (q *queue) push(f frame) bool {
 	if len(q.frames) >= q.limit {
 		return false
@@ -17,7 +17,8 @@
 	return true
 }
 
-// pushDroppingOldest adds f and reports whether the oldest frame was dropped for it.
+// pushDroppingOldest adds f, dropping the oldest frame if the queue is full, and
+// reports whether it dropped one.
 func (q *queue) pushDroppingOldest(f frame) bool {
 	full := len(q.frames) >= q.limit
 	if full {
--- a/peer/refusal_test.go
+++ b/peer/refusal_test.go
@@ -39,7 +39,8 @@
 				connectAndAwaitClose(t, b, a.Advertise)
 			}
 
-			// The remote sees the refusal before it is counted; Run waits for both.
+			// The remote sees the closed connection before the refusal is counted;
+			// Run returns after both refusals are counted.
 			cancel()
 
 			if err := <-done; err != nil {
@@ -60,12 +61,12 @@
 	}
 }
 
-// connectAndAwaitClose sends b's hello and a message, and waits until the remote has
-// closed the connection.
+// connectAndAwaitClose sends b's hello and a message to address, and waits until
+// the remote has closed the connection.
 func connectAndAwaitClose(t *testing.T, b *Node, address string) {
 	t.Helper()
 
-	// This remote takes any server, so that the refusal is the server's.
+	// The client accepts any server, so that only the server can refuse.
 	config := b.TLS.Clone()
 	config.VerifyConnection = nil
 
--- a/peer/refusallog.go
+++ b/peer/refusallog.go
@@ -11,16 +11,19 @@
 	"k8s.io/klog/v2"
 )
 
-// maxLoggedRemotes bounds the memory of who was logged; past it all start anew.
+// maxLoggedRemotes bounds the number of remotes in a refusalLog. A full log is
+// cleared, after which remotes are logged again.
 const maxLoggedRemotes = 1024
 
-// refusalLog remembers which remotes were logged as refused.
+// refusalLog records for each refused remote the reason that was logged last, so
+// that repeated refusals are logged once.
 type refusalLog struct {
 	mu         sync.Mutex
 	lastReason map[string]Reason
 }
 
-// record reports whether the remote has not been logged with this reason.
+// record stores the reason for the remote and reports whether it must be logged,
+// that is, whether it differs from the last reason logged for the remote.
 func (r *refusalLog) record(remote string, reason Reason) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,8 +41,9 @@
 	return true
 }
 
-// reportRefusal counts a refused remote and logs it once. Other failures of a
-// handshake, such as a reset, are no refusal.
+// reportRefusal counts a refused remote and logs it unless it was last logged
+// with the same reason. Other handshake errors, such as a reset connection, are
+// not refusals; of these, only malformed frames are counted.
 func (n *Node) reportRefusal(address string, err error) {
 	var refusal *RefusalError
 	if !errors.As(err, &refusal) {
@@ -50,7 +54,8 @@
 
 	refusedCounter(refusal.reason).Inc()
 
-	// The port of a remote that connects changes each time.
+	// An incoming connection has another source port each time, so the log keeps
+	// remotes by host.
 	host, _, splitErr := net.SplitHostPort(address)
 	if splitErr != nil {
 		host = address
@@ -61,8 +66,8 @@
 	}
 }
 
-// classifyHandshakeError types the failures of a TLS handshake that a wrong or missing key
-// causes on either side.
+// classifyHandshakeError returns a RefusalError for the handshake errors that a
+// wrong or missing key causes on either side, and err itself for all others.
 func classifyHandshakeError(err error) error {
 	var (
 		verification *tls.CertificateVerificationError
--- a/peer/send.go
+++ b/peer/send.go
@@ -6,7 +6,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Send queues msg for the target and returns at once.
+// Send queues msg for the target and returns immediately.
 func (n *Node) Send(to Target, kind Kind, msg any) error {
 	body, err := encode(msg)
 	if err != nil {
--- a/peer/target.go
+++ b/peer/target.go
@@ -2,10 +2,10 @@
 
 import "monsoonlever/fleet"
 
-// Target says where a message goes.
+// Target is the destination of a message.
 type Target struct {
-	// ID is the instance that must be found at the address; empty for any,
-	// as when a seed is known by its address only.
+	// ID is the instance expected at the address. It is empty if any instance
+	// is accepted, such as for a seed of which only the address is known.
 	ID fleet.InstanceID
 	// Address is the remote's advertised host:port.
 	Address string
