--- a/admission/account.go
+++ b/admission/account.go
@@ -12,80 +12,80 @@
 	name fleet.Account
 	hash uint64
 
-	limits   atomic.Pointer[limits]
-	requests pacer
-	tokens   pacer
+	limits      atomic.Pointer[limits]
+	requestRate rateLimiter
+	tokenRate   rateLimiter
 	// running counts requests that are queued or run.
 	running atomic.Int64
-	// restUntil is when an account whose share is less than one request may
+	// nextStartAt is when an account whose share is less than one request may
 	// start the next, in Unix nanoseconds.
-	restUntil atomic.Int64
+	nextStartAt atomic.Int64
 
-	// offered and offeredTokens count demand since the last digest.
-	offered       atomic.Int64
-	offeredTokens atomic.Int64
-	offeredPeak   atomic.Int64
+	// offeredRequests and offeredTokens count demand since the last digest.
+	offeredRequests atomic.Int64
+	offeredTokens   atomic.Int64
+	peakConcurrency atomic.Int64
 
-	demand demand
+	demand demandEstimate
 }
 
-// charge is what was taken from an account's limits for one request.
-type charge struct {
-	reason Reason
-	wait   time.Duration
+// limitCheck is what was taken from an account's limits for one request.
+type limitCheck struct {
+	reason     Reason
+	retryAfter time.Duration
 }
 
-func (a *account) take(now time.Time, r *Request) charge {
-	a.offered.Add(1)
+func (a *account) acquire(now time.Time, r *Request) limitCheck {
+	a.offeredRequests.Add(1)
 	a.offeredTokens.Add(int64(r.Tokens))
 
 	l := a.limits.Load()
 
-	if wait, ok := a.start(now, l); !ok {
-		return charge{reason: Concurrency, wait: wait}
+	if wait, ok := a.acquireSlot(now, l); !ok {
+		return limitCheck{reason: Concurrency, retryAfter: wait}
 	}
 
-	if l.account.RequestsPerSecond > 0 {
-		if wait, ok := a.requests.take(now, 1, l.requests(), l.burst()); !ok {
+	if l.config.RequestsPerSecond > 0 {
+		if wait, ok := a.requestRate.take(now, 1, l.requestRate(), l.burst()); !ok {
 			a.running.Add(-1)
 
-			return charge{reason: RequestRate, wait: wait}
+			return limitCheck{reason: RequestRate, retryAfter: wait}
 		}
 	}
 
-	if l.account.TokensPerSecond > 0 && r.Tokens > 0 {
-		if wait, ok := a.tokens.take(now, float64(r.Tokens), l.tokens(), l.burst()); !ok {
-			a.requests.give(1, l.requests())
+	if l.config.TokensPerSecond > 0 && r.Tokens > 0 {
+		if wait, ok := a.tokenRate.take(now, float64(r.Tokens), l.tokenRate(), l.burst()); !ok {
+			a.requestRate.refund(1, l.requestRate())
 			a.running.Add(-1)
 
-			return charge{reason: TokenRate, wait: wait}
+			return limitCheck{reason: TokenRate, retryAfter: wait}
 		}
 	}
 
-	return charge{}
+	return limitCheck{}
 }
 
-// start counts one more request in progress, if the share allows it.
-func (a *account) start(now time.Time, l *limits) (time.Duration, bool) {
-	if l.account.Concurrent <= 0 {
+// acquireSlot counts one more request in progress, if the share allows it.
+func (a *account) acquireSlot(now time.Time, l *limits) (time.Duration, bool) {
+	if l.config.Concurrent <= 0 {
 		a.running.Add(1)
 
 		return 0, true
 	}
 
-	share := l.concurrent()
+	share := l.concurrency()
 	allowed := int64(max(share, 1))
 
 	for {
 		running := a.running.Load()
 
 		if running >= allowed || share <= 0 {
-			a.offeredPeak.Store(max(a.offeredPeak.Load(), running+1))
+			a.peakConcurrency.Store(max(a.peakConcurrency.Load(), running+1))
 
 			return 0, false
 		}
 
-		if rest := a.restUntil.Load() - now.UnixNano(); share < 1 && rest > 0 {
+		if rest := a.nextStartAt.Load() - now.UnixNano(); share < 1 && rest > 0 {
 			return time.Duration(rest), false
 		}
 
@@ -95,11 +95,11 @@
 	}
 }
 
-// giveBack undoes take for a request that was refused after all.
-func (a *account) giveBack(r *Request) {
+// refund undoes take for a request that was refused after all.
+func (a *account) refund(r *Request) {
 	l := a.limits.Load()
-	a.requests.give(1, l.requests())
-	a.tokens.give(float64(r.Tokens), l.tokens())
+	a.requestRate.refund(1, l.requestRate())
+	a.tokenRate.refund(float64(r.Tokens), l.tokenRate())
 	a.running.Add(-1)
 }
 
@@ -108,13 +108,13 @@
 	l := a.limits.Load()
 
 	if o.Tokens > 0 {
-		a.tokens.give(float64(r.Tokens-o.Tokens), l.tokens())
+		a.tokenRate.refund(float64(r.Tokens-o.Tokens), l.tokenRate())
 	}
 
 	// A share s of one request at a time is held as s of the time.
-	if share := l.concurrent(); share > 0 && share < 1 {
+	if share := l.concurrency(); share > 0 && share < 1 {
 		rest := time.Duration(float64(o.Duration) * (1/share - 1))
-		a.restUntil.Store(now.Add(rest).UnixNano())
+		a.nextStartAt.Store(now.Add(rest).UnixNano())
 	}
 
 	a.running.Add(-1)
@@ -126,6 +126,6 @@
 		return
 	}
 
-	a.requests.rescale(now, share/old)
-	a.tokens.rescale(now, share/old)
+	a.requestRate.rescale(now, share/old)
+	a.tokenRate.rescale(now, share/old)
 }
--- a/admission/account_test.go
+++ b/admission/account_test.go
@@ -46,7 +46,7 @@
 func TestAccountHoldsAPartOfOneRequest(t *testing.T) {
 	c := newController(t, testConfig(1000, 10, AccountConfig{Account: testAccount, Concurrent: 1}))
 	a := c.table.Load().accounts[testAccount]
-	a.limits.Store(&limits{account: AccountConfig{Concurrent: 1}, share: 0.25})
+	a.limits.Store(&limits{config: AccountConfig{Concurrent: 1}, share: 0.25})
 
 	first := c.Admit(start, testRequest())
 	c.Finish(start.Add(time.Second), first, Outcome{Duration: time.Second})
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -113,7 +113,7 @@
 			}
 
 			for i := range members {
-				d := Demand{At: start.UnixMilli(), Floor: firstWeight}
+				d := Demand{At: start.UnixMilli(), Floor: initialWeight}
 				for j := range MaxDemandAccounts {
 					d.Accounts = append(d.Accounts, AccountDemand{Account: uint64(i * j), Weight: 0.5})
 				}
--- a/admission/class.go
+++ b/admission/class.go
@@ -7,53 +7,53 @@
 	"monsoonlever/fleet"
 )
 
-// class holds the queued requests of one priority and serves its accounts by
+// priorityClass holds the queued requests of one priority and serves its accounts by
 // start-time fair queueing.
-type class struct {
+type priorityClass struct {
 	priority fleet.Priority
 	// flows holds idle flows as well, while they are ahead of virtual time.
-	flows   map[*account]*flow
-	active  flowHeap
-	virtual float64
-	size    int
-	// weights is the sum of the weights of the active flows.
-	weights float64
+	flows       map[*account]*flow
+	active      flowHeap
+	virtualTime float64
+	size        int
+	// totalWeight is the sum of the totalWeight of the active flows.
+	totalWeight float64
 }
 
-func newClass(p fleet.Priority) *class {
-	return &class{priority: p, flows: make(map[*account]*flow)}
+func newPriorityClass(p fleet.Priority) *priorityClass {
+	return &priorityClass{priority: p, flows: make(map[*account]*flow)}
 }
 
-func (c *class) push(t *Ticket) {
+func (c *priorityClass) push(t *Ticket) {
 	f := c.flows[t.account]
 	if f == nil {
-		f = &flow{account: t.account, place: noPlace}
+		f = &flow{account: t.account, heapIndex: notInHeap}
 		c.flows[t.account] = f
 	}
 
 	f.tickets = append(f.tickets, t)
 	c.size++
 
-	if f.place == noPlace {
-		f.start = max(f.start, c.virtual)
+	if f.heapIndex == notInHeap {
+		f.virtualStart = max(f.virtualStart, c.virtualTime)
 		heap.Push(&c.active, f)
-		c.weights += f.weight()
+		c.totalWeight += f.weight()
 	}
 }
 
 // pop takes the first request of the account that is furthest behind.
-func (c *class) pop() *Ticket {
+func (c *priorityClass) pop() *Ticket {
 	f := c.active[0]
 	t := f.tickets[0]
-	c.virtual = f.start
-	f.start += cost(&t.request) / f.weight()
-	heap.Fix(&c.active, f.place)
+	c.virtualTime = f.virtualStart
+	f.virtualStart += cost(&t.request) / f.weight()
+	heap.Fix(&c.active, f.heapIndex)
 	c.remove(t)
 
 	return t
 }
 
-func (c *class) remove(t *Ticket) {
+func (c *priorityClass) remove(t *Ticket) {
 	f := c.flows[t.account]
 	f.remove(t)
 	c.size--
@@ -62,29 +62,29 @@
 		return
 	}
 
-	heap.Remove(&c.active, f.place)
-	c.weights -= f.weight()
-	c.forget(f)
+	heap.Remove(&c.active, f.heapIndex)
+	c.totalWeight -= f.weight()
+	c.evictIdle(f)
 }
 
-// forget drops idle flows that virtual time has caught up with.
-func (c *class) forget(f *flow) {
+// evictIdle drops idle flows that virtual time has caught up with.
+func (c *priorityClass) evictIdle(f *flow) {
 	if c.size == 0 {
 		clear(c.flows)
-		c.virtual = 0
-		c.weights = 0
+		c.virtualTime = 0
+		c.totalWeight = 0
 
 		return
 	}
 
-	if f.start <= c.virtual {
+	if f.virtualStart <= c.virtualTime {
 		delete(c.flows, f.account)
 	}
 }
 
-// heaviest returns the flow that queues the most for its weight, counting the
+// mostLoadedWith returns the flow that queues the most for its weight, counting the
 // newcomer t as queued.
-func (c *class) heaviest(t *Ticket) *flow {
+func (c *priorityClass) mostLoadedWith(t *Ticket) *flow {
 	own := &flow{account: t.account, tickets: []*Ticket{t}}
 	if f := c.flows[t.account]; f != nil {
 		own = f
@@ -102,8 +102,8 @@
 	return most
 }
 
-// heaviestActive returns the flow that queues the most for its weight.
-func (c *class) heaviestActive() *flow {
+// mostLoaded returns the flow that queues the most for its weight.
+func (c *priorityClass) mostLoaded() *flow {
 	most := c.active[0]
 
 	for _, f := range c.active[1:] {
@@ -115,8 +115,8 @@
 	return most
 }
 
-// place returns the place of t in its account's queue, or where it would be added.
-func (c *class) place(t *Ticket) int {
+// position returns the position of t in its account's queue, or where it would be added.
+func (c *priorityClass) position(t *Ticket) int {
 	if f := c.flows[t.account]; f != nil {
 		return f.position(t)
 	}
@@ -124,18 +124,18 @@
 	return 0
 }
 
-// oldest returns the arrival of the request that is next by fair queueing.
-func (c *class) oldest() time.Time {
-	return c.active[0].tickets[0].arrived
+// nextArrival returns the arrival of the request that is next by fair queueing.
+func (c *priorityClass) nextArrival() time.Time {
+	return c.active[0].tickets[0].arrivedAt
 }
 
 // ahead estimates how many requests of this class start before the request at
 // place n of its account's queue.
-func (c *class) ahead(t *Ticket, n int) float64 {
-	weight := t.account.limits.Load().account.Weight
-	weights := c.weights
+func (c *priorityClass) ahead(t *Ticket, n int) float64 {
+	weight := t.account.limits.Load().config.Weight
+	weights := c.totalWeight
 
-	if f := c.flows[t.account]; f == nil || f.place == noPlace {
+	if f := c.flows[t.account]; f == nil || f.heapIndex == notInHeap {
 		weights += weight
 	}
 
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -36,16 +36,16 @@
 	jitter   jitter
 	counters *counters
 
-	// sharesUntil is when the shares in force must be computed anew, in Unix
+	// sharesValidUntil is when the shares in force must be computed anew, in Unix
 	// nanoseconds.
-	sharesUntil atomic.Int64
+	sharesValidUntil atomic.Int64
 
 	mu     sync.Mutex
-	shares shares
+	shares shareCalculator
 }
 
 const (
-	defaultTickEvery = 10 * time.Millisecond
+	defaultTickInterval = 10 * time.Millisecond
 	// rebalanceTicks is how many ticks of Run pass between two rebalances.
 	rebalanceTicks = 10
 )
@@ -59,7 +59,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.prepare(now)
+	c.initialize(now)
 
 	next := &table{
 		services: make(map[fleet.Service]*service, len(config.Services)),
@@ -83,13 +83,13 @@
 	}
 
 	old := c.table.Swap(next)
-	c.withdraw(now, old, next)
+	c.withdrawServices(now, old, next)
 	c.rebalance(now, next)
 
 	return nil
 }
 
-func (c *Controller) prepare(now time.Time) {
+func (c *Controller) initialize(now time.Time) {
 	if c.counters != nil {
 		return
 	}
@@ -104,7 +104,7 @@
 
 	c.counters = newCounters(c.Metrics)
 	c.jitter.seed = c.Seed
-	c.shares.start(now, c.Sharing.withDefaults())
+	c.shares.configure(now, c.Sharing.withDefaults())
 }
 
 func (c *Controller) serviceFor(config ServiceConfig) *service {
@@ -135,19 +135,19 @@
 	if t := c.table.Load(); t != nil {
 		if a := t.accounts[config.Account]; a != nil {
 			old := a.limits.Load()
-			a.limits.Store(&limits{account: config, share: old.share, even: old.even})
+			a.limits.Store(&limits{config: config, share: old.share, evenShare: old.evenShare})
 
 			return a
 		}
 	}
 
 	a := &account{name: config.Account, hash: xxhash.Sum64String(string(config.Account))}
-	a.limits.Store(&limits{account: config})
+	a.limits.Store(&limits{config: config})
 
 	return a
 }
 
-func (c *Controller) withdraw(now time.Time, old, next *table) {
+func (c *Controller) withdrawServices(now time.Time, old, next *table) {
 	if old == nil {
 		return
 	}
@@ -161,7 +161,7 @@
 
 // Admit decides on a request, or queues it.
 func (c *Controller) Admit(now time.Time, r Request) *Ticket {
-	t := &Ticket{request: r, arrived: now, place: noPlace}
+	t := &Ticket{request: r, arrivedAt: now, heapIndex: notInHeap}
 	snapshot := c.table.Load()
 
 	if snapshot == nil || snapshot.services[r.Service] == nil {
@@ -179,13 +179,13 @@
 		return c.refuse(t, DeadlineTooShort, 0)
 	}
 
-	if now.UnixNano() > c.sharesUntil.Load() {
+	if now.UnixNano() > c.sharesValidUntil.Load() {
 		// This instance was paused; what it held then may be others' now.
 		c.Rebalance(now)
 	}
 
-	if got := t.account.take(now, &t.request); got.reason != NoReason {
-		return c.refuse(t, got.reason, got.wait)
+	if got := t.account.acquire(now, &t.request); got.reason != NoReason {
+		return c.refuse(t, got.reason, got.retryAfter)
 	}
 
 	if t.service.queued.Load() == 0 && t.service.limiter.acquire() {
@@ -195,7 +195,7 @@
 		return t
 	}
 
-	t.giveUp = t.service.giveUpAt(&t.request)
+	t.latestStart = t.service.latestStart(&t.request)
 	t.service.enqueue(now, t)
 
 	return t
@@ -257,21 +257,21 @@
 		return
 	}
 
-	snapshot.services[name].limiter.setCap(concurrent)
+	snapshot.services[name].limiter.setCapacity(concurrent)
 }
 
 // Run ticks until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	every := c.TickInterval
-	if every <= 0 {
-		every = defaultTickEvery
+	interval := c.TickInterval
+	if interval <= 0 {
+		interval = defaultTickInterval
 	}
 
 	for n := 1; ; n++ {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-c.Clock.After(every):
+		case <-c.Clock.After(interval):
 		}
 
 		now := c.Clock.Now()
--- a/admission/deadlineheap.go
+++ b/admission/deadlineheap.go
@@ -7,13 +7,13 @@
 func (h deadlineHeap) Len() int { return len(h) }
 
 // Less orders by time.
-func (h deadlineHeap) Less(i, j int) bool { return h[i].giveUp.Before(h[j].giveUp) }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].latestStart.Before(h[j].latestStart) }
 
 // Swap exchanges two tickets.
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place = i
-	h[j].place = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push appends a *Ticket, for container/heap.
@@ -23,7 +23,7 @@
 		return
 	}
 
-	t.place = len(*h)
+	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
@@ -33,7 +33,7 @@
 	last := len(old) - 1
 	t := old[last]
 	old[last] = nil
-	t.place = noPlace
+	t.heapIndex = notInHeap
 	*h = old[:last]
 
 	return t
--- a/admission/demand.go
+++ b/admission/demand.go
@@ -45,9 +45,9 @@
 	return d, err
 }
 
-// demand is what an account wants on this instance.
-type demand struct {
-	// used is the smoothed part of the limits that callers ask for, from 0 to 1.
-	used     float64
-	measured time.Time
+// demandEstimate is what an account wants on this instance.
+type demandEstimate struct {
+	// fraction is the smoothed part of the limits that callers ask for, from 0 to 1.
+	fraction   float64
+	measuredAt time.Time
 }
--- a/admission/fairqueue.go
+++ b/admission/fairqueue.go
@@ -12,15 +12,15 @@
 // account at the lowest priority leaves.
 type fairQueue struct {
 	// classes holds the priorities that have requests, the highest first.
-	classes []*class
-	count   int
-	held    int64
-	config  ServiceConfig
-	starts  int
+	classes     []*priorityClass
+	count       int
+	queuedBytes int64
+	config      ServiceConfig
+	starts      int
 }
 
-// lowTurn is the share of starts that lower priorities get while they wait.
-const lowTurn = 10
+// lowerPriorityInterval is the share of starts that lower priorities get while they wait.
+const lowerPriorityInterval = 10
 
 func newFairQueue() queue { return &fairQueue{} }
 
@@ -28,10 +28,10 @@
 
 func (q *fairQueue) size() int { return q.count }
 
-func (q *fairQueue) bytes() int64 { return q.held }
+func (q *fairQueue) bytes() int64 { return q.queuedBytes }
 
 func (q *fairQueue) find(p fleet.Priority) (int, bool) {
-	return slices.BinarySearchFunc(q.classes, p, func(c *class, p fleet.Priority) int {
+	return slices.BinarySearchFunc(q.classes, p, func(c *priorityClass, p fleet.Priority) int {
 		return int(p) - int(c.priority)
 	})
 }
@@ -45,7 +45,7 @@
 		}
 
 		if c.priority == t.request.Priority {
-			sum += c.ahead(t, c.place(t))
+			sum += c.ahead(t, c.position(t))
 		}
 	}
 
@@ -76,7 +76,7 @@
 }
 
 func (q *fairQueue) fits(t *Ticket) bool {
-	return q.count < q.config.QueueRequests && q.held+t.request.Bytes <= q.config.QueueBytes
+	return q.count < q.config.QueueRequests && q.queuedBytes+t.request.Bytes <= q.config.QueueBytes
 }
 
 // victim chooses who leaves for t, which may be t itself.
@@ -88,10 +88,10 @@
 	}
 
 	if lowest.priority < t.request.Priority {
-		return lowest.heaviestActive().last()
+		return lowest.mostLoaded().last()
 	}
 
-	f := lowest.heaviest(t)
+	f := lowest.mostLoadedWith(t)
 	if f.account == t.account {
 		return t
 	}
@@ -102,37 +102,37 @@
 func (q *fairQueue) add(t *Ticket) {
 	i, found := q.find(t.request.Priority)
 	if !found {
-		q.classes = slices.Insert(q.classes, i, newClass(t.request.Priority))
+		q.classes = slices.Insert(q.classes, i, newPriorityClass(t.request.Priority))
 	}
 
 	q.classes[i].push(t)
 	q.count++
-	q.held += t.request.Bytes
+	q.queuedBytes += t.request.Bytes
 }
 
 func (q *fairQueue) pop() *Ticket {
 	q.starts++
 	c := q.classes[0]
 
-	if q.starts%lowTurn == 0 {
+	if q.starts%lowerPriorityInterval == 0 {
 		c = q.longestWaiting()
 	}
 
 	t := c.pop()
-	q.forget(c, t)
+	q.countRemoved(c, t)
 
 	return t
 }
 
 // longestWaiting returns the class below the highest whose next request is
 // the oldest, or the highest if it is the only one.
-func (q *fairQueue) longestWaiting() *class {
+func (q *fairQueue) longestWaiting() *priorityClass {
 	if len(q.classes) == 1 {
 		return q.classes[0]
 	}
 
-	return slices.MinFunc(q.classes[1:], func(a, b *class) int {
-		return a.oldest().Compare(b.oldest())
+	return slices.MinFunc(q.classes[1:], func(a, b *priorityClass) int {
+		return a.nextArrival().Compare(b.nextArrival())
 	})
 }
 
@@ -144,16 +144,16 @@
 
 	c := q.classes[i]
 	c.remove(t)
-	q.forget(c, t)
+	q.countRemoved(c, t)
 }
 
-// forget counts t out, and drops its class when that is empty.
-func (q *fairQueue) forget(c *class, t *Ticket) {
+// countRemoved counts t out, and drops its class when that is empty.
+func (q *fairQueue) countRemoved(c *priorityClass, t *Ticket) {
 	q.count--
-	q.held -= t.request.Bytes
+	q.queuedBytes -= t.request.Bytes
 
 	if c.size == 0 {
-		q.classes = slices.DeleteFunc(q.classes, func(other *class) bool { return other == c })
+		q.classes = slices.DeleteFunc(q.classes, func(other *priorityClass) bool { return other == c })
 	}
 }
 
@@ -167,9 +167,9 @@
 	return all
 }
 
-// late returns the queued requests for which hopeless is true, given how many
+// findInfeasible returns the queued requests for which hopeless is true, given how many
 // requests are ahead of each.
-func (q *fairQueue) late(hopeless func(t *Ticket, ahead float64) bool) []*Ticket {
+func (q *fairQueue) findInfeasible(hopeless func(t *Ticket, ahead float64) bool) []*Ticket {
 	var out []*Ticket
 
 	above := 0.0
--- a/admission/fifo_test.go
+++ b/admission/fifo_test.go
@@ -8,12 +8,12 @@
 	bound   int
 }
 
-func (q *fifoQueue) configure(s ServiceConfig)                  { q.bound = s.QueueRequests }
-func (q *fifoQueue) ahead(*Ticket) float64                      { return 0 }
-func (q *fifoQueue) late(func(*Ticket, float64) bool) []*Ticket { return nil }
-func (q *fifoQueue) size() int                                  { return len(q.tickets) }
-func (q *fifoQueue) bytes() int64                               { return 0 }
-func (q *fifoQueue) drainAll() []*Ticket                        { return q.tickets }
+func (q *fifoQueue) configure(s ServiceConfig)                            { q.bound = s.QueueRequests }
+func (q *fifoQueue) ahead(*Ticket) float64                                { return 0 }
+func (q *fifoQueue) findInfeasible(func(*Ticket, float64) bool) []*Ticket { return nil }
+func (q *fifoQueue) size() int                                            { return len(q.tickets) }
+func (q *fifoQueue) bytes() int64                                         { return 0 }
+func (q *fifoQueue) drainAll() []*Ticket                                  { return q.tickets }
 
 func (q *fifoQueue) push(t *Ticket) []*Ticket {
 	if len(q.tickets) >= q.bound {
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -7,14 +7,14 @@
 type flow struct {
 	account *account
 	tickets []*Ticket
-	// start is the virtual time at which the flow's next request starts.
-	start float64
-	// place is the index in the heap of the class, or noPlace.
-	place int
+	// virtualStart is the virtual time at which the flow's next request starts.
+	virtualStart float64
+	// heapIndex is the index in the heap of the class, or noPlace.
+	heapIndex int
 }
 
 func (f *flow) weight() float64 {
-	return f.account.limits.Load().account.Weight
+	return f.account.limits.Load().config.Weight
 }
 
 // load is how much the flow queues for its weight.
--- a/admission/flowheap.go
+++ b/admission/flowheap.go
@@ -8,8 +8,8 @@
 
 // Less orders by virtual start time, then by name so that ties are repeatable.
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].start != h[j].start {
-		return h[i].start < h[j].start
+	if h[i].virtualStart != h[j].virtualStart {
+		return h[i].virtualStart < h[j].virtualStart
 	}
 
 	return h[i].account.name < h[j].account.name
@@ -18,8 +18,8 @@
 // Swap exchanges two flows.
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place = i
-	h[j].place = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push appends a *flow, for container/heap.
@@ -29,7 +29,7 @@
 		return
 	}
 
-	f.place = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
@@ -39,7 +39,7 @@
 	last := len(old) - 1
 	f := old[last]
 	old[last] = nil
-	f.place = noPlace
+	f.heapIndex = notInHeap
 	*h = old[:last]
 
 	return f
--- a/admission/limiter_test.go
+++ b/admission/limiter_test.go
@@ -24,11 +24,11 @@
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			l := &limiter{}
+			l := &concurrencyLimiter{}
 			l.configure(ServiceConfig{MinConcurrent: 2, MaxConcurrent: 64, StartConcurrent: 16})
 
 			if tt.cap > 0 {
-				l.setCap(tt.cap)
+				l.setCapacity(tt.cap)
 			}
 
 			now := start
--- a/admission/published.go
+++ b/admission/published.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// published is one digest of this instance, indexed by account.
-type published struct {
+// publishedDigest is one digest of this instance, indexed by account.
+type publishedDigest struct {
 	at      time.Time
 	floor   float64
 	weights map[uint64]float64
 }
 
-func (p *published) weight(hash uint64) float64 {
+func (p *publishedDigest) weight(hash uint64) float64 {
 	if w, ok := p.weights[hash]; ok {
 		return w
 	}
@@ -17,12 +17,12 @@
 	return p.floor
 }
 
-// history holds the digests of this instance that others may still go by: all
+// digestHistory holds the digests of this instance that others may still go by: all
 // of the last window, and the one before.
-type history []published
+type digestHistory []publishedDigest
 
 // trim drops what is older than the newest digest from before the window.
-func (h history) trim(from time.Time) history {
+func (h digestHistory) trim(from time.Time) digestHistory {
 	for len(h) > 1 && !h[1].at.After(from) {
 		h = h[1:]
 	}
@@ -31,7 +31,7 @@
 }
 
 // floor returns the least floor.
-func (h history) floor() float64 {
+func (h digestHistory) floor() float64 {
 	least := h[0].floor
 
 	for _, p := range h[1:] {
@@ -42,7 +42,7 @@
 }
 
 // least returns the least weight of an account.
-func (h history) least(hash uint64) float64 {
+func (h digestHistory) least(hash uint64) float64 {
 	least := h[0].weight(hash)
 
 	for i := range h[1:] {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -13,9 +13,9 @@
 	remove(t *Ticket)
 	// drainAll empties the queue.
 	drainAll() []*Ticket
-	// late returns the queued tickets that are hopeless, given how many
+	// findInfeasible returns the queued tickets that are hopeless, given how many
 	// requests would be started before each.
-	late(hopeless func(t *Ticket, ahead float64) bool) []*Ticket
+	findInfeasible(hopeless func(t *Ticket, ahead float64) bool) []*Ticket
 	size() int
 	bytes() int64
 	// configure sets the bounds.
--- a/admission/queue_holds_test.go
+++ b/admission/queue_holds_test.go
@@ -152,19 +152,19 @@
 			m.step(t)
 
 			for _, ticket := range m.waiting {
-				if ticket.giveUp.IsZero() {
+				if ticket.latestStart.IsZero() {
 					continue
 				}
 
-				begin := m.now.Add(s.limiter.drain(s.queue.ahead(ticket)))
-				if !begin.Before(ticket.giveUp) {
+				begin := m.now.Add(s.limiter.drainTime(s.queue.ahead(ticket)))
+				if !begin.Before(ticket.latestStart) {
 					t.Fatalf("a request that starts at %v at best and is of no use after %v is not refused",
-						begin.Sub(start), ticket.giveUp.Sub(start))
+						begin.Sub(start), ticket.latestStart.Sub(start))
 				}
 			}
 
 			for _, ticket := range m.refused[before:] {
-				if got := ticket.arrived.Add(ticket.decision.Waited); got.After(m.now) {
+				if got := ticket.arrivedAt.Add(ticket.decision.Waited); got.After(m.now) {
 					t.Fatalf("decided at %v, in the future of %v", got, m.now)
 				}
 
--- a/admission/rescale_test.go
+++ b/admission/rescale_test.go
@@ -22,13 +22,13 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			a := &account{}
 
-			if _, ok := a.tokens.take(start, 9000, limit*tt.old, burst); !ok {
+			if _, ok := a.tokenRate.take(start, 9000, limit*tt.old, baseBurst); !ok {
 				t.Fatal("a request above the burst: got refused, want taken as nothing is owed")
 			}
 
 			a.rescale(start, tt.old, tt.new)
 
-			got := time.Duration(a.tokens.earned.Load() - start.UnixNano())
+			got := time.Duration(a.tokenRate.theoreticalArrival.Load() - start.UnixNano())
 			if diff := got - tt.want; diff < -time.Millisecond || diff > time.Millisecond {
 				t.Errorf("earned after: got %v, want %v", got, tt.want)
 			}
--- a/admission/service.go
+++ b/admission/service.go
@@ -12,9 +12,9 @@
 // service is the state of one service on this instance.
 type service struct {
 	name    fleet.Service
-	limiter limiter
+	limiter concurrencyLimiter
 	// kinds is replaced as a whole and never changed.
-	kinds atomic.Pointer[map[fleet.CallKind]*kind]
+	kinds atomic.Pointer[map[fleet.CallKind]*callKind]
 	// queued lets the path of a request see an empty queue without the lock.
 	queued   atomic.Int64
 	jitter   *jitter
@@ -26,7 +26,7 @@
 	withdrawn bool
 }
 
-func (s *service) kind(k fleet.CallKind) *kind {
+func (s *service) callKind(k fleet.CallKind) *callKind {
 	return (*s.kinds.Load())[k]
 }
 
@@ -34,16 +34,16 @@
 func (s *service) configure(c ServiceConfig) {
 	s.limiter.configure(c)
 
-	kinds := make(map[fleet.CallKind]*kind, len(c.Kinds))
+	kinds := make(map[fleet.CallKind]*callKind, len(c.Kinds))
 
 	for _, k := range c.Kinds {
-		state := &kind{}
+		state := &callKind{}
 
 		if old := s.kinds.Load(); old != nil && (*old)[k.Kind] != nil {
 			state = (*old)[k.Kind]
 		}
 
-		state.target.Store(int64(k.Target))
+		state.targetLatency.Store(int64(k.Target))
 		kinds[k.Kind] = state
 	}
 
@@ -56,18 +56,18 @@
 	s.withdrawn = false
 }
 
-// giveUpAt is the last time at which starting r may still meet its deadline.
-func (s *service) giveUpAt(r *Request) time.Time {
+// latestStart is the last time at which starting r may still meet its deadline.
+func (s *service) latestStart(r *Request) time.Time {
 	if r.Deadline.IsZero() {
 		return time.Time{}
 	}
 
-	k := s.kind(r.Kind)
+	k := s.callKind(r.Kind)
 	if k == nil {
 		return r.Deadline
 	}
 
-	return r.Deadline.Add(-k.expect())
+	return r.Deadline.Add(-k.expectedDuration())
 }
 
 // enqueue queues t, or refuses it in the same step.
@@ -81,16 +81,16 @@
 		return
 	}
 
-	if s.hopeless(now, t, s.queue.ahead(t)) {
+	if s.infeasible(now, t, s.queue.ahead(t)) {
 		s.refuse(now, t, DeadlineTooShort)
 
 		return
 	}
 
-	s.hold(t)
+	s.markQueued(t)
 
 	for _, out := range s.queue.push(t) {
-		s.letGo(out)
+		s.unmarkQueued(out)
 		s.refuse(now, out, QueueFull)
 	}
 
@@ -98,13 +98,13 @@
 	s.dispatch(now)
 }
 
-// hopeless tells whether t would be started too late behind so many others.
-func (s *service) hopeless(now time.Time, t *Ticket, ahead float64) bool {
-	if t.giveUp.IsZero() {
+// infeasible tells whether t would be started too late behind so many others.
+func (s *service) infeasible(now time.Time, t *Ticket, ahead float64) bool {
+	if t.latestStart.IsZero() {
 		return false
 	}
 
-	return !now.Add(s.limiter.drain(ahead)).Before(t.giveUp)
+	return !now.Add(s.limiter.drainTime(ahead)).Before(t.latestStart)
 }
 
 // shed refuses what was feasible on arrival and is not any more, because the
@@ -114,33 +114,33 @@
 		return
 	}
 
-	late := s.queue.late(func(t *Ticket, ahead float64) bool { return s.hopeless(now, t, ahead) })
+	late := s.queue.findInfeasible(func(t *Ticket, ahead float64) bool { return s.infeasible(now, t, ahead) })
 
 	for _, t := range late {
 		s.queue.remove(t)
-		s.letGo(t)
+		s.unmarkQueued(t)
 		s.refuse(now, t, DeadlineTooShort)
 	}
 }
 
-// hold counts t as queued.
-func (s *service) hold(t *Ticket) {
-	t.decided = make(chan struct{})
+// markQueued counts t as queued.
+func (s *service) markQueued(t *Ticket) {
+	t.done = make(chan struct{})
 	t.queued = true
 	s.queued.Add(1)
 
-	if !t.giveUp.IsZero() {
+	if !t.latestStart.IsZero() {
 		heap.Push(&s.deadlines, t)
 	}
 }
 
-// letGo undoes hold.
-func (s *service) letGo(t *Ticket) {
+// unmarkQueued undoes hold.
+func (s *service) unmarkQueued(t *Ticket) {
 	t.queued = false
 	s.queued.Add(-1)
 
-	if t.place != noPlace {
-		heap.Remove(&s.deadlines, t.place)
+	if t.heapIndex != notInHeap {
+		heap.Remove(&s.deadlines, t.heapIndex)
 	}
 }
 
@@ -150,31 +150,31 @@
 
 	for s.queue.size() > 0 && s.limiter.acquire() {
 		t := s.queue.pop()
-		s.letGo(t)
+		s.unmarkQueued(t)
 		s.counters.admitted.Inc()
-		t.decide(Decision{Verdict: Admitted, Waited: now.Sub(t.arrived)})
+		t.decide(Decision{Verdict: Admitted, Waited: now.Sub(t.arrivedAt)})
 	}
 }
 
 // expire refuses every queued request whose time to start has passed.
 func (s *service) expire(now time.Time) {
-	for len(s.deadlines) > 0 && !s.deadlines[0].giveUp.After(now) {
+	for len(s.deadlines) > 0 && !s.deadlines[0].latestStart.After(now) {
 		t := s.deadlines[0]
 		s.queue.remove(t)
-		s.letGo(t)
+		s.unmarkQueued(t)
 		s.refuse(now, t, DeadlineTooShort)
 	}
 }
 
 // refuse decides t, which is not in the queue.
 func (s *service) refuse(now time.Time, t *Ticket, r Reason) {
-	t.account.giveBack(&t.request)
+	t.account.refund(&t.request)
 	s.counters.refused[r].Inc()
 	t.decide(Decision{
 		Verdict:    Refused,
 		Reason:     r,
-		RetryAfter: s.jitter.retryAfter(s.limiter.drain(float64(s.queue.size() + 1))),
-		Waited:     now.Sub(t.arrived),
+		RetryAfter: s.jitter.retryAfter(s.limiter.drainTime(float64(s.queue.size() + 1))),
+		Waited:     now.Sub(t.arrivedAt),
 	})
 }
 
@@ -191,8 +191,8 @@
 	s.shed(now)
 }
 
-// next starts what the released slot is for.
-func (s *service) next(now time.Time) {
+// startNext starts what the released slot is for.
+func (s *service) startNext(now time.Time) {
 	if s.queued.Load() == 0 {
 		return
 	}
@@ -213,7 +213,7 @@
 	}
 
 	s.queue.remove(t)
-	s.letGo(t)
+	s.unmarkQueued(t)
 	s.refuse(now, t, Abandoned)
 
 	return true
@@ -227,7 +227,7 @@
 	s.withdrawn = true
 
 	for _, t := range s.queue.drainAll() {
-		s.letGo(t)
+		s.unmarkQueued(t)
 		s.refuse(now, t, Withdrawn)
 	}
 }
@@ -236,11 +236,11 @@
 func (s *service) finish(now time.Time, t *Ticket, o Outcome) {
 	var target time.Duration
 
-	if k := s.kind(t.request.Kind); k != nil {
-		target = time.Duration(k.target.Load())
-		k.learn(o.Duration)
+	if k := s.callKind(t.request.Kind); k != nil {
+		target = time.Duration(k.targetLatency.Load())
+		k.observe(o.Duration)
 	}
 
 	s.limiter.release(now, target, o)
-	s.next(now)
+	s.startNext(now)
 }
--- a/admission/sharecontrol.go
+++ b/admission/sharecontrol.go
@@ -12,7 +12,7 @@
 	defer c.mu.Unlock()
 
 	if id != c.Instance {
-		c.shares.join(now, id)
+		c.shares.addMember(now, id)
 	}
 }
 
@@ -22,7 +22,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.shares.leave(id)
+	c.shares.removeMember(id)
 }
 
 // PublishDemand makes the digest to send to the other entry instances. What it
@@ -49,7 +49,7 @@
 	defer c.mu.Unlock()
 
 	if from != c.Instance {
-		c.shares.apply(now, from, d)
+		c.shares.applyDigest(now, from, d)
 	}
 }
 
@@ -64,17 +64,17 @@
 }
 
 func (c *Controller) rebalance(now time.Time, snapshot *table) {
-	c.shares.prepare(now)
-	c.sharesUntil.Store(c.shares.until(now))
+	c.shares.recompute(now)
+	c.sharesValidUntil.Store(c.shares.validUntil(now))
 
-	even := c.shares.even()
+	even := c.shares.evenShare()
 
 	for _, a := range snapshot.accountList {
 		old := a.limits.Load()
-		share := c.shares.of(a.hash)
+		share := c.shares.share(a.hash)
 
-		if share != old.share || even != old.even {
-			a.limits.Store(&limits{account: old.account, share: share, even: even})
+		if share != old.share || even != old.evenShare {
+			a.limits.Store(&limits{config: old.config, share: share, evenShare: even})
 			a.rescale(now, old.share, share)
 		}
 	}
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -8,98 +8,98 @@
 	"monsoonlever/fleet"
 )
 
-// shares computes this instance's share of each limit from the weights that
+// shareCalculator computes this instance's share of each limit from the weights that
 // the entry instances tell each other.
 //
-// The shares of all instances add up to at most the limit. An instance counts
+// The shareCalculator of all instances add up to at most the limit. An instance counts
 // for itself only the least weight that it published in the last window, which
 // no other can have missed; for another it counts the newest weight it knows,
 // grown by as much as the other may have raised it since. So every instance
 // divides by at least the sum of what all of them multiply with.
-type shares struct {
-	sharing Sharing
-	started time.Time
-	members map[fleet.InstanceID]*member
-	own     history
+type shareCalculator struct {
+	sharing    Sharing
+	startedAt  time.Time
+	members    map[fleet.InstanceID]*member
+	ownDigests digestHistory
 
 	// What follows is computed by prepare.
-	at     time.Time
-	held   bool
-	floors float64
-	extras map[uint64]float64
+	computedAt  time.Time
+	holdsShares bool
+	floorSum    float64
+	extraSums   map[uint64]float64
 }
 
 const (
-	// holdPart is the part of Spread for which computed shares may be used.
-	holdPart = 4
-	// forgetLapses is how many lapses a silent member stays a member.
-	forgetLapses = 10
+	// validityDivisor is the part of Spread for which computed shares may be used.
+	validityDivisor = 4
+	// evictionTimeouts is how many lapses a silent member stays a member.
+	evictionTimeouts = 10
 )
 
-func (s *shares) hold() time.Duration {
-	return s.sharing.PropagationDelay / holdPart
+func (s *shareCalculator) validity() time.Duration {
+	return s.sharing.PropagationDelay / validityDivisor
 }
 
-func (s *shares) window() time.Duration {
-	return s.sharing.PropagationDelay + s.hold()
+func (s *shareCalculator) window() time.Duration {
+	return s.sharing.PropagationDelay + s.validity()
 }
 
-func (s *shares) alone() bool {
+func (s *shareCalculator) isSingleInstance() bool {
 	return s.sharing.PropagationDelay <= 0
 }
 
-func (s *shares) start(now time.Time, sharing Sharing) {
+func (s *shareCalculator) configure(now time.Time, sharing Sharing) {
 	s.sharing = sharing
-	s.started = now
+	s.startedAt = now
 
 	// Members may have joined before the first limits are in force.
 	if s.members == nil {
 		s.members = make(map[fleet.InstanceID]*member)
 	}
 
-	s.extras = make(map[uint64]float64)
+	s.extraSums = make(map[uint64]float64)
 }
 
-func (s *shares) join(now time.Time, id fleet.InstanceID) {
+func (s *shareCalculator) addMember(now time.Time, id fleet.InstanceID) {
 	if s.members == nil {
 		s.members = make(map[fleet.InstanceID]*member)
 	}
 
 	if s.members[id] == nil {
-		s.members[id] = &member{joined: now, heard: now}
+		s.members[id] = &member{joinedAt: now, lastSeen: now}
 	}
 }
 
-func (s *shares) leave(id fleet.InstanceID) {
+func (s *shareCalculator) removeMember(id fleet.InstanceID) {
 	delete(s.members, id)
 }
 
-func (s *shares) apply(now time.Time, id fleet.InstanceID, d Demand) {
-	s.join(now, id)
+func (s *shareCalculator) applyDigest(now time.Time, id fleet.InstanceID, d Demand) {
+	s.addMember(now, id)
 	m := s.members[id]
 
-	if m.told && d.At <= m.digest.At {
+	if m.hasDigest && d.At <= m.digest.At {
 		return
 	}
 
-	m.heard = now
+	m.lastSeen = now
 	m.digest = d
-	m.told = true
+	m.hasDigest = true
 }
 
 // publish makes the next digest. A weight is the account's demand and an even
 // part of the floor, but no more than maxGrowth times what was published lately.
-func (s *shares) publish(now time.Time, accounts []*account) Demand {
-	s.own = s.own.trim(now.Add(-s.window()))
+func (s *shareCalculator) publish(now time.Time, accounts []*account) Demand {
+	s.ownDigests = s.ownDigests.trim(now.Add(-s.window()))
 	floor := s.nextFloor()
-	p := published{at: now, floor: floor, weights: make(map[uint64]float64)}
+	p := publishedDigest{at: now, floor: floor, weights: make(map[uint64]float64)}
 	wanted := make([]AccountDemand, 0, len(accounts))
 
 	for _, a := range accounts {
-		weight := floor + a.measure(now)
+		weight := floor + a.measureDemand(now)
 
-		if len(s.own) > 0 {
-			weight = min(weight, maxGrowth*s.own.least(a.hash))
+		if len(s.ownDigests) > 0 {
+			weight = min(weight, maxWeightGrowth*s.ownDigests.least(a.hash))
 		} else {
 			weight = floor
 		}
@@ -109,31 +109,31 @@
 		}
 	}
 
-	wanted = heaviest(wanted, s.sharing.DigestAccounts)
+	wanted = topDemands(wanted, s.sharing.DigestAccounts)
 
 	for i, w := range wanted {
 		p.weights[w.Account] = float64(wanted[i].Weight)
 	}
 
 	p.floor = float64(float32(floor))
-	s.own = append(s.own, p)
+	s.ownDigests = append(s.ownDigests, p)
 
 	return Demand{At: now.UnixMilli(), Floor: float32(floor), Accounts: wanted}
 }
 
 // nextFloor returns the weight of accounts without demand.
-func (s *shares) nextFloor() float64 {
-	if len(s.own) == 0 {
-		return firstWeight
+func (s *shareCalculator) nextFloor() float64 {
+	if len(s.ownDigests) == 0 {
+		return initialWeight
 	}
 
 	even := s.sharing.EvenFraction / float64(len(s.members)+1)
 
-	return min(even, maxGrowth*s.own.floor())
+	return min(even, maxWeightGrowth*s.ownDigests.floor())
 }
 
-// heaviest keeps as many accounts as a digest has room for.
-func heaviest(wanted []AccountDemand, room int) []AccountDemand {
+// topDemands keeps as many accounts as a digest has room for.
+func topDemands(wanted []AccountDemand, room int) []AccountDemand {
 	if len(wanted) <= room {
 		return wanted
 	}
@@ -152,62 +152,62 @@
 	return wanted[:room]
 }
 
-// prepare sums the weights of the other members.
-func (s *shares) prepare(now time.Time) {
-	if s.alone() {
+// recompute sums the weights of the other members.
+func (s *shareCalculator) recompute(now time.Time) {
+	if s.isSingleInstance() {
 		return
 	}
 
-	hearsMost := s.hearsMost(now)
+	hearsMost := s.seesMajority(now)
 	if hearsMost {
-		s.forget(now)
+		s.evictSilent(now)
 	}
 
-	s.own = s.own.trim(now.Add(-s.window()))
-	s.at = now
-	s.held = s.ready(now)
-	s.floors = 0
-	clear(s.extras)
+	s.ownDigests = s.ownDigests.trim(now.Add(-s.window()))
+	s.computedAt = now
+	s.holdsShares = s.ready(now)
+	s.floorSum = 0
+	clear(s.extraSums)
 
 	// The sums are used until the next prepare, so they count that time in.
-	until := now.Add(s.hold())
+	until := now.Add(s.validity())
 
 	for _, m := range s.members {
-		if hearsMost && now.Sub(m.heard) > s.sharing.MemberTimeout {
+		if hearsMost && now.Sub(m.lastSeen) > s.sharing.MemberTimeout {
 			continue
 		}
 
-		floor, grown := m.floor(until, s.sharing.PropagationDelay)
+		floor, grown := m.maxFloor(until, s.sharing.PropagationDelay)
 		floor = min(floor, s.maxWeight())
-		s.floors += floor
+		s.floorSum += floor
 
 		for _, a := range m.digest.Accounts {
-			s.extras[a.Account] += min(float64(a.Weight)*grown, s.maxWeight()) - floor
+			s.extraSums[a.Account] += min(float64(a.Weight)*grown, s.maxWeight()) - floor
 		}
 	}
 }
 
-// until returns when the computed shares must be computed anew.
-func (s *shares) until(now time.Time) int64 {
-	if s.alone() {
+// validUntil returns when the computed shares must be computed anew.
+func (s *shareCalculator) validUntil(now time.Time) int64 {
+	if s.isSingleInstance() {
 		return math.MaxInt64
 	}
 
-	return now.Add(s.hold()).UnixNano()
+	return now.Add(s.validity()).UnixNano()
 }
 
 // maxWeight is the greatest weight that is ever published.
-func (s *shares) maxWeight() float64 {
+func (s *shareCalculator) maxWeight() float64 {
 	return 1 + s.sharing.EvenFraction
 }
 
-// hearsMost tells whether this instance hears from most members. One that does
+// seesMajority tells whether this instance hears from most members. One that does
 // not may be the one that is cut off, and goes on to count the silent.
-func (s *shares) hearsMost(now time.Time) bool {
+func (s *shareCalculator) seesMajority(now time.Time) bool {
 	silent := 0
 
 	for _, m := range s.members {
-		if now.Sub(m.heard) > s.sharing.MemberTimeout {
+		if now.Sub(m.lastSeen) > s.sharing.MemberTimeout {
 			silent++
 		}
 	}
@@ -215,35 +215,35 @@
 	return len(s.members)+1-silent > silent
 }
 
-// forget drops members that have been silent for very long. Before that they
+// evictSilent drops members that have been silent for very long. Before that they
 // are not weighed, but still count as members: else a minority that loses the
 // others one by one would take itself for the rest of a majority.
-func (s *shares) forget(now time.Time) {
+func (s *shareCalculator) evictSilent(now time.Time) {
 	for id, m := range s.members {
-		if now.Sub(m.heard) > forgetLapses*s.sharing.MemberTimeout {
+		if now.Sub(m.lastSeen) > evictionTimeouts*s.sharing.MemberTimeout {
 			delete(s.members, id)
 		}
 	}
 }
 
-// of returns the share of one account, after prepare.
-func (s *shares) of(hash uint64) float64 {
-	if s.alone() {
+// share returns the share share one account, after prepare.
+func (s *shareCalculator) share(hash uint64) float64 {
+	if s.isSingleInstance() {
 		return 1
 	}
 
-	if !s.held {
+	if !s.holdsShares {
 		return 0
 	}
 
-	own := s.own.least(hash)
+	own := s.ownDigests.least(hash)
 
-	return own / (own + s.floors + s.extras[hash])
+	return own / (own + s.floorSum + s.extraSums[hash])
 }
 
-// even returns an even share among the members, 0 for an instance that is alone.
-func (s *shares) even() float64 {
-	if s.alone() {
+// evenShare returns an evenShare share among the members, 0 for an instance that is alone.
+func (s *shareCalculator) evenShare() float64 {
+	if s.isSingleInstance() {
 		return 0
 	}
 
@@ -251,10 +251,10 @@
 }
 
 // ready tells whether a digest of this instance is old enough for all to know it.
-func (s *shares) ready(now time.Time) bool {
-	if s.alone() {
+func (s *shareCalculator) ready(now time.Time) bool {
+	if s.isSingleInstance() {
 		return true
 	}
 
-	return len(s.own) > 0 && !s.own[0].at.After(now.Add(-s.window()))
+	return len(s.ownDigests) > 0 && !s.ownDigests[0].at.After(now.Add(-s.window()))
 }
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -18,17 +18,17 @@
 }
 
 const (
-	defaultLapse = 10 * time.Second
-	defaultFloor = 0.1
+	defaultMemberTimeout = 10 * time.Second
+	defaultEvenFraction  = 0.1
 )
 
 func (s Sharing) withDefaults() Sharing {
 	if s.MemberTimeout < s.PropagationDelay {
-		s.MemberTimeout = max(defaultLapse, s.PropagationDelay)
+		s.MemberTimeout = max(defaultMemberTimeout, s.PropagationDelay)
 	}
 
 	if s.EvenFraction <= 0 {
-		s.EvenFraction = defaultFloor
+		s.EvenFraction = defaultEvenFraction
 	}
 
 	if s.DigestAccounts <= 0 || s.DigestAccounts > MaxDemandAccounts {
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -10,22 +10,22 @@
 
 // Ticket follows one request through admission.
 type Ticket struct {
-	request  Request
-	account  *account
-	service  *service
-	arrived  time.Time
-	giveUp   time.Time
-	decision Decision
-	// decided is closed with the final decision; it is nil if the request was
-	// decided on arrival.
-	decided chan struct{}
-	// place is the index in the deadline heap, or noPlace.
-	place    int
-	queued   bool
-	finished atomic.Bool
+	request     Request
+	account     *account
+	service     *service
+	arrivedAt   time.Time
+	latestStart time.Time
+	decision    Decision
+	// done is closed with the final decision; it is nil if the request was
+	// done on arrival.
+	done chan struct{}
+	// heapIndex is the index in the deadline heap, or noPlace.
+	heapIndex int
+	queued    bool
+	finished  atomic.Bool
 }
 
-const noPlace = -1
+const notInHeap = -1
 
 // Account returns the client account of the request.
 func (t *Ticket) Account() fleet.Account {
@@ -34,17 +34,17 @@
 
 // Arrived returns the time of arrival.
 func (t *Ticket) Arrived() time.Time {
-	return t.arrived
+	return t.arrivedAt
 }
 
 // Decision returns the decision, and whether it is final.
 func (t *Ticket) Decision() (Decision, bool) {
-	if t.decided == nil {
+	if t.done == nil {
 		return t.decision, true
 	}
 
 	select {
-	case <-t.decided:
+	case <-t.done:
 		return t.decision, true
 	default:
 		return Decision{Verdict: Queued}, false
@@ -54,12 +54,12 @@
 // Wait returns the final decision. If ctx ends first it returns Queued, and
 // the caller must call Abandon.
 func (t *Ticket) Wait(ctx context.Context) Decision {
-	if t.decided == nil {
+	if t.done == nil {
 		return t.decision
 	}
 
 	select {
-	case <-t.decided:
+	case <-t.done:
 		return t.decision
 	case <-ctx.Done():
 		return Decision{Verdict: Queued}
@@ -69,7 +69,7 @@
 func (t *Ticket) decide(d Decision) {
 	t.decision = d
 
-	if t.decided != nil {
-		close(t.decided)
+	if t.done != nil {
+		close(t.done)
 	}
 }
