--- a/admission/account.go
+++ b/admission/account.go
@@ -85,8 +85,8 @@
 			return 0, false
 		}
 
-		if rest := a.nextStartAt.Load() - now.UnixNano(); share < 1 && rest > 0 {
-			return time.Duration(rest), false
+		if untilNext := a.nextStartAt.Load() - now.UnixNano(); share < 1 && untilNext > 0 {
+			return time.Duration(untilNext), false
 		}
 
 		if a.running.CompareAndSwap(running, running+1) {
@@ -113,8 +113,8 @@
 
 	// A share s of one request at a time is held as s of the time.
 	if share := l.concurrency(); share > 0 && share < 1 {
-		rest := time.Duration(float64(o.Duration) * (1/share - 1))
-		a.nextStartAt.Store(now.Add(rest).UnixNano())
+		idle := time.Duration(float64(o.Duration) * (1/share - 1))
+		a.nextStartAt.Store(now.Add(idle).UnixNano())
 	}
 
 	a.running.Add(-1)
--- a/admission/account_test.go
+++ b/admission/account_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestAccountHoldsAPartOfOneRequest(t *testing.T) {
+func TestShareBelowOneRequestLimitsItsTime(t *testing.T) {
 	c := newController(t, testConfig(1000, 10, AccountConfig{Account: testAccount, Concurrent: 1}))
 	a := c.table.Load().accounts[testAccount]
 	a.limits.Store(&limits{config: AccountConfig{Concurrent: 1}, share: 0.25})
--- a/admission/admit_race_test.go
+++ b/admission/admit_race_test.go
@@ -8,9 +8,9 @@
 	"github.com/sourcegraph/conc"
 )
 
-// TestAdmitConcurrently is for the race detector: no request may be lost
+// TestConcurrentAdmitLosesNoRequest is for the race detector: no request may be lost
 // between the path without a lock and the queue.
-func TestAdmitConcurrently(t *testing.T) {
+func TestConcurrentAdmitLosesNoRequest(t *testing.T) {
 	c := newController(t, testConfig(4, 1024, AccountConfig{Account: testAccount}))
 
 	var wg conc.WaitGroup
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -77,29 +77,29 @@
 				waiting = append(waiting, c.Admit(start, requests[i%n]))
 
 				if i%5 == 0 {
-					waiting = finishRunning(c, waiting, o)
+					waiting = finishAdmitted(c, waiting, o)
 				}
 			}
 		})
 	}
 }
 
-// finishRunning finishes what runs and returns what is still queued.
-func finishRunning(c *Controller, tickets []*Ticket, o Outcome) []*Ticket {
-	kept := tickets[:0]
+// finishAdmitted finishes what runs and returns what is still queued.
+func finishAdmitted(c *Controller, tickets []*Ticket, o Outcome) []*Ticket {
+	queued := tickets[:0]
 
 	for _, t := range tickets {
 		d, final := t.Decision()
 
 		switch {
 		case !final:
-			kept = append(kept, t)
+			queued = append(queued, t)
 		case d.Verdict == Admitted:
 			c.Finish(start, t, o)
 		}
 	}
 
-	return kept
+	return queued
 }
 
 func BenchmarkRebalance(b *testing.B) {
--- a/admission/burst_test.go
+++ b/admission/burst_test.go
@@ -7,15 +7,15 @@
 	"monsoonlever/fleet"
 )
 
-// TestIdleAccountMayBurst floods three instances at once with calls of an
+// TestIdleAccountBurstsWithinLimit floods three instances at once with calls of an
 // account that was idle: none refuses a small burst, and together they admit no
 // more than the limit and four seconds of it ahead.
-func TestIdleAccountMayBurst(t *testing.T) {
+func TestIdleAccountBurstsWithinLimit(t *testing.T) {
 	const (
-		perSecond = 5
-		flood     = 10 * time.Second
-		step      = 100 * time.Millisecond
-		ahead     = 4 * time.Second
+		perSecond      = 5
+		flood          = 10 * time.Second
+		step           = 100 * time.Millisecond
+		burstAllowance = 4 * time.Second
 	)
 
 	ids := []fleet.InstanceID{"entry-1", "entry-2", "entry-3"}
@@ -34,7 +34,7 @@
 		}
 	}
 
-	tell := func() {
+	exchange := func() {
 		for i, from := range controllers {
 			d := from.PublishDemand(now)
 			for j, to := range controllers {
@@ -47,13 +47,13 @@
 
 	for range 100 {
 		now = now.Add(step)
-		tell()
+		exchange()
 	}
 
 	admitted := make([]int, len(ids))
 	first := make([]int, len(ids))
 
-	for began := now; now.Sub(began) < flood; now = now.Add(step) {
+	for floodStart := now; now.Sub(floodStart) < flood; now = now.Add(step) {
 		for i, c := range controllers {
 			for range 5 {
 				ticket := c.Admit(now, Request{Service: testService, Account: testAccount, Kind: testRequest().Kind})
@@ -65,12 +65,12 @@
 				c.Finish(now, ticket, Outcome{Duration: time.Millisecond})
 			}
 
-			if now.Equal(began) {
+			if now.Equal(floodStart) {
 				first[i] = admitted[i]
 			}
 		}
 
-		tell()
+		exchange()
 	}
 
 	total := 0
@@ -83,7 +83,7 @@
 		}
 	}
 
-	if most := int(perSecond * (flood + ahead).Seconds()); total > most {
+	if most := int(perSecond * (flood + burstAllowance).Seconds()); total > most {
 		t.Errorf("admitted by all: got %d in %v, want at most %d", total, flood, most)
 	}
 }
--- a/admission/concurrencylimiter_test.go
+++ b/admission/concurrencylimiter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLimiterFollowsLatency(t *testing.T) {
+func TestConcurrencyLimitFollowsLatency(t *testing.T) {
 	const target = 100 * time.Millisecond
 
 	tests := []struct {
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -45,7 +45,7 @@
 	return Request{Service: testService, Account: testAccount, Kind: testKind}
 }
 
-func TestAdmitQueuesAndStartsInTurn(t *testing.T) {
+func TestAdmitRunsThenQueuesThenRefuses(t *testing.T) {
 	c := newController(t, testConfig(1, 1, AccountConfig{Account: testAccount}))
 
 	first := c.Admit(start, testRequest())
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestAdmitRefuses(t *testing.T) {
+func TestAdmitRefusesWithReason(t *testing.T) {
 	limited := AccountConfig{Account: testAccount, RequestsPerSecond: 1, TokensPerSecond: 100, Concurrent: 2}
 
 	tests := []struct {
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestFinishTakesTheQueueOff(t *testing.T) {
+func TestFinishSubtractsQueueTime(t *testing.T) {
 	c := newController(t, testConfig(1, 10, AccountConfig{Account: testAccount}))
 	s := c.table.Load().services[testService]
 	now := start
--- a/admission/demand_test.go
+++ b/admission/demand_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestDemandSize(t *testing.T) {
+func TestDemandSizePerAccount(t *testing.T) {
 	for _, accounts := range []int{0, 4, 16, MaxDemandAccounts} {
 		d := Demand{At: start.UnixMilli(), Floor: 0.25}
 		for i := range accounts {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestDemandFitsItsBound(t *testing.T) {
+func TestLargestDemandFitsMaxDemandBytes(t *testing.T) {
 	want := Demand{At: math.MaxInt64, Floor: 0.25}
 	for i := range MaxDemandAccounts {
 		want.Accounts = append(want.Accounts, AccountDemand{Account: math.MaxUint64 - uint64(i), Weight: 1.1})
@@ -52,8 +52,8 @@
 	}
 }
 
-// pair returns two instances that have told each other of themselves.
-func pair(t *testing.T) (first, second *Controller) {
+// newPair returns two instances that have told each other of themselves.
+func newPair(t *testing.T) (first, second *Controller) {
 	t.Helper()
 
 	sharing := Sharing{PropagationDelay: time.Second, MemberTimeout: 5 * time.Second}
@@ -73,8 +73,8 @@
 	return first, second
 }
 
-func TestSharesFollowDemand(t *testing.T) {
-	first, second := pair(t)
+func TestShareFollowsDemand(t *testing.T) {
+	first, second := newPair(t)
 	now := start
 
 	for range 40 {
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestShareReturns(t *testing.T) {
+func TestShareAfterMemberStops(t *testing.T) {
 	tests := []struct {
 		desc  string
 		leave bool
@@ -111,7 +111,7 @@
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			first, second := pair(t)
+			first, second := newPair(t)
 			now := start
 
 			for range 20 {
@@ -138,8 +138,8 @@
 	}
 }
 
-func TestShareOfALostInstanceReturnsAfterItsLapse(t *testing.T) {
-	first, second := pair(t)
+func TestLostMembersShareIsReassignedAfterTimeout(t *testing.T) {
+	first, second := newPair(t)
 	now := start
 	third := Demand{Floor: 0.03}
 
--- a/admission/demandestimate.go
+++ b/admission/demandestimate.go
@@ -19,14 +19,14 @@
 	seconds := elapsed.Seconds()
 	peak := max(a.peakConcurrency.Swap(0), a.running.Load())
 
-	used := max(
+	fraction := max(
 		fractionOf(float64(a.offeredRequests.Swap(0))/seconds, l.RequestsPerSecond),
 		fractionOf(float64(a.offeredTokens.Swap(0))/seconds, l.TokensPerSecond),
 		fractionOf(float64(peak), float64(l.Concurrent)),
 	)
 
 	a.demand.measuredAt = now
-	a.demand.fraction += demandSmoothing * (used - a.demand.fraction)
+	a.demand.fraction += demandSmoothing * (fraction - a.demand.fraction)
 
 	return a.demand.fraction
 }
--- a/admission/digesthistory.go
+++ b/admission/digesthistory.go
@@ -30,8 +30,8 @@
 	return h
 }
 
-// floor returns the least floor.
-func (h digestHistory) floor() float64 {
+// minFloor returns the least minFloor.
+func (h digestHistory) minFloor() float64 {
 	least := h[0].floor
 
 	for _, p := range h[1:] {
@@ -41,8 +41,8 @@
 	return least
 }
 
-// least returns the least weight of an account.
-func (h digestHistory) least(hash uint64) float64 {
+// minWeight returns the minWeight weight of an account.
+func (h digestHistory) minWeight(hash uint64) float64 {
 	least := h[0].weight(hash)
 
 	for i := range h[1:] {
--- a/admission/fairqueue.go
+++ b/admission/fairqueue.go
@@ -172,24 +172,24 @@
 func (q *fairQueue) findInfeasible(hopeless func(t *Ticket, ahead float64) bool) []*Ticket {
 	var out []*Ticket
 
-	above := 0.0
+	higherPriority := 0.0
 
 	for _, c := range q.classes {
 		for _, f := range c.active {
-			kept := 0
+			position := 0
 
 			for _, t := range f.tickets {
-				if hopeless(t, above+c.ahead(t, kept)) {
+				if hopeless(t, higherPriority+c.ahead(t, position)) {
 					out = append(out, t)
 
 					continue
 				}
 
-				kept++
+				position++
 			}
 		}
 
-		above += float64(c.size)
+		higherPriority += float64(c.size)
 	}
 
 	return out
--- a/admission/goodput_test.go
+++ b/admission/goodput_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	simSlots    = 20
-	simService  = 100 * time.Millisecond
-	simDeadline = time.Second
-	simTime     = 20 * time.Second
+	simSlots           = 20
+	simMeanServiceTime = 100 * time.Millisecond
+	simDeadline        = time.Second
+	simDuration        = 20 * time.Second
 	// simCapacity is what the simulated service can do, in requests a second.
-	simCapacity = float64(simSlots) / 0.1
-	simLarge    = 2
-	simSmall    = 3
-	// simSmallPart is the part of the load that one small account offers.
-	simSmallPart = 1.0 / 30
+	simCapacity      = float64(simSlots) / 0.1
+	simLargeAccounts = 2
+	simSmallAccounts = 3
+	// simSmallLoadFraction is the part of the load that one small account offers.
+	simSmallLoadFraction = 1.0 / 30
 )
 
 // simRequest is one request of the simulation.
@@ -27,53 +27,53 @@
 	ticket   *Ticket
 	deadline time.Time
 	small    bool
-	ends     time.Time
+	endsAt   time.Time
 }
 
 // simulation offers load to a controller in front of one service.
 type simulation struct {
-	c        *Controller
-	random   *rand.Rand
-	now      time.Time
-	useLimit bool
-	waiting  []*simRequest
-	running  []*simRequest
-	offered  [2]int
-	inTime   [2]int
-	ran      int
-	maxWait  time.Duration
+	controller   *Controller
+	random       *rand.Rand
+	now          time.Time
+	setDeadlines bool
+	waiting      []*simRequest
+	running      []*simRequest
+	offered      [2]int
+	inTime       [2]int
+	admitted     int
+	maxWait      time.Duration
 }
 
 // simResult is what the simulation measured.
 type simResult struct {
-	goodput   float64
-	smallPart float64
-	wasted    float64
-	maxWait   time.Duration
+	goodput        float64
+	smallInTime    float64
+	wastedFraction float64
+	maxWait        time.Duration
 }
 
-func (r simResult) log(t *testing.T, times float64, policy string) {
+func (r simResult) log(t *testing.T, loadFactor float64, policy string) {
 	t.Helper()
 	t.Logf("%.0fx    %s    %.3f    %.3f          %.3f        %v",
-		times, policy, r.goodput, r.smallPart, r.wasted, r.maxWait)
+		loadFactor, policy, r.goodput, r.smallInTime, r.wastedFraction, r.maxWait)
 }
 
 func newSimulation(t *testing.T, fair bool) *simulation {
 	t.Helper()
 
-	s := &simulation{now: start, useLimit: fair, random: rand.New(rand.NewPCG(1, 2))}
+	s := &simulation{now: start, setDeadlines: fair, random: rand.New(rand.NewPCG(1, 2))}
 	config := testConfig(simSlots, 256)
 
-	for i := range simLarge + simSmall {
-		config.Accounts = append(config.Accounts, AccountConfig{Account: modelAccount(i)})
+	for i := range simLargeAccounts + simSmallAccounts {
+		config.Accounts = append(config.Accounts, AccountConfig{Account: accountName(i)})
 	}
 
-	s.c = &Controller{}
+	s.controller = &Controller{}
 	if !fair {
-		s.c.newQueue = func() queue { return &fifoQueue{} }
+		s.controller.newQueue = func() queue { return &fifoQueue{} }
 	}
 
-	if err := s.c.Configure(start, config); err != nil {
+	if err := s.controller.Configure(start, config); err != nil {
 		t.Fatal(err)
 	}
 
@@ -81,26 +81,26 @@
 }
 
 func (s *simulation) arrive() {
-	account, small := s.random.IntN(simLarge), 0
+	account, small := s.random.IntN(simLargeAccounts), 0
 
-	if p := s.random.Float64(); p < simSmall*simSmallPart {
-		account, small = simLarge+s.random.IntN(simSmall), 1
+	if p := s.random.Float64(); p < simSmallAccounts*simSmallLoadFraction {
+		account, small = simLargeAccounts+s.random.IntN(simSmallAccounts), 1
 	}
 
 	r := &simRequest{deadline: s.now.Add(simDeadline), small: small == 1}
-	request := Request{Service: testService, Account: modelAccount(account), Kind: testKind, Priority: fleet.Priority(0)}
+	request := Request{Service: testService, Account: accountName(account), Kind: testKind, Priority: fleet.Priority(0)}
 
-	if s.useLimit {
+	if s.setDeadlines {
 		request.Deadline = r.deadline
 	}
 
-	r.ticket = s.c.Admit(s.now, request)
+	r.ticket = s.controller.Admit(s.now, request)
 	s.offered[small]++
 	s.waiting = append(s.waiting, r)
 }
 
-// start moves admitted requests to the service and drops refused ones.
-func (s *simulation) start() {
+// startAdmitted moves admitted requests to the service and drops refused ones.
+func (s *simulation) startAdmitted() {
 	var waiting []*simRequest
 
 	for _, r := range s.waiting {
@@ -110,8 +110,8 @@
 		case !final:
 			waiting = append(waiting, r)
 		case d.Verdict == Admitted:
-			s.ran++
-			r.ends = s.now.Add(time.Duration(s.random.ExpFloat64() * float64(simService)))
+			s.admitted++
+			r.endsAt = s.now.Add(time.Duration(s.random.ExpFloat64() * float64(simMeanServiceTime)))
 			s.running = append(s.running, r)
 		default:
 			s.maxWait = max(s.maxWait, d.Waited)
@@ -121,18 +121,18 @@
 	s.waiting = waiting
 }
 
-func (s *simulation) finish() {
+func (s *simulation) finishEnded() {
 	var running []*simRequest
 
 	for _, r := range s.running {
-		if r.ends.After(s.now) {
+		if r.endsAt.After(s.now) {
 			running = append(running, r)
 
 			continue
 		}
 
 		took := s.now.Sub(r.ticket.Arrived())
-		s.c.Finish(s.now, r.ticket, Outcome{Latency: took, Duration: took})
+		s.controller.Finish(s.now, r.ticket, Outcome{Latency: took, Duration: took})
 
 		if !s.now.After(r.deadline) {
 			small := 0
@@ -147,65 +147,65 @@
 	s.running = running
 }
 
-func (s *simulation) run(times float64) simResult {
+func (s *simulation) run(loadFactor float64) simResult {
 	const step = time.Millisecond
 
-	rate := times * simCapacity
+	rate := loadFactor * simCapacity
 	next := start
 
-	for s.now.Sub(start) < simTime {
+	for s.now.Sub(start) < simDuration {
 		for !next.After(s.now) {
 			s.arrive()
 			next = next.Add(time.Duration(s.random.ExpFloat64() / rate * float64(time.Second)))
 		}
 
-		s.finish()
-		s.c.Tick(s.now)
-		s.start()
+		s.finishEnded()
+		s.controller.Tick(s.now)
+		s.startAdmitted()
 		s.now = s.now.Add(step)
 	}
 
 	good := float64(s.inTime[0] + s.inTime[1])
 
 	return simResult{
-		goodput:   good / simTime.Seconds() / simCapacity,
-		smallPart: float64(s.inTime[1]) / float64(s.offered[1]),
-		wasted:    1 - good/float64(s.ran),
-		maxWait:   s.maxWait,
+		goodput:        good / simDuration.Seconds() / simCapacity,
+		smallInTime:    float64(s.inTime[1]) / float64(s.offered[1]),
+		wastedFraction: 1 - good/float64(s.admitted),
+		maxWait:        s.maxWait,
 	}
 }
 
 // TestGoodput compares the policies at one, two and five times the capacity.
 func TestGoodput(t *testing.T) {
 	tests := []struct {
-		times       float64
-		wantGoodput float64
-		wantSmall   float64
+		loadFactor      float64
+		wantGoodput     float64
+		wantSmallInTime float64
 	}{
-		{times: 1, wantGoodput: 0.9, wantSmall: 0.95},
-		{times: 2, wantGoodput: 0.9, wantSmall: 0.95},
-		{times: 5, wantGoodput: 0.9, wantSmall: 0.95},
+		{loadFactor: 1, wantGoodput: 0.9, wantSmallInTime: 0.95},
+		{loadFactor: 2, wantGoodput: 0.9, wantSmallInTime: 0.95},
+		{loadFactor: 5, wantGoodput: 0.9, wantSmallInTime: 0.95},
 	}
 
 	t.Log("load  policy  goodput  small in time  work wasted  longest wait for a refusal")
 
 	for _, tt := range tests {
-		t.Run(fmt.Sprintf("%.0f times capacity", tt.times), func(t *testing.T) {
-			fifo := newSimulation(t, false).run(tt.times)
-			fair := newSimulation(t, true).run(tt.times)
+		t.Run(fmt.Sprintf("%.0f times capacity", tt.loadFactor), func(t *testing.T) {
+			fifo := newSimulation(t, false).run(tt.loadFactor)
+			fair := newSimulation(t, true).run(tt.loadFactor)
 
-			fifo.log(t, tt.times, "fifo")
-			fair.log(t, tt.times, "fair")
+			fifo.log(t, tt.loadFactor, "fifo")
+			fair.log(t, tt.loadFactor, "fair")
 
 			if fair.goodput < tt.wantGoodput {
 				t.Errorf("goodput: got %.3f of capacity, want at least %.2f", fair.goodput, tt.wantGoodput)
 			}
 
-			if fair.smallPart < tt.wantSmall {
-				t.Errorf("small accounts in time: got %.3f, want at least %.2f", fair.smallPart, tt.wantSmall)
+			if fair.smallInTime < tt.wantSmallInTime {
+				t.Errorf("small accounts in time: got %.3f, want at least %.2f", fair.smallInTime, tt.wantSmallInTime)
 			}
 
-			if tt.times > 1 && fair.goodput <= fifo.goodput {
+			if tt.loadFactor > 1 && fair.goodput <= fifo.goodput {
 				t.Errorf("goodput: got %.3f, want more than the baseline's %.3f", fair.goodput, fifo.goodput)
 			}
 		})
--- a/admission/member.go
+++ b/admission/member.go
@@ -33,13 +33,13 @@
 
 // maxFloor returns the greatest weight the member may use for an account that
 // its digest does not list, and the growth to apply to those it lists.
-func (m *member) maxFloor(now time.Time, spread time.Duration) (weight, grown float64) {
+func (m *member) maxFloor(now time.Time, spread time.Duration) (weight, growth float64) {
 	if !m.hasDigest {
 		// One step more: it may have started a Spread before it was known here.
 		return initialWeight * growthFactor(now.Sub(m.joinedAt)+spread, spread), 1
 	}
 
-	grown = growthFactor(now.Sub(time.UnixMilli(m.digest.At)), spread)
+	growth = growthFactor(now.Sub(time.UnixMilli(m.digest.At)), spread)
 
-	return float64(m.digest.Floor) * grown, grown
+	return float64(m.digest.Floor) * growth, growth
 }
--- a/admission/member_test.go
+++ b/admission/member_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestMembersMayJoinBeforeLimitsAreInForce(t *testing.T) {
+func TestMembersAddedBeforeConfigureAreCounted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := &Controller{Instance: "a", Sharing: Sharing{PropagationDelay: time.Second, MemberTimeout: 10 * time.Second, EvenFraction: 0.1}}
 
--- a/admission/queue_holds_test.go
+++ b/admission/queue_holds_test.go
@@ -14,7 +14,7 @@
 type queueModel struct {
 	c       *Controller
 	now     time.Time
-	bound   ServiceConfig
+	config  ServiceConfig
 	waiting []*Ticket
 	running []*Ticket
 	refused []*Ticket
@@ -25,20 +25,20 @@
 	config.Services[0].QueueBytes = int64(rapid.IntRange(100, 1000).Draw(t, "bytes"))
 
 	for i := range 4 {
-		config.Accounts = append(config.Accounts, AccountConfig{Account: modelAccount(i), Weight: float64(i + 1)})
+		config.Accounts = append(config.Accounts, AccountConfig{Account: accountName(i), Weight: float64(i + 1)})
 	}
 
-	return &queueModel{c: newController(t, config), now: start, bound: config.Services[0]}
+	return &queueModel{c: newController(t, config), now: start, config: config.Services[0]}
 }
 
-func modelAccount(i int) fleet.Account {
+func accountName(i int) fleet.Account {
 	return fleet.Account(fmt.Sprintf("wholesale-%d", i))
 }
 
 func (m *queueModel) arrive(t *rapid.T) {
 	r := Request{
 		Service:  testService,
-		Account:  modelAccount(rapid.IntRange(0, 3).Draw(t, "account")),
+		Account:  accountName(rapid.IntRange(0, 3).Draw(t, "account")),
 		Kind:     testKind,
 		Priority: fleet.Priority(rapid.IntRange(0, 2).Draw(t, "priority")),
 		Bytes:    int64(rapid.IntRange(0, 400).Draw(t, "size")),
@@ -81,11 +81,11 @@
 	}
 
 	m.c.Tick(m.now)
-	m.sort()
+	m.collectDecided()
 }
 
-// sort moves decided tickets to where they belong.
-func (m *queueModel) sort() {
+// collectDecided moves decided tickets to where they belong.
+func (m *queueModel) collectDecided() {
 	var waiting []*Ticket
 
 	for _, ticket := range m.waiting {
@@ -104,7 +104,7 @@
 	m.waiting = waiting
 }
 
-func TestHoldsBoundedQueue(t *testing.T) {
+func TestHoldsQueueBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newQueueModel(t)
 
@@ -112,29 +112,29 @@
 			before := len(m.refused)
 			m.step(t)
 
-			var held int64
+			var queuedBytes int64
 			lowest := fleet.Priority(3)
 
 			for _, ticket := range m.waiting {
-				held += ticket.request.Bytes
+				queuedBytes += ticket.request.Bytes
 				lowest = min(lowest, ticket.request.Priority)
 			}
 
-			if got, want := len(m.waiting), m.bound.QueueRequests; got > want {
+			if got, want := len(m.waiting), m.config.QueueRequests; got > want {
 				t.Fatalf("queued requests: got %d, want at most %d", got, want)
 			}
 
-			if got, want := held, m.bound.QueueBytes; got > want {
+			if got, want := queuedBytes, m.config.QueueBytes; got > want {
 				t.Fatalf("queued bytes: got %d, want at most %d", got, want)
 			}
 
-			if got, want := len(m.running), m.bound.MaxConcurrent; got > want {
+			if got, want := len(m.running), m.config.MaxConcurrent; got > want {
 				t.Fatalf("running: got %d, want at most %d", got, want)
 			}
 
 			for _, ticket := range m.refused[before:] {
 				if ticket.decision.Reason == QueueFull && ticket.request.Priority > lowest &&
-					ticket.request.Bytes <= m.bound.QueueBytes {
+					ticket.request.Bytes <= m.config.QueueBytes {
 					t.Fatalf("shed priority %d while priority %d stays queued", ticket.request.Priority, lowest)
 				}
 			}
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestHoldsRefusalAtOnce(t *testing.T) {
+func TestHoldsInfeasibleRequestsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newQueueModel(t)
 		s := m.c.table.Load().services[testService]
@@ -156,10 +156,10 @@
 					continue
 				}
 
-				begin := m.now.Add(s.limiter.drainTime(s.queue.ahead(ticket)))
-				if !begin.Before(ticket.latestStart) {
+				earliestStart := m.now.Add(s.limiter.drainTime(s.queue.ahead(ticket)))
+				if !earliestStart.Before(ticket.latestStart) {
 					t.Fatalf("a request that starts at %v at best and is of no use after %v is not refused",
-						begin.Sub(start), ticket.latestStart.Sub(start))
+						earliestStart.Sub(start), ticket.latestStart.Sub(start))
 				}
 			}
 
@@ -186,7 +186,7 @@
 
 func (m *fairModel) index(t *Ticket) int {
 	for i := range m.weights {
-		if modelAccount(i) == t.request.Account {
+		if accountName(i) == t.request.Account {
 			return i
 		}
 	}
@@ -194,7 +194,7 @@
 	return -1
 }
 
-func (m *fairModel) waitingOf() []int {
+func (m *fairModel) waitingByAccount() []int {
 	counts := make([]int, len(m.weights))
 	for _, ticket := range m.waiting {
 		counts[m.index(ticket)]++
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestHoldsSmallAccountShare(t *testing.T) {
+func TestHoldsFairShareOfSmallAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accounts := rapid.IntRange(2, 5).Draw(t, "accounts")
 		slots := rapid.IntRange(1, 3).Draw(t, "slots")
@@ -236,15 +236,15 @@
 
 		for i := range accounts {
 			weight := float64(rapid.IntRange(1, 4).Draw(t, "weight"))
-			config.Accounts = append(config.Accounts, AccountConfig{Account: modelAccount(i), Weight: weight})
+			config.Accounts = append(config.Accounts, AccountConfig{Account: accountName(i), Weight: weight})
 			m.weights = append(m.weights, weight)
 			m.served = append(m.served, make([]float64, accounts))
 		}
 
-		m.queueModel = &queueModel{c: newController(t, config), now: start, bound: config.Services[0]}
+		m.queueModel = &queueModel{c: newController(t, config), now: start, config: config.Services[0]}
 
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			waited := m.waitingOf()
+			waiting := m.waitingByAccount()
 			before := len(m.running)
 
 			if rapid.IntRange(0, 2).Draw(t, "step") == 0 {
@@ -254,18 +254,18 @@
 				// Most requests are of account 0, the large one.
 				account := max(0, rapid.IntRange(-4, accounts-1).Draw(t, "account"))
 				m.waiting = append(m.waiting, m.c.Admit(m.now, Request{
-					Service: testService, Account: modelAccount(account), Kind: testKind,
+					Service: testService, Account: accountName(account), Kind: testKind,
 				}))
 			}
 
 			m.now = m.now.Add(time.Millisecond)
 			refused := len(m.refused)
-			m.sort()
-			m.check(t, waited, m.running[before:])
+			m.collectDecided()
+			m.check(t, waiting, m.running[before:])
 
 			for _, ticket := range m.refused[refused:] {
 				i := m.index(ticket)
-				if got, fair := waited[i], m.bound.QueueRequests/accounts; i > 0 && m.weights[i] >= m.weights[0] && got < fair-1 {
+				if got, fair := waiting[i], m.config.QueueRequests/accounts; i > 0 && m.weights[i] >= m.weights[0] && got < fair-1 {
 					t.Fatalf("account %d was shed with %d queued, its fair part is %d", i, got, fair)
 				}
 			}
--- a/admission/ratelimiter_test.go
+++ b/admission/ratelimiter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestDebtIsKeptWhenTheShareChanges(t *testing.T) {
+func TestRescaleKeepsConsumedTokens(t *testing.T) {
 	const limit = 3000
 
 	tests := []struct {
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -99,7 +99,7 @@
 		weight := floor + a.measureDemand(now)
 
 		if len(s.ownDigests) > 0 {
-			weight = min(weight, maxWeightGrowth*s.ownDigests.least(a.hash))
+			weight = min(weight, maxWeightGrowth*s.ownDigests.minWeight(a.hash))
 		} else {
 			weight = floor
 		}
@@ -129,7 +129,7 @@
 
 	even := s.sharing.EvenFraction / float64(len(s.members)+1)
 
-	return min(even, maxWeightGrowth*s.ownDigests.floor())
+	return min(even, maxWeightGrowth*s.ownDigests.minFloor())
 }
 
 // topDemands keeps as many accounts as a digest has room for.
@@ -158,8 +158,8 @@
 		return
 	}
 
-	hearsMost := s.seesMajority(now)
-	if hearsMost {
+	majority := s.seesMajority(now)
+	if majority {
 		s.evictSilent(now)
 	}
 
@@ -173,16 +173,16 @@
 	until := now.Add(s.validity())
 
 	for _, m := range s.members {
-		if hearsMost && now.Sub(m.lastSeen) > s.sharing.MemberTimeout {
+		if majority && now.Sub(m.lastSeen) > s.sharing.MemberTimeout {
 			continue
 		}
 
-		floor, grown := m.maxFloor(until, s.sharing.PropagationDelay)
+		floor, growth := m.maxFloor(until, s.sharing.PropagationDelay)
 		floor = min(floor, s.maxWeight())
 		s.floorSum += floor
 
 		for _, a := range m.digest.Accounts {
-			s.extraSums[a.Account] += min(float64(a.Weight)*grown, s.maxWeight()) - floor
+			s.extraSums[a.Account] += min(float64(a.Weight)*growth, s.maxWeight()) - floor
 		}
 	}
 }
@@ -236,7 +236,7 @@
 		return 0
 	}
 
-	own := s.ownDigests.least(hash)
+	own := s.ownDigests.minWeight(hash)
 
 	return own / (own + s.floorSum + s.extraSums[hash])
 }
--- a/admission/shares_holds_test.go
+++ b/admission/shares_holds_test.go
@@ -10,77 +10,77 @@
 )
 
 const (
-	modelStep   = 100 * time.Millisecond
-	modelSpread = time.Second
-	modelLapse  = 5 * time.Second
-	modelSkew   = 50 * time.Millisecond
-	modelLimit  = 100
+	modelStep              = 100 * time.Millisecond
+	modelPropagationDelay  = time.Second
+	modelMemberTimeout     = 5 * time.Second
+	modelMaxSkew           = 50 * time.Millisecond
+	modelRequestsPerSecond = 100
 
 	otherAccount = fleet.Account("wholesale-2")
 )
 
 // modelMember is one entry instance of the model.
 type modelMember struct {
-	c       *Controller
-	id      fleet.InstanceID
-	skew    time.Duration
-	dead    bool
-	paused  time.Time
-	side    int
-	reached []time.Time
+	c           *Controller
+	id          fleet.InstanceID
+	skew        time.Duration
+	crashed     bool
+	pausedUntil time.Time
+	partition   int
+	lastSent    []time.Time
 }
 
-// inFlight is a digest or, with join set, the news of a member.
-type inFlight struct {
-	at       time.Time
-	from, to int
-	digest   Demand
-	join     bool
+// message is a digest or, with join set, the news of a member.
+type message struct {
+	deliverAt time.Time
+	from, to  int
+	digest    Demand
+	join      bool
 }
 
 // shareModel is a set of entry instances whose digests are delayed, lost,
 // repeated and reordered.
 type shareModel struct {
-	now      time.Time
-	members  []*modelMember
-	messages []inFlight
-	cut      bool
+	now         time.Time
+	members     []*modelMember
+	messages    []message
+	partitioned bool
 }
 
-func (m *shareModel) add(t *rapid.T) {
+func (m *shareModel) addMember(t *rapid.T) {
 	i := len(m.members)
-	skew := time.Duration(rapid.Int64Range(-int64(modelSkew), int64(modelSkew)).Draw(t, "skew"))
+	skew := time.Duration(rapid.Int64Range(-int64(modelMaxSkew), int64(modelMaxSkew)).Draw(t, "skew"))
 	c := &Controller{
 		Instance: fleet.InstanceID(rune('a' + i)),
 		// A digest has room for one of the two accounts.
-		Sharing: Sharing{PropagationDelay: modelSpread, MemberTimeout: modelLapse, DigestAccounts: 1},
+		Sharing: Sharing{PropagationDelay: modelPropagationDelay, MemberTimeout: modelMemberTimeout, DigestAccounts: 1},
 	}
 	config := testConfig(1000, 1,
-		AccountConfig{Account: testAccount, RequestsPerSecond: modelLimit},
-		AccountConfig{Account: otherAccount, RequestsPerSecond: modelLimit})
+		AccountConfig{Account: testAccount, RequestsPerSecond: modelRequestsPerSecond},
+		AccountConfig{Account: otherAccount, RequestsPerSecond: modelRequestsPerSecond})
 
 	if err := c.Configure(m.now.Add(skew), config); err != nil {
 		t.Fatalf("configure: %v", err)
 	}
 
-	member := &modelMember{c: c, id: c.Instance, skew: skew, side: rapid.IntRange(0, 1).Draw(t, "side")}
+	member := &modelMember{c: c, id: c.Instance, skew: skew, partition: rapid.IntRange(0, 1).Draw(t, "side")}
 	m.members = append(m.members, member)
 
 	for j := range m.members {
 		for _, other := range []int{i, j} {
-			m.members[other].reached = append(m.members[other].reached, m.now)
+			m.members[other].lastSent = append(m.members[other].lastSent, m.now)
 		}
 
 		if j != i {
 			delay := time.Duration(rapid.IntRange(0, 8).Draw(t, "joinDelay")) * modelStep
 			m.messages = append(m.messages,
-				inFlight{at: m.now.Add(delay), from: i, to: j, join: true},
-				inFlight{at: m.now, from: j, to: i, join: true})
+				message{deliverAt: m.now.Add(delay), from: i, to: j, join: true},
+				message{deliverAt: m.now, from: j, to: i, join: true})
 		}
 	}
 }
 
-func (m *shareModel) load(t *rapid.T) {
+func (m *shareModel) offerLoad(t *rapid.T) {
 	for _, member := range m.members {
 		now := m.now.Add(member.skew)
 
@@ -97,7 +97,7 @@
 
 func (m *shareModel) publish(t *rapid.T) {
 	for i, member := range m.members {
-		if member.dead || m.now.Before(member.paused) || rapid.IntRange(0, 2).Draw(t, "publishes") > 0 {
+		if member.crashed || m.now.Before(member.pausedUntil) || rapid.IntRange(0, 2).Draw(t, "publishes") > 0 {
 			continue
 		}
 
@@ -110,29 +110,29 @@
 }
 
 func (m *shareModel) send(t *rapid.T, from, to int, digest Demand) {
-	if from == to || (m.cut && m.members[from].side != m.members[to].side) {
+	if from == to || (m.partitioned && m.members[from].partition != m.members[to].partition) {
 		return
 	}
 
-	reached := &m.members[from].reached[to]
+	reached := &m.members[from].lastSent[to]
 	delay := time.Duration(rapid.IntRange(0, 15).Draw(t, "delay")) * modelStep
 
 	// A loss that lasts is a cut, which is drawn apart.
-	if m.now.Sub(*reached) < modelLapse/2 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+	if m.now.Sub(*reached) < modelMemberTimeout/2 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 		return
 	}
 
 	*reached = m.now
 	for range rapid.IntRange(1, 2).Draw(t, "copies") {
-		m.messages = append(m.messages, inFlight{at: m.now.Add(delay), from: from, to: to, digest: digest})
+		m.messages = append(m.messages, message{deliverAt: m.now.Add(delay), from: from, to: to, digest: digest})
 	}
 }
 
 func (m *shareModel) deliver() {
-	var kept []inFlight
+	var kept []message
 
 	for _, msg := range m.messages {
-		if msg.at.After(m.now) {
+		if msg.deliverAt.After(m.now) {
 			kept = append(kept, msg)
 
 			continue
@@ -141,7 +141,7 @@
 		to, from := m.members[msg.to], m.members[msg.from]
 
 		switch {
-		case to.dead:
+		case to.crashed:
 		case msg.join:
 			to.c.AddMember(m.now.Add(to.skew), from.id)
 		default:
@@ -152,32 +152,32 @@
 	m.messages = kept
 }
 
-func (m *shareModel) upset(t *rapid.T) {
+func (m *shareModel) injectFault(t *rapid.T) {
 	member := m.members[rapid.IntRange(0, len(m.members)-1).Draw(t, "upset")]
 
 	switch rapid.IntRange(0, 30).Draw(t, "fault") {
 	case 0:
-		member.dead = true
+		member.crashed = true
 	case 1, 2:
-		member.paused = m.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(t, "pause")) * modelStep)
+		member.pausedUntil = m.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(t, "pause")) * modelStep)
 	case 3:
 		if len(m.members) < 8 {
-			m.add(t)
+			m.addMember(t)
 		}
 	}
 }
 
-// total is the part of a limit that all living instances hold together, for the
+// maxTotalShare is the part of a limit that all living instances hold together, for the
 // account of which they hold the most.
-func (m *shareModel) total() float64 {
+func (m *shareModel) maxTotalShare() float64 {
 	var first, second float64
 
 	for _, member := range m.members {
-		if member.dead {
+		if member.crashed {
 			continue
 		}
 
-		if !m.now.Before(member.paused) {
+		if !m.now.Before(member.pausedUntil) {
 			member.c.Rebalance(m.now.Add(member.skew))
 		}
 
@@ -191,7 +191,7 @@
 func (m *shareModel) step(t *rapid.T) {
 	m.now = m.now.Add(modelStep)
 	m.deliver()
-	m.load(t)
+	m.offerLoad(t)
 	m.publish(t)
 }
 
@@ -199,33 +199,33 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &shareModel{now: start}
 		for range rapid.IntRange(1, 5).Draw(t, "members") {
-			m.add(t)
+			m.addMember(t)
 		}
 
-		cutAt := -1
+		partitionAt := -1
 		if rapid.Bool().Draw(t, "isCut") {
-			cutAt = rapid.IntRange(20, 40).Draw(t, "cutAt")
+			partitionAt = rapid.IntRange(20, 40).Draw(t, "cutAt")
 		}
 
 		want := 1.0
 
 		for i := range 160 {
 			// Both sides may use all until each has noticed that the other is gone.
-			if i == cutAt {
-				m.cut, want = true, 2
+			if i == partitionAt {
+				m.partitioned, want = true, 2
 			}
 
-			if m.cut && i == cutAt+int(2*modelLapse/modelStep) {
+			if m.partitioned && i == partitionAt+int(2*modelMemberTimeout/modelStep) {
 				want = 1.5
 			}
 
 			m.step(t)
 
-			if !m.cut {
-				m.upset(t)
+			if !m.partitioned {
+				m.injectFault(t)
 			}
 
-			if got := m.total(); got > want+1e-6 {
+			if got := m.maxTotalShare(); got > want+1e-6 {
 				t.Fatalf("after %v the instances hold %.3f of the limit, want at most %.1f", m.now.Sub(start), got, want)
 			}
 		}
