--- a/clock/sleep_test.go
+++ b/clock/sleep_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-func TestSleepEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestSleepReturnsOnTimeoutOrCancel(t *testing.T) {
 	tests := []struct {
 		desc    string
 		timeout time.Duration
 		want    time.Duration
 	}{
-		{desc: "the time passes", timeout: time.Hour, want: time.Minute},
-		{desc: "the context ends", timeout: time.Second, want: time.Second},
+		{desc: "duration passes", timeout: time.Hour, want: time.Minute},
+		{desc: "context is done", timeout: time.Second, want: time.Second},
 	}
 
 	for _, tt := range tests {
@@ -23,10 +23,10 @@
 				ctx, cancel := context.WithTimeout(t.Context(), tt.timeout)
 				defer cancel()
 
-				begun := time.Now()
+				began := time.Now()
 				Sleep(ctx, System{}, time.Minute)
 
-				if got := time.Since(begun); got != tt.want {
+				if got := time.Since(began); got != tt.want {
 					t.Errorf("slept: got %v, want %v", got, tt.want)
 				}
 			})
--- a/daemon/build_control.go
+++ b/daemon/build_control.go
@@ -36,8 +36,8 @@
 		Writer: p.settings.Instance, Incarnation: p.incarnation,
 		AppendsPerSecond: p.settings.AppendsPerSecond - p.controlShare(), Rand: newRandom(),
 	}
-	p.claims = newClaims(&claim.Keeper{
-		Journal: client, Clock: p.clock, KeepHeader: dispatch.StoredHeaders,
+	p.claims = newClaims(&claim.Executor{
+		Log: client, Clock: p.clock, StoredHeaders: dispatch.StoredHeaders,
 		Config: claim.Config{Self: p.settings.Instance, Incarnation: p.incarnation},
 	}, client)
 
--- a/entry/restoration.go
+++ b/entry/restoration.go
@@ -139,7 +139,7 @@
 	go func() {
 		since, _ := p.restoration.since(now)
 		clock.Sleep(context.Background(), p.clock, restoreSettleDuration-since)
-		p.registerFeed.Reread()
+		p.registerFeed.RequestSnapshot()
 	}()
 
 	return p.register.Restore(changes)
--- a/httpclient/client_test.go
+++ b/httpclient/client_test.go
@@ -12,15 +12,15 @@
 	"monsoonlever/httpclient"
 )
 
-// A read that the transport sends again may fail to dial the second time, but
-// the first sending has left.
-func TestFailedDialAfterASendingIsNotErrNotSent(t *testing.T) {
+// Guards against ErrNotSent for a request that the transport resends: the dial for the second
+// send fails, but the first send has reached the server.
+func TestDialFailureOnResendIsNotErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	go answerOnceAndLeave(l)
+	go serveOnceThenClose(l)
 
 	client := httpclient.New("http://"+l.Addr().String(), &http.Client{Transport: &http.Transport{}})
 	if err := client.Get(t.Context(), "/", nil); err != nil {
@@ -35,11 +35,11 @@
 	}
 
 	if errors.Is(err, httpclient.ErrNotSent) {
-		t.Errorf("second read: got %v, want an error that leaves it unknown", err)
+		t.Errorf("second read: got %v, want an error with an unknown outcome", err)
 	}
 }
 
-func answerOnceAndLeave(l net.Listener) {
+func serveOnceThenClose(l net.Listener) {
 	conn, err := l.Accept()
 	if err != nil {
 		return
@@ -62,31 +62,31 @@
 	l.Close()
 }
 
-// failingRoundTripper may have sent the request; it runs no trace hooks.
+// failingRoundTripper fails after it may have sent the request. It calls no trace hooks.
 type failingRoundTripper struct{}
 
 func (failingRoundTripper) RoundTrip(*http.Request) (*http.Response, error) {
 	return nil, io.ErrUnexpectedEOF
 }
 
-func TestErrorOfAnotherRoundTripperIsUnknown(t *testing.T) {
+func TestRoundTripperErrorIsNotErrNotSent(t *testing.T) {
 	client := httpclient.New("http://127.0.0.1:1", &http.Client{Transport: failingRoundTripper{}})
 
 	err := client.Post(t.Context(), "/", "x", nil)
 	if err == nil || errors.Is(err, httpclient.ErrNotSent) {
-		t.Errorf("post: got %v, want an error that leaves it unknown", err)
+		t.Errorf("post: got %v, want an error with an unknown outcome", err)
 	}
 }
 
-func TestReadBodyIsBounded(t *testing.T) {
+func TestReadBodyEnforcesLimit(t *testing.T) {
 	tests := []struct {
 		desc string
 		body string
 		want error
 	}{
 		{desc: "empty", body: ""},
-		{desc: "at the bound", body: "1234"},
-		{desc: "over the bound", body: "12345", want: httpclient.ErrResponseTooLarge},
+		{desc: "at the limit", body: "1234"},
+		{desc: "over the limit", body: "12345", want: httpclient.ErrResponseTooLarge},
 	}
 
 	for _, tt := range tests {
--- a/logpipe/logpipe_test.go
+++ b/logpipe/logpipe_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/clock"
 )
 
-func TestLinesBeyondTheRateAreCountedAndSaid(t *testing.T) {
+func TestDroppedLinesAreCountedAndReported(t *testing.T) {
 	var out bytes.Buffer
 
 	c := clock.NewManual(time.Unix(1000, 0))
@@ -23,7 +23,7 @@
 		}
 	}
 
-	if p.Roomy() {
+	if p.HasSpareCapacity() {
 		t.Error("full: got roomy, want not")
 	}
 
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 
-	if !p.Roomy() {
+	if !p.HasSpareCapacity() {
 		t.Error("20s later: got not roomy, want roomy")
 	}
 
@@ -41,7 +41,7 @@
 	cancel()
 	p.Run(ctx)
 
-	if got, want := strings.Count(out.String(), "xxx\n"), Burst/1024; got != want {
+	if got, want := strings.Count(out.String(), "xxx\n"), BurstBytes/1024; got != want {
 		t.Errorf("lines: got %d, want %d", got, want)
 	}
 
@@ -51,16 +51,16 @@
 }
 
 // A reader that never reads must not hold the writer up.
-func TestWriteNeverWaits(t *testing.T) {
+func TestWriteNeverBlocks(t *testing.T) {
 	p := &Pipe{Out: &bytes.Buffer{}, Clock: clock.NewManual(time.Unix(1000, 0))}
 
-	for range 3 * waiting {
+	for range 3 * queueLines {
 		if _, err := p.Write([]byte("x\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
 
-	if len(p.lines) != waiting {
-		t.Errorf("waiting: got %d lines, want %d", len(p.lines), waiting)
+	if len(p.lines) != queueLines {
+		t.Errorf("waiting: got %d lines, want %d", len(p.lines), queueLines)
 	}
 }
