--- a/admission/account.go
+++ b/admission/account.go
@@ -15,13 +15,14 @@
 	limits      atomic.Pointer[limits]
 	requestRate rateLimiter
 	tokenRate   rateLimiter
-	// running counts requests that are queued or run.
+	// running counts the requests that are queued or running.
 	running atomic.Int64
-	// nextStartAt is when an account whose share is less than one request may
-	// start the next, in Unix nanoseconds.
+	// nextStartAt is the earliest start of the account's next request, in Unix nanoseconds. It is
+	// set only while the share is less than one concurrent request.
 	nextStartAt atomic.Int64
 
-	// offeredRequests and offeredTokens count demand since the last digest.
+	// offeredRequests, offeredTokens and peakConcurrency measure the demand since the last digest,
+	// refused requests included.
 	offeredRequests atomic.Int64
 	offeredTokens   atomic.Int64
 	peakConcurrency atomic.Int64
@@ -29,7 +30,8 @@
 	demand demandEstimate
 }
 
-// limitCheck is what was taken from an account's limits for one request.
+// limitCheck is the result of checking one request against its account's limits. The reason is
+// NoReason if the request is within them.
 type limitCheck struct {
 	reason     Reason
 	retryAfter time.Duration
@@ -65,7 +67,8 @@
 	return limitCheck{}
 }
 
-// acquireSlot counts one more request in progress, if the share allows it.
+// acquireSlot counts one more request in progress if the share allows it. Otherwise it returns the
+// time until the next slot, or 0 if that is unknown.
 func (a *account) acquireSlot(now time.Time, l *limits) (time.Duration, bool) {
 	if l.config.Concurrent <= 0 {
 		a.running.Add(1)
@@ -95,7 +98,7 @@
 	}
 }
 
-// refund undoes take for a request that was refused after all.
+// refund undoes acquire for a request that was refused afterwards.
 func (a *account) refund(r *Request) {
 	l := a.limits.Load()
 	a.requestRate.refund(1, l.requestRate())
@@ -103,7 +106,7 @@
 	a.running.Add(-1)
 }
 
-// finish ends a request that ran.
+// finish releases the slot of a request that ran, and corrects the token estimate.
 func (a *account) finish(now time.Time, r *Request, o Outcome) {
 	l := a.limits.Load()
 
@@ -111,7 +114,8 @@
 		a.tokenRate.refund(float64(r.Tokens-o.Tokens), l.tokenRate())
 	}
 
-	// A share s of one request at a time is held as s of the time.
+	// A share s < 1 of one concurrent request is enforced over time: the account may run a
+	// request for the fraction s of the time.
 	if share := l.concurrency(); share > 0 && share < 1 {
 		idle := time.Duration(float64(o.Duration) * (1/share - 1))
 		a.nextStartAt.Store(now.Add(idle).UnixNano())
@@ -120,7 +124,7 @@
 	a.running.Add(-1)
 }
 
-// rescale keeps what is owed of rate limits when the share of them changes.
+// rescale preserves the outstanding consumption of the rate limits when the share changes.
 func (a *account) rescale(now time.Time, old, share float64) {
 	if old <= 0 || share <= 0 {
 		return
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,18 +1,19 @@
 // Package admission admits, queues or refuses requests on an entry instance.
 //
-// A Controller checks three things in turn: the limits of the client account,
-// the concurrency limit of the service, and whether the deadline can be met
-// behind what is queued already. A request that passes all three runs, one
-// that has to wait is queued fairly between the client accounts, and anything
-// else is refused in the same step, with a time after which to come back.
+// A Controller checks three things in order: the limits of the client account,
+// the concurrency limit of the service, and whether the request can meet its
+// deadline behind the requests that are already queued. A request that passes
+// all checks runs immediately. If no slot is free, it is queued, with fair
+// queueing between the client accounts. All other requests are refused
+// immediately, with a delay after which to retry.
 //
-// The limits of a client account hold over all entry instances. Each instance
-// holds a share of every limit, in proportion to the demand it sees, and tells
-// the others its demand in a small Demand digest.
+// The limits of a client account apply across all entry instances. Each instance
+// holds a share of every limit, in proportion to its demand, and sends its demand
+// to the other instances in a small Demand digest.
 //
-// All steps take the current time and are deterministic for a given seed. The
-// path of an admitted request takes no lock; a service's lock is taken only
-// while requests are queued for it.
+// All operations take the current time and are deterministic for a given seed. A
+// request that is admitted immediately takes no lock; a service's lock is taken
+// only while requests are queued for it.
 //
 // # Usage
 //
@@ -29,6 +30,7 @@
 //	}
 //	defer func() { c.Finish(clk.Now(), ticket, outcome) }()
 //
-// A caller that stops waiting calls Abandon. Digests are exchanged with Demand
-// and ApplyDemand, members are told with Join and Leave.
+// A caller that stops waiting calls Abandon. Digests are sent with PublishDemand
+// and received with ApplyDemand; AddMember and RemoveMember maintain the set of
+// entry instances.
 package admission
--- a/admission/admit_race_test.go
+++ b/admission/admit_race_test.go
@@ -8,8 +8,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// TestConcurrentAdmitLosesNoRequest is for the race detector: no request may be lost
-// between the path without a lock and the queue.
+// Guards against losing a request between the lock-free path and the queue. Run it with the race
+// detector.
 func TestConcurrentAdmitLosesNoRequest(t *testing.T) {
 	c := newController(t, testConfig(4, 1024, AccountConfig{Account: testAccount}))
 
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// BenchmarkAdmitOverload is the cost of one request at a service whose queue
-// is full, with a start for every fifth arrival.
+// BenchmarkAdmitOverload measures one request at a service whose queue is full, with one start for
+// every fifth arrival.
 func BenchmarkAdmitOverload(b *testing.B) {
 	for _, n := range []int{5, 100, 10000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// finishAdmitted finishes what runs and returns what is still queued.
+// finishAdmitted finishes the admitted requests and returns those that are still queued.
 func finishAdmitted(c *Controller, tickets []*Ticket, o Outcome) []*Ticket {
 	queued := tickets[:0]
 
--- a/admission/burst_test.go
+++ b/admission/burst_test.go
@@ -7,9 +7,9 @@
 	"monsoonlever/fleet"
 )
 
-// TestIdleAccountBurstsWithinLimit floods three instances at once with calls of an
-// account that was idle: none refuses a small burst, and together they admit no
-// more than the limit and four seconds of it ahead.
+// Guards against refusing a small burst of an account that was idle, and against admitting too much of
+// a large one: three instances are flooded at the same time, and together may admit no more than the
+// limit and four seconds of it on top.
 func TestIdleAccountBurstsWithinLimit(t *testing.T) {
 	const (
 		perSecond      = 5
--- a/admission/callkind.go
+++ b/admission/callkind.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// callKind holds what is known of one callKind of call of a service.
+// callKind holds the latency target and the measured duration of one kind of call of a service.
 type callKind struct {
 	targetLatency atomic.Int64
 	meanDuration  atomic.Uint64
@@ -33,7 +33,8 @@
 	k.meanDeviation.Store(math.Float64bits(spread))
 }
 
-// expectedDuration returns a time that most requests of the kind stay under.
+// expectedDuration returns a duration that most calls of this kind stay below: the mean plus the
+// mean absolute deviation.
 func (k *callKind) expectedDuration() time.Duration {
 	return time.Duration(math.Float64frombits(k.meanDuration.Load()) + math.Float64frombits(k.meanDeviation.Load()))
 }
--- a/admission/concurrencylimiter.go
+++ b/admission/concurrencylimiter.go
@@ -6,20 +6,23 @@
 	"time"
 )
 
-// concurrencyLimiter adapts a concurrency limit to the measured latency: it grows by up
-// to one a round while latencies meet their target and the limit is in use,
-// and shrinks by a tenth, at most once a round, when they do not.
+// concurrencyLimiter adapts a concurrency limit to the measured latency by additive increase and
+// multiplicative decrease. While latencies meet their target and the limit is utilized, it grows by
+// about one per round of requests. When they miss the target or a server is overloaded, it shrinks
+// by a tenth, at most once per round.
 type concurrencyLimiter struct {
 	running atomic.Int64
 	limit   atomic.Uint64
-	// minLimit, maxLimit and cap bound the limit; cap is the reported capacity share.
+	// minLimit, maxLimit and capacity bound the limit; capacity is this instance's share of the
+	// capacity that backend servers report, or 0 if there is none.
 	minLimit, maxLimit atomic.Int64
 	capacity           atomic.Int64
-	// utilized tells that the limit was nearly reached and is still half in use.
+	// utilized is set when highUtilization of the limit is in use, and unset when less than
+	// lowUtilization is. The limit grows only while it is set.
 	utilized atomic.Bool
-	// nextCutAt is the end of the round of the last cut, in Unix nanoseconds.
+	// nextCutAt is the end of the round of the last decrease, in Unix nanoseconds.
 	nextCutAt atomic.Int64
-	// meanDuration is the average time of a request, in nanoseconds.
+	// meanDuration is the smoothed duration of a request in nanoseconds, as the bits of a float64.
 	meanDuration atomic.Uint64
 }
 
@@ -57,13 +60,13 @@
 	l.limit.Store(math.Float64bits(v))
 }
 
-// setCapacity bounds the limit by the capacity that backend servers report.
+// setCapacity bounds the limit by the capacity that backend servers report; 0 removes the bound.
 func (l *concurrencyLimiter) setCapacity(c int) {
 	l.capacity.Store(int64(c))
 	l.setLimit(l.current())
 }
 
-// acquire takes one slot if there is one.
+// acquire takes a slot and reports whether one was free.
 func (l *concurrencyLimiter) acquire() bool {
 	allowed := int64(l.current())
 
@@ -83,7 +86,7 @@
 	}
 }
 
-// release gives a slot back and learns from how the request went.
+// release frees a slot and adapts the limit to the outcome of its request.
 func (l *concurrencyLimiter) release(now time.Time, target time.Duration, o Outcome) {
 	running := l.running.Add(-1) + 1
 	limit := l.current()
@@ -135,7 +138,7 @@
 	return time.Duration(math.Float64frombits(l.meanDuration.Load()))
 }
 
-// drainTime estimates how long n queued requests take to be started.
+// drainTime estimates how long it takes until n queued requests have started.
 func (l *concurrencyLimiter) drainTime(n float64) time.Duration {
 	return time.Duration(n * float64(l.serviceTime()) / l.current())
 }
--- a/admission/config.go
+++ b/admission/config.go
@@ -6,17 +6,17 @@
 	"monsoonlever/fleet"
 )
 
-// Config holds the limits in force. A manifest is mapped on it.
+// Config holds the limits in force. It is derived from a manifest.
 type Config struct {
 	Services []ServiceConfig `json:"services"`
 	Accounts []AccountConfig `json:"accounts"`
 }
 
-// ServiceConfig bounds what one entry instance runs and queues for a service.
+// ServiceConfig limits the requests that one entry instance runs and queues for a service.
 type ServiceConfig struct {
 	Service fleet.Service `json:"service"`
-	// MinConcurrent, MaxConcurrent and StartConcurrent bound and start the
-	// adaptive concurrency limit.
+	// MinConcurrent and MaxConcurrent bound the adaptive concurrency limit; StartConcurrent is
+	// its initial value.
 	MinConcurrent   int `json:"minConcurrent"`
 	MaxConcurrent   int `json:"maxConcurrent"`
 	StartConcurrent int `json:"startConcurrent"`
@@ -32,14 +32,14 @@
 	Target time.Duration  `json:"target"`
 }
 
-// AccountConfig holds the limits of a client account over all entry
-// instances. A limit of zero is no limit.
+// AccountConfig holds the limits of a client account across all entry instances. A limit of zero
+// means no limit.
 type AccountConfig struct {
 	Account           fleet.Account `json:"account"`
 	RequestsPerSecond float64       `json:"requestsPerSecond"`
 	TokensPerSecond   float64       `json:"tokensPerSecond"`
 	Concurrent        int           `json:"concurrent"`
-	// Weight is the account's part in fair queueing; zero counts as one.
+	// Weight is the account's weight in fair queueing; zero means 1.
 	Weight float64 `json:"weight"`
 }
 
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -14,30 +14,29 @@
 	"monsoonlever/fleet"
 )
 
-// Controller decides on the requests of one entry instance. Its fields are set
+// Controller admits, queues or refuses the requests of one entry instance. Its fields are set
 // before the first call of Configure.
 type Controller struct {
-	// Instance is this entry instance.
+	// Instance is the ID of this entry instance.
 	Instance fleet.InstanceID
-	// Sharing sets how limits are shared between the entry instances.
+	// Sharing configures how limits are shared between the entry instances.
 	Sharing Sharing
-	// Seed makes the jitter of Retry-After repeatable.
+	// Seed makes the jitter of Decision.RetryAfter repeatable.
 	Seed uint64
-	// Clock and TickEvery drive Run; TickEvery has a default.
+	// Clock and TickInterval drive Run; the default interval is 10 ms.
 	Clock        clock.Clock
 	TickInterval time.Duration
-	// Metrics is where counters are registered; nil is a set of its own.
+	// Metrics is the set in which the counters are registered; nil means a new set.
 	Metrics *metrics.Set
 
-	// newQueue is replaced in tests that compare policies.
+	// newQueue is replaced in tests that compare queueing policies.
 	newQueue func() queue
 
 	table    atomic.Pointer[table]
 	jitter   jitter
 	counters *counters
 
-	// sharesValidUntil is when the shares in force must be computed anew, in Unix
-	// nanoseconds.
+	// sharesValidUntil is when the computed shares expire, in Unix nanoseconds.
 	sharesValidUntil atomic.Int64
 
 	mu     sync.Mutex
@@ -46,15 +45,15 @@
 
 const (
 	defaultTickInterval = 10 * time.Millisecond
-	// rebalanceTicks is how many ticks of Run pass between two rebalances.
+	// rebalanceTicks is the number of ticks of Run between two rebalances.
 	rebalanceTicks = 10
 )
 
 // ErrConfig is wrapped by the errors of Configure.
 var ErrConfig = merry.Sentinel("admission config is not valid")
 
-// Configure puts limits in force. It may be called again at any time, and
-// keeps what was learned of services and accounts that stay.
+// Configure applies new limits. It may be called again at any time. Services and accounts that
+// remain keep their measurements, and queued requests of removed services are refused.
 func (c *Controller) Configure(now time.Time, config Config) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,7 +158,7 @@
 	}
 }
 
-// Admit decides on a request, or queues it.
+// Admit admits, queues or refuses a request.
 func (c *Controller) Admit(now time.Time, r Request) *Ticket {
 	t := &Ticket{request: r, arrivedAt: now, heapIndex: notInHeap}
 	snapshot := c.table.Load()
@@ -180,7 +179,8 @@
 	}
 
 	if now.UnixNano() > c.sharesValidUntil.Load() {
-		// This instance was paused; what it held then may be others' now.
+		// This instance was paused. In the meantime, other instances may have taken over
+		// its shares.
 		c.Rebalance(now)
 	}
 
@@ -201,7 +201,7 @@
 	return t
 }
 
-// refuse decides a request that took nothing from its account.
+// refuse refuses a request that consumed nothing of its account's limits.
 func (c *Controller) refuse(t *Ticket, r Reason, wait time.Duration) *Ticket {
 	if c.counters != nil {
 		c.counters.refused[r].Inc()
@@ -212,7 +212,8 @@
 	return t
 }
 
-// Finish ends a request that was admitted. Only its first call counts.
+// Finish records the outcome of an admitted request and frees its slot. Further calls for the same
+// ticket have no effect.
 func (c *Controller) Finish(now time.Time, t *Ticket, o Outcome) {
 	if d, final := t.Decision(); !final || d.Verdict != Admitted || !t.finished.CompareAndSwap(false, true) {
 		return
@@ -226,9 +227,8 @@
 	t.service.finish(now, t, o)
 }
 
-// Abandon takes a request whose caller has gone out of the queue. It returns
-// false if the request was decided before; if it was admitted, it must still
-// be finished.
+// Abandon removes a request from the queue, because its caller stopped waiting. It returns false if
+// the request was already decided; if it was admitted, it must still be finished.
 func (c *Controller) Abandon(now time.Time, t *Ticket) bool {
 	if _, final := t.Decision(); final {
 		return false
@@ -237,7 +237,8 @@
 	return t.service.abandon(now, t)
 }
 
-// Tick gives up queued requests whose deadline can no longer be met. Run calls it.
+// Tick starts queued requests for which a slot is free, and refuses those that can no longer meet
+// their deadline. Run calls it.
 func (c *Controller) Tick(now time.Time) {
 	snapshot := c.table.Load()
 	if snapshot == nil {
@@ -249,8 +250,8 @@
 	}
 }
 
-// SetCapacity bounds the concurrency of a service on this instance by its part
-// of the capacity that backend servers report; zero takes the bound away.
+// SetCapacity bounds the concurrency of a service on this instance by its share of the capacity
+// that backend servers report; zero removes the bound.
 func (c *Controller) SetCapacity(name fleet.Service, concurrent int) {
 	snapshot := c.table.Load()
 	if snapshot == nil || snapshot.services[name] == nil {
@@ -260,7 +261,7 @@
 	snapshot.services[name].limiter.setCapacity(concurrent)
 }
 
-// Run ticks until ctx ends.
+// Run calls Tick and Rebalance periodically until ctx is cancelled.
 func (c *Controller) Run(ctx context.Context) error {
 	interval := c.TickInterval
 	if interval <= 0 {
--- a/admission/controller_shares.go
+++ b/admission/controller_shares.go
@@ -6,7 +6,8 @@
 	"monsoonlever/fleet"
 )
 
-// AddMember tells of another entry instance, before or after its first digest.
+// AddMember adds another entry instance to the members. It may be called before or after
+// ApplyDemand received the instance's first digest.
 func (c *Controller) AddMember(now time.Time, id fleet.InstanceID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -16,8 +17,8 @@
 	}
 }
 
-// RemoveMember tells that another entry instance has stopped admitting requests: it
-// said so itself, or the platform's list says that it is gone.
+// RemoveMember removes an entry instance that stopped admitting requests: it announced so itself,
+// or the platform's list says that it terminated.
 func (c *Controller) RemoveMember(id fleet.InstanceID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,8 +26,8 @@
 	c.shares.removeMember(id)
 }
 
-// PublishDemand makes the digest to send to the other entry instances. What it
-// returns counts as published.
+// PublishDemand returns the digest to send to the other entry instances. The digest counts as
+// published from now on, so it must be sent.
 func (c *Controller) PublishDemand(now time.Time) Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,8 +43,8 @@
 	return d
 }
 
-// ApplyDemand takes the digest of another entry instance. Digests may come
-// late, twice and in any order.
+// ApplyDemand applies a digest received from another entry instance. Digests may be delayed,
+// duplicated and reordered.
 func (c *Controller) ApplyDemand(now time.Time, from fleet.InstanceID, d Demand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +54,7 @@
 	}
 }
 
-// Rebalance computes this instance's share of every limit. Run calls it.
+// Rebalance recomputes this instance's share of every limit. Run calls it.
 func (c *Controller) Rebalance(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-// Share returns the part of an account's limits that this instance may use.
+// Share returns the fraction of an account's limits that this instance may use.
 func (c *Controller) Share(name fleet.Account) float64 {
 	snapshot := c.table.Load()
 	if snapshot == nil || snapshot.accounts[name] == nil {
@@ -90,13 +91,13 @@
 	return snapshot.accounts[name].limits.Load().share
 }
 
-// Ready tells whether this instance holds a share of the limits yet. It does
-// once its first digest has had the time to reach the others.
+// Ready reports whether this instance holds shares of the limits. It does from when its first
+// digest has had the time to reach all members.
 func (c *Controller) Ready(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	// The shares in use are those of the last rebalance.
+	// The limits in use are those of the last rebalance, so apply the current shares first.
 	if snapshot := c.table.Load(); snapshot != nil {
 		c.rebalance(now, snapshot)
 	}
--- a/admission/deadlineheap.go
+++ b/admission/deadlineheap.go
@@ -1,12 +1,12 @@
 package admission
 
-// deadlineHeap orders queued tickets by the time at which they are given up.
+// deadlineHeap orders queued tickets by their latest start.
 type deadlineHeap []*Ticket
 
 // Len returns the number of tickets.
 func (h deadlineHeap) Len() int { return len(h) }
 
-// Less orders by time.
+// Less orders by latest start.
 func (h deadlineHeap) Less(i, j int) bool { return h[i].latestStart.Before(h[j].latestStart) }
 
 // Swap exchanges two tickets.
--- a/admission/decision.go
+++ b/admission/decision.go
@@ -7,9 +7,9 @@
 
 // The verdicts.
 const (
-	// Queued requests wait; it is the only verdict that is not final.
+	// Queued requests wait for a slot. It is the only verdict that is not final.
 	Queued Verdict = iota
-	// Admitted requests run and must be finished with Finish.
+	// Admitted requests run. Their caller must call Controller.Finish.
 	Admitted
 	// Refused requests did not run and will not.
 	Refused
@@ -29,12 +29,12 @@
 	}
 }
 
-// Decision is the answer to one request.
+// Decision is the result of admission for one request.
 type Decision struct {
 	Verdict Verdict
-	// Reason is set on a refusal.
+	// Reason is why the request was refused.
 	Reason Reason
-	// RetryAfter is when to come back after a refusal.
+	// RetryAfter is the delay after which to retry a refused request.
 	RetryAfter time.Duration
 	// Waited is the time from arrival to the decision.
 	Waited time.Duration
--- a/admission/demand.go
+++ b/admission/demand.go
@@ -8,36 +8,35 @@
 	"monsoonlever/codec"
 )
 
-// MaxDemandAccounts bounds the accounts of one digest; MaxDemandBytes bounds
-// its encoded form.
+// MaxDemandAccounts limits the accounts of one digest; MaxDemandBytes limits its encoded size.
 const (
 	MaxDemandAccounts = 48
 	MaxDemandBytes    = 800
 )
 
-// Demand tells the other entry instances how much of each account's limits
-// this one wants. Accounts that are not listed have the weight Floor.
+// Demand is the digest by which an entry instance reports to the others how much of each account's
+// limits it demands. Accounts that are not listed have the weight Floor.
 type Demand struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
-	// At is when the digest was made, in Unix milliseconds.
+	// At is when the digest was published, in Unix milliseconds.
 	At       int64
 	Floor    float32
 	Accounts []AccountDemand
 }
 
-// AccountDemand is the weight of one account, named by the hash of its name.
+// AccountDemand is the weight of one account, identified by the XXH64 hash of its name.
 type AccountDemand struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Account  uint64
 	Weight   float32
 }
 
-// Encode returns the digest in at most MaxDemandBytes.
+// Encode returns the encoded digest, at most MaxDemandBytes if it lists at most MaxDemandAccounts.
 func (d Demand) Encode() ([]byte, error) {
 	return msgpack.Marshal(&d)
 }
 
-// DecodeDemand reads a digest.
+// DecodeDemand decodes a digest.
 func DecodeDemand(b []byte) (Demand, error) {
 	var d Demand
 	err := codec.Unmarshal(b, &d)
@@ -45,9 +44,9 @@
 	return d, err
 }
 
-// demandEstimate is what an account wants on this instance.
+// demandEstimate is the measured demand of an account on this instance.
 type demandEstimate struct {
-	// fraction is the smoothed part of the limits that callers ask for, from 0 to 1.
+	// fraction is the demand as a fraction of the account's limits, from 0 to 1, smoothed.
 	fraction   float64
 	measuredAt time.Time
 }
--- a/admission/demand_test.go
+++ b/admission/demand_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// newPair returns two instances that have told each other of themselves.
+// newPair returns two instances that are members of each other.
 func newPair(t *testing.T) (first, second *Controller) {
 	t.Helper()
 
--- a/admission/demandestimate.go
+++ b/admission/demandestimate.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// demandSmoothing is the part of a new measurement in the smoothed demand.
+// demandSmoothing is the weight of a new measurement in the smoothed demand.
 const demandSmoothing = 0.5
 
-// measureDemand returns the part of the account's limits that callers ask for here,
-// from 0 to 1, smoothed over the digests.
+// measureDemand returns the demand on this instance as a fraction of the account's limits, from 0
+// to 1, smoothed over successive digests.
 func (a *account) measureDemand(now time.Time) float64 {
 	elapsed := now.Sub(a.demand.measuredAt)
 	if a.demand.measuredAt.IsZero() || elapsed <= 0 {
@@ -31,7 +31,7 @@
 	return a.demand.fraction
 }
 
-// fractionOf returns v as a fractionOf of limit, at most 1; no limit is no demand.
+// fractionOf returns v as a fraction of limit, at most 1. Without a limit it returns 0.
 func fractionOf(v, limit float64) float64 {
 	if limit <= 0 {
 		return 0
--- a/admission/digesthistory.go
+++ b/admission/digesthistory.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// publishedDigest is one digest of this instance, indexed by account.
+// publishedDigest is a digest that this instance published, indexed by account.
 type publishedDigest struct {
 	at      time.Time
 	floor   float64
@@ -17,11 +17,11 @@
 	return p.floor
 }
 
-// digestHistory holds the digests of this instance that others may still go by: all
-// of the last window, and the one before.
+// digestHistory holds the digests of this instance that other members may still use, oldest first:
+// those published within the window, and the last one before it.
 type digestHistory []publishedDigest
 
-// trim drops what is older than the newest digest from before the window.
+// trim removes the digests that were superseded before from, the start of the window.
 func (h digestHistory) trim(from time.Time) digestHistory {
 	for len(h) > 1 && !h[1].at.After(from) {
 		h = h[1:]
@@ -30,7 +30,7 @@
 	return h
 }
 
-// minFloor returns the least minFloor.
+// minFloor returns the lowest floor in the history.
 func (h digestHistory) minFloor() float64 {
 	least := h[0].floor
 
@@ -41,7 +41,7 @@
 	return least
 }
 
-// minWeight returns the minWeight weight of an account.
+// minWeight returns the lowest weight of an account in the history.
 func (h digestHistory) minWeight(hash uint64) float64 {
 	least := h[0].weight(hash)
 
--- a/admission/fairqueue.go
+++ b/admission/fairqueue.go
@@ -6,12 +6,12 @@
 	"monsoonlever/fleet"
 )
 
-// fairQueue serves the highest priority first and the accounts within a
-// priority by their weights. Every lowTurn-th start goes to a lower priority,
-// so that none starves. When it is full, the latest request of the heaviest
-// account at the lowest priority leaves.
+// fairQueue serves the highest priority first, and the accounts within a priority in proportion to
+// their weights. Every lowerPriorityInterval-th start goes to a lower priority to prevent
+// starvation. When the queue is full, it evicts the latest request of the account with the highest
+// load at the lowest priority.
 type fairQueue struct {
-	// classes holds the priorities that have requests, the highest first.
+	// classes holds the priorities that have queued requests, the highest first.
 	classes     []*priorityClass
 	count       int
 	queuedBytes int64
@@ -19,7 +19,7 @@
 	starts      int
 }
 
-// lowerPriorityInterval is the share of starts that lower priorities get while they wait.
+// lowerPriorityInterval is the number of starts of which one goes to a lower priority.
 const lowerPriorityInterval = 10
 
 func newFairQueue() queue { return &fairQueue{} }
@@ -79,7 +79,7 @@
 	return q.count < q.config.QueueRequests && q.queuedBytes+t.request.Bytes <= q.config.QueueBytes
 }
 
-// victim chooses who leaves for t, which may be t itself.
+// victim returns the request to evict to make room for t. It may be t itself.
 func (q *fairQueue) victim(t *Ticket) *Ticket {
 	lowest := q.classes[len(q.classes)-1]
 
@@ -124,8 +124,8 @@
 	return t
 }
 
-// longestWaiting returns the class below the highest whose next request is
-// the oldest, or the highest if it is the only one.
+// longestWaiting returns the class, below the highest priority, whose next request arrived first.
+// If there is only one class, it returns that.
 func (q *fairQueue) longestWaiting() *priorityClass {
 	if len(q.classes) == 1 {
 		return q.classes[0]
@@ -147,7 +147,7 @@
 	q.countRemoved(c, t)
 }
 
-// countRemoved counts t out, and drops its class when that is empty.
+// countRemoved updates the totals after t was removed from c, and removes c if it is empty.
 func (q *fairQueue) countRemoved(c *priorityClass, t *Ticket) {
 	q.count--
 	q.queuedBytes -= t.request.Bytes
@@ -167,8 +167,9 @@
 	return all
 }
 
-// findInfeasible returns the queued requests for which hopeless is true, given how many
-// requests are ahead of each.
+// findInfeasible returns the queued requests that infeasible reports, given the estimated number of
+// requests ahead of each. A request that is reported is not counted as ahead of later ones of its
+// account.
 func (q *fairQueue) findInfeasible(hopeless func(t *Ticket, ahead float64) bool) []*Ticket {
 	var out []*Ticket
 
--- a/admission/fifo_test.go
+++ b/admission/fifo_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// fifoQueue is the baseline: first come, first served, bounded by count only.
+// fifoQueue is the baseline policy: first come, first served, bounded only by the number of requests.
 type fifoQueue struct {
 	tickets []*Ticket
 	bound   int
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -2,14 +2,13 @@
 
 import "math"
 
-// flow holds the queued requests of one account at one priority, in order of
-// arrival.
+// flow holds the queued requests of one account at one priority, in order of arrival.
 type flow struct {
 	account *account
 	tickets []*Ticket
 	// virtualStart is the virtual time at which the flow's next request starts.
 	virtualStart float64
-	// heapIndex is the index in the heap of the class, or noPlace.
+	// heapIndex is the index in the heap of the class, or notInHeap.
 	heapIndex int
 }
 
@@ -17,12 +16,12 @@
 	return f.account.limits.Load().config.Weight
 }
 
-// load is how much the flow queues for its weight.
+// load returns the number of queued requests divided by the account's weight.
 func (f *flow) load() float64 {
 	return float64(len(f.tickets)) / f.weight()
 }
 
-// position returns the index of t, or where it would be added.
+// position returns the index of t, or the index at which it would be added.
 func (f *flow) position(t *Ticket) int {
 	for i, other := range f.tickets {
 		if other == t {
@@ -48,7 +47,8 @@
 	f.tickets = f.tickets[:len(f.tickets)-1]
 }
 
-// cost is what a request takes of a flow's virtual time: its tokens, or one.
+// cost returns how far a request advances its flow's virtual time, before the weight is applied:
+// its tokens, at least 1.
 func cost(r *Request) float64 {
 	return math.Max(1, float64(r.Tokens))
 }
--- a/admission/flowheap.go
+++ b/admission/flowheap.go
@@ -1,12 +1,12 @@
 package admission
 
-// flowHeap orders the flows that have requests by their virtual start time.
+// flowHeap orders the flows that have queued requests by their virtual start time.
 type flowHeap []*flow
 
 // Len returns the number of flows.
 func (h flowHeap) Len() int { return len(h) }
 
-// Less orders by virtual start time, then by name so that ties are repeatable.
+// Less orders by virtual start time, and by account name so that ties are deterministic.
 func (h flowHeap) Less(i, j int) bool {
 	if h[i].virtualStart != h[j].virtualStart {
 		return h[i].virtualStart < h[j].virtualStart
--- a/admission/goodput_test.go
+++ b/admission/goodput_test.go
@@ -14,15 +14,14 @@
 	simMeanServiceTime = 100 * time.Millisecond
 	simDeadline        = time.Second
 	simDuration        = 20 * time.Second
-	// simCapacity is what the simulated service can do, in requests a second.
+	// simCapacity is the capacity of the simulated service, in requests per second.
 	simCapacity      = float64(simSlots) / 0.1
 	simLargeAccounts = 2
 	simSmallAccounts = 3
-	// simSmallLoadFraction is the part of the load that one small account offers.
+	// simSmallLoadFraction is the fraction of the load that each small account offers.
 	simSmallLoadFraction = 1.0 / 30
 )
 
-// simRequest is one request of the simulation.
 type simRequest struct {
 	ticket   *Ticket
 	deadline time.Time
@@ -44,7 +43,7 @@
 	maxWait      time.Duration
 }
 
-// simResult is what the simulation measured.
+// simResult holds the measurements of a simulation.
 type simResult struct {
 	goodput        float64
 	smallInTime    float64
@@ -99,7 +98,7 @@
 	s.waiting = append(s.waiting, r)
 }
 
-// startAdmitted moves admitted requests to the service and drops refused ones.
+// startAdmitted starts admitted requests at the service and drops refused ones.
 func (s *simulation) startAdmitted() {
 	var waiting []*simRequest
 
@@ -175,7 +174,7 @@
 	}
 }
 
-// TestGoodput compares the policies at one, two and five times the capacity.
+// TestGoodput compares fair queueing with FIFO at one, two and five times the capacity.
 func TestGoodput(t *testing.T) {
 	tests := []struct {
 		loadFactor      float64
--- a/admission/jitter.go
+++ b/admission/jitter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// jitter spreads times to come back, so that callers who were refused
-// together do not return together.
+// jitter randomizes retry delays, so that callers that were refused at the same time do not all
+// retry at the same time.
 type jitter struct {
 	seed  uint64
 	draws atomic.Uint64
@@ -15,7 +15,7 @@
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Minute
-	// maxJitterFraction is the greatest part that is added to a time to come back.
+	// maxJitterFraction is the largest fraction of a retry delay that is added to it.
 	maxJitterFraction = 0.5
 )
 
@@ -25,7 +25,7 @@
 	return d + time.Duration(float64(d)*maxJitterFraction*j.next())
 }
 
-// next returns a number from 0 to 1, by the SplitMix64 generator.
+// next returns a pseudorandom number in [0, 1), by the SplitMix64 generator.
 func (j *jitter) next() float64 {
 	const (
 		increment    = 0x9e3779b97f4a7c15
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// baseBurst is how much of a share may be used at once.
+	// baseBurst is how much of a share may be consumed in one burst.
 	baseBurst = time.Second
-	// evenShareBurst is the same of an even share. The share of an account that was
-	// idle is far below it at first, since it allows for what the other instances
-	// may have admitted in the meantime.
+	// evenShareBurst is the same for an even share. After an account was idle, its actual share is
+	// initially far below an even one, since it allows for requests that other instances may
+	// have admitted in the meantime.
 	evenShareBurst = 3 * time.Second
 )
 
-// limits is the part of an account's limits that this instance may use.
+// limits holds the limits of an account and the share of them that this instance may use.
 type limits struct {
 	config AccountConfig
 	share  float64
-	// evenShare is an evenShare share among the members, 0 for an instance that is alone.
+	// evenShare is an equal share for each member, or 0 for a single instance.
 	evenShare float64
 }
 
-// burst returns how much of the share may be used at once: a second of it, or
-// what an even share would allow in a little more. All instances together may
-// use evenBurst and burst of the whole limit ahead.
+// burst returns how much of the share may be consumed in one burst: a second's worth, or
+// evenShareBurst of an even share if that is more. All instances together may exceed the limit by at
+// most evenShareBurst and baseBurst of it.
 func (l *limits) burst() time.Duration {
 	if l.share <= 0 {
 		return baseBurst
--- a/admission/priorityclass.go
+++ b/admission/priorityclass.go
@@ -7,16 +7,16 @@
 	"monsoonlever/fleet"
 )
 
-// priorityClass holds the queued requests of one priority and serves its accounts by
-// start-time fair queueing.
+// priorityClass holds the queued requests of one priority and serves their accounts by start-time
+// fair queueing.
 type priorityClass struct {
 	priority fleet.Priority
-	// flows holds idle flows as well, while they are ahead of virtual time.
+	// flows also holds idle flows whose virtual start is still ahead of the virtual time.
 	flows       map[*account]*flow
 	active      flowHeap
 	virtualTime float64
 	size        int
-	// totalWeight is the sum of the totalWeight of the active flows.
+	// totalWeight is the sum of the weights of the active flows.
 	totalWeight float64
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// pop takes the first request of the account that is furthest behind.
+// pop removes and returns the first request of the flow with the lowest virtual start.
 func (c *priorityClass) pop() *Ticket {
 	f := c.active[0]
 	t := f.tickets[0]
@@ -67,7 +67,8 @@
 	c.evictIdle(f)
 }
 
-// evictIdle drops idle flows that virtual time has caught up with.
+// evictIdle removes the idle flow f once the virtual time has reached its virtual start. When the
+// class is empty it removes all flows and resets the virtual time.
 func (c *priorityClass) evictIdle(f *flow) {
 	if c.size == 0 {
 		clear(c.flows)
@@ -82,8 +83,8 @@
 	}
 }
 
-// mostLoadedWith returns the flow that queues the most for its weight, counting the
-// newcomer t as queued.
+// mostLoadedWith returns the flow with the highest load, counting t, which is not queued yet, in its
+// account's flow.
 func (c *priorityClass) mostLoadedWith(t *Ticket) *flow {
 	own := &flow{account: t.account, tickets: []*Ticket{t}}
 	if f := c.flows[t.account]; f != nil {
@@ -102,7 +103,7 @@
 	return most
 }
 
-// mostLoaded returns the flow that queues the most for its weight.
+// mostLoaded returns the flow with the highest load.
 func (c *priorityClass) mostLoaded() *flow {
 	most := c.active[0]
 
@@ -115,7 +116,7 @@
 	return most
 }
 
-// position returns the position of t in its account's queue, or where it would be added.
+// position returns the index of t in its account's flow, or the index at which it would be added.
 func (c *priorityClass) position(t *Ticket) int {
 	if f := c.flows[t.account]; f != nil {
 		return f.position(t)
@@ -124,13 +125,12 @@
 	return 0
 }
 
-// nextArrival returns the arrival of the request that is next by fair queueing.
+// nextArrival returns the arrival time of the request that is next by fair queueing.
 func (c *priorityClass) nextArrival() time.Time {
 	return c.active[0].tickets[0].arrivedAt
 }
 
-// ahead estimates how many requests of this class start before the request at
-// place n of its account's queue.
+// ahead estimates how many requests of this class start before t, at index n of its account's flow.
 func (c *priorityClass) ahead(t *Ticket, n int) float64 {
 	weight := t.account.limits.Load().config.Weight
 	weights := c.totalWeight
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,20 +1,20 @@
 package admission
 
-// queue orders the requests that wait for one service.
+// queue holds the requests that wait for one service.
 type queue interface {
-	// ahead estimates how many requests would be started before t.
+	// ahead estimates how many requests would start before t.
 	ahead(t *Ticket) float64
-	// push adds t. It returns the tickets that had to leave for it, which may
-	// be t itself.
+	// push adds t. It returns the tickets that were evicted to make room, which may include t
+	// itself.
 	push(t *Ticket) []*Ticket
-	// pop takes the ticket to start next, or nil.
+	// pop removes and returns the ticket to start next. The queue must not be empty.
 	pop() *Ticket
-	// remove takes out a ticket that is in the queue.
+	// remove removes a ticket that is in the queue.
 	remove(t *Ticket)
-	// drainAll empties the queue.
+	// drainAll empties the queue and returns its tickets.
 	drainAll() []*Ticket
-	// findInfeasible returns the queued tickets that are hopeless, given how many
-	// requests would be started before each.
+	// findInfeasible returns the queued tickets that infeasible reports, given the estimated
+	// number of requests that would start before each.
 	findInfeasible(hopeless func(t *Ticket, ahead float64) bool) []*Ticket
 	size() int
 	bytes() int64
--- a/admission/queue_holds_test.go
+++ b/admission/queue_holds_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/fleet"
 )
 
-// queueModel drives one controller with random steps.
+// queueModel drives one controller with random operations.
 type queueModel struct {
 	c       *Controller
 	now     time.Time
@@ -84,7 +84,7 @@
 	m.collectDecided()
 }
 
-// collectDecided moves decided tickets to where they belong.
+// collectDecided moves decided tickets from waiting to running or refused.
 func (m *queueModel) collectDecided() {
 	var waiting []*Ticket
 
@@ -176,11 +176,12 @@
 	})
 }
 
-// fairModel counts what each account was served while others waited.
+// fairModel counts how many requests of each account start while another account waits.
 type fairModel struct {
 	*queueModel
 	weights []float64
-	// served[small][other] counts starts of other while small waited without a gap.
+	// served[small][other] counts the starts of other since small has had requests queued
+	// without interruption.
 	served [][]float64
 }
 
@@ -251,7 +252,7 @@
 				before = max(before-1, 0)
 				m.finish(t)
 			} else {
-				// Most requests are of account 0, the large one.
+				// Most requests are of account 0, the large account.
 				account := max(0, rapid.IntRange(-4, accounts-1).Draw(t, "account"))
 				m.waiting = append(m.waiting, m.c.Admit(m.now, Request{
 					Service: testService, Account: accountName(account), Kind: testKind,
--- a/admission/ratelimiter.go
+++ b/admission/ratelimiter.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// rateLimiter limits a rate by the generic cell rate algorithm: one atomic holds the
-// time at which all that was taken will have been earned.
+// rateLimiter limits a rate by the generic cell rate algorithm (GCRA). Its state is the theoretical
+// arrival time: the time at which all that was consumed will have been replenished.
 type rateLimiter struct {
 	theoreticalArrival atomic.Int64
 }
 
-// take takes cost at the given rate a second, or returns the time until it can.
+// take consumes cost at the given rate per second. If the limit does not allow it, take returns
+// false and the time until it does; at a rate of 0, that time is burst.
 func (p *rateLimiter) take(now time.Time, cost, rate float64, burst time.Duration) (time.Duration, bool) {
 	if rate <= 0 {
 		return burst, false
@@ -23,7 +24,8 @@
 	for {
 		earned := p.theoreticalArrival.Load()
 		start := max(earned, at)
-		// A cost above the whole burst passes when nothing is owed, or it never would.
+		// A cost above the burst is allowed when nothing is outstanding; otherwise it could
+		// never be taken.
 		wait := start + step - at - int64(burst)
 		wait = min(wait, start-at)
 
@@ -37,7 +39,7 @@
 	}
 }
 
-// refund returns cost that was taken and not used, or takes more with a negative cost.
+// refund returns cost that was taken and not used. A negative cost consumes more.
 func (p *rateLimiter) refund(cost, rate float64) {
 	if rate <= 0 {
 		return
@@ -46,8 +48,8 @@
 	p.theoreticalArrival.Add(-int64(cost / rate * float64(time.Second)))
 }
 
-// rescale keeps what is owed when the rate changes: in as much as the rate rises
-// by a factor, it is earned in less time.
+// rescale preserves the outstanding consumption when the rate changes by a factor: at a higher
+// rate, the same consumption is replenished in less time.
 func (p *rateLimiter) rescale(now time.Time, factor float64) {
 	at := now.UnixNano()
 
--- a/admission/reason.go
+++ b/admission/reason.go
@@ -1,35 +1,37 @@
 package admission
 
-// Reason tells why a request was refused.
+// Reason is why a request was refused.
 type Reason int
 
 // The reasons.
 const (
 	// NoReason is the reason of a request that was not refused.
 	NoReason Reason = iota
-	// UnknownService means that no manifest in force names the service.
+	// UnknownService means that the configuration in force does not name the service.
 	UnknownService
-	// UnknownAccount means that no manifest in force names the client account.
+	// UnknownAccount means that the configuration in force does not name the client account.
 	UnknownAccount
-	// RequestRate means that the account is over its requests per second.
+	// RequestRate means that the account exceeds its requests per second.
 	RequestRate
-	// TokenRate means that the account is over its tokens per second.
+	// TokenRate means that the account exceeds its tokens per second.
 	TokenRate
 	// Concurrency means that the account has too many requests in progress.
 	Concurrency
-	// QueueFull means that others with a better right fill the queue.
+	// QueueFull means that the request did not fit in the queue, or was evicted from it for
+	// another request.
 	QueueFull
 	// DeadlineTooShort means that the deadline cannot be met.
 	DeadlineTooShort
 	// Abandoned means that the caller stopped waiting.
 	Abandoned
-	// Withdrawn means that the service left the manifest while the request was queued.
+	// Withdrawn means that the service was removed from the configuration before the request
+	// started.
 	Withdrawn
 
 	reasonCount
 )
 
-// String returns the name of the reason, in camel case as in snapshots.
+// String returns the name of the reason, in camel case as in metrics and messages.
 func (r Reason) String() string {
 	switch r {
 	case NoReason:
--- a/admission/service.go
+++ b/admission/service.go
@@ -13,9 +13,9 @@
 type service struct {
 	name    fleet.Service
 	limiter concurrencyLimiter
-	// kinds is replaced as a whole and never changed.
+	// kinds is copied on write; the map is never changed in place.
 	kinds atomic.Pointer[map[fleet.CallKind]*callKind]
-	// queued lets the path of a request see an empty queue without the lock.
+	// queued is the length of the queue, for checks without the lock.
 	queued   atomic.Int64
 	jitter   *jitter
 	counters *counters
@@ -30,7 +30,7 @@
 	return (*s.kinds.Load())[k]
 }
 
-// configure takes new settings and keeps what was learned.
+// configure applies new settings and keeps the measurements.
 func (s *service) configure(c ServiceConfig) {
 	s.limiter.configure(c)
 
@@ -56,7 +56,8 @@
 	s.withdrawn = false
 }
 
-// latestStart is the last time at which starting r may still meet its deadline.
+// latestStart returns the latest time at which r can start and still be expected to meet its
+// deadline, or the zero time if it has none.
 func (s *service) latestStart(r *Request) time.Time {
 	if r.Deadline.IsZero() {
 		return time.Time{}
@@ -70,7 +71,7 @@
 	return r.Deadline.Add(-k.expectedDuration())
 }
 
-// enqueue queues t, or refuses it in the same step.
+// enqueue queues t, or refuses it immediately.
 func (s *service) enqueue(now time.Time, t *Ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,11 +95,12 @@
 		s.refuse(now, out, QueueFull)
 	}
 
-	// A slot may have been released since the fast path saw none.
+	// A slot may have been released after Admit found none free.
 	s.dispatch(now)
 }
 
-// infeasible tells whether t would be started too late behind so many others.
+// infeasible reports whether t would start too late to meet its deadline, with the given number of
+// requests ahead of it.
 func (s *service) infeasible(now time.Time, t *Ticket, ahead float64) bool {
 	if t.latestStart.IsZero() {
 		return false
@@ -107,8 +109,8 @@
 	return !now.Add(s.limiter.drainTime(ahead)).Before(t.latestStart)
 }
 
-// shed refuses what was feasible on arrival and is not any more, because the
-// service has become slower or others went before it.
+// shed refuses queued requests that can no longer meet their deadline, because the service became
+// slower or other requests were queued ahead of them.
 func (s *service) shed(now time.Time) {
 	if len(s.deadlines) == 0 {
 		return
@@ -123,7 +125,7 @@
 	}
 }
 
-// markQueued counts t as queued.
+// markQueued counts t as queued and tracks its deadline.
 func (s *service) markQueued(t *Ticket) {
 	t.done = make(chan struct{})
 	t.queued = true
@@ -134,7 +136,7 @@
 	}
 }
 
-// unmarkQueued undoes hold.
+// unmarkQueued undoes markQueued.
 func (s *service) unmarkQueued(t *Ticket) {
 	t.queued = false
 	s.queued.Add(-1)
@@ -144,7 +146,8 @@
 	}
 }
 
-// dispatch gives up what is too late and starts what there are slots for.
+// dispatch refuses queued requests whose latest start has passed, and starts others while slots
+// are free.
 func (s *service) dispatch(now time.Time) {
 	s.expire(now)
 
@@ -156,7 +159,7 @@
 	}
 }
 
-// expire refuses every queued request whose time to start has passed.
+// expire refuses every queued request whose latest start has passed.
 func (s *service) expire(now time.Time) {
 	for len(s.deadlines) > 0 && !s.deadlines[0].latestStart.After(now) {
 		t := s.deadlines[0]
@@ -166,7 +169,7 @@
 	}
 }
 
-// refuse decides t, which is not in the queue.
+// refuse refuses t, which is not in the queue, and refunds what it consumed of its account's limits.
 func (s *service) refuse(now time.Time, t *Ticket, r Reason) {
 	t.account.refund(&t.request)
 	s.counters.refused[r].Inc()
@@ -178,7 +181,7 @@
 	})
 }
 
-// tick is dispatch for a service that no request has touched for a while.
+// tick dispatches and sheds queued requests, independently of requests that arrive or finish.
 func (s *service) tick(now time.Time) {
 	if s.queued.Load() == 0 {
 		return
@@ -191,7 +194,7 @@
 	s.shed(now)
 }
 
-// startNext starts what the released slot is for.
+// startNext starts queued requests after a slot was released.
 func (s *service) startNext(now time.Time) {
 	if s.queued.Load() == 0 {
 		return
@@ -203,7 +206,7 @@
 	s.dispatch(now)
 }
 
-// abandon takes t out of the queue; it returns false if t was decided before.
+// abandon removes t from the queue and refuses it. It returns false if t was already decided.
 func (s *service) abandon(now time.Time, t *Ticket) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,7 +222,7 @@
 	return true
 }
 
-// withdraw refuses all that is queued, and all that comes later.
+// withdraw refuses all queued requests, and makes enqueue refuse all later ones.
 func (s *service) withdraw(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,7 +235,7 @@
 	}
 }
 
-// finish ends a request that ran.
+// finish releases the slot of a request that ran and records its duration.
 func (s *service) finish(now time.Time, t *Ticket, o Outcome) {
 	var target time.Duration
 
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -8,21 +8,21 @@
 	"monsoonlever/fleet"
 )
 
-// shareCalculator computes this instance's share of each limit from the weights that
-// the entry instances tell each other.
+// shareCalculator computes this instance's share of each limit from the weights that the entry
+// instances publish to each other.
 //
-// The shareCalculator of all instances add up to at most the limit. An instance counts
-// for itself only the least weight that it published in the last window, which
-// no other can have missed; for another it counts the newest weight it knows,
-// grown by as much as the other may have raised it since. So every instance
-// divides by at least the sum of what all of them multiply with.
+// The shares of all instances add up to at most the limit. For itself, an instance uses the lowest
+// weight that it published within the window, so that every member has received a weight at least
+// that high. For each other member, it uses the newest weight received, multiplied by the factor by
+// which that member may have raised it since. So the divisor on every instance is at least the sum
+// of the weights that all instances use for themselves.
 type shareCalculator struct {
 	sharing    Sharing
 	startedAt  time.Time
 	members    map[fleet.InstanceID]*member
 	ownDigests digestHistory
 
-	// What follows is computed by prepare.
+	// The fields below are computed by recompute.
 	computedAt  time.Time
 	holdsShares bool
 	floorSum    float64
@@ -30,9 +30,9 @@
 }
 
 const (
-	// validityDivisor is the part of Spread for which computed shares may be used.
+	// validityDivisor divides PropagationDelay to give the validity of computed shares.
 	validityDivisor = 4
-	// evictionTimeouts is how many lapses a silent member stays a member.
+	// evictionTimeouts is the number of member timeouts after which a silent member is removed.
 	evictionTimeouts = 10
 )
 
@@ -52,7 +52,7 @@
 	s.sharing = sharing
 	s.startedAt = now
 
-	// Members may have joined before the first limits are in force.
+	// Members may have been added before the first Configure.
 	if s.members == nil {
 		s.members = make(map[fleet.InstanceID]*member)
 	}
@@ -87,8 +87,9 @@
 	m.hasDigest = true
 }
 
-// publish makes the next digest. A weight is the account's demand and an even
-// part of the floor, but no more than maxGrowth times what was published lately.
+// publish returns the next digest and adds it to the history. The weight of an account is the floor
+// plus its demand, limited to maxWeightGrowth times the lowest weight that was published within the
+// window.
 func (s *shareCalculator) publish(now time.Time, accounts []*account) Demand {
 	s.ownDigests = s.ownDigests.trim(now.Add(-s.window()))
 	floor := s.nextFloor()
@@ -121,7 +122,7 @@
 	return Demand{At: now.UnixMilli(), Floor: float32(floor), Accounts: wanted}
 }
 
-// nextFloor returns the weight of accounts without demand.
+// nextFloor returns the weight of accounts without demand for the next digest.
 func (s *shareCalculator) nextFloor() float64 {
 	if len(s.ownDigests) == 0 {
 		return initialWeight
@@ -132,7 +133,7 @@
 	return min(even, maxWeightGrowth*s.ownDigests.minFloor())
 }
 
-// topDemands keeps as many accounts as a digest has room for.
+// topDemands returns the accounts with the highest weights, as many as the digest has room for.
 func topDemands(wanted []AccountDemand, room int) []AccountDemand {
 	if len(wanted) <= room {
 		return wanted
@@ -169,7 +170,7 @@
 	s.floorSum = 0
 	clear(s.extraSums)
 
-	// The sums are used until the next prepare, so they count that time in.
+	// The sums are used until the next recompute, so they include the growth until then.
 	until := now.Add(s.validity())
 
 	for _, m := range s.members {
@@ -187,7 +188,7 @@
 	}
 }
 
-// validUntil returns when the computed shares must be computed anew.
+// validUntil returns when shares that are computed now expire, in Unix nanoseconds.
 func (s *shareCalculator) validUntil(now time.Time) int64 {
 	if s.isSingleInstance() {
 		return math.MaxInt64
@@ -196,13 +197,14 @@
 	return now.Add(s.validity()).UnixNano()
 }
 
-// maxWeight is the greatest weight that is ever published.
+// maxWeight returns the largest weight that an instance may publish.
 func (s *shareCalculator) maxWeight() float64 {
 	return 1 + s.sharing.EvenFraction
 }
 
-// seesMajority tells whether this instance hears from most members. One that does
-// not may be the one that is cut off, and goes on to count the silent.
+// seesMajority reports whether this instance has received digests from most members within the member
+// timeout. Otherwise it may be the partitioned one itself, and keeps counting the weights of silent
+// members.
 func (s *shareCalculator) seesMajority(now time.Time) bool {
 	silent := 0
 
@@ -215,9 +217,9 @@
 	return len(s.members)+1-silent > silent
 }
 
-// evictSilent drops members that have been silent for very long. Before that they
-// are not weighed, but still count as members: else a minority that loses the
-// others one by one would take itself for the rest of a majority.
+// evictSilent removes members that have been silent for evictionTimeouts member timeouts. Until then
+// their weights are not counted, but they still count towards the majority: otherwise a minority
+// that loses the other members one by one would consider itself a majority of the remaining ones.
 func (s *shareCalculator) evictSilent(now time.Time) {
 	for id, m := range s.members {
 		if now.Sub(m.lastSeen) > evictionTimeouts*s.sharing.MemberTimeout {
@@ -226,7 +228,7 @@
 	}
 }
 
-// share returns the share share one account, after prepare.
+// share returns this instance's share of the limits of one account, as of the last recompute.
 func (s *shareCalculator) share(hash uint64) float64 {
 	if s.isSingleInstance() {
 		return 1
@@ -241,7 +243,7 @@
 	return own / (own + s.floorSum + s.extraSums[hash])
 }
 
-// evenShare returns an evenShare share among the members, 0 for an instance that is alone.
+// evenShare returns an equal share for each member, or 0 for a single instance.
 func (s *shareCalculator) evenShare() float64 {
 	if s.isSingleInstance() {
 		return 0
@@ -250,7 +252,7 @@
 	return 1 / float64(len(s.members)+1)
 }
 
-// ready tells whether a digest of this instance is old enough for all to know it.
+// ready reports whether the oldest digest in the history is old enough to have reached all members.
 func (s *shareCalculator) ready(now time.Time) bool {
 	if s.isSingleInstance() {
 		return true
--- a/admission/shares_holds_test.go
+++ b/admission/shares_holds_test.go
@@ -30,7 +30,7 @@
 	lastSent    []time.Time
 }
 
-// message is a digest or, with join set, the news of a member.
+// message is a digest or, if join is set, the notification that a member joined.
 type message struct {
 	deliverAt time.Time
 	from, to  int
@@ -38,8 +38,7 @@
 	join      bool
 }
 
-// shareModel is a set of entry instances whose digests are delayed, lost,
-// repeated and reordered.
+// shareModel is a set of entry instances whose digests are delayed, lost, duplicated and reordered.
 type shareModel struct {
 	now         time.Time
 	members     []*modelMember
@@ -117,7 +116,8 @@
 	reached := &m.members[from].lastSent[to]
 	delay := time.Duration(rapid.IntRange(0, 15).Draw(t, "delay")) * modelStep
 
-	// A loss that lasts is a cut, which is drawn apart.
+	// Losses do not last longer than half the member timeout: a longer one is a partition, which
+	// is drawn separately.
 	if m.now.Sub(*reached) < modelMemberTimeout/2 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 		return
 	}
@@ -167,7 +167,7 @@
 	}
 }
 
-// maxTotalShare is the part of a limit that all living instances hold together, for the
+// maxTotalShare returns the fraction of a limit that all running instances hold together, for the
 // account of which they hold the most.
 func (m *shareModel) maxTotalShare() float64 {
 	var first, second float64
@@ -210,7 +210,8 @@
 		want := 1.0
 
 		for i := range 160 {
-			// Both sides may use all until each has noticed that the other is gone.
+			// After the partition, each side may use the whole limit once it has excluded the
+			// silent members of the other side.
 			if i == partitionAt {
 				m.partitioned, want = true, 2
 			}
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Sharing sets how the limits of accounts are shared between entry instances.
+// Sharing configures how the limits of accounts are shared between entry instances.
 type Sharing struct {
-	// PropagationDelay is the longest time a digest or a join normally takes to reach
-	// every member, clock skew included. Zero means that this instance is the
-	// only one.
+	// PropagationDelay is the longest time that a digest or a new member normally takes to become
+	// known to every member, including clock skew. Zero means that this instance is the only one.
 	PropagationDelay time.Duration
-	// MemberTimeout is how long a silent member is counted, at least Spread.
+	// MemberTimeout is how long the weights of a silent member are counted, at least
+	// PropagationDelay.
 	MemberTimeout time.Duration
-	// EvenFraction is the part of each limit that is shared evenly, whatever the demand.
+	// EvenFraction is the fraction of each limit that is shared evenly, regardless of demand.
 	EvenFraction float64
-	// DigestAccounts is how many accounts a digest lists, at most
-	// MaxDemandAccounts. Fewer make smaller digests where there are many members.
+	// DigestAccounts is the number of accounts that a digest lists, at most MaxDemandAccounts.
+	// A lower number makes smaller digests for deployments with many members.
 	DigestAccounts int
 }
 
--- a/admission/table.go
+++ b/admission/table.go
@@ -2,11 +2,12 @@
 
 import "monsoonlever/fleet"
 
-// table is the immutable snapshot that the path of a request reads.
+// table is an immutable snapshot of the configured services and accounts. Requests read it without
+// a lock.
 type table struct {
 	services map[fleet.Service]*service
 	accounts map[fleet.Account]*account
-	// serviceList and accountList hold the same in a fixed order.
+	// serviceList and accountList hold the same entries in the order of the configuration.
 	serviceList []*service
 	accountList []*account
 }
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -8,7 +8,7 @@
 	"monsoonlever/fleet"
 )
 
-// Ticket follows one request through admission.
+// Ticket is a request in admission.
 type Ticket struct {
 	request     Request
 	account     *account
@@ -16,10 +16,10 @@
 	arrivedAt   time.Time
 	latestStart time.Time
 	decision    Decision
-	// done is closed with the final decision; it is nil if the request was
-	// done on arrival.
+	// done is closed when a queued request is decided; it is nil if the request was decided on
+	// arrival.
 	done chan struct{}
-	// heapIndex is the index in the deadline heap, or noPlace.
+	// heapIndex is the index in the deadline heap, or notInHeap.
 	heapIndex int
 	queued    bool
 	finished  atomic.Bool
@@ -51,8 +51,8 @@
 	}
 }
 
-// Wait returns the final decision. If ctx ends first it returns Queued, and
-// the caller must call Abandon.
+// Wait waits for the final decision and returns it. If ctx is cancelled first, it returns the verdict
+// Queued, and the caller must call Controller.Abandon.
 func (t *Ticket) Wait(ctx context.Context) Decision {
 	if t.done == nil {
 		return t.decision
