--- a/admission/account_test.go
+++ b/admission/account_test.go
@@ -56,8 +56,8 @@
 		at   time.Duration
 		want Verdict
 	}{
-		{desc: "rests for three quarters of the time", at: 3900 * time.Millisecond, want: Refused},
-		{desc: "goes on after that", at: 4 * time.Second, want: Admitted},
+		{desc: "idle for three quarters of the time", at: 3900 * time.Millisecond, want: Refused},
+		{desc: "runs the next request after that", at: 4 * time.Second, want: Admitted},
 	}
 
 	for _, tt := range tests {
--- a/admission/burst_test.go
+++ b/admission/burst_test.go
@@ -84,6 +84,6 @@
 	}
 
 	if most := int(perSecond * (flood + burstAllowance).Seconds()); total > most {
-		t.Errorf("admitted by all: got %d in %v, want at most %d", total, flood, most)
+		t.Errorf("admitted by all instances: got %d in %v, want at most %d", total, flood, most)
 	}
 }
--- a/admission/concurrencylimiter_test.go
+++ b/admission/concurrencylimiter_test.go
@@ -17,8 +17,8 @@
 		high    float64
 	}{
 		{desc: "grows while targets are met", latency: 50 * time.Millisecond, low: 25, high: 64},
-		{desc: "shrinks when they are missed", latency: 200 * time.Millisecond, low: 2, high: 5},
-		{desc: "shrinks when servers refuse", latency: 50 * time.Millisecond, refused: true, low: 2, high: 5},
+		{desc: "shrinks while targets are missed", latency: 200 * time.Millisecond, low: 2, high: 5},
+		{desc: "shrinks while servers are overloaded", latency: 50 * time.Millisecond, refused: true, low: 2, high: 5},
 		{desc: "stays within reported capacity", latency: 50 * time.Millisecond, cap: 8, low: 8, high: 8},
 	}
 
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -61,7 +61,7 @@
 	}
 
 	if got, _ := third.Decision(); got.Verdict != Refused || got.Reason != QueueFull || got.RetryAfter <= 0 {
-		t.Errorf("third: got %+v, want a refusal for a full queue with a time to come back", got)
+		t.Errorf("third: got %+v, want a refusal for a full queue with a retry delay", got)
 	}
 
 	c.Finish(start.Add(time.Second), first, Outcome{Latency: time.Second, Duration: time.Second})
@@ -81,14 +81,14 @@
 		give   Request
 		want   Reason
 	}{
-		{desc: "a service that is not known", give: Request{Service: "x", Account: testAccount}, want: UnknownService},
-		{desc: "an account that is not known", give: Request{Service: testService, Account: "x"}, want: UnknownAccount},
+		{desc: "unknown service", give: Request{Service: "x", Account: testAccount}, want: UnknownService},
+		{desc: "unknown account", give: Request{Service: testService, Account: "x"}, want: UnknownAccount},
 		{
-			desc: "a deadline that has passed",
+			desc: "deadline passed",
 			give: Request{Service: testService, Account: testAccount, Deadline: start},
 			want: DeadlineTooShort,
 		},
-		{desc: "over the request rate", before: []Request{testRequest()}, give: testRequest(), want: RequestRate},
+		{desc: "request rate exceeded", before: []Request{testRequest()}, give: testRequest(), want: RequestRate},
 	}
 
 	for _, tt := range tests {
--- a/admission/demand_test.go
+++ b/admission/demand_test.go
@@ -105,8 +105,8 @@
 		after time.Duration
 		want  float64
 	}{
-		{desc: "at once when the other says that it leaves", leave: true, after: time.Second, want: 1},
-		{desc: "not by silence alone when the other is half of the members", after: time.Minute, want: 0.5},
+		{desc: "immediately when the other member is removed", leave: true, after: time.Second, want: 1},
+		{desc: "not while the silent member is half of the members", after: time.Minute, want: 0.5},
 	}
 
 	for _, tt := range tests {
@@ -168,6 +168,6 @@
 	}
 
 	if got, want := first.Share(testAccount)+second.Share(testAccount), 0.999; got < want {
-		t.Errorf("shares after the lapse: got %.3f, want at least %.3f", got, want)
+		t.Errorf("shares after the member timeout: got %.3f, want at least %.3f", got, want)
 	}
 }
--- a/admission/digesthistory.go
+++ b/admission/digesthistory.go
@@ -32,22 +32,22 @@
 
 // minFloor returns the lowest floor in the history.
 func (h digestHistory) minFloor() float64 {
-	least := h[0].floor
+	lowest := h[0].floor
 
 	for _, p := range h[1:] {
-		least = min(least, p.floor)
+		lowest = min(lowest, p.floor)
 	}
 
-	return least
+	return lowest
 }
 
 // minWeight returns the lowest weight of an account in the history.
 func (h digestHistory) minWeight(hash uint64) float64 {
-	least := h[0].weight(hash)
+	lowest := h[0].weight(hash)
 
 	for i := range h[1:] {
-		least = min(least, h[i+1].weight(hash))
+		lowest = min(lowest, h[i+1].weight(hash))
 	}
 
-	return least
+	return lowest
 }
--- a/admission/goodput_test.go
+++ b/admission/goodput_test.go
@@ -31,16 +31,16 @@
 
 // simulation offers load to a controller in front of one service.
 type simulation struct {
-	controller   *Controller
-	random       *rand.Rand
-	now          time.Time
-	setDeadlines bool
-	waiting      []*simRequest
-	running      []*simRequest
-	offered      [2]int
-	inTime       [2]int
-	admitted     int
-	maxWait      time.Duration
+	controller     *Controller
+	random         *rand.Rand
+	now            time.Time
+	setDeadlines   bool
+	waiting        []*simRequest
+	running        []*simRequest
+	offered        [2]int
+	inTime         [2]int
+	admitted       int
+	maxRefusalWait time.Duration
 }
 
 // simResult holds the measurements of a simulation.
@@ -48,13 +48,13 @@
 	goodput        float64
 	smallInTime    float64
 	wastedFraction float64
-	maxWait        time.Duration
+	maxRefusalWait time.Duration
 }
 
 func (r simResult) log(t *testing.T, loadFactor float64, policy string) {
 	t.Helper()
 	t.Logf("%.0fx    %s    %.3f    %.3f          %.3f        %v",
-		loadFactor, policy, r.goodput, r.smallInTime, r.wastedFraction, r.maxWait)
+		loadFactor, policy, r.goodput, r.smallInTime, r.wastedFraction, r.maxRefusalWait)
 }
 
 func newSimulation(t *testing.T, fair bool) *simulation {
@@ -113,7 +113,7 @@
 			r.endsAt = s.now.Add(time.Duration(s.random.ExpFloat64() * float64(simMeanServiceTime)))
 			s.running = append(s.running, r)
 		default:
-			s.maxWait = max(s.maxWait, d.Waited)
+			s.maxRefusalWait = max(s.maxRefusalWait, d.Waited)
 		}
 	}
 
@@ -170,7 +170,7 @@
 		goodput:        good / simDuration.Seconds() / simCapacity,
 		smallInTime:    float64(s.inTime[1]) / float64(s.offered[1]),
 		wastedFraction: 1 - good/float64(s.admitted),
-		maxWait:        s.maxWait,
+		maxRefusalWait: s.maxRefusalWait,
 	}
 }
 
--- a/admission/member_test.go
+++ b/admission/member_test.go
@@ -25,6 +25,6 @@
 	}
 
 	if got := c.Share("x"); got <= 0 || got > 0.5 {
-		t.Errorf("share among three members: got %v, want one that leaves room for the others", got)
+		t.Errorf("share among three members: got %v, want more than 0 and at most 0.5", got)
 	}
 }
--- a/admission/priorityclass.go
+++ b/admission/priorityclass.go
@@ -91,29 +91,29 @@
 		own = f
 	}
 
-	most := own
+	heaviest := own
 	load := (float64(own.position(t)) + 1) / own.weight()
 
 	for _, f := range c.active {
 		if f != own && f.load() > load {
-			most, load = f, f.load()
+			heaviest, load = f, f.load()
 		}
 	}
 
-	return most
+	return heaviest
 }
 
 // mostLoaded returns the flow with the highest load.
 func (c *priorityClass) mostLoaded() *flow {
-	most := c.active[0]
+	heaviest := c.active[0]
 
 	for _, f := range c.active[1:] {
-		if f.load() > most.load() {
-			most = f
+		if f.load() > heaviest.load() {
+			heaviest = f
 		}
 	}
 
-	return most
+	return heaviest
 }
 
 // position returns the index of t in its account's flow, or the index at which it would be added.
@@ -133,11 +133,11 @@
 // ahead estimates how many requests of this class start before t, at index n of its account's flow.
 func (c *priorityClass) ahead(t *Ticket, n int) float64 {
 	weight := t.account.limits.Load().config.Weight
-	weights := c.totalWeight
+	totalWeight := c.totalWeight
 
 	if f := c.flows[t.account]; f == nil || f.heapIndex == notInHeap {
-		weights += weight
+		totalWeight += weight
 	}
 
-	return min(float64(n)*weights/weight+float64(len(c.active)), float64(c.size))
+	return min(float64(n)*totalWeight/weight+float64(len(c.active)), float64(c.size))
 }
--- a/admission/queue_holds_test.go
+++ b/admission/queue_holds_test.go
@@ -158,18 +158,18 @@
 
 				earliestStart := m.now.Add(s.limiter.drainTime(s.queue.ahead(ticket)))
 				if !earliestStart.Before(ticket.latestStart) {
-					t.Fatalf("a request that starts at %v at best and is of no use after %v is not refused",
+					t.Fatalf("request is not refused: earliest start %v, latest useful start %v",
 						earliestStart.Sub(start), ticket.latestStart.Sub(start))
 				}
 			}
 
 			for _, ticket := range m.refused[before:] {
 				if got := ticket.arrivedAt.Add(ticket.decision.Waited); got.After(m.now) {
-					t.Fatalf("decided at %v, in the future of %v", got, m.now)
+					t.Fatalf("decision time: got %v, want at most %v", got, m.now)
 				}
 
 				if ticket.decision.RetryAfter <= 0 {
-					t.Fatalf("refused without a time to come back: %+v", ticket.decision)
+					t.Fatalf("refused without a retry delay: %+v", ticket.decision)
 				}
 			}
 		}
@@ -221,7 +221,7 @@
 			slack := 1/m.weights[small] + 1/m.weights[other]
 
 			if want := m.served[small][other]/m.weights[other] - slack; got < want-1e-9 {
-				t.Fatalf("account %d was served %.2f by weight, want at least %.2f as account %d had more",
+				t.Fatalf("weighted starts of account %d: got %.2f, want at least %.2f, compared with account %d",
 					small, got, want, other)
 			}
 		}
@@ -267,7 +267,7 @@
 			for _, ticket := range m.refused[refused:] {
 				i := m.index(ticket)
 				if got, fair := waiting[i], m.config.QueueRequests/accounts; i > 0 && m.weights[i] >= m.weights[0] && got < fair-1 {
-					t.Fatalf("account %d was shed with %d queued, its fair part is %d", i, got, fair)
+					t.Fatalf("account %d was refused with %d requests queued, within its fair share of %d", i, got, fair)
 				}
 			}
 		}
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -94,7 +94,7 @@
 	s.ownDigests = s.ownDigests.trim(now.Add(-s.window()))
 	floor := s.nextFloor()
 	p := publishedDigest{at: now, floor: floor, weights: make(map[uint64]float64)}
-	wanted := make([]AccountDemand, 0, len(accounts))
+	demands := make([]AccountDemand, 0, len(accounts))
 
 	for _, a := range accounts {
 		weight := floor + a.measureDemand(now)
@@ -106,20 +106,20 @@
 		}
 
 		if weight > floor {
-			wanted = append(wanted, AccountDemand{Account: a.hash, Weight: float32(weight)})
+			demands = append(demands, AccountDemand{Account: a.hash, Weight: float32(weight)})
 		}
 	}
 
-	wanted = topDemands(wanted, s.sharing.DigestAccounts)
+	demands = topDemands(demands, s.sharing.DigestAccounts)
 
-	for i, w := range wanted {
-		p.weights[w.Account] = float64(wanted[i].Weight)
+	for i, w := range demands {
+		p.weights[w.Account] = float64(demands[i].Weight)
 	}
 
 	p.floor = float64(float32(floor))
 	s.ownDigests = append(s.ownDigests, p)
 
-	return Demand{At: now.UnixMilli(), Floor: float32(floor), Accounts: wanted}
+	return Demand{At: now.UnixMilli(), Floor: float32(floor), Accounts: demands}
 }
 
 // nextFloor returns the weight of accounts without demand for the next digest.
@@ -134,12 +134,12 @@
 }
 
 // topDemands returns the accounts with the highest weights, as many as the digest has room for.
-func topDemands(wanted []AccountDemand, room int) []AccountDemand {
-	if len(wanted) <= room {
-		return wanted
+func topDemands(demands []AccountDemand, room int) []AccountDemand {
+	if len(demands) <= room {
+		return demands
 	}
 
-	slices.SortFunc(wanted, func(a, b AccountDemand) int {
+	slices.SortFunc(demands, func(a, b AccountDemand) int {
 		switch {
 		case a.Weight > b.Weight:
 			return -1
@@ -150,7 +150,7 @@
 		}
 	})
 
-	return wanted[:room]
+	return demands[:room]
 }
 
 // recompute sums the weights of the other members.
--- a/admission/shares_holds_test.go
+++ b/admission/shares_holds_test.go
@@ -62,7 +62,7 @@
 		t.Fatalf("configure: %v", err)
 	}
 
-	member := &modelMember{c: c, id: c.Instance, skew: skew, partition: rapid.IntRange(0, 1).Draw(t, "side")}
+	member := &modelMember{c: c, id: c.Instance, skew: skew, partition: rapid.IntRange(0, 1).Draw(t, "partition")}
 	m.members = append(m.members, member)
 
 	for j := range m.members {
@@ -113,16 +113,16 @@
 		return
 	}
 
-	reached := &m.members[from].lastSent[to]
+	lastSent := &m.members[from].lastSent[to]
 	delay := time.Duration(rapid.IntRange(0, 15).Draw(t, "delay")) * modelStep
 
 	// Losses do not last longer than half the member timeout: a longer one is a partition, which
 	// is drawn separately.
-	if m.now.Sub(*reached) < modelMemberTimeout/2 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+	if m.now.Sub(*lastSent) < modelMemberTimeout/2 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 		return
 	}
 
-	*reached = m.now
+	*lastSent = m.now
 	for range rapid.IntRange(1, 2).Draw(t, "copies") {
 		m.messages = append(m.messages, message{deliverAt: m.now.Add(delay), from: from, to: to, digest: digest})
 	}
@@ -153,7 +153,7 @@
 }
 
 func (m *shareModel) injectFault(t *rapid.T) {
-	member := m.members[rapid.IntRange(0, len(m.members)-1).Draw(t, "upset")]
+	member := m.members[rapid.IntRange(0, len(m.members)-1).Draw(t, "faultyMember")]
 
 	switch rapid.IntRange(0, 30).Draw(t, "fault") {
 	case 0:
@@ -203,15 +203,15 @@
 		}
 
 		partitionAt := -1
-		if rapid.Bool().Draw(t, "isCut") {
-			partitionAt = rapid.IntRange(20, 40).Draw(t, "cutAt")
+		if rapid.Bool().Draw(t, "isPartitioned") {
+			partitionAt = rapid.IntRange(20, 40).Draw(t, "partitionAt")
 		}
 
 		want := 1.0
 
 		for i := range 160 {
-			// After the partition, each side may use the whole limit once it has excluded the
-			// silent members of the other side.
+			// While the members of the other side time out one by one, each side may see a majority
+			// and use the whole limit. After that, a minority counts the silent members again.
 			if i == partitionAt {
 				m.partitioned, want = true, 2
 			}
