--- a/admission/callkind.go
+++ b/admission/callkind.go
@@ -19,7 +19,7 @@
 	}
 
 	mean := math.Float64frombits(k.meanDuration.Load())
-	spread := math.Float64frombits(k.meanDeviation.Load())
+	meanDeviation := math.Float64frombits(k.meanDeviation.Load())
 
 	if mean == 0 {
 		mean = float64(d)
@@ -27,10 +27,10 @@
 
 	deviation := float64(d) - mean
 	mean += smoothingFactor * deviation
-	spread += smoothingFactor * (math.Abs(deviation) - spread)
+	meanDeviation += smoothingFactor * (math.Abs(deviation) - meanDeviation)
 
 	k.meanDuration.Store(math.Float64bits(mean))
-	k.meanDeviation.Store(math.Float64bits(spread))
+	k.meanDeviation.Store(math.Float64bits(meanDeviation))
 }
 
 // expectedDuration returns a duration that most calls of this kind stay below: the mean plus the
--- a/admission/concurrencylimiter.go
+++ b/admission/concurrencylimiter.go
@@ -20,8 +20,8 @@
 	// utilized is set when highUtilization of the limit is in use, and unset when less than
 	// lowUtilization is. The limit grows only while it is set.
 	utilized atomic.Bool
-	// nextCutAt is the end of the round of the last decrease, in Unix nanoseconds.
-	nextCutAt atomic.Int64
+	// nextDecreaseAt is the end of the round of the last decrease, in Unix nanoseconds.
+	nextDecreaseAt atomic.Int64
 	// meanDuration is the smoothed duration of a request in nanoseconds, as the bits of a float64.
 	meanDuration atomic.Uint64
 }
@@ -49,13 +49,13 @@
 }
 
 func (l *concurrencyLimiter) setLimit(v float64) {
-	high := l.maxLimit.Load()
+	maxLimit := l.maxLimit.Load()
 
 	if c := l.capacity.Load(); c > 0 {
-		high = min(high, c)
+		maxLimit = min(maxLimit, c)
 	}
 
-	v = min(v, float64(high))
+	v = min(v, float64(maxLimit))
 	v = max(v, float64(l.minLimit.Load()))
 	l.limit.Store(math.Float64bits(v))
 }
@@ -109,12 +109,12 @@
 }
 
 func (l *concurrencyLimiter) decrease(now time.Time, round time.Duration) {
-	until := l.nextCutAt.Load()
+	until := l.nextDecreaseAt.Load()
 	if now.UnixNano() < until {
 		return
 	}
 
-	if l.nextCutAt.CompareAndSwap(until, now.Add(round).UnixNano()) {
+	if l.nextDecreaseAt.CompareAndSwap(until, now.Add(round).UnixNano()) {
 		l.setLimit(l.current() * decreaseFactor)
 	}
 }
--- a/admission/fairqueue.go
+++ b/admission/fairqueue.go
@@ -170,7 +170,7 @@
 // findInfeasible returns the queued requests that infeasible reports, given the estimated number of
 // requests ahead of each. A request that is reported is not counted as ahead of later ones of its
 // account.
-func (q *fairQueue) findInfeasible(hopeless func(t *Ticket, ahead float64) bool) []*Ticket {
+func (q *fairQueue) findInfeasible(infeasible func(t *Ticket, ahead float64) bool) []*Ticket {
 	var out []*Ticket
 
 	higherPriority := 0.0
@@ -180,7 +180,7 @@
 			position := 0
 
 			for _, t := range f.tickets {
-				if hopeless(t, higherPriority+c.ahead(t, position)) {
+				if infeasible(t, higherPriority+c.ahead(t, position)) {
 					out = append(out, t)
 
 					continue
--- a/admission/member.go
+++ b/admission/member.go
@@ -25,22 +25,22 @@
 
 // growthFactor returns the largest factor by which weights may have grown since a digest of the
 // given age.
-func growthFactor(age, spread time.Duration) float64 {
-	steps := math.Ceil(float64(age)/float64(spread)) - 1
+func growthFactor(age, propagationDelay time.Duration) float64 {
+	steps := math.Ceil(float64(age)/float64(propagationDelay)) - 1
 
 	return math.Pow(maxWeightGrowth, max(steps, 0))
 }
 
 // maxFloor returns the largest weight that the member may use for an account that its digest does
 // not list, and the factor by which the listed weights may have grown.
-func (m *member) maxFloor(now time.Time, spread time.Duration) (weight, growth float64) {
+func (m *member) maxFloor(now time.Time, propagationDelay time.Duration) (weight, growth float64) {
 	if !m.hasDigest {
 		// One step is added, since the member may have started up to one delay before it was
 		// known here.
-		return initialWeight * growthFactor(now.Sub(m.joinedAt)+spread, spread), 1
+		return initialWeight * growthFactor(now.Sub(m.joinedAt)+propagationDelay, propagationDelay), 1
 	}
 
-	growth = growthFactor(now.Sub(time.UnixMilli(m.digest.At)), spread)
+	growth = growthFactor(now.Sub(time.UnixMilli(m.digest.At)), propagationDelay)
 
 	return float64(m.digest.Floor) * growth, growth
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -15,7 +15,7 @@
 	drainAll() []*Ticket
 	// findInfeasible returns the queued tickets that infeasible reports, given the estimated
 	// number of requests that would start before each.
-	findInfeasible(hopeless func(t *Ticket, ahead float64) bool) []*Ticket
+	findInfeasible(infeasible func(t *Ticket, ahead float64) bool) []*Ticket
 	size() int
 	bytes() int64
 	// configure sets the bounds.
--- a/admission/queue_holds_test.go
+++ b/admission/queue_holds_test.go
@@ -180,9 +180,9 @@
 type fairModel struct {
 	*queueModel
 	weights []float64
-	// served[small][other] counts the starts of other since small has had requests queued
+	// starts[small][other] counts the starts of other since small has had requests queued
 	// without interruption.
-	served [][]float64
+	starts [][]float64
 }
 
 func (m *fairModel) index(t *Ticket) int {
@@ -207,20 +207,20 @@
 func (m *fairModel) check(t *rapid.T, waited []int, started []*Ticket) {
 	for small := range m.weights {
 		if waited[small] == 0 {
-			clear(m.served[small])
+			clear(m.starts[small])
 
 			continue
 		}
 
 		for _, ticket := range started {
-			m.served[small][m.index(ticket)]++
+			m.starts[small][m.index(ticket)]++
 		}
 
 		for other := range m.weights {
-			got := m.served[small][small] / m.weights[small]
+			got := m.starts[small][small] / m.weights[small]
 			slack := 1/m.weights[small] + 1/m.weights[other]
 
-			if want := m.served[small][other]/m.weights[other] - slack; got < want-1e-9 {
+			if want := m.starts[small][other]/m.weights[other] - slack; got < want-1e-9 {
 				t.Fatalf("weighted starts of account %d: got %.2f, want at least %.2f, compared with account %d",
 					small, got, want, other)
 			}
@@ -239,7 +239,7 @@
 			weight := float64(rapid.IntRange(1, 4).Draw(t, "weight"))
 			config.Accounts = append(config.Accounts, AccountConfig{Account: accountName(i), Weight: weight})
 			m.weights = append(m.weights, weight)
-			m.served = append(m.served, make([]float64, accounts))
+			m.starts = append(m.starts, make([]float64, accounts))
 		}
 
 		m.queueModel = &queueModel{c: newController(t, config), now: start, config: config.Services[0]}
--- a/admission/ratelimiter.go
+++ b/admission/ratelimiter.go
@@ -13,7 +13,7 @@
 
 // take consumes cost at the given rate per second. If the limit does not allow it, take returns
 // false and the time until it does; at a rate of 0, that time is burst.
-func (p *rateLimiter) take(now time.Time, cost, rate float64, burst time.Duration) (time.Duration, bool) {
+func (l *rateLimiter) take(now time.Time, cost, rate float64, burst time.Duration) (time.Duration, bool) {
 	if rate <= 0 {
 		return burst, false
 	}
@@ -22,8 +22,8 @@
 	step := int64(cost / rate * float64(time.Second))
 
 	for {
-		earned := p.theoreticalArrival.Load()
-		start := max(earned, at)
+		arrival := l.theoreticalArrival.Load()
+		start := max(arrival, at)
 		// A cost above the burst is allowed when nothing is outstanding; otherwise it could
 		// never be taken.
 		wait := start + step - at - int64(burst)
@@ -33,33 +33,33 @@
 			return time.Duration(wait), false
 		}
 
-		if p.theoreticalArrival.CompareAndSwap(earned, start+step) {
+		if l.theoreticalArrival.CompareAndSwap(arrival, start+step) {
 			return 0, true
 		}
 	}
 }
 
 // refund returns cost that was taken and not used. A negative cost consumes more.
-func (p *rateLimiter) refund(cost, rate float64) {
+func (l *rateLimiter) refund(cost, rate float64) {
 	if rate <= 0 {
 		return
 	}
 
-	p.theoreticalArrival.Add(-int64(cost / rate * float64(time.Second)))
+	l.theoreticalArrival.Add(-int64(cost / rate * float64(time.Second)))
 }
 
 // rescale preserves the outstanding consumption when the rate changes by a factor: at a higher
 // rate, the same consumption is replenished in less time.
-func (p *rateLimiter) rescale(now time.Time, factor float64) {
+func (l *rateLimiter) rescale(now time.Time, factor float64) {
 	at := now.UnixNano()
 
 	for {
-		earned := p.theoreticalArrival.Load()
-		if earned <= at {
+		arrival := l.theoreticalArrival.Load()
+		if arrival <= at {
 			return
 		}
 
-		if p.theoreticalArrival.CompareAndSwap(earned, at+int64(float64(earned-at)/factor)) {
+		if l.theoreticalArrival.CompareAndSwap(arrival, at+int64(float64(arrival-at)/factor)) {
 			return
 		}
 	}
