--- a/admission/limiter_test.go
+++ b/admission/concurrencylimiter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLimiterFollowsLatency(t *testing.T) {
+func TestConcurrencyLimitFollowsLatency(t *testing.T) {
 	const target = 100 * time.Millisecond
 
 	tests := []struct {
@@ -17,18 +17,18 @@
 		high    float64
 	}{
 		{desc: "grows while targets are met", latency: 50 * time.Millisecond, low: 25, high: 64},
-		{desc: "shrinks when they are missed", latency: 200 * time.Millisecond, low: 2, high: 5},
-		{desc: "shrinks when servers refuse", latency: 50 * time.Millisecond, refused: true, low: 2, high: 5},
+		{desc: "shrinks while targets are missed", latency: 200 * time.Millisecond, low: 2, high: 5},
+		{desc: "shrinks while servers are overloaded", latency: 50 * time.Millisecond, refused: true, low: 2, high: 5},
 		{desc: "stays within reported capacity", latency: 50 * time.Millisecond, cap: 8, low: 8, high: 8},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			l := &limiter{}
+			l := &concurrencyLimiter{}
 			l.configure(ServiceConfig{MinConcurrent: 2, MaxConcurrent: 64, StartConcurrent: 16})
 
 			if tt.cap > 0 {
-				l.setCap(tt.cap)
+				l.setCapacity(tt.cap)
 			}
 
 			now := start
