--- a/peer/handle.go
+++ b/peer/handle.go
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// respond queues the response to a request. If the queue is full, the response
-// is dropped and the caller times out.
+// respond queues the response to a request. A response that cannot be queued is
+// counted as undeliverable, and the caller times out.
 func (n *Node) respond(to Sender, f frame) {
 	if err := n.enqueue(to.Target(), f); err != nil {
 		undeliverableFrames.Inc()
