--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -10,15 +10,15 @@
 	"monsoonlever/provider"
 )
 
-// settled returns the payloads of a claim and an outcome of key i.
-func settled(i int) (claim, outcome []byte) {
+// completedKeyPayloads returns the payloads of a claim and an outcome of key i.
+func completedKeyPayloads(i int) (claim, outcome []byte) {
 	var key KeyID
 
 	binary.BigEndian.PutUint64(key[:], uint64(i)*0x9e3779b97f4a7c15)
 
-	claim = encode(claimRecord{Key: key, Request: RequestID(i), Digest: Digest(key)})
+	claim = encode(claimRecord{Key: key, Request: AttemptID(i), Digest: Digest(key)})
 	outcome = encode(outcomeRecord{
-		Key: key, Request: RequestID(i), Digest: Digest(key), Kept: true, Status: 200,
+		Key: key, Request: AttemptID(i), Digest: Digest(key), Kept: true, Status: 200,
 		Header: []Field{{Name: "Content-Type", Value: "application/json"}},
 		Body:   make([]byte, 256),
 	})
@@ -26,14 +26,14 @@
 	return claim, outcome
 }
 
-func entryOf(i int, kind logstream.Kind, payload []byte) logstream.Entry {
+func newEntry(i int, kind logstream.Kind, payload []byte) logstream.Entry {
 	by := logstream.Author{Writer: "entry-1", Incarnation: 1, Sequence: logstream.Sequence(i)}
 
 	return logstream.NewEntry(by, kind, payload, logstream.Place{Offset: provider.Offset(i), Time: testStart})
 }
 
 func BenchmarkClaimStep(b *testing.B) {
-	table := NewTable(Config{Self: "entry-0", Incarnation: 1, MaxOpen: 1 << 30})
+	table := NewTable(Config{Self: "entry-0", Incarnation: 1, MaxOpenAttempts: 1 << 30})
 	table.Horizon(time.Time{})
 	table.CaughtUp()
 
@@ -46,12 +46,12 @@
 		i++
 		k := key
 		k.value = string(binary.BigEndian.AppendUint64(nil, uint64(i)))
-		commands := table.Submit(testStart, NewRequest(RequestID(i), k, Digest{}, testStart.Add(time.Minute)))
+		commands := table.Submit(testStart, NewSubmission(AttemptID(i), k, Digest{}, testStart.Add(time.Minute)))
 		c := commands[0].(Append)
 		by := logstream.Author{Writer: "entry-0", Incarnation: 1, Sequence: logstream.Sequence(i)}
 		table.Read(testStart, logstream.NewEntry(by, c.kind, c.payload, logstream.Place{Time: testStart}))
 
-		done := table.Done(testStart, RequestID(i), NewResult(200, nil, nil))
+		done := table.Completed(testStart, AttemptID(i), NewResult(200, nil, nil))
 		o := done[len(done)-1].(Append)
 		table.Read(testStart, logstream.NewEntry(by, o.kind, o.payload, logstream.Place{Time: testStart}))
 	}
@@ -63,8 +63,8 @@
 	var entries []logstream.Entry
 
 	for i := range pairs {
-		claim, outcome := settled(i)
-		entries = append(entries, entryOf(2*i, KindClaim, claim), entryOf(2*i+1, KindOutcome, outcome))
+		claim, outcome := completedKeyPayloads(i)
+		entries = append(entries, newEntry(2*i, KindClaim, claim), newEntry(2*i+1, KindOutcome, outcome))
 	}
 
 	var table *Table
@@ -114,11 +114,11 @@
 				table.Horizon(time.Time{})
 
 				for i := range keys {
-					claim, outcome := settled(i)
-					table.Read(testStart, entryOf(2*i, KindClaim, claim))
+					claim, outcome := completedKeyPayloads(i)
+					table.Read(testStart, newEntry(2*i, KindClaim, claim))
 
 					if tt.outcome {
-						table.Read(testStart, entryOf(2*i+1, KindOutcome, outcome))
+						table.Read(testStart, newEntry(2*i+1, KindOutcome, outcome))
 					}
 				}
 
@@ -131,7 +131,7 @@
 
 // BenchmarkRecordSize reports the bytes of each record's payload.
 func BenchmarkRecordSize(b *testing.B) {
-	claim, outcome := settled(1)
+	claim, outcome := completedKeyPayloads(1)
 	void := encode(voidRecord{Request: 1, Reason: ReasonDeclined})
 
 	for b.Loop() {
--- a/claim/claimant.go
+++ b/claim/claimant.go
@@ -11,7 +11,7 @@
 // claimants numbers the claimants seen, so that a key holds a small number.
 type claimants struct {
 	numbers map[claimant]uint32
-	gone    []bool
+	removed []bool
 	newest  map[fleet.InstanceID]fleet.Incarnation
 }
 
@@ -23,34 +23,34 @@
 }
 
 // number returns the number of a claimant.
-func (c *claimants) number(who claimant) uint32 {
-	if n, ok := c.numbers[who]; ok {
+func (c *claimants) number(writer claimant) uint32 {
+	if n, ok := c.numbers[writer]; ok {
 		return n
 	}
 
-	n := uint32(len(c.gone))
-	c.numbers[who] = n
-	c.gone = append(c.gone, false)
+	n := uint32(len(c.removed))
+	c.numbers[writer] = n
+	c.removed = append(c.removed, false)
 
 	return n
 }
 
-// leave marks a claimant as gone.
-func (c *claimants) leave(who claimant) uint32 {
-	n := c.number(who)
-	c.gone[n] = true
+// markRemoved marks a claimant as gone.
+func (c *claimants) markRemoved(writer claimant) uint32 {
+	n := c.number(writer)
+	c.removed[n] = true
 
 	return n
 }
 
-// succeed notes an incarnation and returns the one that it has replaced.
-func (c *claimants) succeed(who claimant) (claimant, bool) {
-	before, ok := c.newest[who.id]
-	if ok && who.incarnation <= before {
+// observe notes an incarnation and returns the one that it has replaced.
+func (c *claimants) observe(writer claimant) (claimant, bool) {
+	before, ok := c.newest[writer.id]
+	if ok && writer.incarnation <= before {
 		return claimant{}, false
 	}
 
-	c.newest[who.id] = who.incarnation
+	c.newest[writer.id] = writer.incarnation
 
-	return claimant{id: who.id, incarnation: before}, ok
+	return claimant{id: writer.id, incarnation: before}, ok
 }
--- a/claim/command.go
+++ b/claim/command.go
@@ -13,15 +13,15 @@
 // taking effect, AppendFailed must be called.
 type Append struct {
 	kind    logstream.Kind
-	request RequestID
+	attempt AttemptID
 	payload []byte
 }
 
 // Kind returns KindClaim, KindOutcome or KindVoid.
 func (c Append) Kind() logstream.Kind { return c.kind }
 
-// Request returns the attempt whose record it is.
-func (c Append) Request() RequestID { return c.request }
+// Attempt returns the attempt whose record it is.
+func (c Append) Attempt() AttemptID { return c.attempt }
 
 // Payload returns the encoded record.
 func (c Append) Payload() []byte { return c.payload }
@@ -29,28 +29,28 @@
 // Dispatch sends a request to a backend server, if its deadline has not
 // passed. Its end must be told by Done, Declined or Broken.
 type Dispatch struct {
-	request  RequestID
+	attempt  AttemptID
 	deadline time.Time
 }
 
-// Request returns the attempt to send.
-func (c Dispatch) Request() RequestID { return c.request }
+// Attempt returns the attempt to send.
+func (c Dispatch) Attempt() AttemptID { return c.attempt }
 
 // Deadline returns the time after which it must not be sent any more.
 func (c Dispatch) Deadline() time.Time { return c.deadline }
 
-// Answer gives an attempt its final verdict.
-type Answer struct {
-	request RequestID
+// Resolve gives an attempt its final verdict.
+type Resolve struct {
+	attempt AttemptID
 	verdict Verdict
 }
 
-// Request returns the attempt that is answered.
-func (c Answer) Request() RequestID { return c.request }
+// Attempt returns the attempt that is answered.
+func (c Resolve) Attempt() AttemptID { return c.attempt }
 
 // Verdict returns its final verdict.
-func (c Answer) Verdict() Verdict { return c.verdict }
+func (c Resolve) Verdict() Verdict { return c.verdict }
 
 func (Append) command()   {}
 func (Dispatch) command() {}
-func (Answer) command()   {}
+func (Resolve) command()  {}
--- a/claim/config.go
+++ b/claim/config.go
@@ -11,15 +11,15 @@
 
 // The defaults of a Config.
 const (
-	DefaultWindow      = time.Hour
-	DefaultMaxWait     = 2 * time.Minute
-	DefaultClaimWait   = 2 * time.Second
-	DefaultVoidHold    = time.Second
-	DefaultMaxSkew     = 30 * time.Second
-	DefaultKeepBody    = 4 << 10
-	DefaultMaxOpen     = 10_000
-	DefaultRetryAfter  = time.Second
-	DefaultOutageRetry = 5 * time.Second
+	DefaultWindow           = time.Hour
+	DefaultMaxTimeout       = 2 * time.Minute
+	DefaultClaimTimeout     = 2 * time.Second
+	DefaultVoidCooldown     = time.Second
+	DefaultMaxSkew          = 30 * time.Second
+	DefaultMaxStoredBody    = 4 << 10
+	DefaultMaxOpenAttempts  = 10_000
+	DefaultRetryAfter       = time.Second
+	DefaultOutageRetryAfter = 5 * time.Second
 )
 
 // Config holds the settings of a Table. Zero fields take their defaults. All
@@ -29,36 +29,36 @@
 	Incarnation fleet.Incarnation
 	// Window is how long a key is remembered after its last record.
 	Window time.Duration
-	// MaxWait bounds the deadline of an attempt. It is less than half of Window.
-	MaxWait time.Duration
-	// ClaimWait is how long an attempt waits for its claim to be on the log.
-	ClaimWait time.Duration
-	// VoidHold is how long after a void no attempt with the key is admitted, so
+	// MaxTimeout bounds the deadline of an attempt. It is less than half of Window.
+	MaxTimeout time.Duration
+	// ClaimTimeout is how long an attempt waits for its claim to be on the log.
+	ClaimTimeout time.Duration
+	// VoidCooldown is how long after a void no attempt with the key is admitted, so
 	// that the claimant can say NotRun before another attempt may run.
-	VoidHold time.Duration
+	VoidCooldown time.Duration
 	// MaxSkew bounds the difference between clocks of callers, entry instances
 	// and the log.
 	MaxSkew time.Duration
-	// KeepBody is the size of the largest body that is kept with its outcome.
-	KeepBody int
-	// MaxOpen bounds the attempts held in memory.
-	MaxOpen int
+	// MaxStoredBody is the size of the largest body that is kept with its outcome.
+	MaxStoredBody int
+	// MaxOpenAttempts bounds the attempts held in memory.
+	MaxOpenAttempts int
 	// RetryAfter is told where asking again soon helps, OutageRetry while the
 	// log is down.
-	RetryAfter  time.Duration
-	OutageRetry time.Duration
+	RetryAfter       time.Duration
+	OutageRetryAfter time.Duration
 }
 
 func (c Config) withDefaults() Config {
 	c.Window = cmp.Or(c.Window, DefaultWindow)
-	c.MaxWait = cmp.Or(c.MaxWait, DefaultMaxWait)
-	c.ClaimWait = cmp.Or(c.ClaimWait, DefaultClaimWait)
-	c.VoidHold = cmp.Or(c.VoidHold, DefaultVoidHold)
+	c.MaxTimeout = cmp.Or(c.MaxTimeout, DefaultMaxTimeout)
+	c.ClaimTimeout = cmp.Or(c.ClaimTimeout, DefaultClaimTimeout)
+	c.VoidCooldown = cmp.Or(c.VoidCooldown, DefaultVoidCooldown)
 	c.MaxSkew = cmp.Or(c.MaxSkew, DefaultMaxSkew)
-	c.KeepBody = cmp.Or(c.KeepBody, DefaultKeepBody)
-	c.MaxOpen = cmp.Or(c.MaxOpen, DefaultMaxOpen)
+	c.MaxStoredBody = cmp.Or(c.MaxStoredBody, DefaultMaxStoredBody)
+	c.MaxOpenAttempts = cmp.Or(c.MaxOpenAttempts, DefaultMaxOpenAttempts)
 	c.RetryAfter = cmp.Or(c.RetryAfter, DefaultRetryAfter)
-	c.OutageRetry = cmp.Or(c.OutageRetry, DefaultOutageRetry)
+	c.OutageRetryAfter = cmp.Or(c.OutageRetryAfter, DefaultOutageRetryAfter)
 
 	return c
 }
@@ -68,9 +68,9 @@
 func (c Config) Check(retention time.Duration) error {
 	c = c.withDefaults()
 
-	if c.Window <= 2*(c.MaxWait+c.MaxSkew) {
+	if c.Window <= 2*(c.MaxTimeout+c.MaxSkew) {
 		return merry.Errorf("check claim window: %v is not more than twice the longest wait and skew, %v",
-			c.Window, 2*(c.MaxWait+c.MaxSkew))
+			c.Window, 2*(c.MaxTimeout+c.MaxSkew))
 	}
 
 	if retention < c.Window+4*c.MaxSkew {
--- a/claim/keeper_test.go
+++ b/claim/executor_test.go
@@ -18,37 +18,37 @@
 	"monsoonlever/logstream"
 )
 
-// entries is several entry instances over one log.
-type entries struct {
-	log     *memoryLog
-	keepers []*Executor
-	stop    func()
+// cluster is several entry instances over one log.
+type cluster struct {
+	log       *memoryLog
+	executors []*Executor
+	stop      func()
 }
 
-func startEntries(ctx context.Context, count int) *entries {
-	e := &entries{log: newMemoryLog()}
+func startCluster(ctx context.Context, count int) *cluster {
+	c := &cluster{log: newMemoryLog()}
 	ctx, cancel := context.WithCancel(ctx)
 	wg := conc.NewWaitGroup()
 
 	for i := range count {
 		id := fleet.InstanceID(fmt.Sprintf("entry-%d", i))
 		client := &logstream.Client{
-			Log: e.log, Clock: clock.System{}, Stream: "claims", Writer: id, Incarnation: 1, Retention: 2 * time.Hour,
+			Log: c.log, Clock: clock.System{}, Stream: "claims", Writer: id, Incarnation: 1, Retention: 2 * time.Hour,
 		}
-		keeper := &Executor{
-			Log:    client,
-			Clock:      clock.System{},
-			Config:     Config{Self: id, Incarnation: 1},
+		executor := &Executor{
+			Log:           client,
+			Clock:         clock.System{},
+			Config:        Config{Self: id, Incarnation: 1},
 			StoredHeaders: []string{"Content-Type"},
 		}
-		client.Subscribers = []logstream.Subscriber{keeper}
-		e.keepers = append(e.keepers, keeper)
+		client.Subscribers = []logstream.Subscriber{executor}
+		c.executors = append(c.executors, executor)
 
 		wg.Go(func() { _ = client.Run(ctx) })
-		wg.Go(func() { _ = keeper.Run(ctx) })
+		wg.Go(func() { _ = executor.Run(ctx) })
 	}
 
-	e.stop = func() {
+	c.stop = func() {
 		cancel()
 		wg.Wait()
 	}
@@ -56,10 +56,10 @@
 	time.Sleep(time.Second)
 	synctest.Wait()
 
-	return e
+	return c
 }
 
-func attemptWith(value string, wait time.Duration) Attempt {
+func newAttempt(value string, wait time.Duration) Attempt {
 	return Attempt{
 		Key:      NewKey("payrun-api", "kronvig", value),
 		Digest:   DigestOf([]byte("POST"), []byte("/bank-file")),
@@ -67,9 +67,9 @@
 	}
 }
 
-func TestDoRunsOneOfManyAttempts(t *testing.T) {
+func TestDoRunsConcurrentAttemptsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEntries(t.Context(), 3)
+		e := startCluster(t.Context(), 3)
 		defer e.stop()
 
 		var (
@@ -83,7 +83,7 @@
 			time.Sleep(200 * time.Millisecond)
 
 			if runs.Load() > 1 {
-				return Result{}, errLost
+				return Result{}, errResponseLost
 			}
 
 			return NewResult(201, []Field{{Name: "Content-Type", Value: "text/plain"}, {Name: "Date", Value: "x"}}, []byte("paid")), nil
@@ -93,7 +93,7 @@
 
 		for i := range 30 {
 			wg.Go(func() {
-				v, err := e.keepers[i%3].Do(t.Context(), attemptWith("k", time.Minute), send)
+				v, err := e.executors[i%3].Do(t.Context(), newAttempt("k", time.Minute), send)
 				if err != nil {
 					t.Errorf("do: got %v, want no error", err)
 				}
@@ -123,25 +123,25 @@
 	})
 }
 
-func TestDoTellsWhatTheSendMeans(t *testing.T) {
+func TestDoMapsSendErrors(t *testing.T) {
 	tests := []struct {
 		desc       string
 		err        error
-		wantRun    Run
-		wantSecond Run
+		wantRun    RunState
+		wantSecond RunState
 	}{
 		{desc: "not sent", err: merry.Wrap(backend.ErrNotSent), wantRun: NotRun, wantSecond: Ran},
 		{desc: "refused by the server", err: merry.Wrap(backend.ErrRefused), wantRun: NotRun, wantSecond: Ran},
-		{desc: "reset on the way", err: errLost, wantRun: Unknown, wantSecond: Unknown},
+		{desc: "reset on the way", err: errResponseLost, wantRun: Unknown, wantSecond: Unknown},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := startEntries(t.Context(), 2)
+				e := startCluster(t.Context(), 2)
 				defer e.stop()
 
-				v, err := e.keepers[0].Do(t.Context(), attemptWith("k", time.Minute), func(context.Context) (Result, error) {
+				v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 					return Result{}, tt.err
 				})
 				if err != nil {
@@ -154,7 +154,7 @@
 
 				time.Sleep(v.RetryAfter() + time.Second)
 
-				v, err = e.keepers[1].Do(t.Context(), attemptWith("k", time.Minute), func(context.Context) (Result, error) {
+				v, err = e.executors[1].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 					return NewResult(200, nil, nil), nil
 				})
 				if err != nil {
@@ -169,12 +169,12 @@
 	}
 }
 
-func TestDoInAnOutageAnswersAtOnce(t *testing.T) {
+func TestDoFailsFastDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEntries(t.Context(), 2)
+		e := startCluster(t.Context(), 2)
 		defer e.stop()
 
-		e.log.set(true, 0)
+		e.log.setFaults(true, 0)
 
 		// An hour-long deadline must not hold the answer back.
 		began := time.Now()
@@ -184,7 +184,7 @@
 			return Result{}, nil
 		}
 
-		v, err := e.keepers[0].Do(t.Context(), attemptWith("k", time.Hour), sent)
+		v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Hour), sent)
 		if err != nil {
 			t.Fatalf("do: got %v, want no error", err)
 		}
@@ -193,7 +193,7 @@
 			t.Errorf("verdict: got %s, want %s", got, want)
 		}
 
-		if got, most := time.Since(began), DefaultClaimWait+DefaultTick; got > most {
+		if got, most := time.Since(began), DefaultClaimTimeout+DefaultTickInterval; got > most {
 			t.Errorf("first answer in the outage took %v, want at most %v", got, most)
 		}
 
@@ -201,7 +201,7 @@
 
 		began = time.Now()
 
-		v, err = e.keepers[0].Do(t.Context(), attemptWith("other", time.Hour), sent)
+		v, err = e.executors[0].Do(t.Context(), newAttempt("other", time.Hour), sent)
 		if err != nil {
 			t.Fatalf("do once the outage is known: got %v, want no error", err)
 		}
@@ -214,10 +214,10 @@
 			t.Errorf("answer once the outage is known: got after %v, want after %v", got, want)
 		}
 
-		e.log.set(false, 0)
+		e.log.setFaults(false, 0)
 		time.Sleep(15 * time.Second)
 
-		v, err = e.keepers[1].Do(t.Context(), attemptWith("k", time.Minute), func(context.Context) (Result, error) {
+		v, err = e.executors[1].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 			return NewResult(200, nil, nil), nil
 		})
 		if err != nil || v.Run() != Ran {
@@ -226,15 +226,15 @@
 	})
 }
 
-func TestDoAnswersWhileTheOutcomeCannotBeKept(t *testing.T) {
+func TestDoReturnsResultWhileOutcomeCannotBeAppended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEntries(t.Context(), 2)
+		e := startCluster(t.Context(), 2)
 		defer e.stop()
 
-		v, err := e.keepers[0].Do(t.Context(), attemptWith("k", time.Minute), func(context.Context) (Result, error) {
+		v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 			// The other instance reads the claim before the log goes away.
 			time.Sleep(time.Second)
-			e.log.set(true, 0)
+			e.log.setFaults(true, 0)
 			time.Sleep(10 * time.Second)
 
 			return NewResult(200, nil, []byte("paid")), nil
@@ -243,32 +243,32 @@
 			t.Fatalf("do over an outage: got %s, %v, want %s", v.Run(), err, Ran)
 		}
 
-		v, err = e.keepers[1].Do(t.Context(), attemptWith("k", time.Minute), nil)
+		v, err = e.executors[1].Do(t.Context(), newAttempt("k", time.Minute), nil)
 		if err != nil || v.Run() != Unknown || v.RetryAfter() == 0 {
 			t.Errorf("retry in the outage: got %s, %v, want %s with a time to retry", v.Run(), err, Unknown)
 		}
 
-		e.log.set(false, 0)
+		e.log.setFaults(false, 0)
 		time.Sleep(15 * time.Second)
 
-		v, err = e.keepers[1].Do(t.Context(), attemptWith("k", time.Minute), nil)
+		v, err = e.executors[1].Do(t.Context(), newAttempt("k", time.Minute), nil)
 		if err != nil || v.Run() != Ran || string(v.Result().Body()) != "paid" {
 			t.Errorf("retry after the outage: got %s (%s) %q, %v, want %s", v.Run(), v.Reason(), v.Result().Body(), err, Ran)
 		}
 	})
 }
 
-func TestDoSurvivesLostAppendAnswers(t *testing.T) {
+func TestDoRunsOnceWhenAppendResponsesAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEntries(t.Context(), 1)
+		e := startCluster(t.Context(), 1)
 		defer e.stop()
 
-		e.log.set(false, 5)
+		e.log.setFaults(false, 5)
 
 		runs := 0
 
 		for i := range 10 {
-			v, err := e.keepers[0].Do(t.Context(), attemptWith(fmt.Sprint(i), time.Minute), func(context.Context) (Result, error) {
+			v, err := e.executors[0].Do(t.Context(), newAttempt(fmt.Sprint(i), time.Minute), func(context.Context) (Result, error) {
 				runs++
 
 				return NewResult(200, nil, nil), nil
@@ -284,15 +284,15 @@
 	})
 }
 
-func TestDoOfACanceledCallerSendsNothing(t *testing.T) {
+func TestDoWithCanceledContextSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEntries(t.Context(), 1)
+		e := startCluster(t.Context(), 1)
 		defer e.stop()
 
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 
-		_, err := e.keepers[0].Do(ctx, attemptWith("k", time.Minute), func(context.Context) (Result, error) {
+		_, err := e.executors[0].Do(ctx, newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 			t.Error("send for a canceled caller: got called, want not")
 
 			return Result{}, nil
@@ -303,7 +303,7 @@
 
 		time.Sleep(3 * time.Second)
 
-		v, err := e.keepers[0].Do(t.Context(), attemptWith("k", time.Minute), func(context.Context) (Result, error) {
+		v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 			return NewResult(200, nil, nil), nil
 		})
 		if err != nil || v.Run() != Ran {
@@ -312,20 +312,20 @@
 	})
 }
 
-func TestDoOfAPanickingSendLeavesUnknown(t *testing.T) {
+func TestDoWithPanickingSendLeavesUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startEntries(t.Context(), 1)
+		e := startCluster(t.Context(), 1)
 		defer e.stop()
 
 		func() {
 			defer func() { _ = recover() }()
 
-			_, _ = e.keepers[0].Do(t.Context(), attemptWith("k", time.Minute), func(context.Context) (Result, error) {
+			_, _ = e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 				panic("on the way")
 			})
 		}()
 
-		v, err := e.keepers[0].Do(t.Context(), attemptWith("k", time.Minute), nil)
+		v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), nil)
 		if err != nil || v.Run() != Unknown {
 			t.Errorf("retry: got %s, %v, want %s", v.Run(), err, Unknown)
 		}
--- a/claim/finish.go
+++ b/claim/finish.go
@@ -6,36 +6,36 @@
 	"monsoonlever/logstream"
 )
 
-// Done takes the service's answer to a request that was dispatched.
-func (t *Table) Done(_ time.Time, id RequestID, r Result) []Command {
-	return t.finish(id, &outcome{kept: true, result: r})
+// Completed takes the service's answer to a request that was dispatched.
+func (t *Table) Completed(_ time.Time, id AttemptID, r Result) []Command {
+	return t.finish(id, &outcome{bodyStored: true, result: r})
 }
 
 // Broken says that it is unknown whether a dispatched request ran.
-func (t *Table) Broken(_ time.Time, id RequestID) []Command {
+func (t *Table) Broken(_ time.Time, id AttemptID) []Command {
 	return t.finish(id, &outcome{broken: true})
 }
 
 // finish answers at once; the record follows when the log takes it.
-func (t *Table) finish(id RequestID, o *outcome) []Command {
+func (t *Table) finish(id AttemptID, o *outcome) []Command {
 	a := t.attempts[id]
-	if a == nil || a.phase != attemptSent {
+	if a == nil || a.phase != attemptDispatched {
 		return nil
 	}
 
-	a.phase = attemptEnded
+	a.phase = attemptCompleted
 	a.outcome = o
-	commands := []Command{t.answer(a, o.verdict())}
-	commands = append(commands, t.answerEnded(a.key, a.digest, o)...)
+	commands := []Command{t.resolve(a, o.verdict())}
+	commands = append(commands, t.resolveWithOutcome(a.key, a.digest, o)...)
 
-	return append(commands, t.appendOwed(time.Time{}, a)...)
+	return append(commands, t.appendFinalRecord(time.Time{}, a)...)
 }
 
 // Declined says that a dispatched request certainly did not run and never
 // will: nothing of it was sent, or the backend server refused it.
-func (t *Table) Declined(now time.Time, id RequestID) []Command {
+func (t *Table) Declined(now time.Time, id AttemptID) []Command {
 	a := t.attempts[id]
-	if a == nil || a.phase != attemptSent {
+	if a == nil || a.phase != attemptDispatched {
 		return nil
 	}
 
@@ -44,39 +44,39 @@
 	var commands []Command
 
 	if t.down {
-		v := refusal(NotStarted, ReasonLogDown, t.config.OutageRetry)
-		commands = append(commands, t.answer(a, v))
-		commands = append(commands, t.answerJoined(a.key, v)...)
+		v := verdictWithoutResult(NotStarted, ReasonLogDown, t.config.OutageRetryAfter)
+		commands = append(commands, t.resolve(a, v))
+		commands = append(commands, t.resolveJoined(a.key, v)...)
 	}
 
-	return append(commands, t.void(now, a)...)
+	return append(commands, t.appendVoid(now, a)...)
 }
 
-// void makes an attempt append its void.
-func (t *Table) void(now time.Time, a *attempt) []Command {
+// appendVoid makes an attempt append its appendVoid.
+func (t *Table) appendVoid(now time.Time, a *attempt) []Command {
 	a.phase = attemptVoiding
 	t.owners[a.key] = a
 
-	return t.appendOwed(now, a)
+	return t.appendFinalRecord(now, a)
 }
 
-// appendOwed appends the record that an attempt owes, or keeps it owed while
+// appendFinalRecord appends the record that an attempt owes, or keeps it owed while
 // the log is down.
-func (t *Table) appendOwed(now time.Time, a *attempt) []Command {
-	a.owes = t.down
+func (t *Table) appendFinalRecord(now time.Time, a *attempt) []Command {
+	a.appendPending = t.down
 	if t.down {
 		return nil
 	}
 
-	if a.phase == attemptEnded {
-		return []Command{appendOf(KindOutcome, a.id, a.outcome.record(a, t.config.KeepBody))}
+	if a.phase == attemptCompleted {
+		return []Command{newAppend(KindOutcome, a.id, a.outcome.record(a, t.config.MaxStoredBody))}
 	}
 
-	if a.voidAt.IsZero() {
-		a.voidAt = now
+	if a.voidAppended.IsZero() {
+		a.voidAppended = now
 	}
 
-	return []Command{appendOf(KindVoid, a.id, voidRecord{
+	return []Command{newAppend(KindVoid, a.id, voidRecord{
 		Key:        a.key,
 		Generation: a.generation,
 		Request:    a.id,
@@ -87,17 +87,17 @@
 // AppendFailed says that the append of a record ended without its being known
 // to be in effect; dead says that it never will be. Only a claim that is dead
 // may be made again.
-func (t *Table) AppendFailed(now time.Time, kind logstream.Kind, id RequestID, dead bool) []Command {
+func (t *Table) AppendFailed(now time.Time, kind logstream.Kind, id AttemptID, definite bool) []Command {
 	a := t.attempts[id]
 	if a == nil {
 		return nil
 	}
 
 	if kind != KindClaim {
-		a.owes = true
+		a.appendPending = true
 
-		if dead {
-			a.voidAt = time.Time{}
+		if definite {
+			a.voidAppended = time.Time{}
 		}
 
 		return nil
@@ -107,15 +107,15 @@
 		return nil
 	}
 
-	if !dead || t.down || !now.Before(earlier(a.claimBy, a.deadline)) {
-		return t.giveUp(a, ReasonClaimSlow, t.config.RetryAfter)
+	if !definite || t.down || !now.Before(earlier(a.claimDeadline, a.deadline)) {
+		return t.abort(a, ReasonClaimSlow, t.config.RetryAfter)
 	}
 
-	return t.reenter(now, a)
+	return t.readmit(now, a)
 }
 
-// reenter admits an attempt again whose claim is dead.
-func (t *Table) reenter(now time.Time, a *attempt) []Command {
+// readmit admits an attempt again whose claim is dead.
+func (t *Table) readmit(now time.Time, a *attempt) []Command {
 	delete(t.pending, a.key)
 
 	waiting := t.joined[a.key]
@@ -125,7 +125,7 @@
 
 	for _, w := range append([]*attempt{a}, waiting...) {
 		w.phase = attemptClaiming
-		commands = append(commands, t.enter(now, w)...)
+		commands = append(commands, t.admit(now, w)...)
 	}
 
 	return commands
@@ -133,17 +133,17 @@
 
 // Abandon says that nobody waits for the answer of an attempt any more. One
 // that was sent goes on.
-func (t *Table) Abandon(_ time.Time, id RequestID) []Command {
+func (t *Table) Abandon(_ time.Time, id AttemptID) []Command {
 	a := t.attempts[id]
-	if a == nil || a.answered {
+	if a == nil || a.resolved {
 		return nil
 	}
 
 	switch a.phase {
 	case attemptClaiming:
-		return t.giveUp(a, ReasonCanceled, t.config.RetryAfter)
+		return t.abort(a, ReasonCanceled, t.config.RetryAfter)
 	case attemptJoined:
-		return []Command{t.answer(a, refusal(Unknown, ReasonCanceled, t.config.RetryAfter))}
+		return []Command{t.resolve(a, verdictWithoutResult(Unknown, ReasonCanceled, t.config.RetryAfter))}
 	default:
 		return nil
 	}
--- a/claim/holds_test.go
+++ b/claim/holds_test.go
@@ -13,12 +13,12 @@
 		return m.newKey(rapid.Bool().Draw(t, "key tells its time"))
 	}
 
-	recent := min(len(m.keys), m.crowd)
+	recent := min(len(m.keys), m.recentKeys)
 
 	return m.keys[len(m.keys)-1-rapid.IntRange(0, recent-1).Draw(t, "which key")]
 }
 
-func (m *model) pick(t *rapid.T) *modelProcess {
+func (m *model) pickProcess(t *rapid.T) *modelProcess {
 	return m.processes[rapid.IntRange(0, len(m.processes)-1).Draw(t, "process")]
 }
 
@@ -30,7 +30,7 @@
 	}
 
 	for range 40 {
-		m.round(m.times.maxWait / 20)
+		m.round(m.times.maxTimeout / 20)
 	}
 }
 
@@ -42,7 +42,7 @@
 		m.setDown(p, false)
 
 		for range 8 {
-			m.flush(p, appendTaken)
+			m.flush(p, appendAcknowledged)
 		}
 	}
 
@@ -50,32 +50,32 @@
 		m.read(p, 1000)
 
 		for len(p.sends) > 0 {
-			m.send(p, sendAnswered)
+			m.send(p, sendSucceeds)
 		}
 
 		m.run(p, p.table.Tick(m.now))
 	}
 }
 
-func (m *model) checkAnswered() {
+func (m *model) checkAllResolved() {
 	for _, a := range m.attempts {
-		if !a.answered {
+		if !a.resolved {
 			m.t.Fatalf("attempt %d with %s: got no answer with the log up, want one", a.id, a.key.key.Value())
 		}
 	}
 
 	for _, p := range m.processes {
-		if got, want := p.table.Open(), 0; got != want {
+		if got, want := p.table.OpenAttempts(), 0; got != want {
 			m.t.Fatalf("attempts left open at %s: got %d, want %d", p.id, got, want)
 		}
 	}
 
-	m.checkEnded()
+	m.checkNoKeyClaimed()
 }
 
-// checkEnded checks that no key stays claimed once every process went on,
+// checkNoKeyClaimed checks that no key stays claimed once every process went on,
 // unless one of them has missed records.
-func (m *model) checkEnded() {
+func (m *model) checkNoKeyClaimed() {
 	if m.gaps > 0 {
 		return
 	}
@@ -91,10 +91,10 @@
 
 func TestHoldsAtMostOnce(t *testing.T) {
 	appendFaults := rapid.SampledFrom([]appendFault{
-		appendTaken, appendTaken, appendTaken, appendRefused, appendAnswerLost, appendNeverArrives, appendArrivesLate,
+		appendAcknowledged, appendAcknowledged, appendAcknowledged, appendRefused, appendResponseLost, appendLost, appendDelayed,
 	})
 	sendFaults := rapid.SampledFrom([]sendFault{
-		sendAnswered, sendAnswered, sendAnswerLost, sendRefused, sendNotSent, sendNeverArrives, sendArrivesLate,
+		sendSucceeds, sendSucceeds, sendResponseLost, sendRefused, sendNotSent, sendLost, sendDelayed,
 	})
 	pauses := rapid.Custom(func(t *rapid.T) time.Duration {
 		if rapid.IntRange(0, 9).Draw(t, "long") != 0 {
@@ -102,18 +102,18 @@
 		}
 
 		return rapid.SampledFrom([]time.Duration{
-			time.Second, 4 * time.Second, 20 * time.Second, wideTimes.window / 3, wideTimes.window,
+			time.Second, 4 * time.Second, 20 * time.Second, longWindow.window / 3, longWindow.window,
 		}).Draw(t, "long pause")
 	})
 
 	rapid.Check(t, func(t *rapid.T) {
-		times := rapid.SampledFrom([]modelTimes{wideTimes, tightTimes, shortTimes}).Draw(t, "times")
+		times := rapid.SampledFrom([]modelTimings{longWindow, shortWindow, shortRetention}).Draw(t, "times")
 		m := newModel(t, times, rapid.IntRange(1, 3).Draw(t, "processes"))
-		m.crowd = rapid.IntRange(1, 4).Draw(t, "crowd")
+		m.recentKeys = rapid.IntRange(1, 4).Draw(t, "crowd")
 
 		submit := func(t *rapid.T) {
 			k := m.pickKey(t)
-			if !m.usable(k) {
+			if !m.mayUse(k) {
 				t.Skip("its caller has given the key up")
 			}
 
@@ -122,12 +122,12 @@
 				body = 1
 			}
 
-			wait := rapid.SampledFrom([]time.Duration{time.Second / 2, m.times.maxWait}).Draw(t, "deadline")
-			m.submit(m.pick(t), k, body, wait)
+			wait := rapid.SampledFrom([]time.Duration{time.Second / 2, m.times.maxTimeout}).Draw(t, "deadline")
+			m.submit(m.pickProcess(t), k, body, wait)
 		}
-		flush := func(t *rapid.T) { m.flush(m.pick(t), appendFaults.Draw(t, "append")) }
-		read := func(t *rapid.T) { m.read(m.pick(t), rapid.IntRange(1, 6).Draw(t, "limit")) }
-		send := func(t *rapid.T) { m.send(m.pick(t), sendFaults.Draw(t, "send")) }
+		flush := func(t *rapid.T) { m.flush(m.pickProcess(t), appendFaults.Draw(t, "append")) }
+		read := func(t *rapid.T) { m.read(m.pickProcess(t), rapid.IntRange(1, 6).Draw(t, "limit")) }
+		send := func(t *rapid.T) { m.send(m.pickProcess(t), sendFaults.Draw(t, "send")) }
 
 		t.Repeat(map[string]func(*rapid.T){
 			"submit":       submit,
@@ -139,13 +139,13 @@
 			"send":         send,
 			"send again":   send,
 			"turn": func(t *rapid.T) {
-				p := m.pick(t)
-				m.flush(p, appendTaken)
+				p := m.pickProcess(t)
+				m.flush(p, appendAcknowledged)
 				m.read(p, 100)
 			},
 			"round": func(*rapid.T) {
 				for _, p := range m.processes {
-					m.flush(p, appendTaken)
+					m.flush(p, appendAcknowledged)
 				}
 
 				for _, p := range m.processes {
@@ -153,7 +153,7 @@
 				}
 			},
 			"tick": func(t *rapid.T) {
-				p := m.pick(t)
+				p := m.pickProcess(t)
 				m.run(p, p.table.Tick(m.now))
 			},
 			"wait": func(t *rapid.T) {
@@ -161,15 +161,15 @@
 				m.trim()
 			},
 			"late append": func(t *rapid.T) {
-				if len(m.late) == 0 {
+				if len(m.lateAppends) == 0 {
 					t.Skip("nothing is late")
 				}
 
-				i := rapid.IntRange(0, len(m.late)-1).Draw(t, "late")
-				m.land(m.late[i].data)
+				i := rapid.IntRange(0, len(m.lateAppends)-1).Draw(t, "late")
+				m.appendRecord(m.lateAppends[i].data)
 
 				if rapid.Bool().Draw(t, "only once") {
-					m.late = append(m.late[:i], m.late[i+1:]...)
+					m.lateAppends = append(m.lateAppends[:i], m.lateAppends[i+1:]...)
 				}
 			},
 			"late send": func(t *rapid.T) {
@@ -177,17 +177,17 @@
 					t.Skip("nothing is late")
 				}
 
-				m.arriveSend(rapid.IntRange(0, len(m.lateSends)-1).Draw(t, "late"))
+				m.deliverLateSend(rapid.IntRange(0, len(m.lateSends)-1).Draw(t, "late"))
 			},
 			"log": func(t *rapid.T) {
-				m.setDown(m.pick(t), rapid.IntRange(0, 4).Draw(t, "down") == 0)
+				m.setDown(m.pickProcess(t), rapid.IntRange(0, 4).Draw(t, "down") == 0)
 			},
 			"suspect": func(t *rapid.T) {
-				p, other := m.pick(t), m.pick(t)
-				m.run(p, p.table.InstanceGone(other.id, other.incarnation))
+				p, other := m.pickProcess(t), m.pickProcess(t)
+				m.run(p, p.table.InstanceRemoved(other.id, other.incarnation))
 			},
 			"replace": func(t *rapid.T) {
-				p := m.pick(t)
+				p := m.pickProcess(t)
 				if p.replaced || len(m.processes) > 6 {
 					t.Skip("replaced already")
 				}
@@ -197,44 +197,44 @@
 				m.start(p.id, p.incarnation+1)
 			},
 			"abandon": func(t *rapid.T) {
-				p := m.pick(t)
+				p := m.pickProcess(t)
 				if p.next == 0 || rapid.IntRange(0, 3).Draw(t, "leave it") != 0 {
 					t.Skip("nothing to abandon")
 				}
 
-				id := RequestID(rapid.IntRange(1, int(p.next)).Draw(t, "attempt"))
+				id := AttemptID(rapid.IntRange(1, int(p.next)).Draw(t, "attempt"))
 				m.run(p, p.table.Abandon(m.now, id))
 			},
 		})
 
 		m.settle()
-		m.checkAnswered()
+		m.checkAllResolved()
 
 		for len(m.lateSends) > 0 {
-			m.arriveSend(0)
+			m.deliverLateSend(0)
 		}
 	})
 
-	met.note(func(m *tally) {
+	totals.update(func(m *coverage) {
 		t.Logf("met %d keys, %d attempts, %d executions, verdicts %v", m.keys, m.attempts, m.executions, m.verdicts)
 	})
 }
 
-func TestHoldsWithoutFaultsEveryRequestRuns(t *testing.T) {
+func TestHoldsEveryKeyRunsOnceWithoutFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(t, wideTimes, rapid.IntRange(1, 4).Draw(t, "processes"))
-		m.crowd = 4
+		m := newModel(t, longWindow, rapid.IntRange(1, 4).Draw(t, "processes"))
+		m.recentKeys = 4
 
 		t.Repeat(map[string]func(*rapid.T){
-			"submit": func(t *rapid.T) { m.submit(m.pick(t), m.pickKey(t), 0, m.times.maxWait) },
-			"flush":  func(t *rapid.T) { m.flush(m.pick(t), appendTaken) },
-			"read":   func(t *rapid.T) { m.read(m.pick(t), 2) },
-			"send":   func(t *rapid.T) { m.send(m.pick(t), sendAnswered) },
+			"submit": func(t *rapid.T) { m.submit(m.pickProcess(t), m.pickKey(t), 0, m.times.maxTimeout) },
+			"flush":  func(t *rapid.T) { m.flush(m.pickProcess(t), appendAcknowledged) },
+			"read":   func(t *rapid.T) { m.read(m.pickProcess(t), 2) },
+			"send":   func(t *rapid.T) { m.send(m.pickProcess(t), sendSucceeds) },
 			"wait":   func(*rapid.T) { m.now = m.now.Add(10 * time.Millisecond) },
 		})
 
 		m.settle()
-		m.checkAnswered()
+		m.checkAllResolved()
 
 		for _, k := range m.keys {
 			if got, want := k.executions, 1; got != want {
--- a/claim/key.go
+++ b/claim/key.go
@@ -49,9 +49,9 @@
 	return KeyID(h.Sum(nil)[:idBytes])
 }
 
-// Time returns the time that the key itself tells, if its value is a UUID of
+// CreatedAt returns the time that the key itself tells, if its value is a UUID of
 // version 7.
-func (k Key) Time() (time.Time, bool) {
+func (k Key) CreatedAt() (time.Time, bool) {
 	id, err := uuid.Parse(k.value)
 	if err != nil || id.Version() != 7 {
 		return time.Time{}, false
--- a/claim/keystate.go
+++ b/claim/keystate.go
@@ -5,25 +5,25 @@
 // keyState is what the records say of one key. It depends on nothing but the
 // records, so that all entry instances agree; heldUntil is the exception.
 type keyState struct {
-	// touched is the log's time of the key's last record, in nanoseconds.
-	touched int64
-	// heldUntil is when attempts are admitted again after a void.
-	heldUntil  int64
-	request    RequestID
-	outcome    *outcome
-	digest     Digest
-	generation uint32
-	claimant   uint32
-	phase      keyPhase
+	// lastRecord is the log's time of the key's last record, in nanoseconds.
+	lastRecord int64
+	// blockedUntil is when attempts are admitted again after a void.
+	blockedUntil int64
+	attempt      AttemptID
+	outcome      *outcome
+	digest       Digest
+	generation   uint32
+	claimant     uint32
+	phase        keyPhase
 	// uncertain is set if the key may have records that aged out before this
 	// instance could read them. It may not be claimed.
 	uncertain bool
 }
 
-// offer takes a claim and tells whether it is the valid one.
-func (s *keyState) offer(c claimRecord, by uint32) bool {
+// applyClaim takes a claim and tells whether it is the valid one.
+func (s *keyState) applyClaim(c claimRecord, by uint32) bool {
 	if s.uncertain {
-		s.suspect(c, by)
+		s.applyUncertainClaim(c, by)
 
 		return false
 	}
@@ -34,29 +34,29 @@
 
 	s.phase = keyClaimed
 	s.claimant = by
-	s.request = c.Request
+	s.attempt = c.Request
 	s.digest = c.Digest
 
 	return true
 }
 
-// suspect keeps the latest claim of an uncertain key, to tell whom to wait for.
-func (s *keyState) suspect(c claimRecord, by uint32) {
-	if s.phase == keyEnded {
+// applyUncertainClaim keeps the latest claim of an uncertain key, to tell whom to wait for.
+func (s *keyState) applyUncertainClaim(c claimRecord, by uint32) {
+	if s.phase == keyCompleted {
 		return
 	}
 
 	s.phase = keyClaimed
 	s.claimant = by
-	s.request = c.Request
+	s.attempt = c.Request
 	s.digest = c.Digest
 	s.generation = c.Generation
 }
 
-// void ends the present generation, if the claimant itself says so.
-func (s *keyState) void(v voidRecord, by uint32) bool {
-	mine := s.claimant == by && s.request == v.Request && s.generation == v.Generation
-	if s.uncertain || s.phase != keyClaimed || !mine {
+// applyVoid ends the present generation, if the claimant itself says so.
+func (s *keyState) applyVoid(v voidRecord, by uint32) bool {
+	byClaimant := s.claimant == by && s.attempt == v.Request && s.generation == v.Generation
+	if s.uncertain || s.phase != keyClaimed || !byClaimant {
 		return false
 	}
 
@@ -66,16 +66,16 @@
 	return true
 }
 
-// end takes the outcome of the claimant's call.
-func (s *keyState) end(o outcomeRecord, by uint32) bool {
-	mine := s.claimant == by && s.request == o.Request && s.generation == o.Generation
-	if s.phase == keyEnded || (!s.uncertain && (s.phase != keyClaimed || !mine)) {
+// applyOutcome takes the outcome of the claimant's call.
+func (s *keyState) applyOutcome(o outcomeRecord, by uint32) bool {
+	byClaimant := s.claimant == by && s.attempt == o.Request && s.generation == o.Generation
+	if s.phase == keyCompleted || (!s.uncertain && (s.phase != keyClaimed || !byClaimant)) {
 		return false
 	}
 
-	s.phase = keyEnded
+	s.phase = keyCompleted
 	s.claimant = by
-	s.request = o.Request
+	s.attempt = o.Request
 	s.digest = o.Digest
 	s.outcome = newOutcome(o)
 
@@ -83,5 +83,5 @@
 }
 
 func (s *keyState) expired(at time.Time, window time.Duration) bool {
-	return at.UnixNano()-s.touched > int64(window)
+	return at.UnixNano()-s.lastRecord > int64(window)
 }
--- a/claim/memory_test.go
+++ b/claim/memorylog_test.go
@@ -9,16 +9,16 @@
 	"monsoonlever/provider"
 )
 
-var errLost = errors.New("answer was lost")
+var errResponseLost = errors.New("answer was lost")
 
 // memoryLog is a log that several keepers share.
 type memoryLog struct {
 	mu      sync.Mutex
 	records []provider.Record
 	down    bool
-	// lose is the number of appends that take effect without an answer.
-	lose    int
-	changed chan struct{}
+	// dropResponses is the number of appends that take effect without an answer.
+	dropResponses int
+	changed       chan struct{}
 }
 
 func newMemoryLog() *memoryLog {
@@ -30,7 +30,7 @@
 	defer l.mu.Unlock()
 
 	if l.down {
-		return 0, errLost
+		return 0, errResponseLost
 	}
 
 	offset := provider.Offset(len(l.records) + 1)
@@ -38,21 +38,21 @@
 	close(l.changed)
 	l.changed = make(chan struct{})
 
-	if l.lose > 0 {
-		l.lose--
+	if l.dropResponses > 0 {
+		l.dropResponses--
 
-		return 0, errLost
+		return 0, errResponseLost
 	}
 
 	return offset, nil
 }
 
-func (l *memoryLog) set(down bool, lose int) {
+func (l *memoryLog) setFaults(down bool, dropResponses int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	l.down = down
-	l.lose = lose
+	l.dropResponses = dropResponses
 }
 
 func (l *memoryLog) Read(ctx context.Context, _ provider.Stream, from provider.Offset, limit int, wait time.Duration) (provider.Batch, error) {
@@ -74,7 +74,7 @@
 	defer l.mu.Unlock()
 
 	if l.down {
-		return provider.Batch{}, errLost
+		return provider.Batch{}, errResponseLost
 	}
 
 	b := provider.Batch{First: 1, Next: provider.Offset(len(l.records) + 1)}
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -13,54 +13,54 @@
 	"monsoonlever/provider"
 )
 
-// modelTimes are the times of one check.
-type modelTimes struct {
-	window    time.Duration
-	maxWait   time.Duration
-	voidHold  time.Duration
-	delay     time.Duration
-	retention time.Duration
+// modelTimings are the times of one check.
+type modelTimings struct {
+	window       time.Duration
+	maxTimeout   time.Duration
+	voidCooldown time.Duration
+	delay        time.Duration
+	retention    time.Duration
 }
 
 // The times that checks run with. In the tight ones a window passes often; in
 // the short ones the log keeps less than a window.
 var (
-	wideTimes = modelTimes{
-		window:    10 * time.Minute,
-		maxWait:   time.Minute,
-		voidHold:  time.Second,
-		delay:     30 * time.Second,
-		retention: 12 * time.Minute,
-	}
-	tightTimes = modelTimes{
-		window:    5 * time.Second,
-		maxWait:   time.Second,
-		voidHold:  300 * time.Millisecond,
-		delay:     200 * time.Millisecond,
-		retention: 5800 * time.Millisecond,
-	}
-	shortTimes = modelTimes{
-		window:    5 * time.Second,
-		maxWait:   time.Second,
-		voidHold:  300 * time.Millisecond,
-		delay:     200 * time.Millisecond,
-		retention: 2 * time.Second,
+	longWindow = modelTimings{
+		window:       10 * time.Minute,
+		maxTimeout:   time.Minute,
+		voidCooldown: time.Second,
+		delay:        30 * time.Second,
+		retention:    12 * time.Minute,
+	}
+	shortWindow = modelTimings{
+		window:       5 * time.Second,
+		maxTimeout:   time.Second,
+		voidCooldown: 300 * time.Millisecond,
+		delay:        200 * time.Millisecond,
+		retention:    5800 * time.Millisecond,
+	}
+	shortRetention = modelTimings{
+		window:       5 * time.Second,
+		maxTimeout:   time.Second,
+		voidCooldown: 300 * time.Millisecond,
+		delay:        200 * time.Millisecond,
+		retention:    2 * time.Second,
 	}
 )
 
-// tally counts what all checks of this process met, to show that they reach
+// coverage counts what all checks of this process met, to show that they reach
 // every verdict.
-type tally struct {
+type coverage struct {
 	mu         sync.Mutex
 	keys       int
 	attempts   int
 	executions int
-	verdicts   map[Run]int
+	verdicts   map[RunState]int
 }
 
-var met = tally{verdicts: make(map[Run]int)}
+var totals = coverage{verdicts: make(map[RunState]int)}
 
-func (m *tally) note(f func(*tally)) {
+func (m *coverage) update(f func(*coverage)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
@@ -71,43 +71,43 @@
 type appendFault int
 
 const (
-	appendTaken appendFault = iota
+	appendAcknowledged appendFault = iota
 	appendRefused
-	appendAnswerLost
-	appendNeverArrives
-	appendArrivesLate
+	appendResponseLost
+	appendLost
+	appendDelayed
 )
 
 // sendFault is what becomes of one call of the model's service.
 type sendFault int
 
 const (
-	sendAnswered sendFault = iota
-	sendAnswerLost
+	sendSucceeds sendFault = iota
+	sendResponseLost
 	sendRefused
 	sendNotSent
-	sendNeverArrives
-	sendArrivesLate
+	sendLost
+	sendDelayed
 )
 
 // modelKey is a key of the model's callers.
 type modelKey struct {
 	key        Key
 	created    time.Time
-	tellsTime  bool
+	hasTime    bool
 	executions int
-	answer     Result
+	result     Result
 }
 
 // modelAttempt is an attempt of a caller at one process.
 type modelAttempt struct {
 	key        *modelKey
 	body       byte
-	id         RequestID
-	answered   bool
+	id         AttemptID
+	resolved   bool
 	dispatched bool
 	// mustNotRun names the verdict by which it may not run any more.
-	mustNotRun Run
+	mustNotRun RunState
 }
 
 // modelAppend is an append whose result a process doesn't know.
@@ -118,10 +118,10 @@
 
 // modelSend is a dispatch on its way to the service.
 type modelSend struct {
-	attempt *modelAttempt
-	wonAt   time.Time
-	limit   time.Time
-	checked bool
+	attempt      *modelAttempt
+	dispatchedAt time.Time
+	deadline     time.Time
+	checked      bool
 }
 
 // modelProcess is one incarnation of an entry instance. It may be paused at
@@ -132,14 +132,14 @@
 	table       *Table
 	filter      logstream.Filter
 	cursor      int
-	goal        int
+	catchUpAt   int
 	sequence    logstream.Sequence
-	written     time.Time
+	lastWritten time.Time
 	queue       []Append
-	open        []modelAppend
+	openAppends []modelAppend
 	sends       []modelSend
-	attempts    map[RequestID]*modelAttempt
-	next        RequestID
+	attempts    map[AttemptID]*modelAttempt
+	next        AttemptID
 	down        bool
 	replaced    bool
 }
@@ -151,23 +151,23 @@
 // model is several entry instances, a log and a service that counts.
 type model struct {
 	t     *rapid.T
-	times modelTimes
+	times modelTimings
 	// gaps counts the times that a process missed records.
 	gaps int
-	// crowd is how many of the latest keys callers use again.
-	crowd     int
-	now       time.Time
-	records   []provider.Record
-	first     int
-	late      []lateAppend
-	lateSends []modelSend
-	processes []*modelProcess
-	keys      []*modelKey
-	attempts  []*modelAttempt
-	executed  int
-}
-
-func newModel(t *rapid.T, times modelTimes, processes int) *model {
+	// recentKeys is how many of the latest keys callers use again.
+	recentKeys  int
+	now         time.Time
+	records     []provider.Record
+	first       int
+	lateAppends []lateAppend
+	lateSends   []modelSend
+	processes   []*modelProcess
+	keys        []*modelKey
+	attempts    []*modelAttempt
+	executed    int
+}
+
+func newModel(t *rapid.T, times modelTimings, processes int) *model {
 	m := &model{t: t, times: times, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	for i := range processes {
 		m.start(fleet.InstanceID(fmt.Sprintf("entry-%d", i)), 1)
@@ -182,16 +182,16 @@
 		incarnation: incarnation,
 		filter:      logstream.Filter{MaxDelay: m.times.delay},
 		cursor:      m.first,
-		goal:        len(m.records),
-		attempts:    make(map[RequestID]*modelAttempt),
+		catchUpAt:   len(m.records),
+		attempts:    make(map[AttemptID]*modelAttempt),
 		table: NewTable(Config{
-			Self:        id,
-			Incarnation: incarnation,
-			Window:      m.times.window,
-			MaxWait:     m.times.maxWait,
-			VoidHold:    m.times.voidHold,
-			MaxSkew:     m.times.delay,
-			KeepBody:    4,
+			Self:          id,
+			Incarnation:   incarnation,
+			Window:        m.times.window,
+			MaxTimeout:    m.times.maxTimeout,
+			VoidCooldown:  m.times.voidCooldown,
+			MaxSkew:       m.times.delay,
+			MaxStoredBody: 4,
 		}),
 	}
 	m.processes = append(m.processes, p)
@@ -206,12 +206,12 @@
 }
 
 func (m *model) catchUp(p *modelProcess) {
-	if p.cursor >= p.goal {
+	if p.cursor >= p.catchUpAt {
 		p.table.CaughtUp()
 	}
 }
 
-func (m *model) land(data []byte) {
+func (m *model) appendRecord(data []byte) {
 	m.records = append(m.records, provider.Record{
 		Offset: provider.Offset(len(m.records) + 1),
 		Time:   m.now,
@@ -226,11 +226,11 @@
 	}
 }
 
-func (m *model) newKey(tellsTime bool) *modelKey {
-	met.note(func(m *tally) { m.keys++ })
+func (m *model) newKey(hasTime bool) *modelKey {
+	totals.update(func(m *coverage) { m.keys++ })
 
 	value := fmt.Sprintf("key-%d", len(m.keys))
-	if tellsTime {
+	if hasTime {
 		var id uuid.UUID
 
 		millis := m.now.UnixMilli()
@@ -244,16 +244,16 @@
 		value = id.String()
 	}
 
-	k := &modelKey{key: NewKey("payrun-api", "kronvig", value), created: m.now, tellsTime: tellsTime}
+	k := &modelKey{key: NewKey("payrun-api", "kronvig", value), created: m.now, hasTime: hasTime}
 	m.keys = append(m.keys, k)
 
 	return k
 }
 
-// usable tells whether a caller may still use a key. One that doesn't tell its
+// mayUse tells whether a caller may still use a key. One that doesn't tell its
 // time may be used for the window only.
-func (m *model) usable(k *modelKey) bool {
-	return k.tellsTime || m.now.Sub(k.created) < m.times.window-m.times.maxWait
+func (m *model) mayUse(k *modelKey) bool {
+	return k.hasTime || m.now.Sub(k.created) < m.times.window-m.times.maxTimeout
 }
 
 func (m *model) submit(p *modelProcess, k *modelKey, body byte, wait time.Duration) {
@@ -262,8 +262,8 @@
 	p.attempts[a.id] = a
 	m.attempts = append(m.attempts, a)
 
-	met.note(func(m *tally) { m.attempts++ })
-	m.run(p, p.table.Submit(m.now, NewRequest(a.id, k.key, DigestOf([]byte{body}), m.now.Add(wait))))
+	totals.update(func(m *coverage) { m.attempts++ })
+	m.run(p, p.table.Submit(m.now, NewSubmission(a.id, k.key, DigestOf([]byte{body}), m.now.Add(wait))))
 }
 
 func (m *model) run(p *modelProcess, commands []Command) {
@@ -272,7 +272,7 @@
 		case Append:
 			p.queue = append(p.queue, c)
 		case Dispatch:
-			a := p.attempts[c.Request()]
+			a := p.attempts[c.Attempt()]
 			if a.dispatched {
 				m.t.Fatalf("attempt %d of %s: got dispatched twice, want once", a.id, p.id)
 			}
@@ -282,26 +282,26 @@
 			}
 
 			a.dispatched = true
-			p.sends = append(p.sends, modelSend{attempt: a, wonAt: m.now, limit: c.Deadline()})
-		case Answer:
-			m.judge(p, p.attempts[c.Request()], c.Verdict())
+			p.sends = append(p.sends, modelSend{attempt: a, dispatchedAt: m.now, deadline: c.Deadline()})
+		case Resolve:
+			m.checkVerdict(p, p.attempts[c.Attempt()], c.Verdict())
 		}
 	}
 }
 
-// judge checks what an attempt is told.
-func (m *model) judge(p *modelProcess, a *modelAttempt, v Verdict) {
-	if a.answered {
+// checkVerdict checks what an attempt is told.
+func (m *model) checkVerdict(p *modelProcess, a *modelAttempt, v Verdict) {
+	if a.resolved {
 		m.t.Fatalf("attempt %d of %s: got a second answer %s, want one", a.id, p.id, v.Run())
 	}
 
-	a.answered = true
+	a.resolved = true
 
-	met.note(func(m *tally) { m.verdicts[v.Run()]++ })
+	totals.update(func(m *coverage) { m.verdicts[v.Run()]++ })
 
 	switch v.Run() {
 	case Ran:
-		m.judgeRan(a, v)
+		m.checkRan(a, v)
 	case NotRun:
 		if a.key.executions != 0 {
 			m.t.Fatalf("%s was told notRun: got %d executions, want 0", a.key.key.Value(), a.key.executions)
@@ -318,16 +318,16 @@
 	}
 }
 
-func (m *model) judgeRan(a *modelAttempt, v Verdict) {
+func (m *model) checkRan(a *modelAttempt, v Verdict) {
 	if a.key.executions != 1 {
 		m.t.Fatalf("%s was told ran: got %d executions, want 1", a.key.key.Value(), a.key.executions)
 	}
 
-	if got, want := v.Result().Status(), a.key.answer.Status(); got != want {
+	if got, want := v.Result().Status(), a.key.result.Status(); got != want {
 		m.t.Fatalf("%s was told ran: got status %d, want %d", a.key.key.Value(), got, want)
 	}
 
-	if got, want := string(v.Result().Body()), string(a.key.answer.Body()); v.BodyStored() && got != want {
+	if got, want := string(v.Result().Body()), string(a.key.result.Body()); v.BodyStored() && got != want {
 		m.t.Fatalf("%s was told ran: got body %q, want %q", a.key.key.Value(), got, want)
 	}
 }
@@ -345,7 +345,7 @@
 
 	m.executed++
 
-	met.note(func(m *tally) { m.executions++ })
+	totals.update(func(m *coverage) { m.executions++ })
 
 	body := "ok"
 
@@ -353,9 +353,9 @@
 		body = "larger than what is kept"
 	}
 
-	a.key.answer = NewResult(200+m.executed, nil, []byte(body))
+	a.key.result = NewResult(200+m.executed, nil, []byte(body))
 
-	return a.key.answer
+	return a.key.result
 }
 
 // flush makes one append of a process, or a fence if it has open ones only.
@@ -369,17 +369,17 @@
 		command = p.queue[0]
 		p.queue = p.queue[1:]
 		item = logstream.Item{Kind: command.Kind(), Payload: command.Payload()}
-	case len(p.open) == 0:
+	case len(p.openAppends) == 0:
 		return
 	}
 
-	if m.now.After(p.written) {
-		p.written = m.now
+	if m.now.After(p.lastWritten) {
+		p.lastWritten = m.now
 	}
 
 	p.sequence++
 	data, err := logstream.Batch{
-		Writer: p.id, Incarnation: p.incarnation, WrittenMilli: p.written.UnixMilli(),
+		Writer: p.id, Incarnation: p.incarnation, WrittenMilli: p.lastWritten.UnixMilli(),
 		First: p.sequence, Items: []logstream.Item{item},
 	}.Encode()
 	if err != nil {
@@ -392,20 +392,20 @@
 		return
 	}
 
-	p.open = append(p.open, modelAppend{sequence: p.sequence, command: command})
+	p.openAppends = append(p.openAppends, modelAppend{sequence: p.sequence, command: command})
 
 	switch fault {
-	case appendTaken, appendAnswerLost:
-		m.land(data)
-	case appendArrivesLate:
-		m.late = append(m.late, lateAppend{data: data})
+	case appendAcknowledged, appendResponseLost:
+		m.appendRecord(data)
+	case appendDelayed:
+		m.lateAppends = append(m.lateAppends, lateAppend{data: data})
 	default:
 	}
 }
 
-func (m *model) appendFailed(p *modelProcess, command Append, dead bool) {
+func (m *model) appendFailed(p *modelProcess, command Append, definite bool) {
 	if command.Payload() != nil {
-		m.run(p, p.table.AppendFailed(m.now, command.Kind(), command.Request(), dead))
+		m.run(p, p.table.AppendFailed(m.now, command.Kind(), command.Attempt(), definite))
 	}
 }
 
@@ -416,8 +416,8 @@
 		m.gaps++
 		m.run(p, p.table.Horizon(m.horizon()))
 
-		open := p.open
-		p.open = nil
+		open := p.openAppends
+		p.openAppends = nil
 
 		for _, o := range open {
 			m.appendFailed(p, o.command, false)
@@ -434,13 +434,13 @@
 }
 
 func (m *model) readRecord(p *modelProcess, r provider.Record) {
-	b, drop := p.filter.Accept(r)
-	if drop != logstream.Kept {
+	b, dropReason := p.filter.Accept(r)
+	if dropReason != logstream.Kept {
 		return
 	}
 
 	if b.Writer == p.id && b.Incarnation == p.incarnation {
-		m.resolve(p, b.First)
+		m.resolveAppends(p, b.First)
 	}
 
 	for i, item := range b.Items {
@@ -454,24 +454,24 @@
 	}
 }
 
-// resolve ends the open appends up to a sequence that was read back.
-func (m *model) resolve(p *modelProcess, sequence logstream.Sequence) {
-	var dead []Append
+// resolveAppends ends the open appends up to a sequence that was read back.
+func (m *model) resolveAppends(p *modelProcess, sequence logstream.Sequence) {
+	var failed []Append
 
-	kept := p.open[:0]
+	pending := p.openAppends[:0]
 
-	for _, o := range p.open {
+	for _, o := range p.openAppends {
 		switch {
 		case o.sequence > sequence:
-			kept = append(kept, o)
+			pending = append(pending, o)
 		case o.sequence < sequence:
-			dead = append(dead, o.command)
+			failed = append(failed, o.command)
 		}
 	}
 
-	p.open = kept
+	p.openAppends = pending
 
-	for _, command := range dead {
+	for _, command := range failed {
 		m.appendFailed(p, command, true)
 	}
 }
@@ -486,7 +486,7 @@
 	s := p.sends[0]
 
 	if !s.checked {
-		if !s.limit.After(m.now) {
+		if !s.deadline.After(m.now) {
 			p.sends = p.sends[1:]
 			m.run(p, p.table.Declined(m.now, s.attempt.id))
 
@@ -509,14 +509,14 @@
 	}
 
 	switch fault {
-	case sendAnswered:
-		m.run(p, p.table.Done(m.now, s.attempt.id, m.execute(s.attempt)))
-	case sendAnswerLost:
+	case sendSucceeds:
+		m.run(p, p.table.Completed(m.now, s.attempt.id, m.execute(s.attempt)))
+	case sendResponseLost:
 		m.execute(s.attempt)
 		m.run(p, p.table.Broken(m.now, s.attempt.id))
 	case sendRefused, sendNotSent:
 		m.run(p, p.table.Declined(m.now, s.attempt.id))
-	case sendArrivesLate:
+	case sendDelayed:
 		m.lateSends = append(m.lateSends, s)
 		m.run(p, p.table.Broken(m.now, s.attempt.id))
 	default:
@@ -525,11 +525,11 @@
 }
 
 func (m *model) tooLate(s modelSend) bool {
-	return m.now.Sub(s.wonAt) > m.times.window-m.times.maxWait
+	return m.now.Sub(s.dispatchedAt) > m.times.window-m.times.maxTimeout
 }
 
-// arriveSend lets a call reach the service after its sender gave it up.
-func (m *model) arriveSend(i int) {
+// deliverLateSend lets a call reach the service after its sender gave it up.
+func (m *model) deliverLateSend(i int) {
 	s := m.lateSends[i]
 	m.lateSends = append(m.lateSends[:i], m.lateSends[i+1:]...)
 
--- a/claim/outcome.go
+++ b/claim/outcome.go
@@ -2,29 +2,29 @@
 
 // outcome is how the call of a key ended.
 type outcome struct {
-	broken bool
-	kept   bool
-	result Result
+	broken     bool
+	bodyStored bool
+	result     Result
 }
 
 func newOutcome(o outcomeRecord) *outcome {
 	return &outcome{
-		broken: o.Broken,
-		kept:   o.Kept,
-		result: Result{status: o.Status, header: o.Header, body: o.Body},
+		broken:     o.Broken,
+		bodyStored: o.Kept,
+		result:     Result{status: o.Status, header: o.Header, body: o.Body},
 	}
 }
 
 func (o *outcome) verdict() Verdict {
 	if o.broken {
-		return refusal(Unknown, ReasonBroken, 0)
+		return verdictWithoutResult(Unknown, ReasonBroken, 0)
 	}
 
-	return Verdict{run: Ran, result: o.result, kept: o.kept}
+	return Verdict{run: Ran, result: o.result, bodyStored: o.bodyStored}
 }
 
 // record returns the record of an outcome, without a body larger than keep.
-func (o *outcome) record(a *attempt, keep int) outcomeRecord {
+func (o *outcome) record(a *attempt, maxBody int) outcomeRecord {
 	r := outcomeRecord{
 		Key:        a.key,
 		Generation: a.generation,
@@ -33,7 +33,7 @@
 		Broken:     o.broken,
 		Status:     o.result.status,
 		Header:     o.result.header,
-		Kept:       len(o.result.body) <= keep,
+		Kept:       len(o.result.body) <= maxBody,
 	}
 	if r.Kept {
 		r.Body = o.result.body
--- a/claim/phase.go
+++ b/claim/phase.go
@@ -8,8 +8,8 @@
 	keyFree keyPhase = iota
 	// keyClaimed has a claimant, of whose call no outcome was read.
 	keyClaimed
-	// keyEnded has an outcome.
-	keyEnded
+	// keyCompleted has an outcome.
+	keyCompleted
 )
 
 // attemptPhase is where an attempt of this instance stands.
@@ -20,10 +20,10 @@
 	attemptClaiming attemptPhase = iota
 	// attemptJoined waits for the outcome of another attempt.
 	attemptJoined
-	// attemptSent has won its key and may be on its way.
-	attemptSent
-	// attemptEnded has an outcome that isn't durable yet.
-	attemptEnded
+	// attemptDispatched has won its key and may be on its way.
+	attemptDispatched
+	// attemptCompleted has an outcome that isn't durable yet.
+	attemptCompleted
 	// attemptVoiding sent nothing, and its void isn't durable yet.
 	attemptVoiding
 )
--- a/claim/read.go
+++ b/claim/read.go
@@ -12,63 +12,63 @@
 		t.logTime = e.Time()
 	}
 
-	t.age()
+	t.evictExpired()
 
-	who := claimant{id: e.Writer(), incarnation: e.Incarnation()}
+	writer := claimant{id: e.Writer(), incarnation: e.Incarnation()}
 
 	var commands []Command
 
-	if before, replaced := t.claimants.succeed(who); replaced {
-		commands = t.InstanceGone(before.id, before.incarnation)
+	if before, replaced := t.claimants.observe(writer); replaced {
+		commands = t.InstanceRemoved(before.id, before.incarnation)
 	}
 
 	switch e.Kind() {
 	case KindClaim:
-		return append(commands, t.readClaim(now, e, who)...)
+		return append(commands, t.readClaim(now, e, writer)...)
 	case KindOutcome:
-		return append(commands, t.readOutcome(e, who)...)
+		return append(commands, t.readOutcome(e, writer)...)
 	case KindVoid:
-		return append(commands, t.readVoid(now, e, who)...)
+		return append(commands, t.readVoid(now, e, writer)...)
 	default:
 		return commands
 	}
 }
 
-// touch returns the state of a key that a record names. A key whose last
+// refreshKey returns the state of a key that a record names. A key whose last
 // record is older than the window starts anew. Every record counts as the
 // last one, also an invalid one, so that the gaps between a key's records are
 // the same for all who read them.
-func (t *Table) touch(key KeyID) *keyState {
+func (t *Table) refreshKey(key KeyID) *keyState {
 	state := t.keys[key]
 	if state != nil && !state.expired(t.logTime, t.config.Window) {
-		state.touched = t.logTime.UnixNano()
+		state.lastRecord = t.logTime.UnixNano()
 
 		return state
 	}
 
 	known := state != nil
 	state = &keyState{
-		touched:   t.logTime.UnixNano(),
-		uncertain: t.logTime.Before(t.since.Add(t.config.Window)),
+		lastRecord: t.logTime.UnixNano(),
+		uncertain:  t.logTime.Before(t.completeSince.Add(t.config.Window)),
 	}
 	t.keys[key] = state
 
 	if !known {
-		t.aging.push(agingItem{key: key, touched: state.touched})
+		t.expiry.push(expiryItem{key: key, lastRecord: state.lastRecord})
 	}
 
 	return state
 }
 
-// age forgets keys whose window has passed.
-func (t *Table) age() {
+// evictExpired forgets keys whose window has passed.
+func (t *Table) evictExpired() {
 	for {
-		item, ok := t.aging.front()
-		if !ok || t.logTime.UnixNano()-item.touched <= int64(t.config.Window) {
+		item, ok := t.expiry.front()
+		if !ok || t.logTime.UnixNano()-item.lastRecord <= int64(t.config.Window) {
 			return
 		}
 
-		t.aging.pop()
+		t.expiry.pop()
 
 		state := t.keys[item.key]
 		if state.expired(t.logTime, t.config.Window) {
@@ -77,22 +77,22 @@
 			continue
 		}
 
-		t.aging.push(agingItem{key: item.key, touched: state.touched})
+		t.expiry.push(expiryItem{key: item.key, lastRecord: state.lastRecord})
 	}
 }
 
-func (t *Table) readClaim(now time.Time, e logstream.Entry, who claimant) []Command {
+func (t *Table) readClaim(now time.Time, e logstream.Entry, writer claimant) []Command {
 	var c claimRecord
 	if err := decode(e.Payload(), &c); err != nil {
-		t.badCount++
+		t.undecodable++
 
 		return nil
 	}
 
-	state := t.touch(c.Key)
-	valid := state.offer(c, t.claimants.number(who))
+	state := t.refreshKey(c.Key)
+	valid := state.applyClaim(c, t.claimants.number(writer))
 
-	if who != t.self {
+	if writer != t.self {
 		return nil
 	}
 
@@ -103,7 +103,7 @@
 func (t *Table) readOwnClaim(now time.Time, e logstream.Entry, c claimRecord, valid bool, state *keyState) []Command {
 	a := t.attempts[c.Request]
 	if a == nil {
-		return t.voidStray(now, c, valid || state.uncertain)
+		return t.voidUnsent(now, c, valid || state.uncertain)
 	}
 
 	if a.phase != attemptClaiming {
@@ -114,30 +114,30 @@
 
 	switch {
 	case valid && t.keyExpired(a, e.Time()):
-		commands := []Command{t.answer(a, refusal(KeyExpired, ReasonNone, 0))}
+		commands := []Command{t.resolve(a, verdictWithoutResult(KeyExpired, ReasonNone, 0))}
 
-		return append(commands, t.voidStray(now, c, true)...)
+		return append(commands, t.voidUnsent(now, c, true)...)
 	case valid && !a.deadline.After(now):
-		commands := []Command{t.answer(a, refusal(NotStarted, ReasonDeadline, t.config.RetryAfter))}
+		commands := []Command{t.resolve(a, verdictWithoutResult(NotStarted, ReasonDeadline, t.config.RetryAfter))}
 
-		return append(commands, t.voidStray(now, c, true)...)
+		return append(commands, t.voidUnsent(now, c, true)...)
 	case valid:
-		a.phase = attemptSent
+		a.phase = attemptDispatched
 		t.owners[a.key] = a
 
-		return []Command{Dispatch{request: a.id, deadline: a.deadline}}
+		return []Command{Dispatch{attempt: a.id, deadline: a.deadline}}
 	case state.uncertain:
-		commands := []Command{t.answer(a, refusal(NotStarted, ReasonUncertain, t.config.OutageRetry))}
+		commands := []Command{t.resolve(a, verdictWithoutResult(NotStarted, ReasonUncertain, t.config.OutageRetryAfter))}
 
-		return append(commands, t.voidStray(now, c, true)...)
+		return append(commands, t.voidUnsent(now, c, true)...)
 	default:
-		return t.lose(now, a, state)
+		return t.joinWinner(now, a, state)
 	}
 }
 
-// lose lets an attempt whose claim isn't the valid one join the one that is,
+// joinWinner lets an attempt whose claim isn't the valid one join the one that is,
 // together with those that waited for it.
-func (t *Table) lose(now time.Time, a *attempt, state *keyState) []Command {
+func (t *Table) joinWinner(now time.Time, a *attempt, state *keyState) []Command {
 	waiting := t.joined[a.key]
 	delete(t.joined, a.key)
 
@@ -146,22 +146,22 @@
 	for _, w := range append([]*attempt{a}, waiting...) {
 		if state.phase == keyFree {
 			w.phase = attemptClaiming
-			commands = append(commands, t.answer(w, refusal(NotStarted, ReasonVoided, t.config.RetryAfter)))
+			commands = append(commands, t.resolve(w, verdictWithoutResult(NotStarted, ReasonVoided, t.config.RetryAfter)))
 
 			continue
 		}
 
 		w.phase = attemptClaiming
-		commands = append(commands, t.enter(now, w)...)
+		commands = append(commands, t.admit(now, w)...)
 	}
 
 	return commands
 }
 
-// voidStray voids a claim of this instance that nobody waits for any more, or
+// voidUnsent voids a claim of this instance that nobody waits for any more, or
 // that must not be sent.
-func (t *Table) voidStray(now time.Time, c claimRecord, needed bool) []Command {
-	if !needed {
+func (t *Table) voidUnsent(now time.Time, c claimRecord, inEffect bool) []Command {
+	if !inEffect {
 		return nil
 	}
 
@@ -170,81 +170,81 @@
 		key:        c.Key,
 		digest:     c.Digest,
 		generation: c.Generation,
-		answered:   true,
+		resolved:   true,
 		reason:     ReasonDeadline,
 	}
 	t.attempts[a.id] = a
 	t.order = append(t.order, a)
-	commands := t.answerJoined(a.key, refusal(NotStarted, a.reason, t.config.RetryAfter))
+	commands := t.resolveJoined(a.key, verdictWithoutResult(NotStarted, a.reason, t.config.RetryAfter))
 
-	return append(commands, t.void(now, a)...)
+	return append(commands, t.appendVoid(now, a)...)
 }
 
-func (t *Table) readOutcome(e logstream.Entry, who claimant) []Command {
+func (t *Table) readOutcome(e logstream.Entry, writer claimant) []Command {
 	var o outcomeRecord
 	if err := decode(e.Payload(), &o); err != nil {
-		t.badCount++
+		t.undecodable++
 
 		return nil
 	}
 
-	state := t.touch(o.Key)
-	ended := state.end(o, t.claimants.number(who))
+	state := t.refreshKey(o.Key)
+	completed := state.applyOutcome(o, t.claimants.number(writer))
 
-	if a := t.attempts[o.Request]; who == t.self && a != nil && a.phase == attemptEnded {
-		t.forget(a)
+	if a := t.attempts[o.Request]; writer == t.self && a != nil && a.phase == attemptCompleted {
+		t.remove(a)
 	}
 
-	if !ended {
+	if !completed {
 		return nil
 	}
 
-	return t.answerEnded(o.Key, o.Digest, state.outcome)
+	return t.resolveWithOutcome(o.Key, o.Digest, state.outcome)
 }
 
-// answerEnded gives the outcome of a key to those who wait for it.
-func (t *Table) answerEnded(key KeyID, digest Digest, o *outcome) []Command {
+// resolveWithOutcome gives the outcome of a key to those who wait for it.
+func (t *Table) resolveWithOutcome(key KeyID, digest Digest, o *outcome) []Command {
 	var commands []Command
 
 	for _, a := range append([]*attempt(nil), t.joined[key]...) {
 		if a.digest != digest {
-			commands = append(commands, t.answer(a, refusal(KeyReused, ReasonNone, 0)))
+			commands = append(commands, t.resolve(a, verdictWithoutResult(KeyReused, ReasonNone, 0)))
 
 			continue
 		}
 
-		commands = append(commands, t.answer(a, o.verdict()))
+		commands = append(commands, t.resolve(a, o.verdict()))
 	}
 
 	return commands
 }
 
-func (t *Table) readVoid(now time.Time, e logstream.Entry, who claimant) []Command {
+func (t *Table) readVoid(now time.Time, e logstream.Entry, writer claimant) []Command {
 	var v voidRecord
 	if err := decode(e.Payload(), &v); err != nil {
-		t.badCount++
+		t.undecodable++
 
 		return nil
 	}
 
-	state := t.touch(v.Key)
-	voided := state.void(v, t.claimants.number(who))
+	state := t.refreshKey(v.Key)
+	voided := state.applyVoid(v, t.claimants.number(writer))
 
 	if voided {
-		state.heldUntil = now.Add(t.config.VoidHold).UnixNano()
+		state.blockedUntil = now.Add(t.config.VoidCooldown).UnixNano()
 	}
 
-	verdict := refusal(NotStarted, ReasonVoided, t.config.VoidHold)
+	verdict := verdictWithoutResult(NotStarted, ReasonVoided, t.config.VoidCooldown)
 
 	var commands []Command
 
-	if a := t.attempts[v.Request]; who == t.self && a != nil && a.phase == attemptVoiding {
+	if a := t.attempts[v.Request]; writer == t.self && a != nil && a.phase == attemptVoiding {
 		verdict = t.voidVerdict(now, a, voided)
-		if !a.answered {
-			commands = append(commands, t.answer(a, verdict))
+		if !a.resolved {
+			commands = append(commands, t.resolve(a, verdict))
 		}
 
-		t.forget(a)
+		t.remove(a)
 	}
 
 	if !voided {
@@ -252,19 +252,19 @@
 	}
 
 	if p := t.pending[v.Key]; p != nil {
-		commands = append(commands, t.giveUp(p, ReasonVoided, t.config.VoidHold)...)
+		commands = append(commands, t.abort(p, ReasonVoided, t.config.VoidCooldown)...)
 	}
 
-	return append(commands, t.answerJoined(v.Key, verdict)...)
+	return append(commands, t.resolveJoined(v.Key, verdict)...)
 }
 
 // voidVerdict says NotRun only while no other attempt can have been admitted
 // after the void: others wait VoidHold from reading it, which is later than
 // this instance's sending it.
 func (t *Table) voidVerdict(now time.Time, a *attempt, voided bool) Verdict {
-	if voided && now.Sub(a.voidAt) < t.config.VoidHold {
-		return refusal(NotRun, a.reason, t.config.VoidHold)
+	if voided && now.Sub(a.voidAppended) < t.config.VoidCooldown {
+		return verdictWithoutResult(NotRun, a.reason, t.config.VoidCooldown)
 	}
 
-	return refusal(NotStarted, a.reason, t.config.VoidHold)
+	return verdictWithoutResult(NotStarted, a.reason, t.config.VoidCooldown)
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -21,7 +21,7 @@
 
 	Key        KeyID
 	Generation uint32
-	Request    RequestID
+	Request    AttemptID
 	Digest     Digest
 }
 
@@ -31,7 +31,7 @@
 
 	Key        KeyID
 	Generation uint32
-	Request    RequestID
+	Request    AttemptID
 	Digest     Digest
 	// Broken is set if the claimant can't tell whether its call ran.
 	Broken bool
@@ -48,7 +48,7 @@
 
 	Key        KeyID
 	Generation uint32
-	Request    RequestID
+	Request    AttemptID
 	Reason     Reason
 }
 
--- a/claim/refused.go
+++ b/claim/refused.go
@@ -4,5 +4,5 @@
 
 // Refused returns the verdict on an attempt that was not taken at all.
 func Refused(reason Reason, retryAfter time.Duration) Verdict {
-	return refusal(NotStarted, reason, retryAfter)
+	return verdictWithoutResult(NotStarted, reason, retryAfter)
 }
--- a/claim/table.go
+++ b/claim/table.go
@@ -16,13 +16,13 @@
 
 	// keys, claimants, logTime and since follow from the records alone.
 	keys      map[KeyID]*keyState
-	aging     agingQueue
+	expiry    expiryQueue
 	claimants claimants
 	logTime   time.Time
-	// since is the time from which on the records read are complete.
-	since time.Time
+	// completeSince is the time from which on the records read are complete.
+	completeSince time.Time
 
-	attempts map[RequestID]*attempt
+	attempts map[AttemptID]*attempt
 	// order holds the attempts in the order of their admission.
 	order []*attempt
 	// pending, owners and joined find attempts by key: the one whose claim is
@@ -31,10 +31,10 @@
 	owners  map[KeyID]*attempt
 	joined  map[KeyID][]*attempt
 
-	started  bool
-	caughtUp bool
-	down     bool
-	badCount int
+	started     bool
+	caughtUp    bool
+	down        bool
+	undecodable int
 }
 
 // NewTable returns a table that has read nothing.
@@ -46,21 +46,21 @@
 		self:      claimant{id: config.Self, incarnation: config.Incarnation},
 		keys:      make(map[KeyID]*keyState),
 		claimants: newClaimants(),
-		attempts:  make(map[RequestID]*attempt),
+		attempts:  make(map[AttemptID]*attempt),
 		pending:   make(map[KeyID]*attempt),
 		owners:    make(map[KeyID]*attempt),
 		joined:    make(map[KeyID][]*attempt),
 	}
 }
 
-// Keys returns the number of keys that are remembered.
-func (t *Table) Keys() int { return len(t.keys) }
+// KeyCount returns the number of keys that are remembered.
+func (t *Table) KeyCount() int { return len(t.keys) }
 
-// Open returns the number of attempts that are not over.
-func (t *Table) Open() int { return len(t.attempts) }
+// OpenAttempts returns the number of attempts that are not over.
+func (t *Table) OpenAttempts() int { return len(t.attempts) }
 
 // Undecodable returns the number of records that were skipped.
-func (t *Table) Undecodable() int { return t.badCount }
+func (t *Table) Undecodable() int { return t.undecodable }
 
 // CaughtUp says that all records that were on the log at the start were read.
 func (t *Table) CaughtUp() { t.caughtUp = true }
@@ -81,39 +81,39 @@
 
 	for _, a := range t.snapshot() {
 		switch {
-		case a.answered:
+		case a.resolved:
 		case a.phase == attemptClaiming:
-			commands = append(commands, t.giveUp(a, ReasonLogDown, t.config.OutageRetry)...)
+			commands = append(commands, t.abort(a, ReasonLogDown, t.config.OutageRetryAfter)...)
 		case a.phase == attemptVoiding:
-			commands = append(commands, t.answer(a, refusal(NotStarted, ReasonLogDown, t.config.OutageRetry)))
+			commands = append(commands, t.resolve(a, verdictWithoutResult(NotStarted, ReasonLogDown, t.config.OutageRetryAfter)))
 		case a.phase == attemptJoined && t.owners[a.key] == nil:
-			commands = append(commands, t.answer(a, refusal(Unknown, ReasonLogDown, t.config.OutageRetry)))
+			commands = append(commands, t.resolve(a, verdictWithoutResult(Unknown, ReasonLogDown, t.config.OutageRetryAfter)))
 		}
 	}
 
 	return commands
 }
 
-// InstanceGone says that an incarnation of an entry instance is no longer
+// InstanceRemoved says that an incarnation of an entry instance is no longer
 // live. Its claims stand, since it may only be paused.
-func (t *Table) InstanceGone(id fleet.InstanceID, incarnation fleet.Incarnation) []Command {
-	who := claimant{id: id, incarnation: incarnation}
-	if who == t.self {
+func (t *Table) InstanceRemoved(id fleet.InstanceID, incarnation fleet.Incarnation) []Command {
+	removed := claimant{id: id, incarnation: incarnation}
+	if removed == t.self {
 		return nil
 	}
 
-	number := t.claimants.leave(who)
+	number := t.claimants.markRemoved(removed)
 
 	var commands []Command
 
 	for _, a := range t.snapshot() {
 		state := t.keys[a.key]
-		if a.phase != attemptJoined || a.answered || t.owners[a.key] != nil || state == nil {
+		if a.phase != attemptJoined || a.resolved || t.owners[a.key] != nil || state == nil {
 			continue
 		}
 
 		if state.phase == keyClaimed && state.claimant == number {
-			commands = append(commands, t.answer(a, refusal(Unknown, ReasonClaimantGone, t.config.OutageRetry)))
+			commands = append(commands, t.resolve(a, verdictWithoutResult(Unknown, ReasonClaimantGone, t.config.OutageRetryAfter)))
 		}
 	}
 
@@ -123,7 +123,7 @@
 // Horizon says that records before since were not read, which is zero if none
 // are missing. Called again, it says that records aged out unread.
 func (t *Table) Horizon(since time.Time) []Command {
-	t.since = since
+	t.completeSince = since
 
 	if !t.started {
 		t.started = true
@@ -132,13 +132,13 @@
 	}
 
 	t.keys = make(map[KeyID]*keyState)
-	t.aging = agingQueue{}
+	t.expiry = expiryQueue{}
 
 	var commands []Command
 
 	for _, a := range t.snapshot() {
-		if a.phase == attemptJoined && !a.answered && t.owners[a.key] == nil && t.pending[a.key] == nil {
-			commands = append(commands, t.answer(a, refusal(Unknown, ReasonUncertain, t.config.RetryAfter)))
+		if a.phase == attemptJoined && !a.resolved && t.owners[a.key] == nil && t.pending[a.key] == nil {
+			commands = append(commands, t.resolve(a, verdictWithoutResult(Unknown, ReasonUncertain, t.config.RetryAfter)))
 		}
 	}
 
@@ -148,34 +148,34 @@
 // snapshot returns the attempts in the order of their admission, so that steps
 // are deterministic and may end attempts on the way.
 func (t *Table) snapshot() []*attempt {
-	kept := t.order[:0]
+	open := t.order[:0]
 
 	for _, a := range t.order {
 		if t.attempts[a.id] == a {
-			kept = append(kept, a)
+			open = append(open, a)
 		}
 	}
 
-	clear(t.order[len(kept):])
-	t.order = kept
+	clear(t.order[len(open):])
+	t.order = open
 
-	return append([]*attempt(nil), kept...)
+	return append([]*attempt(nil), open...)
 }
 
-// answer gives an attempt its verdict. An attempt that owes nothing to the log
+// resolve gives an attempt its verdict. An attempt that owes nothing to the log
 // is then over.
-func (t *Table) answer(a *attempt, v Verdict) Command {
-	a.answered = true
+func (t *Table) resolve(a *attempt, v Verdict) Command {
+	a.resolved = true
 
 	if a.phase == attemptClaiming || a.phase == attemptJoined {
-		t.forget(a)
+		t.remove(a)
 	}
 
-	return Answer{request: a.id, verdict: v}
+	return Resolve{attempt: a.id, verdict: v}
 }
 
-// forget removes an attempt that is over.
-func (t *Table) forget(a *attempt) {
+// remove removes an attempt that is over.
+func (t *Table) remove(a *attempt) {
 	delete(t.attempts, a.id)
 
 	if t.pending[a.key] == a {
@@ -187,12 +187,12 @@
 	}
 
 	if a.phase == attemptJoined {
-		t.leave(a)
+		t.unjoin(a)
 	}
 }
 
-// leave takes an attempt out of those that wait for its key.
-func (t *Table) leave(a *attempt) {
+// unjoin takes an attempt out of those that wait for its key.
+func (t *Table) unjoin(a *attempt) {
 	waiting := t.joined[a.key]
 
 	for i, other := range waiting {
@@ -217,32 +217,32 @@
 	t.joined[a.key] = append(t.joined[a.key], a)
 }
 
-// giveUp ends an attempt that has sent nothing. Should its claim turn out to
+// abort ends an attempt that has sent nothing. Should its claim turn out to
 // be on the log, reading it makes this instance void it. Attempts that wait
 // for the claim end with it.
-func (t *Table) giveUp(a *attempt, reason Reason, retryAfter time.Duration) []Command {
+func (t *Table) abort(a *attempt, reason Reason, retryAfter time.Duration) []Command {
 	wasPending := t.pending[a.key] == a
-	commands := []Command{t.answer(a, refusal(NotStarted, reason, retryAfter))}
+	commands := []Command{t.resolve(a, verdictWithoutResult(NotStarted, reason, retryAfter))}
 
 	if wasPending && t.owners[a.key] == nil {
-		commands = append(commands, t.answerJoined(a.key, refusal(NotStarted, reason, retryAfter))...)
+		commands = append(commands, t.resolveJoined(a.key, verdictWithoutResult(NotStarted, reason, retryAfter))...)
 	}
 
 	return commands
 }
 
-// answerJoined gives all attempts that wait for a key the same verdict.
-func (t *Table) answerJoined(key KeyID, v Verdict) []Command {
+// resolveJoined gives all attempts that wait for a key the same verdict.
+func (t *Table) resolveJoined(key KeyID, v Verdict) []Command {
 	var commands []Command
 
 	for _, a := range append([]*attempt(nil), t.joined[key]...) {
-		commands = append(commands, t.answer(a, v))
+		commands = append(commands, t.resolve(a, v))
 	}
 
 	return commands
 }
 
-// appendOf returns the command to append a record of an attempt.
-func appendOf(kind logstream.Kind, id RequestID, record any) Command {
-	return Append{kind: kind, request: id, payload: encode(record)}
+// newAppend returns the command to append a record of an attempt.
+func newAppend(kind logstream.Kind, id AttemptID, record any) Command {
+	return Append{kind: kind, attempt: id, payload: encode(record)}
 }
--- a/claim/tick.go
+++ b/claim/tick.go
@@ -18,11 +18,11 @@
 }
 
 func (t *Table) tickAttempt(now time.Time, a *attempt) []Command {
-	if a.owes && !t.down {
-		return t.appendOwed(now, a)
+	if a.appendPending && !t.down {
+		return t.appendFinalRecord(now, a)
 	}
 
-	if a.answered {
+	if a.resolved {
 		return nil
 	}
 
@@ -31,22 +31,22 @@
 	switch a.phase {
 	case attemptClaiming:
 		if late {
-			return t.giveUp(a, ReasonDeadline, t.config.RetryAfter)
+			return t.abort(a, ReasonDeadline, t.config.RetryAfter)
 		}
 
-		if !a.claimBy.After(now) {
-			return t.giveUp(a, ReasonClaimSlow, t.config.OutageRetry)
+		if !a.claimDeadline.After(now) {
+			return t.abort(a, ReasonClaimSlow, t.config.OutageRetryAfter)
 		}
 	case attemptJoined:
 		if late {
-			return []Command{t.answer(a, refusal(Unknown, ReasonClaimantSilent, t.config.RetryAfter))}
+			return []Command{t.resolve(a, verdictWithoutResult(Unknown, ReasonClaimantSilent, t.config.RetryAfter))}
 		}
 	case attemptVoiding:
-		if late || now.Sub(a.voidAt) >= t.config.VoidHold {
-			v := refusal(NotStarted, a.reason, t.config.RetryAfter)
-			commands := []Command{t.answer(a, v)}
+		if late || now.Sub(a.voidAppended) >= t.config.VoidCooldown {
+			v := verdictWithoutResult(NotStarted, a.reason, t.config.RetryAfter)
+			commands := []Command{t.resolve(a, v)}
 
-			return append(commands, t.answerJoined(a.key, v)...)
+			return append(commands, t.resolveJoined(a.key, v)...)
 		}
 	default:
 	}
