--- a/claim/attempt.go
+++ b/claim/attempt.go
@@ -2,7 +2,9 @@
 
 import "time"
 
-// attempt is one request of a caller at this instance.
+// attempt is one request of a caller at this instance. claimDeadline is when its claim must
+// have been read back; admitted is set once the attempt has the generation of its key;
+// resolved is set once its caller has a verdict.
 type attempt struct {
 	id            AttemptID
 	key           KeyID
@@ -14,9 +16,10 @@
 	phase         attemptPhase
 	admitted      bool
 	resolved      bool
-	// appendPending is set if the attempt's outcome or void must be appended (again).
-	appendPending bool
-	voidAppended  time.Time
-	reason        Reason
-	outcome       *outcome
+	// appendPending is set if the outcome or void of the attempt must be appended, or
+	// appended again.
+	appendPending  bool
+	voidAppendedAt time.Time
+	reason         Reason
+	outcome        *outcome
 }
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -94,7 +94,7 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkKeyMemory reports the heap that one remembered key takes.
+// BenchmarkKeyMemory reports the heap bytes per retained key.
 func BenchmarkKeyMemory(b *testing.B) {
 	const keys = 200_000
 
@@ -129,7 +129,7 @@
 	}
 }
 
-// BenchmarkRecordSize reports the bytes of each record's payload.
+// BenchmarkRecordSize reports the payload size of each kind of record.
 func BenchmarkRecordSize(b *testing.B) {
 	claim, outcome := completedKeyPayloads(1)
 	void := encode(voidRecord{Request: 1, Reason: ReasonDeclined})
--- a/claim/claimant.go
+++ b/claim/claimant.go
@@ -8,7 +8,8 @@
 	incarnation fleet.Incarnation
 }
 
-// claimants numbers the claimants seen, so that a key holds a small number.
+// claimants assigns consecutive numbers to the claimants read from the log, so that the
+// state of a key stores a small number instead of a claimant.
 type claimants struct {
 	numbers map[claimant]uint32
 	removed []bool
@@ -22,7 +23,7 @@
 	}
 }
 
-// number returns the number of a claimant.
+// number returns the number of a claimant and assigns one if it has none.
 func (c *claimants) number(writer claimant) uint32 {
 	if n, ok := c.numbers[writer]; ok {
 		return n
@@ -35,7 +36,7 @@
 	return n
 }
 
-// markRemoved marks a claimant as gone.
+// markRemoved records that a claimant is no longer live and returns its number.
 func (c *claimants) markRemoved(writer claimant) uint32 {
 	n := c.number(writer)
 	c.removed[n] = true
@@ -43,7 +44,8 @@
 	return n
 }
 
-// observe notes an incarnation and returns the one that it has replaced.
+// observe records the incarnation of a claimant. If it is newer than the newest one known
+// of the same instance, observe returns the incarnation that it replaced.
 func (c *claimants) observe(writer claimant) (claimant, bool) {
 	before, ok := c.newest[writer.id]
 	if ok && writer.incarnation <= before {
--- a/claim/command.go
+++ b/claim/command.go
@@ -6,11 +6,11 @@
 	"monsoonlever/logstream"
 )
 
-// Command is what a Table wants done: Append, Dispatch or Answer.
+// Command is an action that a Table requests: Append, Dispatch or Resolve.
 type Command interface{ command() }
 
-// Append puts a record of a request on the log. If the append ends without
-// taking effect, AppendFailed must be called.
+// Append appends a record of an attempt to the log. If the append ends without
+// confirmation, Table.AppendFailed must be called.
 type Append struct {
 	kind    logstream.Kind
 	attempt AttemptID
@@ -20,35 +20,36 @@
 // Kind returns KindClaim, KindOutcome or KindVoid.
 func (c Append) Kind() logstream.Kind { return c.kind }
 
-// Attempt returns the attempt whose record it is.
+// Attempt returns the attempt that the record belongs to.
 func (c Append) Attempt() AttemptID { return c.attempt }
 
 // Payload returns the encoded record.
 func (c Append) Payload() []byte { return c.payload }
 
-// Dispatch sends a request to a backend server, if its deadline has not
-// passed. Its end must be told by Done, Declined or Broken.
+// Dispatch sends the call of an attempt to a backend server, unless the deadline has
+// passed. The result must be reported by Table.Completed, Table.Declined or Table.Broken.
 type Dispatch struct {
 	attempt  AttemptID
 	deadline time.Time
 }
 
-// Attempt returns the attempt to send.
+// Attempt returns the attempt whose call is sent.
 func (c Dispatch) Attempt() AttemptID { return c.attempt }
 
-// Deadline returns the time after which it must not be sent any more.
+// Deadline returns the deadline of the attempt. The call must be sent before it or not at
+// all.
 func (c Dispatch) Deadline() time.Time { return c.deadline }
 
-// Resolve gives an attempt its final verdict.
+// Resolve returns the final verdict to the caller of an attempt.
 type Resolve struct {
 	attempt AttemptID
 	verdict Verdict
 }
 
-// Attempt returns the attempt that is answered.
+// Attempt returns the attempt that is resolved.
 func (c Resolve) Attempt() AttemptID { return c.attempt }
 
-// Verdict returns its final verdict.
+// Verdict returns the final verdict on the attempt.
 func (c Resolve) Verdict() Verdict { return c.verdict }
 
 func (Append) command()   {}
--- a/claim/config.go
+++ b/claim/config.go
@@ -9,7 +9,7 @@
 	"monsoonlever/fleet"
 )
 
-// The defaults of a Config.
+// Default values of Config.
 const (
 	DefaultWindow           = time.Hour
 	DefaultMaxTimeout       = 2 * time.Minute
@@ -22,29 +22,30 @@
 	DefaultOutageRetryAfter = 5 * time.Second
 )
 
-// Config holds the settings of a Table. Zero fields take their defaults. All
-// entry instances must have the same Window.
+// Config holds the settings of a Table. Zero fields take their defaults. All entry
+// instances must have the same Window.
 type Config struct {
 	Self        fleet.InstanceID
 	Incarnation fleet.Incarnation
-	// Window is how long a key is remembered after its last record.
+	// Window is how long a key is retained after its last record on the log.
 	Window time.Duration
-	// MaxTimeout bounds the deadline of an attempt. It is less than half of Window.
+	// MaxTimeout bounds the time from the submission of an attempt to its deadline. It must
+	// be less than half of Window.
 	MaxTimeout time.Duration
-	// ClaimTimeout is how long an attempt waits for its claim to be on the log.
+	// ClaimTimeout is how long an attempt waits until its claim is read back from the log.
 	ClaimTimeout time.Duration
-	// VoidCooldown is how long after a void no attempt with the key is admitted, so
-	// that the claimant can say NotRun before another attempt may run.
+	// VoidCooldown is how long new attempts with a key are rejected after a void, so that
+	// the claimant can return NotRun before another attempt may run.
 	VoidCooldown time.Duration
-	// MaxSkew bounds the difference between clocks of callers, entry instances
-	// and the log.
+	// MaxSkew bounds the clock differences between callers, entry instances and the log.
 	MaxSkew time.Duration
-	// MaxStoredBody is the size of the largest body that is kept with its outcome.
+	// MaxStoredBody is the size in bytes of the largest response body that is stored with
+	// an outcome.
 	MaxStoredBody int
-	// MaxOpenAttempts bounds the attempts held in memory.
+	// MaxOpenAttempts bounds the number of attempts in memory.
 	MaxOpenAttempts int
-	// RetryAfter is told where asking again soon helps, OutageRetry while the
-	// log is down.
+	// RetryAfter is the retry delay returned to callers when a retry may succeed soon,
+	// OutageRetryAfter the one while the log is unavailable.
 	RetryAfter       time.Duration
 	OutageRetryAfter time.Duration
 }
@@ -63,18 +64,18 @@
 	return c
 }
 
-// Check returns an error if keys would be forgotten while attempts with them
-// may still be sent, or if the log keeps records for less than the window.
+// Check returns an error if a key could expire while an attempt with it may still be
+// dispatched, or if the log's retention is too short for the window.
 func (c Config) Check(retention time.Duration) error {
 	c = c.withDefaults()
 
 	if c.Window <= 2*(c.MaxTimeout+c.MaxSkew) {
-		return merry.Errorf("check claim window: %v is not more than twice the longest wait and skew, %v",
+		return merry.Errorf("check claim window: window of %v must be longer than %v, twice the sum of maximum timeout and clock skew",
 			c.Window, 2*(c.MaxTimeout+c.MaxSkew))
 	}
 
 	if retention < c.Window+4*c.MaxSkew {
-		return merry.Errorf("check claim window: the log's retention of %v is less than the window of %v and four times the skew",
+		return merry.Errorf("check claim window: log retention of %v is shorter than the window of %v plus four times the clock skew",
 			retention, c.Window)
 	}
 
--- a/claim/counters.go
+++ b/claim/counters.go
@@ -6,7 +6,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// counters are the metrics of the keepers in this process.
+// counters are the metrics of all executors in this process.
 type counters struct {
 	requests      *metrics.Counter
 	dispatches    *metrics.Counter
--- a/claim/digest.go
+++ b/claim/digest.go
@@ -5,12 +5,13 @@
 	"encoding/binary"
 )
 
-// Digest is the hash of what a request asks for. One key stands for one
-// digest only.
+// Digest is the hash of a request's content. All attempts with the same key must have the
+// same digest.
 type Digest [idBytes]byte
 
-// DigestOf returns the digest of the parts of a request, such as its method,
-// path and body.
+// DigestOf returns the digest of the components of a request, such as its method, path and
+// body. The length of each component is hashed too, so that different splits of the same
+// bytes have different digests.
 func DigestOf(parts ...[]byte) Digest {
 	h := sha256.New()
 
--- a/claim/executor.go
+++ b/claim/executor.go
@@ -15,35 +15,35 @@
 	"monsoonlever/logstream"
 )
 
-// DefaultTickInterval is the time between two looks at deadlines and at the log.
+// DefaultTickInterval is the default of Executor.TickInterval.
 const DefaultTickInterval = 50 * time.Millisecond
 
-// Send makes the call of a request that won its key. Its error wraps
-// backend.ErrNotSent or backend.ErrRefused if the call certainly did not run
-// and never will; any other error leaves that unknown. It is called at most
-// once and must not make the call more than once.
+// Send makes the call of an attempt that won its key. Its error wraps backend.ErrNotSent or
+// backend.ErrRefused if the call certainly did not run and never will; after any other
+// error it is unknown whether the call ran. Send is called at most once and must not make
+// the call more than once.
 type Send func(ctx context.Context) (Result, error)
 
-// Attempt is one call of a caller, as a Keeper takes it.
+// Attempt is one attempt at a non-idempotent request, as passed to an Executor.
 type Attempt struct {
-	// Key is the idempotency key.
+	// Key identifies the request.
 	Key Key
-	// Digest is the hash of what is asked for.
+	// Digest is the hash of the request's content.
 	Digest Digest
-	// Deadline is when the caller has no more use for an answer.
+	// Deadline is the time before which the call must be sent.
 	Deadline time.Time
 }
 
-// Executor runs a Table over a journal. It is safe for concurrent use. Set the
-// exported fields before Run, and add the keeper to Journal.Subscribers before
-// the journal runs.
+// Executor runs a Table over a logstream.Client. It is safe for concurrent use. Set the
+// exported fields before Run, and add the executor to Log.Subscribers before the client
+// runs.
 type Executor struct {
 	Log    *logstream.Client
 	Clock  clock.Clock
 	Config Config
-	// StoredHeaders names the header fields that are kept with an outcome.
+	// StoredHeaders names the header fields that are stored with an outcome.
 	StoredHeaders []string
-	// TickInterval is the time between two looks at deadlines and at the log.
+	// TickInterval is the interval between checks of deadlines and of the log's health.
 	TickInterval time.Duration
 
 	once        sync.Once
@@ -56,13 +56,13 @@
 	counters    counters
 }
 
-// call is one Do in progress.
+// call contains the channels of one Do in progress.
 type call struct {
 	dispatch chan Dispatch
 	verdict  chan Verdict
 }
 
-// openAppend is an append whose result is not known.
+// openAppend is an append without a result yet.
 type openAppend struct {
 	command Append
 	ticket  *logstream.Ticket
@@ -77,9 +77,8 @@
 	})
 }
 
-// Do brings an attempt to its final verdict. It calls send if and only if the
-// attempt won its key. The error of ctx is returned if ctx ended first; what
-// was sent then goes on without its caller.
+// Do returns the final verdict on an attempt. It calls send only if the attempt won its
+// key. If ctx ends first, Do returns the error of ctx; a call that was sent continues.
 func (x *Executor) Do(ctx context.Context, a Attempt, send Send) (Verdict, error) {
 	x.init()
 	x.counters.requests.Inc()
@@ -117,8 +116,8 @@
 	delete(x.calls, id)
 }
 
-// abandon ends a call whose caller is gone. One that has won its key in the
-// meantime is declined, since nothing of it was sent.
+// abandon handles the end of the caller's context. If the attempt won its key in the
+// meantime, it is declined, since nothing was sent.
 func (x *Executor) abandon(ctx context.Context, id AttemptID, c *call, send Send) (Verdict, error) {
 	x.apply(func(now time.Time) []Command { return x.table.Abandon(now, id) })
 
@@ -130,7 +129,8 @@
 	}
 }
 
-// dispatch sends a request that won its key, unless its time has passed.
+// dispatch sends the call of an attempt that won its key, unless its deadline has passed or
+// ctx has ended.
 func (x *Executor) dispatch(ctx context.Context, d Dispatch, c *call, send Send) (Verdict, error) {
 	if ctx.Err() != nil || !d.deadline.After(x.Clock.Now()) {
 		x.apply(func(now time.Time) []Command { return x.table.Declined(now, d.attempt) })
@@ -158,7 +158,7 @@
 	return x.wait(ctx, c)
 }
 
-// send makes the call. Should it panic, it is unknown whether it ran.
+// send makes the call. If send panics, the outcome of the call is recorded as unknown.
 func (x *Executor) send(ctx context.Context, id AttemptID, send Send) (Result, error) {
 	returned := false
 
@@ -209,12 +209,13 @@
 	}
 }
 
-// InstanceRemoved says that an incarnation of an entry instance is no longer live.
+// InstanceRemoved reports that an incarnation of an entry instance is no longer live.
 func (x *Executor) InstanceRemoved(id fleet.InstanceID, incarnation fleet.Incarnation) {
 	x.apply(func(time.Time) []Command { return x.table.InstanceRemoved(id, incarnation) })
 }
 
-// Run watches deadlines and the log until ctx ends. The journal runs beside it.
+// Run checks deadlines and the log's health until ctx ends. The log client must run at the
+// same time.
 func (x *Executor) Run(ctx context.Context) error {
 	x.init()
 
@@ -252,7 +253,7 @@
 	})
 }
 
-// updateLogHealth passes changes of the log's health on.
+// updateLogHealth reports changes of the log's health to the table.
 func (x *Executor) updateLogHealth(healthy bool) []Command {
 	if healthy != x.logDown {
 		return nil
@@ -261,19 +262,19 @@
 	x.logDown = !healthy
 
 	if !x.logDown {
-		klog.InfoS("Log is back; claims are taken again", "open", x.table.OpenAttempts())
+		klog.InfoS("log available again; new claims accepted", "open", x.table.OpenAttempts())
 		x.table.LogUp()
 
 		return nil
 	}
 
 	x.counters.outages.Inc()
-	klog.InfoS("Log is down; new claims are refused", "open", x.table.OpenAttempts())
+	klog.InfoS("log unavailable; new claims refused", "open", x.table.OpenAttempts())
 
 	return x.table.LogDown()
 }
 
-// reportFailedAppends tells the table of the appends that ended without effect.
+// reportFailedAppends reports the appends that ended without confirmation to the table.
 func (x *Executor) reportFailedAppends(now time.Time) []Command {
 	var commands []Command
 
@@ -300,7 +301,7 @@
 	return commands
 }
 
-// apply makes one apply of the table and carries its commands out.
+// apply runs one step of the table and executes its commands.
 func (x *Executor) apply(f func(now time.Time) []Command) {
 	x.init()
 	x.mu.Lock()
@@ -309,7 +310,7 @@
 	x.execute(f(x.Clock.Now()))
 }
 
-// execute carries commands out. None of them waits.
+// execute executes commands without blocking.
 func (x *Executor) execute(commands []Command) {
 	for _, command := range commands {
 		switch c := command.(type) {
--- a/claim/executor_test.go
+++ b/claim/executor_test.go
@@ -18,7 +18,7 @@
 	"monsoonlever/logstream"
 )
 
-// cluster is several entry instances over one log.
+// cluster is a set of entry instances that share one log.
 type cluster struct {
 	log       *memoryLog
 	executors []*Executor
@@ -69,8 +69,8 @@
 
 func TestDoRunsConcurrentAttemptsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startCluster(t.Context(), 3)
-		defer e.stop()
+		c := startCluster(t.Context(), 3)
+		defer c.stop()
 
 		var (
 			runs     atomic.Int64
@@ -93,7 +93,7 @@
 
 		for i := range 30 {
 			wg.Go(func() {
-				v, err := e.executors[i%3].Do(t.Context(), newAttempt("k", time.Minute), send)
+				v, err := c.executors[i%3].Do(t.Context(), newAttempt("k", time.Minute), send)
 				if err != nil {
 					t.Errorf("do: got %v, want no error", err)
 				}
@@ -132,16 +132,16 @@
 	}{
 		{desc: "not sent", err: merry.Wrap(backend.ErrNotSent), wantRun: NotRun, wantSecond: Ran},
 		{desc: "refused by the server", err: merry.Wrap(backend.ErrRefused), wantRun: NotRun, wantSecond: Ran},
-		{desc: "reset on the way", err: errResponseLost, wantRun: Unknown, wantSecond: Unknown},
+		{desc: "connection reset during the call", err: errResponseLost, wantRun: Unknown, wantSecond: Unknown},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := startCluster(t.Context(), 2)
-				defer e.stop()
+				c := startCluster(t.Context(), 2)
+				defer c.stop()
 
-				v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
+				v, err := c.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 					return Result{}, tt.err
 				})
 				if err != nil {
@@ -154,7 +154,7 @@
 
 				time.Sleep(v.RetryAfter() + time.Second)
 
-				v, err = e.executors[1].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
+				v, err = c.executors[1].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 					return NewResult(200, nil, nil), nil
 				})
 				if err != nil {
@@ -171,12 +171,12 @@
 
 func TestDoFailsFastDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startCluster(t.Context(), 2)
-		defer e.stop()
+		c := startCluster(t.Context(), 2)
+		defer c.stop()
 
-		e.log.setFaults(true, 0)
+		c.log.setFaults(true, 0)
 
-		// An hour-long deadline must not hold the answer back.
+		// The verdict must not wait for the deadline, one hour later.
 		began := time.Now()
 		sent := func(context.Context) (Result, error) {
 			t.Error("send in an outage: got called, want not")
@@ -184,7 +184,7 @@
 			return Result{}, nil
 		}
 
-		v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Hour), sent)
+		v, err := c.executors[0].Do(t.Context(), newAttempt("k", time.Hour), sent)
 		if err != nil {
 			t.Fatalf("do: got %v, want no error", err)
 		}
@@ -194,14 +194,14 @@
 		}
 
 		if got, most := time.Since(began), DefaultClaimTimeout+DefaultTickInterval; got > most {
-			t.Errorf("first answer in the outage took %v, want at most %v", got, most)
+			t.Errorf("first verdict in the outage took %v, want at most %v", got, most)
 		}
 
 		time.Sleep(10 * time.Second)
 
 		began = time.Now()
 
-		v, err = e.executors[0].Do(t.Context(), newAttempt("other", time.Hour), sent)
+		v, err = c.executors[0].Do(t.Context(), newAttempt("other", time.Hour), sent)
 		if err != nil {
 			t.Fatalf("do once the outage is known: got %v, want no error", err)
 		}
@@ -211,13 +211,13 @@
 		}
 
 		if got, want := time.Since(began), time.Duration(0); got != want {
-			t.Errorf("answer once the outage is known: got after %v, want after %v", got, want)
+			t.Errorf("verdict once the outage is known: got after %v, want after %v", got, want)
 		}
 
-		e.log.setFaults(false, 0)
+		c.log.setFaults(false, 0)
 		time.Sleep(15 * time.Second)
 
-		v, err = e.executors[1].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
+		v, err = c.executors[1].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 			return NewResult(200, nil, nil), nil
 		})
 		if err != nil || v.Run() != Ran {
@@ -228,13 +228,13 @@
 
 func TestDoReturnsResultWhileOutcomeCannotBeAppended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startCluster(t.Context(), 2)
-		defer e.stop()
+		c := startCluster(t.Context(), 2)
+		defer c.stop()
 
-		v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
-			// The other instance reads the claim before the log goes away.
+		v, err := c.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
+			// The other instance reads the claim before the outage begins.
 			time.Sleep(time.Second)
-			e.log.setFaults(true, 0)
+			c.log.setFaults(true, 0)
 			time.Sleep(10 * time.Second)
 
 			return NewResult(200, nil, []byte("paid")), nil
@@ -243,15 +243,15 @@
 			t.Fatalf("do over an outage: got %s, %v, want %s", v.Run(), err, Ran)
 		}
 
-		v, err = e.executors[1].Do(t.Context(), newAttempt("k", time.Minute), nil)
+		v, err = c.executors[1].Do(t.Context(), newAttempt("k", time.Minute), nil)
 		if err != nil || v.Run() != Unknown || v.RetryAfter() == 0 {
 			t.Errorf("retry in the outage: got %s, %v, want %s with a time to retry", v.Run(), err, Unknown)
 		}
 
-		e.log.setFaults(false, 0)
+		c.log.setFaults(false, 0)
 		time.Sleep(15 * time.Second)
 
-		v, err = e.executors[1].Do(t.Context(), newAttempt("k", time.Minute), nil)
+		v, err = c.executors[1].Do(t.Context(), newAttempt("k", time.Minute), nil)
 		if err != nil || v.Run() != Ran || string(v.Result().Body()) != "paid" {
 			t.Errorf("retry after the outage: got %s (%s) %q, %v, want %s", v.Run(), v.Reason(), v.Result().Body(), err, Ran)
 		}
@@ -260,15 +260,15 @@
 
 func TestDoRunsOnceWhenAppendResponsesAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startCluster(t.Context(), 1)
-		defer e.stop()
+		c := startCluster(t.Context(), 1)
+		defer c.stop()
 
-		e.log.setFaults(false, 5)
+		c.log.setFaults(false, 5)
 
 		runs := 0
 
 		for i := range 10 {
-			v, err := e.executors[0].Do(t.Context(), newAttempt(fmt.Sprint(i), time.Minute), func(context.Context) (Result, error) {
+			v, err := c.executors[0].Do(t.Context(), newAttempt(fmt.Sprint(i), time.Minute), func(context.Context) (Result, error) {
 				runs++
 
 				return NewResult(200, nil, nil), nil
@@ -286,13 +286,13 @@
 
 func TestDoWithCanceledContextSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startCluster(t.Context(), 1)
-		defer e.stop()
+		c := startCluster(t.Context(), 1)
+		defer c.stop()
 
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 
-		_, err := e.executors[0].Do(ctx, newAttempt("k", time.Minute), func(context.Context) (Result, error) {
+		_, err := c.executors[0].Do(ctx, newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 			t.Error("send for a canceled caller: got called, want not")
 
 			return Result{}, nil
@@ -303,7 +303,7 @@
 
 		time.Sleep(3 * time.Second)
 
-		v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
+		v, err := c.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
 			return NewResult(200, nil, nil), nil
 		})
 		if err != nil || v.Run() != Ran {
@@ -314,18 +314,18 @@
 
 func TestDoWithPanickingSendLeavesUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := startCluster(t.Context(), 1)
-		defer e.stop()
+		c := startCluster(t.Context(), 1)
+		defer c.stop()
 
 		func() {
 			defer func() { _ = recover() }()
 
-			_, _ = e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
-				panic("on the way")
+			_, _ = c.executors[0].Do(t.Context(), newAttempt("k", time.Minute), func(context.Context) (Result, error) {
+				panic("send failed")
 			})
 		}()
 
-		v, err := e.executors[0].Do(t.Context(), newAttempt("k", time.Minute), nil)
+		v, err := c.executors[0].Do(t.Context(), newAttempt("k", time.Minute), nil)
 		if err != nil || v.Run() != Unknown {
 			t.Errorf("retry: got %s, %v, want %s", v.Run(), err, Unknown)
 		}
--- a/claim/expiryqueue.go
+++ b/claim/expiryqueue.go
@@ -1,7 +1,7 @@
 package claim
 
-// expiryQueue holds the keys in the order of the time at which they were last
-// looked at, to find those to forget.
+// expiryQueue contains the keys in the order in which their expiry is to be checked.
+// lastRecord of an item is the key's last record when the item was added.
 type expiryQueue struct {
 	items []expiryItem
 	head  int
@@ -24,7 +24,7 @@
 	return q.items[q.head], true
 }
 
-// compactThreshold is the number of items taken off before their room is given back.
+// compactThreshold is the minimum number of removed items before their memory is released.
 const compactThreshold = 1024
 
 func (q *expiryQueue) pop() {
--- a/claim/field.go
+++ b/claim/field.go
@@ -1,6 +1,6 @@
 package claim
 
-// Field is one header field of an answer.
+// Field is one header field of a service's response.
 type Field struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 
--- a/claim/finish.go
+++ b/claim/finish.go
@@ -6,17 +6,18 @@
 	"monsoonlever/logstream"
 )
 
-// Completed takes the service's answer to a request that was dispatched.
+// Completed reports the service's response to a dispatched call.
 func (t *Table) Completed(_ time.Time, id AttemptID, r Result) []Command {
 	return t.finish(id, &outcome{bodyStored: true, result: r})
 }
 
-// Broken says that it is unknown whether a dispatched request ran.
+// Broken reports that it is unknown whether a dispatched call ran.
 func (t *Table) Broken(_ time.Time, id AttemptID) []Command {
 	return t.finish(id, &outcome{broken: true})
 }
 
-// finish answers at once; the record follows when the log takes it.
+// finish resolves the attempt and those that joined it immediately; the outcome is appended
+// once the log is available.
 func (t *Table) finish(id AttemptID, o *outcome) []Command {
 	a := t.attempts[id]
 	if a == nil || a.phase != attemptDispatched {
@@ -31,8 +32,8 @@
 	return append(commands, t.appendFinalRecord(time.Time{}, a)...)
 }
 
-// Declined says that a dispatched request certainly did not run and never
-// will: nothing of it was sent, or the backend server refused it.
+// Declined reports that a dispatched call certainly did not run and never will: it was not
+// sent, or the backend server refused it.
 func (t *Table) Declined(now time.Time, id AttemptID) []Command {
 	a := t.attempts[id]
 	if a == nil || a.phase != attemptDispatched {
@@ -52,7 +53,7 @@
 	return append(commands, t.appendVoid(now, a)...)
 }
 
-// appendVoid makes an attempt append its appendVoid.
+// appendVoid starts voiding the claim of an attempt.
 func (t *Table) appendVoid(now time.Time, a *attempt) []Command {
 	a.phase = attemptVoiding
 	t.owners[a.key] = a
@@ -60,8 +61,8 @@
 	return t.appendFinalRecord(now, a)
 }
 
-// appendFinalRecord appends the record that an attempt owes, or keeps it owed while
-// the log is down.
+// appendFinalRecord appends the outcome or void of an attempt, or marks it as pending while
+// the log is unavailable.
 func (t *Table) appendFinalRecord(now time.Time, a *attempt) []Command {
 	a.appendPending = t.down
 	if t.down {
@@ -72,8 +73,8 @@
 		return []Command{newAppend(KindOutcome, a.id, a.outcome.record(a, t.config.MaxStoredBody))}
 	}
 
-	if a.voidAppended.IsZero() {
-		a.voidAppended = now
+	if a.voidAppendedAt.IsZero() {
+		a.voidAppendedAt = now
 	}
 
 	return []Command{newAppend(KindVoid, a.id, voidRecord{
@@ -84,9 +85,9 @@
 	})}
 }
 
-// AppendFailed says that the append of a record ended without its being known
-// to be in effect; dead says that it never will be. Only a claim that is dead
-// may be made again.
+// AppendFailed reports that the append of a record ended without confirmation. definite
+// means that the record will never take effect. A claim is appended again only after a
+// definite failure; otherwise the first one may still take effect.
 func (t *Table) AppendFailed(now time.Time, kind logstream.Kind, id AttemptID, definite bool) []Command {
 	a := t.attempts[id]
 	if a == nil {
@@ -97,7 +98,7 @@
 		a.appendPending = true
 
 		if definite {
-			a.voidAppended = time.Time{}
+			a.voidAppendedAt = time.Time{}
 		}
 
 		return nil
@@ -114,7 +115,8 @@
 	return t.readmit(now, a)
 }
 
-// readmit admits an attempt again whose claim is dead.
+// readmit admits an attempt whose claim definitely failed again, together with the attempts
+// that joined it.
 func (t *Table) readmit(now time.Time, a *attempt) []Command {
 	delete(t.pending, a.key)
 
@@ -131,8 +133,8 @@
 	return commands
 }
 
-// Abandon says that nobody waits for the answer of an attempt any more. One
-// that was sent goes on.
+// Abandon reports that the caller of an attempt stopped waiting. A dispatched call
+// continues.
 func (t *Table) Abandon(_ time.Time, id AttemptID) []Command {
 	a := t.attempts[id]
 	if a == nil || a.resolved {
--- a/claim/holds_test.go
+++ b/claim/holds_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// pickKey draws a new key or one that callers already use.
+// pickKey returns a new key or one of the latest keys.
 func (m *model) pickKey(t *rapid.T) *modelKey {
 	if len(m.keys) == 0 || rapid.IntRange(0, 3).Draw(t, "key") == 0 {
-		return m.newKey(rapid.Bool().Draw(t, "key tells its time"))
+		return m.newKey(rapid.Bool().Draw(t, "key has time"))
 	}
 
 	recent := min(len(m.keys), m.recentKeys)
@@ -22,8 +22,7 @@
 	return m.processes[rapid.IntRange(0, len(m.processes)-1).Draw(t, "process")]
 }
 
-// settle lets all processes go on without faults until every attempt has had
-// its time.
+// settle runs all processes without faults until the deadline of every attempt has passed.
 func (m *model) settle() {
 	for range 40 {
 		m.round(time.Millisecond)
@@ -34,7 +33,7 @@
 	}
 }
 
-// round lets every process take a turn without faults.
+// round runs every process once without faults.
 func (m *model) round(pause time.Duration) {
 	m.now = m.now.Add(pause)
 
@@ -60,21 +59,22 @@
 func (m *model) checkAllResolved() {
 	for _, a := range m.attempts {
 		if !a.resolved {
-			m.t.Fatalf("attempt %d with %s: got no answer with the log up, want one", a.id, a.key.key.Value())
+			m.t.Fatalf("attempt %d with %s: got no verdict with the log available, want one", a.id, a.key.key.Value())
 		}
 	}
 
 	for _, p := range m.processes {
 		if got, want := p.table.OpenAttempts(), 0; got != want {
-			m.t.Fatalf("attempts left open at %s: got %d, want %d", p.id, got, want)
+			m.t.Fatalf("open attempts at %s: got %d, want %d", p.id, got, want)
 		}
 	}
 
 	m.checkNoKeyClaimed()
 }
 
-// checkNoKeyClaimed checks that no key stays claimed once every process went on,
-// unless one of them has missed records.
+// checkNoKeyClaimed checks that no key is still claimed after all processes ran without
+// faults. It checks nothing if a process missed records, since the outcome of a key may be
+// among them.
 func (m *model) checkNoKeyClaimed() {
 	if m.gaps > 0 {
 		return
@@ -83,12 +83,15 @@
 	for _, p := range m.processes {
 		for _, state := range p.table.keys {
 			if state.phase == keyClaimed && !state.uncertain {
-				m.t.Fatalf("key at %s with all processes going on: got claimed, want ended or free", p.id)
+				m.t.Fatalf("key at %s after all processes ran without faults: got claimed, want completed or free", p.id)
 			}
 		}
 	}
 }
 
+// TestHoldsAtMostOnce checks that no key runs twice and that every verdict agrees with the
+// executions, despite failed appends and calls, pauses, log outages, and processes that are
+// suspected or replaced.
 func TestHoldsAtMostOnce(t *testing.T) {
 	appendFaults := rapid.SampledFrom([]appendFault{
 		appendAcknowledged, appendAcknowledged, appendAcknowledged, appendRefused, appendResponseLost, appendLost, appendDelayed,
@@ -109,12 +112,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SampledFrom([]modelTimings{longWindow, shortWindow, shortRetention}).Draw(t, "times")
 		m := newModel(t, times, rapid.IntRange(1, 3).Draw(t, "processes"))
-		m.recentKeys = rapid.IntRange(1, 4).Draw(t, "crowd")
+		m.recentKeys = rapid.IntRange(1, 4).Draw(t, "recent keys")
 
 		submit := func(t *rapid.T) {
 			k := m.pickKey(t)
 			if !m.mayUse(k) {
-				t.Skip("its caller has given the key up")
+				t.Skip("the caller may not use the key any more")
 			}
 
 			body := byte(0)
@@ -162,7 +165,7 @@
 			},
 			"late append": func(t *rapid.T) {
 				if len(m.lateAppends) == 0 {
-					t.Skip("nothing is late")
+					t.Skip("no append is late")
 				}
 
 				i := rapid.IntRange(0, len(m.lateAppends)-1).Draw(t, "late")
@@ -174,7 +177,7 @@
 			},
 			"late send": func(t *rapid.T) {
 				if len(m.lateSends) == 0 {
-					t.Skip("nothing is late")
+					t.Skip("no call is late")
 				}
 
 				m.deliverLateSend(rapid.IntRange(0, len(m.lateSends)-1).Draw(t, "late"))
@@ -192,13 +195,13 @@
 					t.Skip("replaced already")
 				}
 
-				// The old process may go on at any time.
+				// The old process is only paused and may continue at any time.
 				p.replaced = true
 				m.start(p.id, p.incarnation+1)
 			},
 			"abandon": func(t *rapid.T) {
 				p := m.pickProcess(t)
-				if p.next == 0 || rapid.IntRange(0, 3).Draw(t, "leave it") != 0 {
+				if p.next == 0 || rapid.IntRange(0, 3).Draw(t, "skip") != 0 {
 					t.Skip("nothing to abandon")
 				}
 
@@ -216,7 +219,7 @@
 	})
 
 	totals.update(func(m *coverage) {
-		t.Logf("met %d keys, %d attempts, %d executions, verdicts %v", m.keys, m.attempts, m.executions, m.verdicts)
+		t.Logf("covered %d keys, %d attempts, %d executions, verdicts %v", m.keys, m.attempts, m.executions, m.verdicts)
 	})
 }
 
--- a/claim/key.go
+++ b/claim/key.go
@@ -9,33 +9,33 @@
 	"monsoonlever/fleet"
 )
 
-// Key names one request that may not be repeated: an idempotency key counts
-// within a service and a client account.
+// Key identifies one non-idempotent request. An idempotency key is unique within a service
+// and a client account.
 type Key struct {
 	service fleet.Service
 	account fleet.Account
 	value   string
 }
 
-// NewKey returns the key of an idempotency key that a caller sent.
+// NewKey returns the Key of a caller's idempotency key.
 func NewKey(service fleet.Service, account fleet.Account, value string) Key {
 	return Key{service: service, account: account, value: value}
 }
 
-// Service returns the service that is called.
+// Service returns the service that the request calls.
 func (k Key) Service() fleet.Service { return k.service }
 
-// Account returns the client account that calls.
+// Account returns the client account of the caller.
 func (k Key) Account() fleet.Account { return k.account }
 
 // Value returns the idempotency key as the caller sent it.
 func (k Key) Value() string { return k.value }
 
-// idBytes is the size of a KeyID. Two keys of one client account would have
-// to collide in 128 bits of SHA-256 to be taken for each other.
+// idBytes is the size of a KeyID. Two keys are confused only if they collide in 128 bits of
+// SHA-256.
 const idBytes = 16
 
-// KeyID is the hash of a Key, which stands for it in records and in memory.
+// KeyID is the hash of a Key. It identifies the key in records and in memory.
 type KeyID [idBytes]byte
 
 // ID returns the hash of the key.
@@ -49,8 +49,8 @@
 	return KeyID(h.Sum(nil)[:idBytes])
 }
 
-// CreatedAt returns the time that the key itself tells, if its value is a UUID of
-// version 7.
+// CreatedAt returns the creation time encoded in the value, and whether the value is a UUID
+// of version 7.
 func (k Key) CreatedAt() (time.Time, bool) {
 	id, err := uuid.Parse(k.value)
 	if err != nil || id.Version() != 7 {
--- a/claim/keystate.go
+++ b/claim/keystate.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// keyState is what the records say of one key. It depends on nothing but the
-// records, so that all entry instances agree; heldUntil is the exception.
+// keyState is the state of one key derived from the records on the log. Apart from
+// blockedUntil it depends on the records alone, so that all entry instances agree on it.
 type keyState struct {
-	// lastRecord is the log's time of the key's last record, in nanoseconds.
+	// lastRecord is the log's time of the key's last record, in Unix nanoseconds.
 	lastRecord int64
-	// blockedUntil is when attempts are admitted again after a void.
+	// blockedUntil is the time, in Unix nanoseconds of this instance's clock, until which
+	// attempts are rejected after a void.
 	blockedUntil int64
 	attempt      AttemptID
 	outcome      *outcome
@@ -15,12 +16,12 @@
 	generation   uint32
 	claimant     uint32
 	phase        keyPhase
-	// uncertain is set if the key may have records that aged out before this
-	// instance could read them. It may not be claimed.
+	// uncertain is set if records of the key may have been deleted from the log before this
+	// instance read them. The key can't be claimed then.
 	uncertain bool
 }
 
-// applyClaim takes a claim and tells whether it is the valid one.
+// applyClaim applies a claim and reports whether it is the valid one of its generation.
 func (s *keyState) applyClaim(c claimRecord, by uint32) bool {
 	if s.uncertain {
 		s.applyUncertainClaim(c, by)
@@ -40,7 +41,8 @@
 	return true
 }
 
-// applyUncertainClaim keeps the latest claim of an uncertain key, to tell whom to wait for.
+// applyUncertainClaim records the latest claim of an uncertain key, so that attempts with
+// the key can be answered when its claimant is removed.
 func (s *keyState) applyUncertainClaim(c claimRecord, by uint32) {
 	if s.phase == keyCompleted {
 		return
@@ -53,7 +55,8 @@
 	s.generation = c.Generation
 }
 
-// applyVoid ends the present generation, if the claimant itself says so.
+// applyVoid ends the current generation if the void comes from its claimant, and reports
+// whether it did.
 func (s *keyState) applyVoid(v voidRecord, by uint32) bool {
 	byClaimant := s.claimant == by && s.attempt == v.Request && s.generation == v.Generation
 	if s.uncertain || s.phase != keyClaimed || !byClaimant {
@@ -66,7 +69,8 @@
 	return true
 }
 
-// applyOutcome takes the outcome of the claimant's call.
+// applyOutcome stores the outcome of the claimant's call and reports whether it did. For an
+// uncertain key any outcome is stored, since its claim may not have been read.
 func (s *keyState) applyOutcome(o outcomeRecord, by uint32) bool {
 	byClaimant := s.claimant == by && s.attempt == o.Request && s.generation == o.Generation
 	if s.phase == keyCompleted || (!s.uncertain && (s.phase != keyClaimed || !byClaimant)) {
--- a/claim/memorylog_test.go
+++ b/claim/memorylog_test.go
@@ -9,14 +9,15 @@
 	"monsoonlever/provider"
 )
 
-var errResponseLost = errors.New("answer was lost")
+var errResponseLost = errors.New("response lost")
 
-// memoryLog is a log that several keepers share.
+// memoryLog is an in-memory log that several executors share.
 type memoryLog struct {
 	mu      sync.Mutex
 	records []provider.Record
 	down    bool
-	// dropResponses is the number of appends that take effect without an answer.
+	// dropResponses is the number of next appends that take effect but whose response is
+	// lost.
 	dropResponses int
 	changed       chan struct{}
 }
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -13,7 +13,7 @@
 	"monsoonlever/provider"
 )
 
-// modelTimings are the times of one check.
+// modelTimings are the durations that one check uses.
 type modelTimings struct {
 	window       time.Duration
 	maxTimeout   time.Duration
@@ -22,8 +22,8 @@
 	retention    time.Duration
 }
 
-// The times that checks run with. In the tight ones a window passes often; in
-// the short ones the log keeps less than a window.
+// With shortWindow many keys expire during a check. With shortRetention the log retains
+// records for less than the window.
 var (
 	longWindow = modelTimings{
 		window:       10 * time.Minute,
@@ -48,8 +48,8 @@
 	}
 )
 
-// coverage counts what all checks of this process met, to show that they reach
-// every verdict.
+// coverage counts the keys, attempts, executions and verdicts of all checks in this
+// process, to show that they reach every verdict.
 type coverage struct {
 	mu         sync.Mutex
 	keys       int
@@ -60,14 +60,14 @@
 
 var totals = coverage{verdicts: make(map[RunState]int)}
 
-func (m *coverage) update(f func(*coverage)) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (c *coverage) update(f func(*coverage)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	f(m)
+	f(c)
 }
 
-// appendFault is what the model's log does with one append.
+// appendFault is the effect of the model's log on one append.
 type appendFault int
 
 const (
@@ -78,7 +78,7 @@
 	appendDelayed
 )
 
-// sendFault is what becomes of one call of the model's service.
+// sendFault is the result of one call of the model's service.
 type sendFault int
 
 const (
@@ -90,7 +90,7 @@
 	sendDelayed
 )
 
-// modelKey is a key of the model's callers.
+// modelKey is an idempotency key of the model's callers.
 type modelKey struct {
 	key        Key
 	created    time.Time
@@ -106,17 +106,18 @@
 	id         AttemptID
 	resolved   bool
 	dispatched bool
-	// mustNotRun names the verdict by which it may not run any more.
+	// mustNotRun is the verdict after which the attempt must not run.
 	mustNotRun RunState
 }
 
-// modelAppend is an append whose result a process doesn't know.
+// modelAppend is an append whose result the process doesn't know.
 type modelAppend struct {
 	sequence logstream.Sequence
 	command  Append
 }
 
-// modelSend is a dispatch on its way to the service.
+// modelSend is a dispatched call that has not reached the service. checked is set once the
+// process has checked its deadline.
 type modelSend struct {
 	attempt      *modelAttempt
 	dispatchedAt time.Time
@@ -124,8 +125,8 @@
 	checked      bool
 }
 
-// modelProcess is one incarnation of an entry instance. It may be paused at
-// any time: a paused one is one that takes no step.
+// modelProcess is one incarnation of an entry instance. A process is paused while it takes
+// no step, which may be at any time.
 type modelProcess struct {
 	id          fleet.InstanceID
 	incarnation fleet.Incarnation
@@ -148,13 +149,13 @@
 	data []byte
 }
 
-// model is several entry instances, a log and a service that counts.
+// model simulates several entry instances, a log and a service that counts executions.
 type model struct {
 	t     *rapid.T
 	times modelTimings
-	// gaps counts the times that a process missed records.
+	// gaps counts how often a process missed records.
 	gaps int
-	// recentKeys is how many of the latest keys callers use again.
+	// recentKeys is the number of latest keys that callers use again.
 	recentKeys  int
 	now         time.Time
 	records     []provider.Record
@@ -219,7 +220,7 @@
 	})
 }
 
-// trim drops the records that the log needn't retain any more.
+// trim deletes the records whose retention has passed.
 func (m *model) trim() {
 	for m.first < len(m.records) && m.now.Sub(m.records[m.first].Time) > m.times.retention {
 		m.first++
@@ -250,8 +251,8 @@
 	return k
 }
 
-// mayUse tells whether a caller may still use a key. One that doesn't tell its
-// time may be used for the window only.
+// mayUse reports whether a caller may still use a key. A key without a time in it may only
+// be used within the window.
 func (m *model) mayUse(k *modelKey) bool {
 	return k.hasTime || m.now.Sub(k.created) < m.times.window-m.times.maxTimeout
 }
@@ -289,10 +290,11 @@
 	}
 }
 
-// checkVerdict checks what an attempt is told.
+// checkVerdict checks a verdict against the executions so far and records which attempts
+// must not run after it.
 func (m *model) checkVerdict(p *modelProcess, a *modelAttempt, v Verdict) {
 	if a.resolved {
-		m.t.Fatalf("attempt %d of %s: got a second answer %s, want one", a.id, p.id, v.Run())
+		m.t.Fatalf("attempt %d of %s: got a second verdict %s, want one", a.id, p.id, v.Run())
 	}
 
 	a.resolved = true
@@ -304,7 +306,7 @@
 		m.checkRan(a, v)
 	case NotRun:
 		if a.key.executions != 0 {
-			m.t.Fatalf("%s was told notRun: got %d executions, want 0", a.key.key.Value(), a.key.executions)
+			m.t.Fatalf("%s has the verdict notRun: got %d executions, want 0", a.key.key.Value(), a.key.executions)
 		}
 
 		for _, other := range m.attempts {
@@ -320,15 +322,15 @@
 
 func (m *model) checkRan(a *modelAttempt, v Verdict) {
 	if a.key.executions != 1 {
-		m.t.Fatalf("%s was told ran: got %d executions, want 1", a.key.key.Value(), a.key.executions)
+		m.t.Fatalf("%s has the verdict ran: got %d executions, want 1", a.key.key.Value(), a.key.executions)
 	}
 
 	if got, want := v.Result().Status(), a.key.result.Status(); got != want {
-		m.t.Fatalf("%s was told ran: got status %d, want %d", a.key.key.Value(), got, want)
+		m.t.Fatalf("%s has the verdict ran: got status %d, want %d", a.key.key.Value(), got, want)
 	}
 
 	if got, want := string(v.Result().Body()), string(a.key.result.Body()); v.BodyStored() && got != want {
-		m.t.Fatalf("%s was told ran: got body %q, want %q", a.key.key.Value(), got, want)
+		m.t.Fatalf("%s has the verdict ran: got body %q, want %q", a.key.key.Value(), got, want)
 	}
 }
 
@@ -350,7 +352,7 @@
 	body := "ok"
 
 	if m.executed%3 == 0 {
-		body = "larger than what is kept"
+		body = "larger than MaxStoredBody"
 	}
 
 	a.key.result = NewResult(200+m.executed, nil, []byte(body))
@@ -358,7 +360,8 @@
 	return a.key.result
 }
 
-// flush makes one append of a process, or a fence if it has open ones only.
+// flush makes the next queued append of a process. Without one it appends a fence if
+// earlier appends have no result yet.
 func (m *model) flush(p *modelProcess, fault appendFault) {
 	item := logstream.Item{Kind: logstream.KindFence}
 
@@ -409,7 +412,7 @@
 	}
 }
 
-// read gives a process the next records.
+// read passes the next records to a process.
 func (m *model) read(p *modelProcess, limit int) {
 	if p.cursor < m.first {
 		p.cursor = m.first
@@ -454,7 +457,7 @@
 	}
 }
 
-// resolveAppends ends the open appends up to a sequence that was read back.
+// resolveAppends ends the open appends up to a sequence number that was read back.
 func (m *model) resolveAppends(p *modelProcess, sequence logstream.Sequence) {
 	var failed []Append
 
@@ -476,8 +479,8 @@
 	}
 }
 
-// send takes the next dispatch of a process one stage further: first its
-// deadline is checked, then, maybe much later, it is sent.
+// send advances the next dispatch of a process by one stage: the first checks the deadline,
+// the second, possibly much later, sends the call.
 func (m *model) send(p *modelProcess, fault sendFault) {
 	if len(p.sends) == 0 {
 		return
@@ -500,8 +503,8 @@
 
 	p.sends = p.sends[1:]
 
-	// A process paused for longer than keys are remembered is beyond what is
-	// promised.
+	// At most one execution is not guaranteed if a process is paused for longer than keys
+	// are retained.
 	if m.tooLate(s) {
 		m.run(p, p.table.Broken(m.now, s.attempt.id))
 
@@ -528,7 +531,7 @@
 	return m.now.Sub(s.dispatchedAt) > m.times.window-m.times.maxTimeout
 }
 
-// deliverLateSend lets a call reach the service after its sender gave it up.
+// deliverLateSend delivers a call to the service after its sender stopped waiting for it.
 func (m *model) deliverLateSend(i int) {
 	s := m.lateSends[i]
 	m.lateSends = append(m.lateSends[:i], m.lateSends[i+1:]...)
--- a/claim/outcome.go
+++ b/claim/outcome.go
@@ -1,6 +1,7 @@
 package claim
 
-// outcome is how the call of a key ended.
+// outcome is the result of the call of a key. broken means that it is unknown whether the
+// call ran.
 type outcome struct {
 	broken     bool
 	bodyStored bool
@@ -23,7 +24,8 @@
 	return Verdict{run: Ran, result: o.result, bodyStored: o.bodyStored}
 }
 
-// record returns the record of an outcome, without a body larger than keep.
+// record returns the record of an outcome, without the body if it is larger than maxBody
+// bytes.
 func (o *outcome) record(a *attempt, maxBody int) outcomeRecord {
 	r := outcomeRecord{
 		Key:        a.key,
--- a/claim/phase.go
+++ b/claim/phase.go
@@ -1,29 +1,29 @@
 package claim
 
-// keyPhase is where a key stands by the records read.
+// keyPhase is the state of a key according to the records read.
 type keyPhase uint8
 
 const (
-	// keyFree has no claim in its present generation.
+	// keyFree means that the current generation has no claim.
 	keyFree keyPhase = iota
-	// keyClaimed has a claimant, of whose call no outcome was read.
+	// keyClaimed means that the key has a claimant, but no outcome was read.
 	keyClaimed
-	// keyCompleted has an outcome.
+	// keyCompleted means that the key has an outcome.
 	keyCompleted
 )
 
-// attemptPhase is where an attempt of this instance stands.
+// attemptPhase is the state of an attempt at this instance.
 type attemptPhase uint8
 
 const (
-	// attemptClaiming waits to read its own claim.
+	// attemptClaiming waits until its own claim is read back.
 	attemptClaiming attemptPhase = iota
-	// attemptJoined waits for the outcome of another attempt.
+	// attemptJoined waits for the outcome of another attempt with the same key.
 	attemptJoined
-	// attemptDispatched has won its key and may be on its way.
+	// attemptDispatched has won its key; its call may have been sent.
 	attemptDispatched
-	// attemptCompleted has an outcome that isn't durable yet.
+	// attemptCompleted has an outcome whose record was not read back yet.
 	attemptCompleted
-	// attemptVoiding sent nothing, and its void isn't durable yet.
+	// attemptVoiding did not run; its void was not read back yet.
 	attemptVoiding
 )
--- a/claim/read.go
+++ b/claim/read.go
@@ -6,7 +6,7 @@
 	"monsoonlever/logstream"
 )
 
-// Read takes one entry of the log, in the order of the log.
+// Read applies one log entry. Entries must be read in log order.
 func (t *Table) Read(now time.Time, e logstream.Entry) []Command {
 	if e.Time().After(t.logTime) {
 		t.logTime = e.Time()
@@ -34,10 +34,9 @@
 	}
 }
 
-// refreshKey returns the state of a key that a record names. A key whose last
-// record is older than the window starts anew. Every record counts as the
-// last one, also an invalid one, so that the gaps between a key's records are
-// the same for all who read them.
+// refreshKey returns the state of the key of a record and sets the time of its last record.
+// A key whose last record is older than the window gets a new state. Invalid records count
+// too, so that all instances see the same gaps between the records of a key.
 func (t *Table) refreshKey(key KeyID) *keyState {
 	state := t.keys[key]
 	if state != nil && !state.expired(t.logTime, t.config.Window) {
@@ -60,7 +59,7 @@
 	return state
 }
 
-// evictExpired forgets keys whose window has passed.
+// evictExpired removes the keys whose window has passed.
 func (t *Table) evictExpired() {
 	for {
 		item, ok := t.expiry.front()
@@ -99,7 +98,7 @@
 	return t.readOwnClaim(now, e, c, valid, state)
 }
 
-// readOwnClaim decides on an attempt whose claim is now in effect.
+// readOwnClaim decides on an attempt of this instance whose claim was read back.
 func (t *Table) readOwnClaim(now time.Time, e logstream.Entry, c claimRecord, valid bool, state *keyState) []Command {
 	a := t.attempts[c.Request]
 	if a == nil {
@@ -135,8 +134,9 @@
 	}
 }
 
-// joinWinner lets an attempt whose claim isn't the valid one join the one that is,
-// together with those that waited for it.
+// joinWinner makes an attempt whose claim is not the valid one, and the attempts that
+// joined it, join the attempt with the valid claim. If the key was voided in the meantime,
+// they end with NotStarted.
 func (t *Table) joinWinner(now time.Time, a *attempt, state *keyState) []Command {
 	waiting := t.joined[a.key]
 	delete(t.joined, a.key)
@@ -158,8 +158,9 @@
 	return commands
 }
 
-// voidUnsent voids a claim of this instance that nobody waits for any more, or
-// that must not be sent.
+// voidUnsent voids a claim of this instance whose call must not be sent: its caller stopped
+// waiting, its deadline passed, or its key expired or is uncertain. inEffect is set if the
+// claim is or may be in effect; otherwise there is nothing to void.
 func (t *Table) voidUnsent(now time.Time, c claimRecord, inEffect bool) []Command {
 	if !inEffect {
 		return nil
@@ -202,7 +203,7 @@
 	return t.resolveWithOutcome(o.Key, o.Digest, state.outcome)
 }
 
-// resolveWithOutcome gives the outcome of a key to those who wait for it.
+// resolveWithOutcome resolves the attempts that wait for the outcome of a key.
 func (t *Table) resolveWithOutcome(key KeyID, digest Digest, o *outcome) []Command {
 	var commands []Command
 
@@ -258,11 +259,11 @@
 	return append(commands, t.resolveJoined(v.Key, verdict)...)
 }
 
-// voidVerdict says NotRun only while no other attempt can have been admitted
-// after the void: others wait VoidHold from reading it, which is later than
-// this instance's sending it.
+// voidVerdict returns NotRun only while no other attempt can have been admitted after the
+// void. Other instances reject attempts for VoidCooldown after they read the void, which is
+// later than this instance appended it.
 func (t *Table) voidVerdict(now time.Time, a *attempt, voided bool) Verdict {
-	if voided && now.Sub(a.voidAppended) < t.config.VoidCooldown {
+	if voided && now.Sub(a.voidAppendedAt) < t.config.VoidCooldown {
 		return verdictWithoutResult(NotRun, a.reason, t.config.VoidCooldown)
 	}
 
--- a/claim/reason.go
+++ b/claim/reason.go
@@ -1,9 +1,9 @@
 package claim
 
-// Reason tells why a verdict isn't Ran.
+// Reason explains a verdict other than Ran.
 type Reason string
 
-// The reasons of verdicts.
+// Reasons of verdicts.
 const (
 	ReasonNone           Reason = ""
 	ReasonLogDown        Reason = "logDown"
--- a/claim/record.go
+++ b/claim/record.go
@@ -8,14 +8,14 @@
 	"monsoonlever/logstream"
 )
 
-// The kinds of this package's records.
+// Kinds of the records of this package.
 const (
 	KindClaim   = logstream.KindFirst
 	KindOutcome = logstream.KindFirst + 1
 	KindVoid    = logstream.KindFirst + 2
 )
 
-// claimRecord claims a key for its writer.
+// claimRecord claims a key for the instance that wrote the record.
 type claimRecord struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 
@@ -25,7 +25,7 @@
 	Digest     Digest
 }
 
-// outcomeRecord tells how the claimant's call ended.
+// outcomeRecord contains the outcome of the claimant's call.
 type outcomeRecord struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 
@@ -33,16 +33,16 @@
 	Generation uint32
 	Request    AttemptID
 	Digest     Digest
-	// Broken is set if the claimant can't tell whether its call ran.
+	// Broken is set if the claimant doesn't know whether its call ran.
 	Broken bool
-	// Kept is set if Body is the whole body.
+	// Kept is set if Body is the complete response body. Larger bodies are not stored.
 	Kept   bool
 	Status int
 	Header []Field
 	Body   []byte
 }
 
-// voidRecord ends a generation of a key of which the claimant sent nothing.
+// voidRecord ends a generation of a key whose call certainly did not run.
 type voidRecord struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 
@@ -52,7 +52,8 @@
 	Reason     Reason
 }
 
-// encode returns the payload of a record, whose fields always can be encoded.
+// encode returns the payload of a record. It panics on an error, because the fields of
+// every record type can be encoded.
 func encode(record any) []byte {
 	data, err := msgpack.Marshal(record)
 	if err != nil {
--- a/claim/result.go
+++ b/claim/result.go
@@ -1,13 +1,13 @@
 package claim
 
-// Result is the whole answer of a service.
+// Result is the complete response of a service.
 type Result struct {
 	status int
 	header []Field
 	body   []byte
 }
 
-// NewResult returns an answer.
+// NewResult returns a Result with a status code, header fields and a body.
 func NewResult(status int, header []Field, body []byte) Result {
 	return Result{status: status, header: header, body: body}
 }
--- a/claim/runstate.go
+++ b/claim/runstate.go
@@ -1,23 +1,23 @@
 package claim
 
-// RunState tells whether the request of a key ran.
+// RunState is what is known about the execution of a key's request.
 type RunState string
 
-// What can be told of a request.
+// Execution states of a request.
 const (
-	// Ran means that it ran; the answer is the service's.
+	// Ran means that the request ran and that its result is the service's response.
 	Ran RunState = "ran"
-	// NotRun means that nothing of the key reached a backend server, and that
-	// no attempt made so far ever will.
+	// NotRun means that no backend server ran a request with the key, and that none of the
+	// attempts made so far ever will run.
 	NotRun RunState = "notRun"
-	// NotStarted means that this attempt sent nothing and never will. Whether
-	// another attempt with the key ran is not told.
+	// NotStarted means that this attempt did not run and never will. Another attempt with
+	// the key may have run.
 	NotStarted RunState = "notStarted"
 	// Unknown means that the request may have run, or may still run.
 	Unknown RunState = "unknown"
-	// KeyReused means that the key stands for another request.
+	// KeyReused means that the key was used before for a request with another digest.
 	KeyReused RunState = "keyReused"
-	// KeyExpired means that the key is older than the time for which keys are
-	// remembered. This attempt sent nothing.
+	// KeyExpired means that the key is older than the window for which keys are retained.
+	// This attempt sent nothing.
 	KeyExpired RunState = "keyExpired"
 )
--- a/claim/submit.go
+++ b/claim/submit.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Submit takes an attempt.
-func (t *Table) Submit(now time.Time, r Submission) []Command {
+// Submit starts an attempt.
+func (t *Table) Submit(now time.Time, s Submission) []Command {
 	a := &attempt{
-		id:            r.id,
-		key:           r.key.ID(),
-		digest:        r.digest,
-		deadline:      t.deadline(now, r.deadline),
+		id:            s.id,
+		key:           s.key.ID(),
+		digest:        s.digest,
+		deadline:      t.deadline(now, s.deadline),
 		claimDeadline: now.Add(t.config.ClaimTimeout),
 		phase:         attemptClaiming,
 	}
 
-	if created, ok := r.key.CreatedAt(); ok && !created.After(now.Add(t.config.MaxSkew)) {
+	if created, ok := s.key.CreatedAt(); ok && !created.After(now.Add(t.config.MaxSkew)) {
 		a.keyCreated = created
 	}
 
@@ -31,7 +31,8 @@
 	return t.admit(now, a)
 }
 
-// deadline bounds the deadline of an attempt; one without gets the longest.
+// deadline returns the requested deadline, but at most MaxTimeout from now. A zero deadline
+// means MaxTimeout.
 func (t *Table) deadline(now, requested time.Time) time.Time {
 	longest := now.Add(t.config.MaxTimeout)
 	if requested.IsZero() {
@@ -49,12 +50,14 @@
 	return b
 }
 
-// keyExpired tells whether a key that tells its time may have been forgotten.
+// keyExpired reports whether a key with a known creation time may already have been
+// evicted.
 func (t *Table) keyExpired(a *attempt, at time.Time) bool {
 	return !a.keyCreated.IsZero() && at.After(a.keyCreated.Add(t.config.Window-t.config.MaxSkew))
 }
 
-// admit finds out what an attempt that isn't sent has to wait for.
+// admit resolves an undispatched attempt from the state of its key, lets it join another
+// attempt, or appends its claim.
 func (t *Table) admit(now time.Time, a *attempt) []Command {
 	if !a.deadline.After(now) {
 		return []Command{t.resolve(a, verdictWithoutResult(NotStarted, ReasonDeadline, t.config.RetryAfter))}
@@ -87,7 +90,8 @@
 	return t.claim(now, a)
 }
 
-// admitOwned lets an attempt wait for one of this instance that won the key.
+// admitOwned resolves an attempt from an attempt of this instance that won the key, or lets
+// it join that attempt.
 func (t *Table) admitOwned(a, owner *attempt) []Command {
 	if owner.digest != a.digest {
 		return []Command{t.resolve(a, verdictWithoutResult(KeyReused, ReasonNone, 0))}
@@ -105,8 +109,8 @@
 	}
 }
 
-// currentState returns the state of a key, or nil if it has none or it is so old
-// that a claim made now would not find it.
+// currentState returns the state of a key, or nil if the key has none or may expire before
+// a claim appended now is read.
 func (t *Table) currentState(now time.Time, key KeyID) *keyState {
 	state := t.keys[key]
 	if state == nil || state.expired(t.logTime, t.config.Window) {
@@ -120,8 +124,8 @@
 	return state
 }
 
-// admitByState tells what the records say to an attempt; it isn't final if the
-// key may be claimed.
+// admitByState resolves an attempt from the state of its key or lets it join the claimant.
+// It returns false if the key may be claimed.
 func (t *Table) admitByState(now time.Time, a *attempt, state *keyState) ([]Command, bool) {
 	final := func(v Verdict) ([]Command, bool) {
 		return []Command{t.resolve(a, v)}, true
@@ -163,7 +167,8 @@
 	return nil, false
 }
 
-// claim appends the claim of an attempt.
+// claim appends the claim of an attempt, or ends the attempt if the log is unavailable or
+// the records read don't cover a full window.
 func (t *Table) claim(now time.Time, a *attempt) []Command {
 	switch {
 	case t.down:
--- a/claim/table.go
+++ b/claim/table.go
@@ -7,26 +7,28 @@
 	"monsoonlever/logstream"
 )
 
-// Table decides what becomes of the requests of one entry instance that may
-// not be repeated. Every method is one step: it takes an event and the time
-// and returns what to do. Calls must not overlap.
+// Table is the state machine for the non-idempotent requests of one entry instance. Every
+// method is one step: it takes an event and the time, and returns the commands to execute.
+// It is not safe for concurrent use.
 type Table struct {
 	config Config
 	self   claimant
 
-	// keys, claimants, logTime and since follow from the records alone.
+	// keys, expiry, claimants, logTime and completeSince are derived from the records read.
+	// InstanceRemoved also marks claimants as removed.
 	keys      map[KeyID]*keyState
 	expiry    expiryQueue
 	claimants claimants
 	logTime   time.Time
-	// completeSince is the time from which on the records read are complete.
+	// completeSince is the time since which the records read are complete.
 	completeSince time.Time
 
 	attempts map[AttemptID]*attempt
-	// order holds the attempts in the order of their admission.
+	// order contains the attempts in the order of their submission.
 	order []*attempt
-	// pending, owners and joined find attempts by key: the one whose claim is
-	// on its way, the one that won, and those that wait for another.
+	// pending, owners and joined index the attempts by key: the attempt whose claim was
+	// appended but not read back, the attempt that won the key, and the attempts that wait
+	// for another one.
 	pending map[KeyID]*attempt
 	owners  map[KeyID]*attempt
 	joined  map[KeyID][]*attempt
@@ -37,7 +39,7 @@
 	undecodable int
 }
 
-// NewTable returns a table that has read nothing.
+// NewTable returns an empty table.
 func NewTable(config Config) *Table {
 	config = config.withDefaults()
 
@@ -53,23 +55,25 @@
 	}
 }
 
-// KeyCount returns the number of keys that are remembered.
+// KeyCount returns the number of retained keys.
 func (t *Table) KeyCount() int { return len(t.keys) }
 
-// OpenAttempts returns the number of attempts that are not over.
+// OpenAttempts returns the number of attempts in memory: those without a verdict, and those
+// whose outcome or void was not read back yet.
 func (t *Table) OpenAttempts() int { return len(t.attempts) }
 
-// Undecodable returns the number of records that were skipped.
+// Undecodable returns the number of records that were skipped because they could not be
+// decoded.
 func (t *Table) Undecodable() int { return t.undecodable }
 
-// CaughtUp says that all records that were on the log at the start were read.
+// CaughtUp reports that all records that were on the log at the start were read.
 func (t *Table) CaughtUp() { t.caughtUp = true }
 
-// LogUp says that the log answers again. What is owed is appended by Tick.
+// LogUp reports that the log is available again. Tick appends the pending records.
 func (t *Table) LogUp() { t.down = false }
 
-// LogDown says that the log doesn't answer. Attempts that can't go on without
-// it get their final verdicts at once.
+// LogDown reports that the log is unavailable. Attempts that depend on it are resolved
+// immediately.
 func (t *Table) LogDown() []Command {
 	if t.down {
 		return nil
@@ -94,8 +98,8 @@
 	return commands
 }
 
-// InstanceRemoved says that an incarnation of an entry instance is no longer
-// live. Its claims stand, since it may only be paused.
+// InstanceRemoved reports that an incarnation of an entry instance is no longer live. Its
+// claims stay valid, because it may only be paused.
 func (t *Table) InstanceRemoved(id fleet.InstanceID, incarnation fleet.Incarnation) []Command {
 	removed := claimant{id: id, incarnation: incarnation}
 	if removed == t.self {
@@ -120,8 +124,9 @@
 	return commands
 }
 
-// Horizon says that records before since were not read, which is zero if none
-// are missing. Called again, it says that records aged out unread.
+// Horizon reports that records before since were not read; a zero time means that no
+// records are missing. Every further call reports that records were deleted from the log
+// before they were read.
 func (t *Table) Horizon(since time.Time) []Command {
 	t.completeSince = since
 
@@ -145,8 +150,8 @@
 	return commands
 }
 
-// snapshot returns the attempts in the order of their admission, so that steps
-// are deterministic and may end attempts on the way.
+// snapshot returns a copy of the attempts in the order of their submission. The order makes
+// steps deterministic; the copy lets them remove attempts during iteration.
 func (t *Table) snapshot() []*attempt {
 	open := t.order[:0]
 
@@ -162,8 +167,8 @@
 	return append([]*attempt(nil), open...)
 }
 
-// resolve gives an attempt its verdict. An attempt that owes nothing to the log
-// is then over.
+// resolve sets the verdict on an attempt. The attempt is removed unless its outcome or void
+// must still be read back.
 func (t *Table) resolve(a *attempt, v Verdict) Command {
 	a.resolved = true
 
@@ -174,7 +179,7 @@
 	return Resolve{attempt: a.id, verdict: v}
 }
 
-// remove removes an attempt that is over.
+// remove removes an attempt from all indexes.
 func (t *Table) remove(a *attempt) {
 	delete(t.attempts, a.id)
 
@@ -191,7 +196,7 @@
 	}
 }
 
-// unjoin takes an attempt out of those that wait for its key.
+// unjoin removes an attempt from those that wait for its key.
 func (t *Table) unjoin(a *attempt) {
 	waiting := t.joined[a.key]
 
@@ -217,9 +222,8 @@
 	t.joined[a.key] = append(t.joined[a.key], a)
 }
 
-// abort ends an attempt that has sent nothing. Should its claim turn out to
-// be on the log, reading it makes this instance void it. Attempts that wait
-// for the claim end with it.
+// abort ends an attempt that sent nothing, and the attempts that joined its claim. If its
+// claim is read back later, this instance voids it.
 func (t *Table) abort(a *attempt, reason Reason, retryAfter time.Duration) []Command {
 	wasPending := t.pending[a.key] == a
 	commands := []Command{t.resolve(a, verdictWithoutResult(NotStarted, reason, retryAfter))}
@@ -231,7 +235,7 @@
 	return commands
 }
 
-// resolveJoined gives all attempts that wait for a key the same verdict.
+// resolveJoined sets the same verdict on all attempts that wait for a key.
 func (t *Table) resolveJoined(key KeyID, v Verdict) []Command {
 	var commands []Command
 
--- a/claim/table_test.go
+++ b/claim/table_test.go
@@ -11,7 +11,7 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// tableHarness drives one table by hand.
+// tableHarness runs one table with a simulated clock and log.
 type tableHarness struct {
 	t      *testing.T
 	table  *Table
@@ -29,7 +29,7 @@
 	return h
 }
 
-// read gives the table a record of a writer at the present time.
+// read passes a record of a writer to the table at the current time.
 func (h *tableHarness) read(writer fleet.InstanceID, kind logstream.Kind, payload []byte) []Command {
 	h.offset++
 	by := logstream.Author{Writer: writer, Incarnation: 1, Sequence: logstream.Sequence(h.offset)}
@@ -38,7 +38,7 @@
 	return h.table.Read(h.now, logstream.NewEntry(by, kind, payload, at))
 }
 
-// readOwn gives the table back what it appended.
+// readOwn passes the record of the first append among commands back to the table.
 func (h *tableHarness) readOwn(commands []Command) []Command {
 	h.t.Helper()
 
@@ -57,7 +57,7 @@
 	return h.table.Submit(h.now, NewSubmission(id, NewKey("payrun-api", "kronvig", value), Digest{}, h.now.Add(time.Minute)))
 }
 
-// verdictOf returns the verdict among commands.
+// verdictOf returns the first verdict among commands.
 func verdictOf(t *testing.T, commands []Command) Verdict {
 	t.Helper()
 
@@ -67,7 +67,7 @@
 		}
 	}
 
-	t.Fatalf("commands: got %v, want an answer", commands)
+	t.Fatalf("commands: got %v, want a verdict", commands)
 
 	return Verdict{}
 }
@@ -90,10 +90,10 @@
 		retry    bool
 		wantRun  RunState
 	}{
-		{desc: "void read within the hold", wait: DefaultVoidCooldown / 2, wantRun: NotRun},
-		{desc: "void read after the hold", wait: DefaultVoidCooldown, wantRun: NotStarted},
-		{desc: "first void dead, second read within its hold", wait: DefaultVoidCooldown, retry: true, definite: true, wantRun: NotRun},
-		{desc: "first void may be in effect", wait: DefaultVoidCooldown, retry: true, wantRun: NotStarted},
+		{desc: "void read within the cooldown", wait: DefaultVoidCooldown / 2, wantRun: NotRun},
+		{desc: "void read after the cooldown", wait: DefaultVoidCooldown, wantRun: NotStarted},
+		{desc: "first append failed definitely, second void read within its cooldown", wait: DefaultVoidCooldown, retry: true, definite: true, wantRun: NotRun},
+		{desc: "first append may take effect", wait: DefaultVoidCooldown, retry: true, wantRun: NotStarted},
 	}
 
 	for _, tt := range tests {
@@ -124,7 +124,7 @@
 	h.readOwn(h.submit(1, "k"))
 	void := h.table.Declined(h.now, 1)
 
-	// Records aged out unread: the claim may not have been the valid one.
+	// Records were deleted before they were read, so the claim may not be the valid one.
 	h.table.Horizon(h.now)
 
 	if got, want := verdictOf(t, h.readOwn(void)).Run(), NotStarted; got != want {
@@ -139,13 +139,13 @@
 
 	v := verdictOf(t, h.submit(2, "k"))
 	if got, want := v.RetryAfter(), DefaultVoidCooldown; v.Run() != NotStarted || got != want {
-		t.Errorf("attempt in the hold: got %s with retry after %v, want %s after %v", v.Run(), got, NotStarted, want)
+		t.Errorf("attempt in the cooldown: got %s with retry after %v, want %s after %v", v.Run(), got, NotStarted, want)
 	}
 
 	h.now = h.now.Add(v.RetryAfter())
 
 	if got, want := hasDispatch(h.readOwn(h.submit(3, "k"))), true; got != want {
-		t.Errorf("dispatch after the hold: got %v, want %v", got, want)
+		t.Errorf("dispatch after the cooldown: got %v, want %v", got, want)
 	}
 }
 
@@ -154,13 +154,13 @@
 
 	v := verdictOf(t, h.submit(1, "k"))
 	if v.Run() != NotStarted || v.Reason() != ReasonNotReady {
-		t.Errorf("attempt too early: got %s (%s), want %s (%s)", v.Run(), v.Reason(), NotStarted, ReasonNotReady)
+		t.Errorf("attempt before a full window of records: got %s (%s), want %s (%s)", v.Run(), v.Reason(), NotStarted, ReasonNotReady)
 	}
 
 	h.now = h.now.Add(time.Minute)
 
 	if got, want := hasDispatch(h.readOwn(h.submit(2, "k"))), true; got != want {
-		t.Errorf("dispatch with a window of records: got %v, want %v", got, want)
+		t.Errorf("dispatch with a full window of records: got %v, want %v", got, want)
 	}
 }
 
@@ -170,7 +170,7 @@
 
 	r := NewSubmission(1, NewKey("payrun-api", "kronvig", "k"), Digest{}, testStart.Add(time.Minute))
 	if v := verdictOf(t, table.Submit(testStart, r)); v.Run() != NotStarted || v.Reason() != ReasonNotReady {
-		t.Errorf("attempt before the start was read: got %s (%s), want %s (%s)",
+		t.Errorf("attempt before the table caught up: got %s (%s), want %s (%s)",
 			v.Run(), v.Reason(), NotStarted, ReasonNotReady)
 	}
 }
@@ -182,7 +182,7 @@
 
 	h.now = testStart.Add(DefaultWindow * 3 / 4)
 	if got, want := verdictOf(t, h.submit(1, "k")).Run(), Unknown; got != want {
-		t.Errorf("key with records that aged out: got %s, want %s", got, want)
+		t.Errorf("key with records that may have been deleted unread: got %s, want %s", got, want)
 	}
 
 	h.now = testStart.Add(DefaultWindow + DefaultMaxSkew + time.Second)
@@ -203,7 +203,7 @@
 
 	v := h.submit(1, "k")
 	if len(v) != 0 {
-		t.Errorf("attempt with a key in use: got %v, want to wait for its claimant", v)
+		t.Errorf("attempt with a key in use: got %v, want no command while its claimant runs", v)
 	}
 }
 
@@ -215,9 +215,9 @@
 		age  time.Duration
 		want bool
 	}{
-		{desc: "fresh", age: 0, want: false},
-		{desc: "at the end", age: DefaultWindow - DefaultMaxSkew, want: false},
-		{desc: "from before the window", age: DefaultWindow - DefaultMaxSkew + time.Second, want: true},
+		{desc: "new", age: 0, want: false},
+		{desc: "at the end of the window", age: DefaultWindow - DefaultMaxSkew, want: false},
+		{desc: "after the window", age: DefaultWindow - DefaultMaxSkew + time.Second, want: true},
 	}
 
 	for _, tt := range tests {
@@ -256,7 +256,7 @@
 	other := NewSubmission(2, NewKey("payrun-api", "kronvig", "k"), DigestOf([]byte("other")), h.now.Add(time.Minute))
 
 	if got, want := verdictOf(t, h.table.Submit(h.now, other)).Run(), KeyReused; got != want {
-		t.Errorf("while the claim is on its way: got %s, want %s", got, want)
+		t.Errorf("while the claim is pending: got %s, want %s", got, want)
 	}
 
 	h.readOwn(claim)
@@ -273,7 +273,7 @@
 	h.read("entry-1", KindClaim, encode(claimRecord{Key: key, Request: 1}))
 
 	if got := h.submit(1, "k"); len(got) != 0 {
-		t.Fatalf("attempt while the claimant lives: got %v, want to wait", got)
+		t.Fatalf("attempt while the claimant is live: got %v, want no command", got)
 	}
 
 	if got, want := verdictOf(t, h.table.InstanceRemoved("entry-1", 1)).Run(), Unknown; got != want {
@@ -284,7 +284,7 @@
 		t.Errorf("later attempt: got %s, want %s", got, want)
 	}
 
-	// It was only paused, and tells its outcome after all.
+	// The claimant was only paused and appends its outcome now.
 	h.read("entry-1", KindOutcome, encode(outcomeRecord{Key: key, Request: 1, Status: 200}))
 
 	if got, want := verdictOf(t, h.submit(3, "k")).Run(), Ran; got != want {
--- a/claim/tick.go
+++ b/claim/tick.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Tick ends the attempts whose time has passed and appends what is owed.
+// Tick resolves the attempts whose deadline, ClaimTimeout or VoidCooldown has passed, and
+// appends the pending outcomes and voids.
 func (t *Table) Tick(now time.Time) []Command {
 	var commands []Command
 
@@ -42,7 +43,7 @@
 			return []Command{t.resolve(a, verdictWithoutResult(Unknown, ReasonClaimantSilent, t.config.RetryAfter))}
 		}
 	case attemptVoiding:
-		if late || now.Sub(a.voidAppended) >= t.config.VoidCooldown {
+		if late || now.Sub(a.voidAppendedAt) >= t.config.VoidCooldown {
 			v := verdictWithoutResult(NotStarted, a.reason, t.config.RetryAfter)
 			commands := []Command{t.resolve(a, v)}
 
