--- a/controller/planner.go
+++ b/controller/planner.go
@@ -19,8 +19,8 @@
 type planner struct {
 	config      placement.Config
 	forecasters map[fleet.Service]*placement.Forecaster
-	refusals    *placement.Memory
-	reclaims    *placement.Memory
+	refusals    *placement.CellPenalties
+	reclaims    *placement.CellPenalties
 	measuredAt  time.Time
 	// reclaimed are the leaving instances that were noted.
 	reclaimed map[fleet.InstanceID]bool
--- a/costing/evaluate.go
+++ b/costing/evaluate.go
@@ -16,8 +16,8 @@
 type simulation struct {
 	day      *ServiceDay
 	planner  Planner
-	refusals *placement.Memory
-	reclaims *placement.Memory
+	refusals *placement.CellPenalties
+	reclaims *placement.CellPenalties
 	running  []*instance
 	backlog  backlog
 	moves    []int
--- a/costing/planner.go
+++ b/costing/planner.go
@@ -15,8 +15,8 @@
 	Load     placement.Load
 	Have     map[placement.Cell]int
 	Offers   []provider.Offer
-	Refusals *placement.Memory
-	Reclaims *placement.Memory
+	Refusals *placement.CellPenalties
+	Reclaims *placement.CellPenalties
 }
 
 // Planner decides what to hold from what it sees.
--- a/placement/config.go
+++ b/placement/config.go
@@ -30,6 +30,6 @@
 }
 
 // NewMemory returns a memory that forgets one mark after AvoidFor.
-func (c Config) NewMemory() *Memory {
-	return &Memory{HalfLife: c.AvoidFor / 2}
+func (c Config) NewMemory() *CellPenalties {
+	return &CellPenalties{HalfLife: c.AvoidFor / 2}
 }
--- a/placement/memory.go
+++ b/placement/memory.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Memory remembers in which cells a purchase was refused or an instance was
+// CellPenalties remembers in which cells a purchase was refused or an instance was
 // reclaimed. What it remembers loses half its weight every half-life.
-type Memory struct {
+type CellPenalties struct {
 	// HalfLife is the time in which a mark loses half its weight.
 	HalfLife time.Duration
 
@@ -23,7 +23,7 @@
 const maxWeight = 4
 
 // Note marks a cell.
-func (m *Memory) Note(now time.Time, cell Cell) {
+func (m *CellPenalties) Note(now time.Time, cell Cell) {
 	if m.marks == nil {
 		m.marks = make(map[Cell]mark)
 	}
@@ -32,7 +32,7 @@
 }
 
 // Weight returns the weight of a cell at now: 0 where nothing is remembered.
-func (m *Memory) Weight(now time.Time, cell Cell) float64 {
+func (m *CellPenalties) Weight(now time.Time, cell Cell) float64 {
 	if m == nil {
 		return 0
 	}
@@ -48,7 +48,7 @@
 }
 
 // Since returns when a cell was last marked.
-func (m *Memory) Since(cell Cell) (time.Time, bool) {
+func (m *CellPenalties) Since(cell Cell) (time.Time, bool) {
 	if m == nil {
 		return time.Time{}, false
 	}
@@ -59,6 +59,6 @@
 }
 
 // Forget drops the mark of a cell, as after a purchase that went through.
-func (m *Memory) Forget(cell Cell) {
+func (m *CellPenalties) Forget(cell Cell) {
 	delete(m.marks, cell)
 }
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -27,7 +27,7 @@
 	// bought to save money, in an hour over all services. The log keeps the count, so a new holder goes on with it.
 	ChangesPerHour int
 	// Refusals is told of every refused purchase; it may be nil.
-	Refusals *Memory
+	Refusals *CellPenalties
 
 	ledger   *Ledger
 	fence    lease.Fence
--- a/placement/state.go
+++ b/placement/state.go
@@ -8,8 +8,8 @@
 	Services []ServiceState
 	Offers   []provider.Offer
 	// Refusals and Reclaims are remembered by cell; either may be nil.
-	Refusals *Memory
-	Reclaims *Memory
+	Refusals *CellPenalties
+	Reclaims *CellPenalties
 }
 
 // ServiceState is one service with its load and what it has.
