--- a/controller/planner.go
+++ b/controller/planner.go
@@ -32,8 +32,8 @@
 	return &planner{
 		config:      config,
 		forecasters: make(map[fleet.Service]*placement.Forecaster),
-		refusals:    config.NewMemory(),
-		reclaims:    config.NewMemory(),
+		refusals:    config.NewCellPenalties(),
+		reclaims:    config.NewCellPenalties(),
 		reclaimed:   make(map[fleet.InstanceID]bool),
 	}
 }
--- a/costing/evaluate.go
+++ b/costing/evaluate.go
@@ -39,8 +39,8 @@
 	s := &simulation{
 		day:      &day,
 		planner:  planner,
-		refusals: config.NewMemory(),
-		reclaims: config.NewMemory(),
+		refusals: config.NewCellPenalties(),
+		reclaims: config.NewCellPenalties(),
 	}
 
 	for minute := range Minutes {
--- a/placement/config.go
+++ b/placement/config.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// NewMemory returns a memory that forgets one mark after AvoidFor.
-func (c Config) NewMemory() *CellPenalties {
+// NewCellPenalties returns a memory that forgets one mark after AvoidFor.
+func (c Config) NewCellPenalties() *CellPenalties {
 	return &CellPenalties{HalfLife: c.AvoidFor / 2}
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -78,7 +78,7 @@
 		})
 	}
 
-	s.Refusals = s.Config.NewMemory()
+	s.Refusals = s.Config.NewCellPenalties()
 	s.Refusals.Note(start, cheap)
 
 	for _, tt := range []struct {
