--- a/controller/planner.go
+++ b/controller/planner.go
@@ -137,7 +137,7 @@
 		leaving[instance.ID] = true
 
 		if !c.planner.reclaimed[instance.ID] {
-			c.planner.reclaims.Note(v.now, cellOf(instance))
+			c.planner.reclaims.Add(v.now, cellOf(instance))
 		}
 	}
 
--- a/costing/evaluate.go
+++ b/costing/evaluate.go
@@ -82,7 +82,7 @@
 			}
 
 			s.result.Reclaimed++
-			s.reclaims.Note(s.now(minute), i.cell)
+			s.reclaims.Add(s.now(minute), i.cell)
 		}
 
 		s.running = kept
@@ -186,7 +186,7 @@
 			}
 
 			if s.day.market.refused(minute, t.Cell) {
-				s.refusals.Note(s.now(minute), t.Cell)
+				s.refusals.Add(s.now(minute), t.Cell)
 
 				break
 			}
--- a/placement/memory.go
+++ b/placement/memory.go
@@ -22,8 +22,8 @@
 // maxWeight bounds how long many marks in a row are remembered.
 const maxWeight = 4
 
-// Note marks a cell.
-func (m *CellPenalties) Note(now time.Time, cell Cell) {
+// Add marks a cell.
+func (m *CellPenalties) Add(now time.Time, cell Cell) {
 	if m.marks == nil {
 		m.marks = make(map[Cell]mark)
 	}
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -79,7 +79,7 @@
 	}
 
 	s.Refusals = s.Config.NewCellPenalties()
-	s.Refusals.Note(start, cheap)
+	s.Refusals.Add(start, cheap)
 
 	for _, tt := range []struct {
 		desc  string
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -290,7 +290,7 @@
 func (r *Reconciler) noteRefusal(now time.Time, token Token) {
 	intent, ok := r.ledger.intents[token]
 	if ok && r.Refusals != nil {
-		r.Refusals.Note(now, intent.Cell)
+		r.Refusals.Add(now, intent.Cell)
 	}
 }
 
