--- a/placement/memory.go
+++ b/placement/memory.go
@@ -58,7 +58,7 @@
 	return last.at, ok
 }
 
-// Forget drops the mark of a cell, as after a purchase that went through.
-func (m *CellPenalties) Forget(cell Cell) {
+// Clear drops the mark of a cell, as after a purchase that went through.
+func (m *CellPenalties) Clear(cell Cell) {
 	delete(m.marks, cell)
 }
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -297,7 +297,7 @@
 func (r *Reconciler) forgetRefusal(token Token) {
 	intent, ok := r.ledger.intents[token]
 	if ok && r.Refusals != nil {
-		r.Refusals.Forget(intent.Cell)
+		r.Refusals.Clear(intent.Cell)
 	}
 }
 
