--- a/controller/ownpart.go
+++ b/controller/ownpart.go
@@ -77,7 +77,7 @@
 // such cells where nothing else is left; each is then asked for one instance at a
 // time until a purchase goes through.
 func (c *Controller) probed(now time.Time, target placement.Target) int {
-	at, refused := c.planner.refusals.Since(target.Cell)
+	at, refused := c.planner.refusals.LastAdded(target.Cell)
 	if !refused || now.Sub(at) >= 2*c.planner.config.AvoidFor {
 		return target.Count
 	}
--- a/placement/memory.go
+++ b/placement/memory.go
@@ -47,8 +47,8 @@
 	return last.weight * math.Exp2(-halves)
 }
 
-// Since returns when a cell was last marked.
-func (m *CellPenalties) Since(cell Cell) (time.Time, bool) {
+// LastAdded returns when a cell was last marked.
+func (m *CellPenalties) LastAdded(cell Cell) (time.Time, bool) {
 	if m == nil {
 		return time.Time{}, false
 	}
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -88,7 +88,7 @@
 	}
 
 	for _, o := range chosen.options {
-		if at, ok := s.Refusals.Since(o.cell); ok && o.avoided {
+		if at, ok := s.Refusals.LastAdded(o.cell); ok && o.avoided {
 			text += fmt.Sprintf("; avoids %s, refused %s ago", o.cell, now.Sub(at).Round(time.Second))
 		}
 	}
