--- a/controller/purchases.go
+++ b/controller/purchases.go
@@ -69,7 +69,7 @@
 			return
 		}
 
-		c.reconciler.Bought(c.Clock.Now(), command.Token, outcome, instance)
+		c.reconciler.PurchaseFinished(c.Clock.Now(), command.Token, outcome, instance)
 
 		if outcome == placement.OutcomeRefused {
 			// The plan was made without knowing of it.
--- a/placement/purchases_test.go
+++ b/placement/purchases_test.go
@@ -275,7 +275,7 @@
 	lost := w.chance(4, "answer lost")
 	if lost {
 		answer(func() {
-			c.reconciler.Bought(w.now(), cmd.Token, placement.OutcomeUnknown, provider.Instance{})
+			c.reconciler.PurchaseFinished(w.now(), cmd.Token, placement.OutcomeUnknown, provider.Instance{})
 		})
 	}
 
@@ -293,7 +293,7 @@
 			outcome = placement.OutcomeRefused
 		}
 
-		answer(func() { c.reconciler.Bought(w.now(), cmd.Token, outcome, instance) })
+		answer(func() { c.reconciler.PurchaseFinished(w.now(), cmd.Token, outcome, instance) })
 	})
 }
 
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Bought takes in the answer to a purchase.
-func (r *Reconciler) Bought(now time.Time, token Token, outcome Outcome, instance provider.Instance) {
+// PurchaseFinished takes in the answer to a purchase.
+func (r *Reconciler) PurchaseFinished(now time.Time, token Token, outcome Outcome, instance provider.Instance) {
 	c, ok := r.calls[token]
 	if !ok {
 		return
