--- a/controller/purchases.go
+++ b/controller/purchases.go
@@ -39,7 +39,7 @@
 		c.append(kindIntent, command.Record)
 	case placement.ListCommand:
 		c.callList(ctx, c.holding.fence, func(instances []provider.Instance) {
-			c.reconciler.Listed(command.Number, instances)
+			c.reconciler.ListFinished(command.Number, instances)
 		})
 	case placement.BuyCommand:
 		c.buy(ctx, c.holding.fence, command)
--- a/placement/purchases_test.go
+++ b/placement/purchases_test.go
@@ -261,7 +261,7 @@
 				instances = append(instances, instance)
 			}
 
-			answer(func() { c.reconciler.Listed(cmd.Number, instances) })
+			answer(func() { c.reconciler.ListFinished(cmd.Number, instances) })
 		})
 	case placement.ReleaseCommand:
 		if !w.chance(10, "release lost") {
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// Listed takes in the answer to a listing.
-func (r *Reconciler) Listed(number uint64, instances []provider.Instance) {
+// ListFinished takes in the answer to a listing.
+func (r *Reconciler) ListFinished(number uint64, instances []provider.Instance) {
 	if number <= r.listing.done {
 		return
 	}
