--- a/controller/ownpart.go
+++ b/controller/ownpart.go
@@ -54,7 +54,7 @@
 		return planned
 	}
 
-	have := c.reconciler.Have(service)
+	have := c.reconciler.InstanceCounts(service)
 	surplus := total(have) + total(foreign) - c.holding.decision.Count(service)
 	targets := make([]placement.Target, 0, len(planned))
 
@@ -82,7 +82,7 @@
 		return target.Count
 	}
 
-	have := c.reconciler.Have(target.Service)[target.Cell]
+	have := c.reconciler.InstanceCounts(target.Service)[target.Cell]
 	if now.Sub(at) >= probeEvery && have <= c.boughtIn(target) {
 		have++
 	}
--- a/controller/planner.go
+++ b/controller/planner.go
@@ -86,7 +86,7 @@
 			continue
 		}
 
-		have := c.reconciler.Have(s.Name())
+		have := c.reconciler.InstanceCounts(s.Name())
 		for cell, n := range h.foreign[s.Name()] {
 			have[cell] += n
 		}
--- a/placement/reconcile.go
+++ b/placement/reconcile.go
@@ -175,7 +175,7 @@
 // closed: each may have an instance, or get one. Purchases beyond what is needed
 // wait for a change of the hour.
 func (r *Reconciler) open(now time.Time, limit Limit, targets []Target) []Command {
-	have := r.Have(limit.Service)
+	have := r.InstanceCounts(limit.Service)
 	held := r.held(limit.Service)
 	moves := r.ChangesPerHour - r.ledger.Moves(now)
 	useful := 0
@@ -231,7 +231,7 @@
 // and the hour's changes are not used up. At the limit, where a replacement
 // cannot come first, one ready instance goes before its replacement comes.
 func (r *Reconciler) retireSurplus(now time.Time, limit Limit, wanted map[Cell]int, total int) []Command {
-	have := r.Have(limit.Service)
+	have := r.InstanceCounts(limit.Service)
 	allowed := allowance{
 		ready:   r.ready(limit.Service),
 		enough:  total,
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// Have counts what each cell of a service holds or is about to, for a plan.
-func (r *Reconciler) Have(service fleet.Service) map[Cell]int {
+// InstanceCounts counts what each cell of a service holds or is about to, for a plan.
+func (r *Reconciler) InstanceCounts(service fleet.Service) map[Cell]int {
 	result := make(map[Cell]int)
 
 	for _, intent := range r.ledger.Intents() {
