--- a/controller/planner.go
+++ b/controller/planner.go
@@ -94,7 +94,7 @@
 		state.Services = append(state.Services, placement.ServiceState{
 			Service:  serviceOf(v.manifest, s),
 			Forecast: c.planner.forecasters[s.Name()].Forecast(),
-			Have:     have,
+			InstanceCounts:     have,
 			Surge:    h.rollout.surge[s.Name()],
 		})
 	}
--- a/costing/foresight.go
+++ b/costing/foresight.go
@@ -82,7 +82,7 @@
 		Services: []placement.ServiceState{{
 			Service:  v.Day.Service,
 			Forecast: placement.Forecast{Now: v.Load, Need: need, Peak: need},
-			Have:     v.Have,
+			InstanceCounts:     v.Have,
 		}},
 	})
 }
--- a/costing/policy.go
+++ b/costing/policy.go
@@ -66,7 +66,7 @@
 		Services: []placement.ServiceState{{
 			Service:  service,
 			Forecast: p.forecaster.Forecast(),
-			Have:     v.Have,
+			InstanceCounts:     v.Have,
 		}},
 	})
 }
--- a/placement/flapping_test.go
+++ b/placement/flapping_test.go
@@ -114,7 +114,7 @@
 
 	state := placement.State{Config: placement.DefaultConfig(), Offers: offers}
 	state.Services = []placement.ServiceState{{
-		Service: steadyService(), Forecast: forecaster.Forecast(), Have: c.reconciler.InstanceCounts(service),
+		Service: steadyService(), Forecast: forecaster.Forecast(), InstanceCounts: c.reconciler.InstanceCounts(service),
 	}}
 	decision := placement.Plan(w.now(), state)
 	w.targets = decision.Targets
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -20,7 +20,7 @@
 		chosen, needed, why := choose(s.Config, service, options)
 
 		for i, n := range chosen.counts {
-			if n > 0 || service.Have[options[i].cell] > 0 {
+			if n > 0 || service.InstanceCounts[options[i].cell] > 0 {
 				d.Targets = append(d.Targets, Target{Service: service.Service.Name, Cell: options[i].cell, Count: n})
 			}
 		}
@@ -37,7 +37,7 @@
 
 // choose returns the layout, the count without a move to save money, and why.
 func choose(config Config, s ServiceState, options []option) (*layout, int, string) {
-	chosen := newLayout(options, s.Service, s.Forecast.Need, s.Have, s.Surge)
+	chosen := newLayout(options, s.Service, s.Forecast.Need, s.InstanceCounts, s.Surge)
 	before := chosen.total()
 	chosen = chosen.grown()
 
@@ -45,7 +45,7 @@
 		return chosen, chosen.total(), fmt.Sprintf("grows by %d", chosen.total()-before)
 	}
 
-	peak := newLayout(options, s.Service, s.Forecast.Peak.Max(s.Forecast.Need), s.Have, s.Surge)
+	peak := newLayout(options, s.Service, s.Forecast.Peak.Max(s.Forecast.Need), s.InstanceCounts, s.Surge)
 	if !peak.covers() {
 		return chosen, before, "stays"
 	}
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -49,7 +49,7 @@
 			have[place] = rapid.IntRange(0, 3).Draw(t, "have")
 		}
 
-		s.Services[0].Have = have
+		s.Services[0].InstanceCounts = have
 		d := placement.Plan(start, s)
 
 		if got := remaining(d, ""); got < need {
--- a/placement/state.go
+++ b/placement/state.go
@@ -16,9 +16,9 @@
 type ServiceState struct {
 	Service  Service
 	Forecast Forecast
-	// Have counts the instances of each cell that are bought or about to be,
+	// InstanceCounts counts the instances of each cell that are bought or about to be,
 	// without those that leave or are retired.
-	Have map[Cell]int
+	InstanceCounts map[Cell]int
 	// Surge asks for that many instances more, as while a version is rolled out
 	// on a service with one runner.
 	Surge int
