--- a/controller/ownpart.go
+++ b/controller/ownpart.go
@@ -78,7 +78,7 @@
 // time until a purchase goes through.
 func (c *Controller) probed(now time.Time, target placement.Target) int {
 	at, refused := c.planner.refusals.LastAdded(target.Cell)
-	if !refused || now.Sub(at) >= 2*c.planner.config.AvoidFor {
+	if !refused || now.Sub(at) >= 2*c.planner.config.AvoidDuration {
 		return target.Count
 	}
 
--- a/placement/config.go
+++ b/placement/config.go
@@ -10,9 +10,9 @@
 	// RiskPremium is added to the price of a reclaimable instance, as a share,
 	// for the work that its reclaim costs.
 	RiskPremium float64
-	// AvoidFor is how long a cell is avoided after one refused purchase. After
+	// AvoidDuration is how long a cell is avoided after one refused purchase. After
 	// more in a row it is avoided up to twice as long.
-	AvoidFor time.Duration
+	AvoidDuration time.Duration
 }
 
 // DefaultChangesPerHour is how many instances are given up, and how many are
@@ -25,11 +25,11 @@
 	return Config{
 		MoveThreshold: 0.1,
 		RiskPremium:   0.05,
-		AvoidFor:      20 * time.Minute,
+		AvoidDuration:      20 * time.Minute,
 	}
 }
 
 // NewCellPenalties returns a memory that forgets one mark after AvoidFor.
 func (c Config) NewCellPenalties() *CellPenalties {
-	return &CellPenalties{HalfLife: c.AvoidFor / 2}
+	return &CellPenalties{HalfLife: c.AvoidDuration / 2}
 }
