--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -127,7 +127,7 @@
 		r.surge[s.Name()] = max(r.surge[s.Name()], step.Surge(service, states))
 	}
 
-	allowed := placement.LoadQueue{AtOnce: loadsAtOnce}.Allowed(r.loads(service.Priority))
+	allowed := placement.LoadQueue{MaxConcurrent: loadsAtOnce}.Allowed(r.loads(service.Priority))
 	mayLoad := func(id fleet.InstanceID) bool { return slices.Contains(allowed, id) }
 
 	moving := 0
--- a/placement/loadqueue.go
+++ b/placement/loadqueue.go
@@ -11,8 +11,8 @@
 // with more of the rate, since two loads one after the other restore the first
 // runner in half the time that two at once take.
 type LoadQueue struct {
-	// AtOnce is how many loads may run at once.
-	AtOnce int
+	// MaxConcurrent is how many loads may run at once.
+	MaxConcurrent int
 }
 
 // Allowed returns the runners that may load now. A load that has started goes
@@ -25,7 +25,7 @@
 	var allowed []fleet.InstanceID
 
 	for _, request := range sorted {
-		if !request.Started && len(allowed) >= max(1, q.AtOnce) {
+		if !request.Started && len(allowed) >= max(1, q.MaxConcurrent) {
 			break
 		}
 
--- a/placement/loadqueue_test.go
+++ b/placement/loadqueue_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, tt := range table {
 		t.Run(tt.desc, func(t *testing.T) {
-			got := placement.LoadQueue{AtOnce: tt.atOnce}.Allowed(tt.requests)
+			got := placement.LoadQueue{MaxConcurrent: tt.atOnce}.Allowed(tt.requests)
 			if !slices.Equal(got, tt.want) {
 				t.Errorf("allowed: got %v, want %v", got, tt.want)
 			}
