--- a/controller/planner.go
+++ b/controller/planner.go
@@ -49,7 +49,7 @@
 	for _, s := range v.manifest.Services() {
 		f, ok := c.planner.forecasters[s.Name()]
 		if !ok {
-			f = placement.NewForecaster(serviceOf(v.manifest, s).Lead())
+			f = placement.NewForecaster(serviceOf(v.manifest, s).LeadTime())
 			c.planner.forecasters[s.Name()] = f
 		}
 
--- a/costing/foresight.go
+++ b/costing/foresight.go
@@ -64,7 +64,7 @@
 
 // Plan implements Planner.
 func (Foresight) Plan(v View) placement.Decision {
-	lead := int(v.Day.Service.Lead()/time.Minute) + 1
+	lead := int(v.Day.Service.LeadTime()/time.Minute) + 1
 	need := placement.Load{}
 
 	for minute := v.Minute; minute <= v.Minute+lead && minute < Minutes; minute++ {
--- a/costing/policy.go
+++ b/costing/policy.go
@@ -47,7 +47,7 @@
 // Plan implements Planner.
 func (p *Policy) Plan(v View) placement.Decision {
 	if p.forecaster == nil {
-		p.forecaster = placement.NewForecaster(v.Day.Service.Lead())
+		p.forecaster = placement.NewForecaster(v.Day.Service.LeadTime())
 	}
 
 	p.forecaster.Observe(v.Now, v.Load)
--- a/placement/service.go
+++ b/placement/service.go
@@ -29,7 +29,7 @@
 	LoadTime time.Duration
 }
 
-// Lead is the time from the purchase of an instance until it serves.
-func (s Service) Lead() time.Duration {
+// LeadTime is the time from the purchase of an instance until it serves.
+func (s Service) LeadTime() time.Duration {
 	return s.StartTime + s.LoadTime
 }
