--- a/placement/allowance.go
+++ b/placement/allowance.go
@@ -8,7 +8,7 @@
 }
 
 // take uses the allowance for one instance and tells whether that was allowed.
-func (a *allowance) take(o *Observed) bool {
+func (a *allowance) take(o *ObservedInstance) bool {
 	if !o.Known || a.changes <= 0 || o.Ready && a.ready <= a.enough {
 		return false
 	}
--- a/placement/observed.go
+++ b/placement/observed.go
@@ -7,8 +7,8 @@
 	"monsoonlever/provider"
 )
 
-// Observed is an instance as the controller last saw it, by its token.
-type Observed struct {
+// ObservedInstance is an instance as the controller last saw it, by its token.
+type ObservedInstance struct {
 	Instance provider.Instance
 	// Known is set once anything is known of its work.
 	Known bool
--- a/placement/reconcile.go
+++ b/placement/reconcile.go
@@ -83,7 +83,7 @@
 	return []Command{r.append(now, Record{Step: StepClose, Token: intent.Token})}
 }
 
-func (r *Reconciler) drain(now time.Time, o *Observed) []Command {
+func (r *Reconciler) drain(now time.Time, o *ObservedInstance) []Command {
 	if o.DrainSince.IsZero() {
 		o.DrainSince = now
 		o.Idle = false
@@ -96,7 +96,7 @@
 	return []Command{DrainCommand{Instance: o.Instance.ID}}
 }
 
-func (r *Reconciler) release(now time.Time, o *Observed) []Command {
+func (r *Reconciler) release(now time.Time, o *ObservedInstance) []Command {
 	if !o.releasedAt.IsZero() && now.Sub(o.releasedAt) < r.BuyRetry {
 		return nil
 	}
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -34,7 +34,7 @@
 	sequence uint64
 	pending  map[uint64]Record
 	calls    map[Token]*call
-	seen     map[Token]*Observed
+	seen     map[Token]*ObservedInstance
 	listing  listing
 	// appendedAt is when a record was last appended.
 	appendedAt time.Time
@@ -71,7 +71,7 @@
 		ledger:         NewLedger(),
 		pending:        make(map[uint64]Record),
 		calls:          make(map[Token]*call),
-		seen:           make(map[Token]*Observed),
+		seen:           make(map[Token]*ObservedInstance),
 	}
 }
 
@@ -189,8 +189,8 @@
 }
 
 // Instances returns the instances that belong to intents, oldest first.
-func (r *Reconciler) Instances(service fleet.Service) []Observed {
-	var result []Observed
+func (r *Reconciler) Instances(service fleet.Service) []ObservedInstance {
+	var result []ObservedInstance
 
 	for _, intent := range r.ledger.Intents() {
 		if o, ok := r.seen[intent.Token]; ok && intent.Service == service {
@@ -268,7 +268,7 @@
 		return
 	}
 
-	r.seen[token] = &Observed{Instance: instance}
+	r.seen[token] = &ObservedInstance{Instance: instance}
 }
 
 // gone notes that an instance was there and is no more.
