--- a/controller/planner.go
+++ b/controller/planner.go
@@ -92,10 +92,10 @@
 		}
 
 		state.Services = append(state.Services, placement.ServiceState{
-			Service:  serviceOf(v.manifest, s),
-			Forecast: c.planner.forecasters[s.Name()].Forecast(),
-			InstanceCounts:     have,
-			Surge:    h.rollout.surge[s.Name()],
+			Service:        serviceOf(v.manifest, s),
+			Forecast:       c.planner.forecasters[s.Name()].Forecast(),
+			InstanceCounts: have,
+			Surge:          h.rollout.surge[s.Name()],
 		})
 	}
 
--- a/costing/foresight.go
+++ b/costing/foresight.go
@@ -80,9 +80,9 @@
 		Refusals: v.Refusals,
 		Reclaims: v.Reclaims,
 		Services: []placement.ServiceState{{
-			Service:  v.Day.Service,
-			Forecast: placement.Forecast{Now: v.Load, Need: need, Peak: need},
-			InstanceCounts:     v.Have,
+			Service:        v.Day.Service,
+			Forecast:       placement.Forecast{Now: v.Load, Need: need, Peak: need},
+			InstanceCounts: v.Have,
 		}},
 	})
 }
--- a/costing/policy.go
+++ b/costing/policy.go
@@ -64,9 +64,9 @@
 		Refusals: v.Refusals,
 		Reclaims: v.Reclaims,
 		Services: []placement.ServiceState{{
-			Service:  service,
-			Forecast: p.forecaster.Forecast(),
-			InstanceCounts:     v.Have,
+			Service:        service,
+			Forecast:       p.forecaster.Forecast(),
+			InstanceCounts: v.Have,
 		}},
 	})
 }
--- a/placement/config.go
+++ b/placement/config.go
@@ -25,7 +25,7 @@
 	return Config{
 		MoveThreshold: 0.1,
 		RiskPremium:   0.05,
-		AvoidDuration:      20 * time.Minute,
+		AvoidDuration: 20 * time.Minute,
 	}
 }
 
