--- a/controller/orders.go
+++ b/controller/orders.go
@@ -81,7 +81,7 @@
 }
 
 // order gives one order, unless the lease is gone at that moment.
-func (c *Controller) order(ctx context.Context, s Server, a lease.Action[placement.Holding]) {
+func (c *Controller) order(ctx context.Context, s Server, a lease.Action[placement.EngineSpec]) {
 	corrector := c.holding.rollout.corrector
 
 	c.calls.Go(func() {
@@ -99,7 +99,7 @@
 }
 
 // send tells whether it is certain what became of the order.
-func (c *Controller) send(ctx context.Context, s Server, a lease.Action[placement.Holding]) bool {
+func (c *Controller) send(ctx context.Context, s Server, a lease.Action[placement.EngineSpec]) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -24,7 +24,7 @@
 
 // rollout is what the holder of one grant does with the runners.
 type rollout struct {
-	corrector *lease.Corrector[placement.Holding]
+	corrector *lease.Corrector[placement.EngineSpec]
 	steps     map[modelKey]*placement.Rollout
 	runners   map[fleet.InstanceID]*runner
 	surge     map[fleet.Service]int
@@ -39,7 +39,7 @@
 
 func newRollout() *rollout {
 	return &rollout{
-		corrector: &lease.Corrector[placement.Holding]{
+		corrector: &lease.Corrector[placement.EngineSpec]{
 			ReadInterval: readEvery, RetryInterval: orderRetry, MaxOrderDelay: lease.DefaultConfig().MaxOrderDelay,
 		},
 		steps:   make(map[modelKey]*placement.Rollout),
--- a/controller/runner.go
+++ b/controller/runner.go
@@ -32,12 +32,12 @@
 	// stray is set on an engine that holds no model of its service.
 	stray bool
 	// ordered is the version that was last asked for.
-	ordered placement.Holding
+	ordered placement.EngineSpec
 }
 
 // holding returns the model and version that the engine holds.
-func (r *runner) holding() placement.Holding {
-	return placement.Holding{Model: r.state.Model, Version: r.state.Version}
+func (r *runner) holding() placement.EngineSpec {
+	return placement.EngineSpec{Model: r.state.Model, Version: r.state.Version}
 }
 
 // isReady tells whether the engine serves a model of its service.
@@ -73,7 +73,7 @@
 }
 
 // placement returns the runner as a roll-out needs it.
-func (r *runner) placement(c *lease.Corrector[placement.Holding]) placement.Runner {
+func (r *runner) placement(c *lease.Corrector[placement.EngineSpec]) placement.Runner {
 	return placement.Runner{
 		Instance: r.server.ID,
 		Holding:  r.holding(),
@@ -87,7 +87,7 @@
 // assign tells the corrector what the engine should hold. One that was not read
 // is left alone, since its adapter and role are not known, and so is one that
 // holds nothing and waits for its turn to load.
-func (r *runner) assign(a placement.Assignment, c *lease.Corrector[placement.Holding]) {
+func (r *runner) assign(a placement.Assignment, c *lease.Corrector[placement.EngineSpec]) {
 	if !r.known || r.server.Leaving || a.Holding.Model == "" {
 		c.Remove(r.server.ID)
 
--- a/controller/services.go
+++ b/controller/services.go
@@ -59,8 +59,8 @@
 	return m.Model(models[0])
 }
 
-func holdingOf(model manifest.Model) placement.Holding {
-	return placement.Holding{Model: model.Name(), Version: model.Version()}
+func holdingOf(model manifest.Model) placement.EngineSpec {
+	return placement.EngineSpec{Model: model.Name(), Version: model.Version()}
 }
 
 // capacityOf returns what one server carries at the latency target.
--- a/placement/holding.go
+++ b/placement/holding.go
@@ -6,8 +6,8 @@
 	"monsoonlever/lease"
 )
 
-// Holding is what a runner holds: the wanted state of an engine order.
-type Holding struct {
+// EngineSpec is what a runner holds: the wanted state of an engine order.
+type EngineSpec struct {
 	Model   fleet.Model
 	Version fleet.ModelVersion
 	Adapter string
@@ -15,7 +15,7 @@
 }
 
 // Order returns the engine order for the holding under a fencing number.
-func (h Holding) Order(fence lease.Fence) backend.Order {
+func (h EngineSpec) Order(fence lease.Fence) backend.Order {
 	return backend.Order{
 		Fence:   uint64(fence),
 		Model:   h.Model,
@@ -26,9 +26,9 @@
 }
 
 // ReadbackOf returns what a Corrector needs to know of an engine.
-func ReadbackOf(s backend.EngineState) lease.Readback[Holding] {
-	return lease.Readback[Holding]{
-		State:       Holding{Model: s.Model, Version: s.Version, Adapter: s.Adapter, Role: s.Role},
+func ReadbackOf(s backend.EngineState) lease.Readback[EngineSpec] {
+	return lease.Readback[EngineSpec]{
+		State:       EngineSpec{Model: s.Model, Version: s.Version, Adapter: s.Adapter, Role: s.Role},
 		Fence:       lease.Fence(s.Fence),
 		ChecksFence: s.ChecksFence,
 	}
--- a/placement/record_test.go
+++ b/placement/record_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestHoldingSurvivesOrder(t *testing.T) {
-	want := placement.Holding{Model: "ledger", Version: "2", Adapter: "dk", Role: "decode"}
+	want := placement.EngineSpec{Model: "ledger", Version: "2", Adapter: "dk", Role: "decode"}
 	o := want.Order(4)
 	state := backend.EngineState{Fence: o.Fence, Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role}
 
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -15,14 +15,14 @@
 // engine is a runner that loads what it is ordered to and checks fences.
 type engine struct {
 	id      fleet.InstanceID
-	holding placement.Holding
+	holding placement.EngineSpec
 	fence   lease.Fence
 	ready   bool
 	loading int
 	busy    int
 }
 
-func (e *engine) take(fence lease.Fence, holding placement.Holding) {
+func (e *engine) take(fence lease.Fence, holding placement.EngineSpec) {
 	if fence < e.fence {
 		return
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-func version(v string) placement.Holding {
-	return placement.Holding{Model: "ledger", Version: fleet.ModelVersion(v)}
+func version(v string) placement.EngineSpec {
+	return placement.EngineSpec{Model: "ledger", Version: fleet.ModelVersion(v)}
 }
 
 // fleetOfEngines runs a rollout with delayed orders and changes of the holder.
@@ -51,14 +51,14 @@
 type rolloutHolder struct {
 	fence     lease.Fence
 	rollout   *placement.Rollout
-	corrector *lease.Corrector[placement.Holding]
+	corrector *lease.Corrector[placement.EngineSpec]
 }
 
 func newRolloutHolder(fence lease.Fence) *rolloutHolder {
 	return &rolloutHolder{
 		fence:     fence,
 		rollout:   &placement.Rollout{DrainTimeout: 5 * time.Second, MaxUnavailable: 2},
-		corrector: &lease.Corrector[placement.Holding]{ReadInterval: second, RetryInterval: 2 * second, MaxOrderDelay: 3 * second},
+		corrector: &lease.Corrector[placement.EngineSpec]{ReadInterval: second, RetryInterval: 2 * second, MaxOrderDelay: 3 * second},
 	}
 }
 
@@ -89,7 +89,7 @@
 
 // send delivers an order late if its sender is paused. At times the answer is
 // lost, and the order lands within the flight after its call ended.
-func (f *fleetOfEngines) send(h *rolloutHolder, a lease.Action[placement.Holding]) {
+func (f *fleetOfEngines) send(h *rolloutHolder, a lease.Action[placement.EngineSpec]) {
 	e := f.find(a.Target)
 	delay := rapid.IntRange(0, 2).Draw(f.t, "delay")
 
@@ -215,6 +215,6 @@
 		}
 
 		e := f.find(a.Target)
-		h.corrector.Observe(a.Target, lease.Readback[placement.Holding]{State: e.holding, Fence: e.fence, ChecksFence: true})
+		h.corrector.Observe(a.Target, lease.Readback[placement.EngineSpec]{State: e.holding, Fence: e.fence, ChecksFence: true})
 	}
 }
--- a/placement/service.go
+++ b/placement/service.go
@@ -13,7 +13,7 @@
 	Priority fleet.Priority
 	// Holding is what each runner of the service should hold; empty for a plain
 	// service.
-	Holding Holding
+	Holding EngineSpec
 	// Capacity is what one instance of a class carries at the latency target.
 	Capacity map[provider.Class]Load
 	// UrgentShare is the share of the load that cannot wait until a lost
