--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -114,7 +114,7 @@
 func (r *rollout) decide(now time.Time, m *manifest.Manifest, s manifest.Service, model manifest.Model) {
 	group := r.group(s, model.Name())
 	service := serviceOf(m, s)
-	service.Holding = holdingOf(model)
+	service.Spec = holdingOf(model)
 
 	var states []placement.Runner
 	for _, one := range group {
@@ -136,7 +136,7 @@
 		one := r.runners[assignment.Instance]
 		one.assign(assignment, r.corrector)
 
-		if one.known && one.holding() != service.Holding {
+		if one.known && one.holding() != service.Spec {
 			moving++
 			r.lines = append(r.lines, fmt.Sprintf("%s: %s %s", s.Name(), assignment.Instance, assignment.Reason))
 		}
--- a/controller/services.go
+++ b/controller/services.go
@@ -42,7 +42,7 @@
 	}
 
 	if model, ok := modelOf(m, s); ok {
-		out.Holding = holdingOf(model)
+		out.Spec = holdingOf(model)
 		out.LoadTime = time.Duration(float64(model.WeightBytes()) / storeBytesPerSecond * float64(time.Second))
 	}
 
--- a/placement/rollout.go
+++ b/placement/rollout.go
@@ -51,7 +51,7 @@
 			continue
 		}
 
-		if runner.Holding != s.Holding {
+		if runner.Holding != s.Spec {
 			old++
 		}
 
@@ -96,7 +96,7 @@
 		}
 
 		_, drains := r.draining[runner.Instance]
-		if drains || runner.Leaving || !runner.Ready || runner.Holding == s.Holding {
+		if drains || runner.Leaving || !runner.Ready || runner.Holding == s.Spec {
 			continue
 		}
 
@@ -112,10 +112,10 @@
 	switch {
 	case runner.Leaving:
 		return Assignment{Instance: runner.Instance, Holding: runner.Holding, Drain: true, Reason: "leaves"}
-	case runner.Holding == s.Holding:
+	case runner.Holding == s.Spec:
 		delete(r.draining, runner.Instance)
 
-		return Assignment{Instance: runner.Instance, Holding: s.Holding, Reason: "holds what is wanted"}
+		return Assignment{Instance: runner.Instance, Holding: s.Spec, Reason: "holds what is wanted"}
 	case runner.Ready && !drains:
 		return Assignment{Instance: runner.Instance, Holding: runner.Holding, Reason: "serves the old version until others are ready"}
 	case runner.Ready && !runner.Idle && now.Sub(since) < r.DrainTimeout:
@@ -123,7 +123,7 @@
 	case !mayLoad(runner.Instance):
 		return Assignment{Instance: runner.Instance, Holding: runner.Holding, Drain: drains, Reason: "waits for the weight store"}
 	default:
-		return Assignment{Instance: runner.Instance, Holding: s.Holding, Drain: drains, Reason: "loads the wanted version"}
+		return Assignment{Instance: runner.Instance, Holding: s.Spec, Drain: drains, Reason: "loads the wanted version"}
 	}
 }
 
--- a/placement/rollout_step_test.go
+++ b/placement/rollout_step_test.go
@@ -30,7 +30,7 @@
 			r := &placement.Rollout{DrainTimeout: time.Minute, MaxUnavailable: 1}
 			all := func(fleet.InstanceID) bool { return true }
 
-			assignments := r.Step(start, placement.Service{Holding: wanted}, []placement.Runner{ready, tt.other}, all)
+			assignments := r.Step(start, placement.Service{Spec: wanted}, []placement.Runner{ready, tt.other}, all)
 			if got := assignments[0].Drain; got != tt.want {
 				t.Errorf("drains: got %v, want %v: %s", got, tt.want, assignments[0].Reason)
 			}
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -167,7 +167,7 @@
 			})
 		}
 
-		wanted := placement.Service{Name: service, Holding: version("2")}
+		wanted := placement.Service{Name: service, Spec: version("2")}
 		holders := []*rolloutHolder{newRolloutHolder(1)}
 
 		for f.step = 0; f.step < 250; f.step++ {
@@ -184,11 +184,11 @@
 		}
 
 		for _, e := range f.engines {
-			if len(f.engines) > 1 && e.holding != wanted.Holding {
-				t.Errorf("%s: got version %s, want %s", e.id, e.holding.Version, wanted.Holding.Version)
+			if len(f.engines) > 1 && e.holding != wanted.Spec {
+				t.Errorf("%s: got version %s, want %s", e.id, e.holding.Version, wanted.Spec.Version)
 			}
 
-			if e.holding == wanted.Holding {
+			if e.holding == wanted.Spec {
 				moved++
 			}
 		}
--- a/placement/service.go
+++ b/placement/service.go
@@ -11,9 +11,9 @@
 type Service struct {
 	Name     fleet.Service
 	Priority fleet.Priority
-	// Holding is what each runner of the service should hold; empty for a plain
+	// Spec is what each runner of the service should hold; empty for a plain
 	// service.
-	Holding EngineSpec
+	Spec EngineSpec
 	// Capacity is what one instance of a class carries at the latency target.
 	Capacity map[provider.Class]Load
 	// UrgentShare is the share of the load that cannot wait until a lost
