--- a/controller/runner.go
+++ b/controller/runner.go
@@ -88,24 +88,24 @@
 // is left alone, since its adapter and role are not known, and so is one that
 // holds nothing and waits for its turn to load.
 func (r *runner) assign(a placement.Assignment, c *lease.Corrector[placement.EngineSpec]) {
-	if !r.known || r.server.Leaving || a.Holding.Model == "" {
+	if !r.known || r.server.Leaving || a.Spec.Model == "" {
 		c.Remove(r.server.ID)
 
 		return
 	}
 
-	wanted := a.Holding
+	wanted := a.Spec
 	wanted.Role = r.role
 
 	if wanted.Model == r.state.Model {
 		wanted.Adapter = r.state.Adapter
 	}
 
-	if a.Drain && a.Holding == r.holding() {
+	if a.Drain && a.Spec == r.holding() {
 		wanted.Role = drainRole
 	}
 
-	r.ordered = a.Holding
+	r.ordered = a.Spec
 	c.SetDesired(r.server.ID, wanted)
 }
 
--- a/placement/rollout.go
+++ b/placement/rollout.go
@@ -111,19 +111,19 @@
 
 	switch {
 	case runner.Leaving:
-		return Assignment{Instance: runner.Instance, Holding: runner.Holding, Drain: true, Reason: "leaves"}
+		return Assignment{Instance: runner.Instance, Spec: runner.Holding, Drain: true, Reason: "leaves"}
 	case runner.Holding == s.Spec:
 		delete(r.draining, runner.Instance)
 
-		return Assignment{Instance: runner.Instance, Holding: s.Spec, Reason: "holds what is wanted"}
+		return Assignment{Instance: runner.Instance, Spec: s.Spec, Reason: "holds what is wanted"}
 	case runner.Ready && !drains:
-		return Assignment{Instance: runner.Instance, Holding: runner.Holding, Reason: "serves the old version until others are ready"}
+		return Assignment{Instance: runner.Instance, Spec: runner.Holding, Reason: "serves the old version until others are ready"}
 	case runner.Ready && !runner.Idle && now.Sub(since) < r.DrainTimeout:
-		return Assignment{Instance: runner.Instance, Holding: runner.Holding, Drain: true, Reason: "drains the old version"}
+		return Assignment{Instance: runner.Instance, Spec: runner.Holding, Drain: true, Reason: "drains the old version"}
 	case !mayLoad(runner.Instance):
-		return Assignment{Instance: runner.Instance, Holding: runner.Holding, Drain: drains, Reason: "waits for the weight store"}
+		return Assignment{Instance: runner.Instance, Spec: runner.Holding, Drain: drains, Reason: "waits for the weight store"}
 	default:
-		return Assignment{Instance: runner.Instance, Holding: s.Spec, Drain: drains, Reason: "loads the wanted version"}
+		return Assignment{Instance: runner.Instance, Spec: s.Spec, Drain: drains, Reason: "loads the wanted version"}
 	}
 }
 
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -204,7 +204,7 @@
 func (f *fleetOfEngines) act(h *rolloutHolder, wanted placement.Service) {
 	all := func(fleet.InstanceID) bool { return true }
 	for _, a := range h.rollout.Step(f.now(), wanted, f.runners(h.fence), all) {
-		h.corrector.SetDesired(a.Instance, a.Holding)
+		h.corrector.SetDesired(a.Instance, a.Spec)
 	}
 
 	for _, a := range h.corrector.Step(f.now(), h.fence) {
