--- a/placement/rollout.go
+++ b/placement/rollout.go
@@ -51,7 +51,7 @@
 			continue
 		}
 
-		if runner.Holding != s.Spec {
+		if runner.Spec != s.Spec {
 			old++
 		}
 
@@ -96,7 +96,7 @@
 		}
 
 		_, drains := r.draining[runner.Instance]
-		if drains || runner.Leaving || !runner.Ready || runner.Holding == s.Spec {
+		if drains || runner.Leaving || !runner.Ready || runner.Spec == s.Spec {
 			continue
 		}
 
@@ -111,17 +111,17 @@
 
 	switch {
 	case runner.Leaving:
-		return Assignment{Instance: runner.Instance, Spec: runner.Holding, Drain: true, Reason: "leaves"}
-	case runner.Holding == s.Spec:
+		return Assignment{Instance: runner.Instance, Spec: runner.Spec, Drain: true, Reason: "leaves"}
+	case runner.Spec == s.Spec:
 		delete(r.draining, runner.Instance)
 
 		return Assignment{Instance: runner.Instance, Spec: s.Spec, Reason: "holds what is wanted"}
 	case runner.Ready && !drains:
-		return Assignment{Instance: runner.Instance, Spec: runner.Holding, Reason: "serves the old version until others are ready"}
+		return Assignment{Instance: runner.Instance, Spec: runner.Spec, Reason: "serves the old version until others are ready"}
 	case runner.Ready && !runner.Idle && now.Sub(since) < r.DrainTimeout:
-		return Assignment{Instance: runner.Instance, Spec: runner.Holding, Drain: true, Reason: "drains the old version"}
+		return Assignment{Instance: runner.Instance, Spec: runner.Spec, Drain: true, Reason: "drains the old version"}
 	case !mayLoad(runner.Instance):
-		return Assignment{Instance: runner.Instance, Spec: runner.Holding, Drain: drains, Reason: "waits for the weight store"}
+		return Assignment{Instance: runner.Instance, Spec: runner.Spec, Drain: drains, Reason: "waits for the weight store"}
 	default:
 		return Assignment{Instance: runner.Instance, Spec: s.Spec, Drain: drains, Reason: "loads the wanted version"}
 	}
--- a/placement/rollout_step_test.go
+++ b/placement/rollout_step_test.go
@@ -10,11 +10,11 @@
 
 func TestRolloutDrains(t *testing.T) {
 	old, wanted := version("1"), version("2")
-	ready := placement.Runner{Instance: "a", Holding: old, Ready: true, Settled: true}
-	second := placement.Runner{Instance: "b", Holding: old, Ready: true, Settled: true}
-	unsettled := placement.Runner{Instance: "b", Holding: old, Ready: true}
-	leaving := placement.Runner{Instance: "b", Holding: old, Ready: true, Settled: true, Leaving: true}
-	loading := placement.Runner{Instance: "b", Holding: wanted, Settled: true}
+	ready := placement.Runner{Instance: "a", Spec: old, Ready: true, Settled: true}
+	second := placement.Runner{Instance: "b", Spec: old, Ready: true, Settled: true}
+	unsettled := placement.Runner{Instance: "b", Spec: old, Ready: true}
+	leaving := placement.Runner{Instance: "b", Spec: old, Ready: true, Settled: true, Leaving: true}
+	loading := placement.Runner{Instance: "b", Spec: wanted, Settled: true}
 
 	for _, tt := range []struct {
 		desc  string
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -80,7 +80,7 @@
 	var result []placement.Runner
 	for _, e := range f.engines {
 		result = append(result, placement.Runner{
-			Instance: e.id, Holding: e.holding, Ready: e.ready, Idle: e.busy == 0, Settled: e.fence == fence,
+			Instance: e.id, Spec: e.holding, Ready: e.ready, Idle: e.busy == 0, Settled: e.fence == fence,
 		})
 	}
 
