--- a/controller/orders.go
+++ b/controller/orders.go
@@ -76,7 +76,7 @@
 		}
 
 		one.take(c.Clock.Now(), state, load, loadErr == nil)
-		corrector.Observe(id, placement.ReadbackOf(state))
+		corrector.Observe(id, placement.EngineReadback(state))
 	})
 }
 
--- a/placement/holding.go
+++ b/placement/holding.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// ReadbackOf returns what a Corrector needs to know of an engine.
-func ReadbackOf(s backend.EngineState) lease.Readback[EngineSpec] {
+// EngineReadback returns what a Corrector needs to know of an engine.
+func EngineReadback(s backend.EngineState) lease.Readback[EngineSpec] {
 	return lease.Readback[EngineSpec]{
 		State:       EngineSpec{Model: s.Model, Version: s.Version, Adapter: s.Adapter, Role: s.Role},
 		Fence:       lease.Fence(s.Fence),
--- a/placement/record_test.go
+++ b/placement/record_test.go
@@ -49,7 +49,7 @@
 	o := want.Order(4)
 	state := backend.EngineState{Fence: o.Fence, Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role}
 
-	if got := placement.ReadbackOf(state); got.State != want || got.Fence != 4 {
+	if got := placement.EngineReadback(state); got.State != want || got.Fence != 4 {
 		t.Errorf("read back: got %+v, want %+v under 4", got, want)
 	}
 }
