--- a/controller/planner.go
+++ b/controller/planner.go
@@ -75,11 +75,11 @@
 		Reclaims: c.planner.reclaims,
 	}
 
-	var unmanaged []placement.Line
+	var unmanaged []placement.Explanation
 
 	for _, s := range v.manifest.Services() {
 		if s.Capacity().Max() == 0 {
-			unmanaged = append(unmanaged, placement.Line{
+			unmanaged = append(unmanaged, placement.Explanation{
 				Service: s.Name(), Text: "left as it is: the manifest bounds no number of servers for it",
 			})
 
--- a/placement/decision.go
+++ b/placement/decision.go
@@ -5,19 +5,19 @@
 // Decision is what a plan wants, and why.
 type Decision struct {
 	Targets []Target
-	Lines   []Line
+	Lines   []Explanation
 	// Limits bounds each service for the Reconciler.
 	Limits []Limit
 }
 
-// Line says in a sentence why a service gets what it gets.
-type Line struct {
+// Explanation says in a sentence why a service gets what it gets.
+type Explanation struct {
 	Service fleet.Service
 	Text    string
 }
 
 // String returns the line as service: text.
-func (l Line) String() string {
+func (l Explanation) String() string {
 	return string(l.Service) + ": " + l.Text
 }
 
