--- a/controller/planner.go
+++ b/controller/planner.go
@@ -100,7 +100,7 @@
 	}
 
 	h.decision = placement.Plan(v.now, state)
-	h.decision.Lines = append(h.decision.Lines, unmanaged...)
+	h.decision.Explanations = append(h.decision.Explanations, unmanaged...)
 }
 
 // foreign counts by service and cell the instances that are not this system's
--- a/controller/status.go
+++ b/controller/status.go
@@ -71,7 +71,7 @@
 
 func (c *Controller) decisions() []string {
 	var lines []string
-	for _, line := range c.holding.decision.Lines {
+	for _, line := range c.holding.decision.Explanations {
 		lines = append(lines, line.String())
 	}
 
--- a/placement/decision.go
+++ b/placement/decision.go
@@ -5,7 +5,7 @@
 // Decision is what a plan wants, and why.
 type Decision struct {
 	Targets []Target
-	Lines   []Explanation
+	Explanations   []Explanation
 	// Limits bounds each service for the Reconciler.
 	Limits []Limit
 }
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -26,7 +26,7 @@
 		}
 
 		d.Limits = append(d.Limits, Limit{Service: service.Service.Name, Max: chosen.maximum, Needed: needed})
-		d.Lines = append(d.Lines, Explanation{
+		d.Explanations = append(d.Explanations, Explanation{
 			Service: service.Service.Name,
 			Text:    explain(now, s, service, chosen, why),
 		})
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -98,11 +98,11 @@
 			}
 
 			if got != tt.want {
-				t.Errorf("bought in the refused cell: got %v, want %v: %s", got, tt.want, d.Lines[0])
+				t.Errorf("bought in the refused cell: got %v, want %v: %s", got, tt.want, d.Explanations[0])
 			}
 
-			if got := strings.Contains(d.Lines[0].Text, "avoids"); got == tt.want {
-				t.Errorf("line names the refusal: got %v, want %v: %s", got, !tt.want, d.Lines[0])
+			if got := strings.Contains(d.Explanations[0].Text, "avoids"); got == tt.want {
+				t.Errorf("line names the refusal: got %v, want %v: %s", got, !tt.want, d.Explanations[0])
 			}
 		})
 	}
