--- a/controller/runner.go
+++ b/controller/runner.go
@@ -76,7 +76,7 @@
 func (r *runner) placement(c *lease.Corrector[placement.EngineSpec]) placement.Runner {
 	return placement.Runner{
 		Instance: r.server.ID,
-		Spec:  r.holding(),
+		Spec:     r.holding(),
 		Ready:    r.isReady(),
 		Idle:     r.idle,
 		Leaving:  r.server.Leaving,
--- a/placement/decision.go
+++ b/placement/decision.go
@@ -4,8 +4,8 @@
 
 // Decision is what a plan wants, and why.
 type Decision struct {
-	Targets []Target
-	Explanations   []Explanation
+	Targets      []Target
+	Explanations []Explanation
 	// Limits bounds each service for the Reconciler.
 	Limits []Limit
 }
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -5,7 +5,7 @@
 // Runner is what the controller last read of one runner of a service.
 type Runner struct {
 	Instance fleet.InstanceID
-	Spec  EngineSpec
+	Spec     EngineSpec
 	Ready    bool
 	Idle     bool
 	Leaving  bool
