--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// BenchmarkAdmitOverload is the cost of one request at a service whose queue
-// is full, with a start for every fifth arrival.
+// BenchmarkAdmitOverload measures one request at a service whose queue is full, with one start for
+// every fifth arrival.
 func BenchmarkAdmitOverload(b *testing.B) {
 	for _, n := range []int{5, 100, 10000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
@@ -77,29 +77,29 @@
 				waiting = append(waiting, c.Admit(start, requests[i%n]))
 
 				if i%5 == 0 {
-					waiting = finishRunning(c, waiting, o)
+					waiting = finishAdmitted(c, waiting, o)
 				}
 			}
 		})
 	}
 }
 
-// finishRunning finishes what runs and returns what is still queued.
-func finishRunning(c *Controller, tickets []*Ticket, o Outcome) []*Ticket {
-	kept := tickets[:0]
+// finishAdmitted finishes the admitted requests and returns those that are still queued.
+func finishAdmitted(c *Controller, tickets []*Ticket, o Outcome) []*Ticket {
+	queued := tickets[:0]
 
 	for _, t := range tickets {
 		d, final := t.Decision()
 
 		switch {
 		case !final:
-			kept = append(kept, t)
+			queued = append(queued, t)
 		case d.Verdict == Admitted:
 			c.Finish(start, t, o)
 		}
 	}
 
-	return kept
+	return queued
 }
 
 func BenchmarkRebalance(b *testing.B) {
@@ -113,7 +113,7 @@
 			}
 
 			for i := range members {
-				d := Demand{At: start.UnixMilli(), Floor: firstWeight}
+				d := Demand{At: start.UnixMilli(), Floor: initialWeight}
 				for j := range MaxDemandAccounts {
 					d.Accounts = append(d.Accounts, AccountDemand{Account: uint64(i * j), Weight: 0.5})
 				}
--- a/admission/demand_test.go
+++ b/admission/demand_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestDemandSize(t *testing.T) {
+func TestDemandSizePerAccount(t *testing.T) {
 	for _, accounts := range []int{0, 4, 16, MaxDemandAccounts} {
 		d := Demand{At: start.UnixMilli(), Floor: 0.25}
 		for i := range accounts {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestDemandFitsItsBound(t *testing.T) {
+func TestLargestDemandFitsMaxDemandBytes(t *testing.T) {
 	want := Demand{At: math.MaxInt64, Floor: 0.25}
 	for i := range MaxDemandAccounts {
 		want.Accounts = append(want.Accounts, AccountDemand{Account: math.MaxUint64 - uint64(i), Weight: 1.1})
@@ -52,8 +52,8 @@
 	}
 }
 
-// pair returns two instances that have told each other of themselves.
-func pair(t *testing.T) (first, second *Controller) {
+// newPair returns two instances that are members of each other.
+func newPair(t *testing.T) (first, second *Controller) {
 	t.Helper()
 
 	sharing := Sharing{PropagationDelay: time.Second, MemberTimeout: 5 * time.Second}
@@ -73,8 +73,8 @@
 	return first, second
 }
 
-func TestSharesFollowDemand(t *testing.T) {
-	first, second := pair(t)
+func TestShareFollowsDemand(t *testing.T) {
+	first, second := newPair(t)
 	now := start
 
 	for range 40 {
@@ -98,20 +98,20 @@
 	}
 }
 
-func TestShareReturns(t *testing.T) {
+func TestShareAfterMemberStops(t *testing.T) {
 	tests := []struct {
 		desc  string
 		leave bool
 		after time.Duration
 		want  float64
 	}{
-		{desc: "at once when the other says that it leaves", leave: true, after: time.Second, want: 1},
-		{desc: "not by silence alone when the other is half of the members", after: time.Minute, want: 0.5},
+		{desc: "immediately when the other member is removed", leave: true, after: time.Second, want: 1},
+		{desc: "not while the silent member is half of the members", after: time.Minute, want: 0.5},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			first, second := pair(t)
+			first, second := newPair(t)
 			now := start
 
 			for range 20 {
@@ -138,8 +138,8 @@
 	}
 }
 
-func TestShareOfALostInstanceReturnsAfterItsLapse(t *testing.T) {
-	first, second := pair(t)
+func TestLostMembersShareIsReassignedAfterTimeout(t *testing.T) {
+	first, second := newPair(t)
 	now := start
 	third := Demand{Floor: 0.03}
 
@@ -168,6 +168,6 @@
 	}
 
 	if got, want := first.Share(testAccount)+second.Share(testAccount), 0.999; got < want {
-		t.Errorf("shares after the lapse: got %.3f, want at least %.3f", got, want)
+		t.Errorf("shares after the member timeout: got %.3f, want at least %.3f", got, want)
 	}
 }
--- a/admission/join_test.go
+++ b/admission/member_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestMembersMayJoinBeforeLimitsAreInForce(t *testing.T) {
+func TestMembersAddedBeforeConfigureAreCounted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := &Controller{Instance: "a", Sharing: Sharing{PropagationDelay: time.Second, MemberTimeout: 10 * time.Second, EvenFraction: 0.1}}
 
@@ -25,6 +25,6 @@
 	}
 
 	if got := c.Share("x"); got <= 0 || got > 0.5 {
-		t.Errorf("share among three members: got %v, want one that leaves room for the others", got)
+		t.Errorf("share among three members: got %v, want more than 0 and at most 0.5", got)
 	}
 }
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -8,137 +8,138 @@
 	"monsoonlever/fleet"
 )
 
-// shares computes this instance's share of each limit from the weights that
-// the entry instances tell each other.
+// shareCalculator computes this instance's share of each limit from the weights that the entry
+// instances publish to each other.
 //
-// The shares of all instances add up to at most the limit. An instance counts
-// for itself only the least weight that it published in the last window, which
-// no other can have missed; for another it counts the newest weight it knows,
-// grown by as much as the other may have raised it since. So every instance
-// divides by at least the sum of what all of them multiply with.
-type shares struct {
-	sharing Sharing
-	started time.Time
-	members map[fleet.InstanceID]*member
-	own     history
-
-	// What follows is computed by prepare.
-	at     time.Time
-	held   bool
-	floors float64
-	extras map[uint64]float64
+// The shares of all instances add up to at most the limit. For itself, an instance uses the lowest
+// weight that it published within the window, so that every member has received a weight at least
+// that high. For each other member, it uses the newest weight received, multiplied by the factor by
+// which that member may have raised it since. So the divisor on every instance is at least the sum
+// of the weights that all instances use for themselves.
+type shareCalculator struct {
+	sharing    Sharing
+	startedAt  time.Time
+	members    map[fleet.InstanceID]*member
+	ownDigests digestHistory
+
+	// The fields below are computed by recompute.
+	computedAt  time.Time
+	holdsShares bool
+	floorSum    float64
+	extraSums   map[uint64]float64
 }
 
 const (
-	// holdPart is the part of Spread for which computed shares may be used.
-	holdPart = 4
-	// forgetLapses is how many lapses a silent member stays a member.
-	forgetLapses = 10
+	// validityDivisor divides PropagationDelay to give the validity of computed shares.
+	validityDivisor = 4
+	// evictionTimeouts is the number of member timeouts after which a silent member is removed.
+	evictionTimeouts = 10
 )
 
-func (s *shares) hold() time.Duration {
-	return s.sharing.PropagationDelay / holdPart
+func (s *shareCalculator) validity() time.Duration {
+	return s.sharing.PropagationDelay / validityDivisor
 }
 
-func (s *shares) window() time.Duration {
-	return s.sharing.PropagationDelay + s.hold()
+func (s *shareCalculator) window() time.Duration {
+	return s.sharing.PropagationDelay + s.validity()
 }
 
-func (s *shares) alone() bool {
+func (s *shareCalculator) isSingleInstance() bool {
 	return s.sharing.PropagationDelay <= 0
 }
 
-func (s *shares) start(now time.Time, sharing Sharing) {
+func (s *shareCalculator) configure(now time.Time, sharing Sharing) {
 	s.sharing = sharing
-	s.started = now
+	s.startedAt = now
 
-	// Members may have joined before the first limits are in force.
+	// Members may have been added before the first Configure.
 	if s.members == nil {
 		s.members = make(map[fleet.InstanceID]*member)
 	}
 
-	s.extras = make(map[uint64]float64)
+	s.extraSums = make(map[uint64]float64)
 }
 
-func (s *shares) join(now time.Time, id fleet.InstanceID) {
+func (s *shareCalculator) addMember(now time.Time, id fleet.InstanceID) {
 	if s.members == nil {
 		s.members = make(map[fleet.InstanceID]*member)
 	}
 
 	if s.members[id] == nil {
-		s.members[id] = &member{joined: now, heard: now}
+		s.members[id] = &member{joinedAt: now, lastSeen: now}
 	}
 }
 
-func (s *shares) leave(id fleet.InstanceID) {
+func (s *shareCalculator) removeMember(id fleet.InstanceID) {
 	delete(s.members, id)
 }
 
-func (s *shares) apply(now time.Time, id fleet.InstanceID, d Demand) {
-	s.join(now, id)
+func (s *shareCalculator) applyDigest(now time.Time, id fleet.InstanceID, d Demand) {
+	s.addMember(now, id)
 	m := s.members[id]
 
-	if m.told && d.At <= m.digest.At {
+	if m.hasDigest && d.At <= m.digest.At {
 		return
 	}
 
-	m.heard = now
+	m.lastSeen = now
 	m.digest = d
-	m.told = true
+	m.hasDigest = true
 }
 
-// publish makes the next digest. A weight is the account's demand and an even
-// part of the floor, but no more than maxGrowth times what was published lately.
-func (s *shares) publish(now time.Time, accounts []*account) Demand {
-	s.own = s.own.trim(now.Add(-s.window()))
+// publish returns the next digest and adds it to the history. The weight of an account is the floor
+// plus its demand, limited to maxWeightGrowth times the lowest weight that was published within the
+// window.
+func (s *shareCalculator) publish(now time.Time, accounts []*account) Demand {
+	s.ownDigests = s.ownDigests.trim(now.Add(-s.window()))
 	floor := s.nextFloor()
-	p := published{at: now, floor: floor, weights: make(map[uint64]float64)}
-	wanted := make([]AccountDemand, 0, len(accounts))
+	p := publishedDigest{at: now, floor: floor, weights: make(map[uint64]float64)}
+	demands := make([]AccountDemand, 0, len(accounts))
 
 	for _, a := range accounts {
-		weight := floor + a.measure(now)
+		weight := floor + a.measureDemand(now)
 
-		if len(s.own) > 0 {
-			weight = min(weight, maxGrowth*s.own.least(a.hash))
+		if len(s.ownDigests) > 0 {
+			weight = min(weight, maxWeightGrowth*s.ownDigests.minWeight(a.hash))
 		} else {
 			weight = floor
 		}
 
 		if weight > floor {
-			wanted = append(wanted, AccountDemand{Account: a.hash, Weight: float32(weight)})
+			demands = append(demands, AccountDemand{Account: a.hash, Weight: float32(weight)})
 		}
 	}
 
-	wanted = heaviest(wanted, s.sharing.DigestAccounts)
+	demands = topDemands(demands, s.sharing.DigestAccounts)
 
-	for i, w := range wanted {
-		p.weights[w.Account] = float64(wanted[i].Weight)
+	for i, w := range demands {
+		p.weights[w.Account] = float64(demands[i].Weight)
 	}
 
 	p.floor = float64(float32(floor))
-	s.own = append(s.own, p)
+	s.ownDigests = append(s.ownDigests, p)
 
-	return Demand{At: now.UnixMilli(), Floor: float32(floor), Accounts: wanted}
+	return Demand{At: now.UnixMilli(), Floor: float32(floor), Accounts: demands}
 }
 
-// nextFloor returns the weight of accounts without demand.
-func (s *shares) nextFloor() float64 {
-	if len(s.own) == 0 {
-		return firstWeight
+// nextFloor returns the weight of accounts without demand for the next digest.
+func (s *shareCalculator) nextFloor() float64 {
+	if len(s.ownDigests) == 0 {
+		return initialWeight
 	}
 
 	even := s.sharing.EvenFraction / float64(len(s.members)+1)
 
-	return min(even, maxGrowth*s.own.floor())
+	return min(even, maxWeightGrowth*s.ownDigests.minFloor())
 }
 
-// heaviest keeps as many accounts as a digest has room for.
-func heaviest(wanted []AccountDemand, room int) []AccountDemand {
-	if len(wanted) <= room {
-		return wanted
+// topDemands returns the accounts with the highest weights, as many as the digest has room for.
+func topDemands(demands []AccountDemand, room int) []AccountDemand {
+	if len(demands) <= room {
+		return demands
 	}
 
-	slices.SortFunc(wanted, func(a, b AccountDemand) int {
+	slices.SortFunc(demands, func(a, b AccountDemand) int {
 		switch {
 		case a.Weight > b.Weight:
 			return -1
@@ -149,65 +150,66 @@
 		}
 	})
 
-	return wanted[:room]
+	return demands[:room]
 }
 
-// prepare sums the weights of the other members.
-func (s *shares) prepare(now time.Time) {
-	if s.alone() {
+// recompute sums the weights of the other members.
+func (s *shareCalculator) recompute(now time.Time) {
+	if s.isSingleInstance() {
 		return
 	}
 
-	hearsMost := s.hearsMost(now)
-	if hearsMost {
-		s.forget(now)
+	majority := s.seesMajority(now)
+	if majority {
+		s.evictSilent(now)
 	}
 
-	s.own = s.own.trim(now.Add(-s.window()))
-	s.at = now
-	s.held = s.ready(now)
-	s.floors = 0
-	clear(s.extras)
+	s.ownDigests = s.ownDigests.trim(now.Add(-s.window()))
+	s.computedAt = now
+	s.holdsShares = s.ready(now)
+	s.floorSum = 0
+	clear(s.extraSums)
 
-	// The sums are used until the next prepare, so they count that time in.
-	until := now.Add(s.hold())
+	// The sums are used until the next recompute, so they include the growth until then.
+	until := now.Add(s.validity())
 
 	for _, m := range s.members {
-		if hearsMost && now.Sub(m.heard) > s.sharing.MemberTimeout {
+		if majority && now.Sub(m.lastSeen) > s.sharing.MemberTimeout {
 			continue
 		}
 
-		floor, grown := m.floor(until, s.sharing.PropagationDelay)
+		floor, growth := m.maxFloor(until, s.sharing.PropagationDelay)
 		floor = min(floor, s.maxWeight())
-		s.floors += floor
+		s.floorSum += floor
 
 		for _, a := range m.digest.Accounts {
-			s.extras[a.Account] += min(float64(a.Weight)*grown, s.maxWeight()) - floor
+			s.extraSums[a.Account] += min(float64(a.Weight)*growth, s.maxWeight()) - floor
 		}
 	}
 }
 
-// until returns when the computed shares must be computed anew.
-func (s *shares) until(now time.Time) int64 {
-	if s.alone() {
+// validUntil returns when shares that are computed now expire, in Unix nanoseconds.
+func (s *shareCalculator) validUntil(now time.Time) int64 {
+	if s.isSingleInstance() {
 		return math.MaxInt64
 	}
 
-	return now.Add(s.hold()).UnixNano()
+	return now.Add(s.validity()).UnixNano()
 }
 
-// maxWeight is the greatest weight that is ever published.
-func (s *shares) maxWeight() float64 {
+// maxWeight returns the largest weight that an instance may publish.
+func (s *shareCalculator) maxWeight() float64 {
 	return 1 + s.sharing.EvenFraction
 }
 
-// hearsMost tells whether this instance hears from most members. One that does
-// not may be the one that is cut off, and goes on to count the silent.
-func (s *shares) hearsMost(now time.Time) bool {
+// seesMajority reports whether this instance has received digests from most members within the member
+// timeout. Otherwise it may be the partitioned one itself, and keeps counting the weights of silent
+// members.
+func (s *shareCalculator) seesMajority(now time.Time) bool {
 	silent := 0
 
 	for _, m := range s.members {
-		if now.Sub(m.heard) > s.sharing.MemberTimeout {
+		if now.Sub(m.lastSeen) > s.sharing.MemberTimeout {
 			silent++
 		}
 	}
@@ -215,46 +217,46 @@
 	return len(s.members)+1-silent > silent
 }
 
-// forget drops members that have been silent for very long. Before that they
-// are not weighed, but still count as members: else a minority that loses the
-// others one by one would take itself for the rest of a majority.
-func (s *shares) forget(now time.Time) {
+// evictSilent removes members that have been silent for evictionTimeouts member timeouts. Until then
+// their weights are not counted, but they still count towards the majority: otherwise a minority
+// that loses the other members one by one would consider itself a majority of the remaining ones.
+func (s *shareCalculator) evictSilent(now time.Time) {
 	for id, m := range s.members {
-		if now.Sub(m.heard) > forgetLapses*s.sharing.MemberTimeout {
+		if now.Sub(m.lastSeen) > evictionTimeouts*s.sharing.MemberTimeout {
 			delete(s.members, id)
 		}
 	}
 }
 
-// of returns the share of one account, after prepare.
-func (s *shares) of(hash uint64) float64 {
-	if s.alone() {
+// share returns this instance's share of the limits of one account, as of the last recompute.
+func (s *shareCalculator) share(hash uint64) float64 {
+	if s.isSingleInstance() {
 		return 1
 	}
 
-	if !s.held {
+	if !s.holdsShares {
 		return 0
 	}
 
-	own := s.own.least(hash)
+	own := s.ownDigests.minWeight(hash)
 
-	return own / (own + s.floors + s.extras[hash])
+	return own / (own + s.floorSum + s.extraSums[hash])
 }
 
-// even returns an even share among the members, 0 for an instance that is alone.
-func (s *shares) even() float64 {
-	if s.alone() {
+// evenShare returns an equal share for each member, or 0 for a single instance.
+func (s *shareCalculator) evenShare() float64 {
+	if s.isSingleInstance() {
 		return 0
 	}
 
 	return 1 / float64(len(s.members)+1)
 }
 
-// ready tells whether a digest of this instance is old enough for all to know it.
-func (s *shares) ready(now time.Time) bool {
-	if s.alone() {
+// ready reports whether the oldest digest in the history is old enough to have reached all members.
+func (s *shareCalculator) ready(now time.Time) bool {
+	if s.isSingleInstance() {
 		return true
 	}
 
-	return len(s.own) > 0 && !s.own[0].at.After(now.Add(-s.window()))
+	return len(s.ownDigests) > 0 && !s.ownDigests[0].at.After(now.Add(-s.window()))
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -49,7 +49,7 @@
 			have[place] = rapid.IntRange(0, 3).Draw(t, "have")
 		}
 
-		s.Services[0].Have = have
+		s.Services[0].InstanceCounts = have
 		d := placement.Plan(start, s)
 
 		if got := remaining(d, ""); got < need {
@@ -78,8 +78,8 @@
 		})
 	}
 
-	s.Refusals = s.Config.NewMemory()
-	s.Refusals.Note(start, cheap)
+	s.Refusals = s.Config.NewCellPenalties()
+	s.Refusals.Add(start, cheap)
 
 	for _, tt := range []struct {
 		desc  string
@@ -98,11 +98,11 @@
 			}
 
 			if got != tt.want {
-				t.Errorf("bought in the refused cell: got %v, want %v: %s", got, tt.want, d.Lines[0])
+				t.Errorf("bought in the refused cell: got %v, want %v: %s", got, tt.want, d.Explanations[0])
 			}
 
-			if got := strings.Contains(d.Lines[0].Text, "avoids"); got == tt.want {
-				t.Errorf("line names the refusal: got %v, want %v: %s", got, !tt.want, d.Lines[0])
+			if got := strings.Contains(d.Explanations[0].Text, "avoids"); got == tt.want {
+				t.Errorf("line names the refusal: got %v, want %v: %s", got, !tt.want, d.Explanations[0])
 			}
 		})
 	}
--- a/placement/service.go
+++ b/placement/service.go
@@ -11,9 +11,9 @@
 type Service struct {
 	Name     fleet.Service
 	Priority fleet.Priority
-	// Holding is what each runner of the service should hold; empty for a plain
+	// Spec is what each runner of the service should hold; empty for a plain
 	// service.
-	Holding Holding
+	Spec EngineSpec
 	// Capacity is what one instance of a class carries at the latency target.
 	Capacity map[provider.Class]Load
 	// UrgentShare is the share of the load that cannot wait until a lost
@@ -29,7 +29,7 @@
 	LoadTime time.Duration
 }
 
-// Lead is the time from the purchase of an instance until it serves.
-func (s Service) Lead() time.Duration {
+// LeadTime is the time from the purchase of an instance until it serves.
+func (s Service) LeadTime() time.Duration {
 	return s.StartTime + s.LoadTime
 }
