--- a/replica/log.go
+++ b/replica/log.go
@@ -14,26 +14,26 @@
 	"monsoonlever/feed"
 )
 
-// ErrUnavailable means that an instance has nothing of a feed yet.
+// ErrUnavailable means that an instance has not read a feed yet.
 var ErrUnavailable = merry.Sentinel("feed was not read yet")
 
-// maxChangesBytes bounds the changes that are kept for instances that read on; one that has
-// missed older changes reads the whole set.
+// maxChangesBytes bounds the retained changes. A reader whose position is older than them has to
+// read a full snapshot.
 const maxChangesBytes = 4 << 20
 
-// maxGaps bounds the gaps that are remembered.
+// maxGaps bounds the number of recorded gaps.
 const maxGaps = 32
 
-// entryOverheadBytes is what an entry takes beside its key and data.
+// entryOverheadBytes is the memory of an entry in addition to its key and data.
 const entryOverheadBytes = 64
 
-// Log keeps the newest entry of each key of a feed and its recent changes. It is a
+// Log stores the newest entry of each key of a feed and its recent changes. It is a
 // feed.Source. Its exported fields are set before its first use; it is safe for concurrent
 // use.
 type Log struct {
 	Clock clock.Clock
-	// Equivalent reports whether an entry says nothing that the one before did not say. Such an
-	// entry is not passed on; nil passes all on.
+	// Equivalent reports whether a new entry of a key carries the same information as the entry
+	// before it. Such an entry is discarded. If Equivalent is nil, all entries are added.
 	Equivalent func(before, after feed.Entry) bool
 
 	mu           sync.Mutex
@@ -41,29 +41,31 @@
 	latest       map[string]feed.Entry
 	changes      []feed.Entry
 	changesBytes int
-	// oldest is from where on all changes are kept, and next where the log ends.
+	// oldest is the position from which all changes are retained; next is the end of the log.
 	oldest, next feed.Position
-	// gaps are the positions that whole sets have skipped: what came and went there is not known.
+	// gaps are the ranges of positions that snapshots have skipped. Keys that were added and
+	// removed within a gap are unknown.
 	gaps []gap
-	// changed is closed and replaced with each change.
+	// changed is closed and replaced whenever the log changes.
 	changed chan struct{}
 }
 
-// gap holds the positions between two others, without both.
+// gap is a range of positions without its bounds.
 type gap struct {
 	from, to feed.Position
 }
 
 func (g gap) contains(p feed.Position) bool { return g.from < p && p < g.to }
 
-// Replace puts a whole set in place of what was known. Changes are found from next on, and from
-// where the log ended before.
+// Replace replaces the content of the log with a full snapshot that ends at next. Readers can
+// continue from next, and from the previous end of the log unless the era changed or next is before
+// that end. Positions between the two are recorded as a gap.
 func (l *Log) Replace(entries []feed.Entry, next feed.Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	if !l.loaded || next.Era() != l.next.Era() || next < l.next {
-		// No position of before leads to this set.
+		// Readers at earlier positions cannot continue to this snapshot.
 		l.latest, l.changes, l.changesBytes = make(map[string]feed.Entry, len(entries)), nil, 0
 		l.oldest, l.gaps = next, nil
 	} else {
@@ -84,14 +86,14 @@
 		l.add(feed.Entry{Key: key, At: next - 1})
 	}
 
-	// Readers go on from the position of a change: changes stay in their order.
+	// Readers continue from the position of a change, so changes must stay in order of position.
 	slices.SortStableFunc(l.changes, func(a, b feed.Entry) int { return cmp.Compare(a.At, b.At) })
 
 	l.loaded = true
 	l.advance(next)
 }
 
-// Clear forgets all. The log has nothing until the next Replace.
+// Clear removes all entries. The log is unavailable until the next Replace.
 func (l *Log) Clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +103,7 @@
 	}
 }
 
-// Loaded reports whether the log has the feed.
+// Loaded reports whether the log holds a snapshot of the feed.
 func (l *Log) Loaded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +111,7 @@
 	return l.loaded
 }
 
-// Append adds changes up to next.
+// Append adds changes up to next. It does nothing if the log holds no snapshot.
 func (l *Log) Append(entries []feed.Entry, next feed.Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +127,8 @@
 	l.advance(next)
 }
 
-// add takes one entry in; the log is locked.
+// add adds one entry; the log is locked. It ignores data that is not newer than the known entry,
+// data that is equivalent to it, and the removal of an unknown key.
 func (l *Log) add(e feed.Entry) {
 	before, known := l.latest[e.Key]
 	if known && e.At <= before.At && len(e.Data) > 0 || !known && len(e.Data) == 0 {
@@ -136,7 +139,7 @@
 		return
 	}
 
-	// The data may be a part of a much larger answer.
+	// The data may be a slice of a much larger response, which would stay in memory.
 	e.Data = bytes.Clone(e.Data)
 
 	if len(e.Data) == 0 {
@@ -149,7 +152,8 @@
 	l.changesBytes += entrySize(e)
 }
 
-// advance ends a change of the log at next and wakes those that wait for it; the log is locked.
+// advance moves the end of the log to next, evicts the oldest changes over maxChangesBytes, and
+// wakes the readers that wait for a change; the log is locked.
 func (l *Log) advance(next feed.Position) {
 	l.next = max(l.next, next)
 	if l.next.Era() != next.Era() {
@@ -174,7 +178,7 @@
 
 func entrySize(e feed.Entry) int { return entryOverheadBytes + len(e.Key) + len(e.Data) }
 
-// Snapshot returns the newest entry of each key in the order of the keys.
+// Snapshot returns the newest entry of each key, sorted by key.
 func (l *Log) Snapshot(context.Context) ([]feed.Entry, feed.Position, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,7 +197,7 @@
 	return entries, l.next, nil
 }
 
-// HasChangesSince reports whether all changes since a position are kept.
+// HasChangesSince reports whether the log retains all changes since a position.
 func (l *Log) HasChangesSince(from feed.Position) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -205,8 +209,8 @@
 	return from >= l.oldest && !slices.ContainsFunc(l.gaps, func(g gap) bool { return g.contains(from) })
 }
 
-// recordGap notes a gap. Gaps that no kept change follows are forgotten; of many, the oldest bounds
-// what is kept.
+// recordGap records a gap and removes the gaps before the oldest retained change. If there are
+// maxGaps gaps, the oldest gap is removed and positions before its end are treated as trimmed.
 func (l *Log) recordGap(g gap) {
 	l.gaps = slices.DeleteFunc(l.gaps, func(g gap) bool { return g.to <= l.oldest })
 
@@ -218,7 +222,7 @@
 	l.gaps = append(l.gaps, g)
 }
 
-// End returns where the log ends.
+// End returns the position of the end of the log.
 func (l *Log) End() feed.Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -226,8 +230,8 @@
 	return l.next
 }
 
-// Changes returns the changes from a position on, or waits for one. A reader that is ahead
-// of this log gets none until the log has caught up.
+// Changes returns the changes from a position on. If there is none, it waits up to wait for one. A
+// reader that is ahead of this log gets no changes until the log has caught up.
 func (l *Log) Changes(ctx context.Context, from feed.Position, wait time.Duration) (feed.Changes, error) {
 	timeout := l.Clock.After(wait)
 
@@ -247,7 +251,8 @@
 	}
 }
 
-// changesSince returns what is kept from a position on, and what is closed with the next change.
+// changesSince returns the retained changes from a position on, and a channel that is closed at the
+// next change.
 func (l *Log) changesSince(from feed.Position) (feed.Changes, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/replica/log_test.go
+++ b/replica/log_test.go
@@ -57,7 +57,7 @@
 	}
 
 	if len(got.Entries) != 1 || got.Entries[0].Key != "b" || got.Next != feed.PositionOf(1, 3) {
-		t.Errorf("got %v up to %d, want b up to 3", got.Entries, got.Next.Offset())
+		t.Errorf("changes: got %v up to %d, want b up to 3", got.Entries, got.Next.Offset())
 	}
 }
 
@@ -69,23 +69,23 @@
 
 	got, err := l.Changes(context.Background(), ahead, 0)
 	if err != nil || len(got.Entries) != 0 || got.Next != ahead {
-		t.Errorf("ahead: got %v, %v, want nothing and to go on where it is", got, err)
+		t.Errorf("reader ahead: got %v, %v, want no changes and its own position", got, err)
 	}
 
 	go l.Append([]feed.Entry{change("old", "x", 3), change("new", "y", 6)}, feed.PositionOf(1, 7))
 
 	got, err = l.Changes(context.Background(), ahead, 5*time.Second)
 	if err != nil || len(got.Entries) != 1 || got.Entries[0].Key != "new" {
-		t.Errorf("after the log has caught up: got %v, %v, want the new change alone", got, err)
+		t.Errorf("after the log has caught up: got %v, %v, want only the new change", got, err)
 	}
 }
 
-// Guards against backend servers that are gone for all but those that read on from where a whole
-// set skipped their removal.
+// A snapshot can skip both the addition and the removal of a key. A reader whose position lies in
+// that gap would never learn of the removal and would keep a terminated backend server.
 func TestPositionInsideGapIsTrimmed(t *testing.T) {
 	l := &Log{Clock: clock.NewSteady()}
 	l.Replace(nil, feed.PositionOf(1, 0))
-	// Elsewhere, "gone" came at 1 and went at 3.
+	// At the origin, a key was added at 1 and removed at 3. The snapshot shows neither.
 	l.Replace([]feed.Entry{change("a", "x", 4)}, feed.PositionOf(1, 5))
 
 	for at, want := range map[uint64]error{0: nil, 1: feed.ErrTrimmed, 2: feed.ErrTrimmed, 4: feed.ErrTrimmed, 5: nil, 6: nil} {
@@ -103,7 +103,7 @@
 	}
 
 	if _, err := l.Changes(t.Context(), feed.PositionOf(1, 15), 0); !errors.Is(err, feed.ErrTrimmed) {
-		t.Errorf("changes from a forgotten gap: got %v, want ErrTrimmed", err)
+		t.Errorf("changes from an evicted gap: got %v, want ErrTrimmed", err)
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 
 	if all, next := snapshotOfLog(t, l); len(all) != 1 || all["b"] != "y" || next.Era() != 2 {
-		t.Errorf("got %v up to era %d, want b of era 2", all, next.Era())
+		t.Errorf("snapshot: got %v up to era %d, want b of era 2", all, next.Era())
 	}
 }
 
@@ -132,11 +132,11 @@
 	}
 
 	if l.changesBytes > maxChangesBytes {
-		t.Errorf("kept: got %d bytes, want at most %d", l.changesBytes, maxChangesBytes)
+		t.Errorf("retained changes: got %d bytes, want at most %d", l.changesBytes, maxChangesBytes)
 	}
 
 	if _, err := l.Changes(context.Background(), feed.PositionOf(1, 1), 0); !errors.Is(err, feed.ErrTrimmed) {
-		t.Errorf("changes that were dropped: got %v, want ErrTrimmed", err)
+		t.Errorf("evicted changes: got %v, want ErrTrimmed", err)
 	}
 
 	if got, err := l.Changes(context.Background(), feed.PositionOf(1, n-5), 0); err != nil || len(got.Entries) != 5 {
@@ -144,7 +144,7 @@
 	}
 }
 
-// A reader that follows changes, from whichever log it reads, ends with what the origin has.
+// A reader that follows changes ends with the entries of the origin, whichever logs it reads from.
 func TestHoldsReadersConvergeToOrigin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		origin := &Log{Clock: clock.NewSteady()}
@@ -182,7 +182,7 @@
 			case 3:
 				follow(relays[rapid.IntRange(0, 1).Draw(t, "relay")], reader)
 			case 4:
-				// The origin is read as a whole again.
+				// A relay reads a full snapshot again.
 				entries, next, _ := origin.Snapshot(context.Background())
 				relays[0].Replace(entries, next)
 			case 5:
--- a/replica/message.go
+++ b/replica/message.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	// headerBytes is the size of the length before each message, whose highest bit says that the
-	// message is compressed.
+	// headerBytes is the size of the header before each message. It holds the length of the
+	// message and, in the highest bit, compressedFlag.
 	headerBytes    = 4
 	compressedFlag = uint32(1) << 31
-	// maxMessageBytes bounds a message, also once it is decompressed.
+	// maxMessageBytes bounds a message before and after decompression.
 	maxMessageBytes = 4 << 20
-	// compressMinBytes is the size from which on a message is compressed: a whole set of backend
-	// servers becomes a sixth of its size, and small links carry it to many instances at once.
+	// compressMinBytes is the size from which messages are compressed. Compression shrinks a
+	// snapshot of the backend servers to a sixth, so that a relay with a small link can send it to
+	// many instances at the same time.
 	compressMinBytes = 1 << 10
 )
 
-// ErrFrame means that what another instance sent is no message.
+// ErrFrame means that another instance sent a malformed message.
 var ErrFrame = merry.Sentinel("replica frame is malformed")
 
-//nolint:gochecknoglobals // compressors are large and serve any connection
+//nolint:gochecknoglobals // compressors are large and are shared by all connections
 var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		// The level is a constant.
+		// The compression level is a valid constant.
 		panic(err)
 	}
 
 	return w
 }}
 
-// encode returns a message as it is sent.
+// encode returns the header and the msgpack form of a message, compressed if it is large.
 func encode(message any) ([]byte, error) {
 	data, err := msgpack.Marshal(message)
 	if err != nil {
@@ -79,7 +80,8 @@
 	return packed.Bytes(), err
 }
 
-// decompress returns what was compressed, of at most maxFrame bytes.
+// decompress returns the decompressed message, or ErrFrame if it is corrupt or larger than
+// maxMessageBytes.
 func decompress(packed []byte) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxMessageBytes+1))
 	if err != nil {
--- a/replica/message_test.go
+++ b/replica/message_test.go
@@ -14,7 +14,7 @@
 	"monsoonlever/feed"
 )
 
-// logOfServers returns a log of n backend servers as they register themselves.
+// logOfServers returns a log with the register entries of n backend servers.
 func logOfServers(n int) *Log {
 	random := rand.New(rand.NewPCG(1, 1))
 	entries := make([]feed.Entry, 0, n)
@@ -43,8 +43,8 @@
 	return sum
 }
 
-// Guards against starts of all that end late or never where relays have small links: 20 members
-// read the whole set of a relay at once.
+// When all instances start, the 20 members of a relay read a snapshot of the register at the same
+// time. Over a small link the start took too long, or never completed, with large snapshots.
 func TestRelayLinkCarriesSnapshotsToAllMembers(t *testing.T) {
 	const (
 		members            = 20
@@ -86,19 +86,19 @@
 	l.Append([]feed.Entry{change("a", "x", 100)}, feed.PositionOf(1, 101))
 
 	if got := read(); got != first {
-		t.Error("a moment later: got another encoding, want the same")
+		t.Error("within the TTL: got another encoding, want the same")
 	}
 
 	now = now.Add(snapshotTTL + time.Millisecond)
 
 	if got := read(); got == first {
-		t.Error("later: got the same encoding, want the newest")
+		t.Error("after the TTL: got the same encoding, want the newest")
 	}
 
 	l.Replace(nil, feed.PositionOf(2, 1))
 
 	if frames, err := cache.read(t.Context(), now, l); err != nil || bytes.Contains(frames[0], []byte("i-")) {
-		t.Errorf("after a new era: got %q and %v, want its set", frames, err)
+		t.Errorf("after a new era: got %q and %v, want its snapshot", frames, err)
 	}
 }
 
@@ -146,12 +146,12 @@
 
 	data := append(newHeader(uint32(len(packed))|compressedFlag, len(packed)), packed...)
 	if err := readMessage(bytes.NewReader(data), &got); !errors.Is(err, ErrFrame) {
-		t.Errorf("too much: got %v, want ErrFrame", err)
+		t.Errorf("oversized: got %v, want ErrFrame", err)
 	}
 
 	corrupt := append(newHeader(5|compressedFlag, 5), "abcde"...)
 	if err := readMessage(bytes.NewReader(corrupt), &got); !errors.Is(err, ErrFrame) {
-		t.Errorf("garbled: got %v, want ErrFrame", err)
+		t.Errorf("corrupt: got %v, want ErrFrame", err)
 	}
 }
 
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,14 +1,14 @@
-// Package replica passes the records of feeds on from instance to instance.
+// Package replica replicates the records of feeds between instances.
 //
-// A few instances read a feed at its origin, and each of the others reads it from one
-// instance that has it, so that the load of the origin does not grow with their number.
-// Positions are those of the origin everywhere: an instance goes on where it stopped,
-// whichever instance it reads from next.
+// A few instances read a feed from its origin. Every other instance reads it from an instance
+// that already has it, so that the load on the origin does not grow with the number of
+// instances. All instances use the positions of the origin, so an instance that switches to
+// another source resumes at its current position.
 //
-// A Log keeps what one instance has of a feed, a Server answers the reads of others, and a
-// Source reads from the origin or from another instance. Between two instances a read is a
-// request and a sequence of frames over TCP, each of which is a length of four bytes and a
-// msgpack message, compressed where it is large.
+// A Log stores an instance's copy of a feed, a Server serves it to other instances, and a Source
+// reads a feed from the origin or from another instance. A read between two instances is one
+// request and a sequence of frames over TCP. Each message is a header of four bytes with its
+// length, followed by msgpack, compressed if it is large.
 //
 // # Usage
 //
@@ -24,43 +24,43 @@
 	"monsoonlever/feed"
 )
 
-// frameTargetBytes is the size of entries from which on a message is sent: a slow link shows progress
-// several times a second.
+// frameTargetBytes is the size of entries after which a frame is sent. Frames this small show
+// progress several times a second on a slow link.
 const frameTargetBytes = 64 << 10
 
-// outcome is how a read ended.
+// outcome is the result of a read.
 type outcome int
 
 const (
-	// partial frames are followed by others of the same read.
+	// partial means that more frames of the same read follow.
 	partial outcome = iota
 	complete
-	// trimmed means that the changes asked for are no longer kept.
+	// trimmed means that the requested changes are no longer retained.
 	trimmed
-	// unavailable means that the instance has nothing of the feed yet.
+	// unavailable means that the instance has not read the feed yet.
 	unavailable
 )
 
-// request asks for the changes of a feed from a position on, or for the whole set.
+// request asks for the changes of a feed from a position on, or for a full snapshot.
 type request struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Feed     string
 	Whole    bool
 	From     feed.Position
-	// WaitMilliseconds is how long a read without changes waits for one.
+	// WaitMilliseconds is how long the server waits for a change if there is none yet.
 	WaitMilliseconds int64
 }
 
-// frame is a part of the answer.
+// frame is one message of a response.
 type frame struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Outcome  outcome
 	Entries  []entry
-	// Next is where to read on once the answer is complete.
+	// Next is the position of the next read. It is set in the last frame only.
 	Next feed.Position
 }
 
-// entry is a feed.Entry.
+// entry is the encoded form of a feed.Entry.
 type entry struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // an option of the codec
 	Key      string
@@ -68,8 +68,8 @@
 	At       feed.Position
 }
 
-// splitIntoFrames divides entries into frames of about frameBytes, the last of which completes
-// the answer.
+// splitIntoFrames divides entries into frames of about frameTargetBytes. The last frame is marked
+// complete.
 func splitIntoFrames(entries []feed.Entry, next feed.Position) []frame {
 	frames := []frame{{}}
 	frameSize := 0
--- a/replica/server.go
+++ b/replica/server.go
@@ -16,31 +16,33 @@
 )
 
 const (
-	// maxConnections bounds the connections of others: three feeds for each member of a
-	// relay, where the relay stands in for several others.
+	// maxConnections bounds the connections from other instances: three feeds for each
+	// subscriber of a relay, with room for the subscribers of several failed relays.
 	maxConnections = 600
 	// maxWait bounds how long one read waits for a change.
 	maxWait = 30 * time.Second
-	// idleTimeout is how long a connection without a request is kept, and writeTimeout bounds
-	// the writing of one frame.
+	// idleTimeout is how long a connection stays open without a request, and writeTimeout bounds
+	// the write of one frame.
 	idleTimeout  = time.Minute
 	writeTimeout = 3 * time.Second
-	// acceptRetryDelay follows a failure to accept a connection.
+	// acceptRetryDelay is the delay after a failure to accept a connection.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Server answers the reads of other instances from logs. Its fields are set before Run.
+// Server serves logs to other instances. Its fields are set before Run.
 type Server struct {
 	Clock clock.Clock
+	// Feeds are the logs by the name of their feed.
 	Feeds map[string]*Log
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
-	// snapshots are the newest snapshots sets by feed.
+	// snapshots are the cached encoded snapshots by feed name.
 	snapshots map[string]*snapshotCache
 }
 
-// Run serves until ctx ends, and closes the listener and all connections.
+// Run serves connections until ctx ends. It returns after the listener and all connections are
+// closed.
 func (s *Server) Run(ctx context.Context, l net.Listener) {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -56,7 +58,7 @@
 		conn, err := l.Accept()
 		if err != nil {
 			if ctx.Err() == nil {
-				klog.ErrorS(err, "connections of other instances are not accepted")
+				klog.ErrorS(err, "failed to accept a connection from another instance")
 				clock.Sleep(ctx, s.Clock, acceptRetryDelay)
 			}
 
@@ -64,7 +66,7 @@
 		}
 
 		if !s.track(ctx, conn) {
-			_ = conn.Close() // the other instance reads elsewhere
+			_ = conn.Close() // the other instance picks another source
 
 			continue
 		}
@@ -77,6 +79,7 @@
 	}
 }
 
+// track registers an accepted connection. It reports whether the connection may be served.
 func (s *Server) track(ctx context.Context, conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +103,7 @@
 
 	delete(s.conns, conn)
 
-	_ = conn.Close() // nothing is left to be said
+	_ = conn.Close() // there is nothing left to send
 }
 
 func (s *Server) closeAllConns() {
@@ -108,11 +111,11 @@
 	defer s.mu.Unlock()
 
 	for conn := range s.conns {
-		_ = conn.Close() // the other side sees the end
+		_ = conn.Close() // serve returns with a read or write error
 	}
 }
 
-// serve answers the requests of one connection until it ends.
+// serve handles the requests of one connection until it is closed or ctx ends.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	reader := bufio.NewReader(conn)
 
@@ -134,7 +137,7 @@
 	}
 }
 
-// respond sends what a read gets.
+// respond sends the response to a request.
 func (s *Server) respond(ctx context.Context, conn net.Conn, r request) error {
 	frames, err := s.responseFrames(ctx, r)
 	if err != nil {
@@ -154,7 +157,7 @@
 	return nil
 }
 
-// responseFrames returns the encoded frames of an answer.
+// responseFrames returns the encoded frames of the response to a request.
 func (s *Server) responseFrames(ctx context.Context, r request) ([][]byte, error) {
 	log := s.Feeds[r.Feed]
 	if log == nil {
--- a/replica/snapshot_cache.go
+++ b/replica/snapshot_cache.go
@@ -8,12 +8,12 @@
 	"monsoonlever/feed"
 )
 
-// snapshotTTL is how long an encoded whole set is sent again: readers go on from its position, and
-// many ask at once when all start.
+// snapshotTTL is how long an encoded snapshot is reused. When all instances start, many request the
+// same snapshot at the same time; they read newer changes from its position afterwards.
 const snapshotTTL = 500 * time.Millisecond
 
-// snapshotCache holds the encoded frames of a feed's whole set for all that ask for it within a moment.
-// The zero value holds none; it is safe for concurrent use.
+// snapshotCache holds the encoded frames of the last snapshot of one feed. The zero value is empty;
+// it is safe for concurrent use.
 type snapshotCache struct {
 	mu        sync.Mutex
 	frames    [][]byte
@@ -21,8 +21,8 @@
 	encodedAt time.Time
 }
 
-// read returns the frames of a log's whole set, which may be up to wholeLife old as long as the
-// log keeps what followed.
+// read returns the frames of a full snapshot of a log. A cached snapshot is reused for snapshotTTL
+// if the log retains all later changes.
 func (c *snapshotCache) read(ctx context.Context, now time.Time, l *Log) ([][]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/replica/source.go
+++ b/replica/source.go
@@ -15,36 +15,39 @@
 	"monsoonlever/feed"
 )
 
-// frameTimeout bounds the time until the next frame of an answer, beyond the wait that was
-// asked for. The whole answer may take longer on a slow link.
+// frameTimeout bounds the time until the next frame of a response, in addition to the requested
+// wait. The complete response may take longer on a slow link.
 const frameTimeout = 3 * time.Second
 
-// catchUpTimeout bounds a read at an instance in place of the origin, so that a read of the origin
-// is not put off for long.
+// catchUpTimeout bounds a read from an instance with newer changes, so that the next read of the
+// origin is not delayed for long.
 const catchUpTimeout = 500 * time.Millisecond
 
-// Upstream is where a feed is read from.
+// Upstream selects the origin or the instance that a feed is read from.
 type Upstream struct {
-	// Origin is set where the feed is read from its origin.
+	// Origin selects the origin of the feed; Address is then ignored.
 	Origin bool
-	// Address is the instance to read from otherwise; the zero value is none.
+	// Address is the address of the instance to read from. If it is the zero value, reads fail
+	// with feed.ErrNoSource.
 	Address netip.AddrPort
 }
 
-// Source reads a feed from its origin or from another instance, and keeps what it has read in
-// a log for others. It is a feed.Source for one reader. Its fields are set before its first use.
+// Source reads a feed from its origin or from another instance, and stores the entries in a log
+// that other instances read. It is a feed.Source for one reader. Its fields are set before its
+// first use.
 type Source struct {
-	// Feed names the feed to other instances.
+	// Feed is the name of the feed in requests to other instances.
 	Feed   string
 	Origin feed.Source
 	Log    *Log
-	// Upstream is asked before each read.
+	// Upstream is called before each read.
 	Upstream func() Upstream
-	// NewerInstance is asked before each read of changes at the origin: it returns an instance that is known
-	// to have read newer ones, if there is one. The read goes there instead. Nil is none.
+	// NewerInstance is called before each read of changes from the origin. It returns the address
+	// of an instance that is known to have newer changes, if there is one; the read then goes to
+	// that instance. NewerInstance may be nil.
 	NewerInstance func() (netip.AddrPort, bool)
-	// KeepLog reports whether others read from this instance; without it the log stays empty. Nil is
-	// always.
+	// KeepLog reports whether other instances may read from this one. While it returns false, the
+	// log stays empty. If KeepLog is nil, the log is always kept.
 	KeepLog func() bool
 	Dialer  *net.Dialer
 
@@ -54,8 +57,8 @@
 	reader          *bufio.Reader
 }
 
-// LastReadRelayed reports whether the newest read went to another instance. Such a read does not show
-// that its content is the newest of the origin.
+// LastReadRelayed reports whether the last read went to another instance. Such a read does not
+// prove that its entries are the newest of the origin.
 func (s *Source) LastReadRelayed() bool { return s.lastReadRelayed.Load() }
 
 // Snapshot returns the newest entry of each key.
@@ -86,7 +89,7 @@
 	return entries, next, nil
 }
 
-// Changes returns the changes from a position on, or waits for one.
+// Changes returns the changes from a position on. If there is none, it waits up to wait for one.
 func (s *Source) Changes(ctx context.Context, from feed.Position, wait time.Duration) (feed.Changes, error) {
 	up := s.Upstream()
 	newer, found := s.newerInstance(up)
@@ -125,8 +128,10 @@
 	return s.NewerInstance()
 }
 
-// catchUp reads changes from an instance that has newer ones than this one. Where that fails, the
-// next read goes to the origin from the same position.
+// catchUp reads changes from an instance that has newer ones than this instance. If that instance
+// no longer retains them, it returns ErrUnavailable instead of feed.ErrTrimmed, so that the reader
+// keeps its position and does not request a snapshot. After an error, the next read goes to the
+// origin from the same position unless NewerInstance returns an instance again.
 func (s *Source) catchUp(ctx context.Context, to netip.AddrPort, from feed.Position) (feed.Changes, error) {
 	readCtx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
@@ -139,8 +144,8 @@
 	return changes, err
 }
 
-// fetchChanges reads changes from another instance. What has come before the read broke off is kept,
-// so that a long read over a slow link goes on instead of beginning anew.
+// fetchChanges reads changes from another instance. If the read fails midway, it returns the
+// entries received so far, so that a long read over a slow link resumes instead of starting over.
 func (s *Source) fetchChanges(ctx context.Context, to netip.AddrPort, from feed.Position, wait time.Duration) (feed.Changes, error) {
 	entries, next, err := s.fetch(ctx, to, request{Feed: s.Feed, From: from, WaitMilliseconds: wait.Milliseconds()})
 	if err == nil {
@@ -151,7 +156,7 @@
 		return feed.Changes{}, err
 	}
 
-	// Others at the last position may be missing.
+	// Further entries at the last position may be missing: the next read repeats that position.
 	last := entries[len(entries)-1].At
 	entries = slices.DeleteFunc(entries, func(e feed.Entry) bool { return e.At == last })
 
@@ -162,8 +167,8 @@
 	return feed.Changes{Entries: entries, Next: last, End: last + 1}, nil
 }
 
-// keepOrClearLog reports whether the log is keepOrClearLog, and empties it otherwise. A log that is keepOrClearLog again has to
-// begin with a whole set.
+// keepOrClearLog reports whether the log is kept, and clears it if not. A cleared log is filled
+// again only by a full snapshot.
 func (s *Source) keepOrClearLog() bool {
 	if s.KeepLog == nil || s.KeepLog() {
 		return true
@@ -174,8 +179,8 @@
 	return false
 }
 
-// fetch sends one request to another instance and collects its answer. With an error it returns the
-// entries that came before it.
+// fetch sends one request to another instance and collects the response. If the connection fails,
+// it returns the entries received so far together with the error.
 func (s *Source) fetch(ctx context.Context, to netip.AddrPort, r request) ([]feed.Entry, feed.Position, error) {
 	if !to.IsValid() {
 		return nil, 0, feed.ErrNoSource
@@ -183,7 +188,7 @@
 
 	entries, next, err := s.exchange(ctx, to, r)
 	if err != nil && !errors.Is(err, feed.ErrTrimmed) && !errors.Is(err, ErrUnavailable) {
-		// What else comes on the connection belongs to this read.
+		// Late frames of this response must not be read as the response to the next request.
 		s.disconnect()
 	}
 
@@ -235,7 +240,7 @@
 	}
 }
 
-// connect opens a connection to an instance unless there is one.
+// connect opens a connection to an instance unless one is already open.
 func (s *Source) connect(ctx context.Context, to netip.AddrPort) error {
 	if s.conn != nil && s.connectedTo == to {
 		return nil
@@ -255,7 +260,7 @@
 
 func (s *Source) disconnect() {
 	if s.conn != nil {
-		_ = s.conn.Close() // it is not used again
+		_ = s.conn.Close() // the connection is not used again
 		s.conn = nil
 	}
 }
--- a/replica/source_test.go
+++ b/replica/source_test.go
@@ -14,7 +14,7 @@
 	"monsoonlever/feed"
 )
 
-// serveLog answers reads of a log on loopback until the test ends.
+// serveLog serves a log on loopback until the test ends and returns the address.
 func serveLog(t *testing.T, l *Log) netip.AddrPort {
 	t.Helper()
 
@@ -42,7 +42,7 @@
 }
 
 func TestListenerIsClosedWhenRunReturns(t *testing.T) {
-	const turns = 500
+	const repeats = 500
 
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 
 	address := listener.Addr().String()
 
-	for turn := range turns {
+	for repeat := range repeats {
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 
@@ -65,7 +65,7 @@
 		<-done
 
 		if listener, err = net.Listen("tcp4", address); err != nil {
-			t.Fatalf("turn %d: got %v, want the address free", turn, err)
+			t.Fatalf("repetition %d: got %v, want the address free", repeat, err)
 		}
 	}
 
@@ -93,18 +93,18 @@
 }
 
 func TestSourceReadsFromAnotherInstance(t *testing.T) {
-	above := newLog(change("a", "x", 0))
+	remote := newLog(change("a", "x", 0))
 	origin := &countingOrigin{Log: newLog()}
-	up := Upstream{Address: serveLog(t, above)}
+	up := Upstream{Address: serveLog(t, remote)}
 	own := &Log{Clock: clock.NewSteady()}
 	s := &Source{Feed: "rules", Origin: origin, Log: own, Upstream: func() Upstream { return up }, Dialer: &net.Dialer{}}
 
 	entries, next, err := s.Snapshot(t.Context())
 	if err != nil || len(entries) != 1 || !s.LastReadRelayed() {
-		t.Fatalf("whole: got %v, %v, relayed %t, want one entry of the other instance", entries, err, s.LastReadRelayed())
+		t.Fatalf("snapshot: got %v, %v, relayed %t, want one entry of the other instance", entries, err, s.LastReadRelayed())
 	}
 
-	go above.Append([]feed.Entry{change("b", "y", 1)}, feed.PositionOf(1, 2))
+	go remote.Append([]feed.Entry{change("b", "y", 1)}, feed.PositionOf(1, 2))
 
 	changes, err := s.Changes(t.Context(), next, 5*time.Second)
 	if err != nil || len(changes.Entries) != 1 || changes.Next != feed.PositionOf(1, 2) {
@@ -112,7 +112,7 @@
 	}
 
 	if all, _ := snapshotOfLog(t, own); all["a"] != "x" || all["b"] != "y" {
-		t.Errorf("kept for others: got %v, want both", all)
+		t.Errorf("own log: got %v, want both entries", all)
 	}
 
 	if n := origin.reads.Load(); n != 0 {
@@ -163,35 +163,35 @@
 			Upstream: func() Upstream { return Upstream{Address: address} },
 		}
 		if _, _, err := s.Snapshot(t.Context()); !errors.Is(err, ErrUnavailable) {
-			t.Errorf("feed %s that the other has not read: got %v, want ErrUnavailable", name, err)
+			t.Errorf("feed %s that the other instance has not read: got %v, want ErrUnavailable", name, err)
 		}
 	}
 }
 
 func TestLogIsEmptyUnlessKept(t *testing.T) {
-	above := newLog(change("a", "x", 0))
+	remote := newLog(change("a", "x", 0))
 	own := &Log{Clock: clock.NewSteady()}
-	kept := true
+	keep := true
 	s := &Source{
-		Feed: "rules", Origin: above, Log: own, Dialer: &net.Dialer{}, KeepLog: func() bool { return kept },
+		Feed: "rules", Origin: remote, Log: own, Dialer: &net.Dialer{}, KeepLog: func() bool { return keep },
 		Upstream: func() Upstream { return Upstream{Origin: true} },
 	}
 
-	for _, kept = range []bool{true, false, true} {
+	for _, keep = range []bool{true, false, true} {
 		if _, _, err := s.Snapshot(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 
-		if own.Loaded() != kept {
-			t.Errorf("kept %t: got %t", kept, own.Loaded())
+		if own.Loaded() != keep {
+			t.Errorf("KeepLog %t: got loaded %t", keep, own.Loaded())
 		}
 	}
 }
 
-// An instance that ended a wait early must not get the rest of it as the answer to its next read.
+// The late response to a cancelled read must not be taken as the response to the next read.
 func TestCancelledWaitDoesNotAnswerNextRead(t *testing.T) {
-	above := newLog(change("a", "x", 0))
-	address := serveLog(t, above)
+	remote := newLog(change("a", "x", 0))
+	address := serveLog(t, remote)
 	s := &Source{
 		Feed: "rules", Log: newLog(change("a", "x", 0)), Dialer: &net.Dialer{},
 		Upstream: func() Upstream { return Upstream{Address: address} },
@@ -204,16 +204,16 @@
 		t.Error("cancelled wait: got no error, want one")
 	}
 
-	above.Append([]feed.Entry{change("b", "y", 1), change("c", "z", 2)}, feed.PositionOf(1, 3))
+	remote.Append([]feed.Entry{change("b", "y", 1), change("c", "z", 2)}, feed.PositionOf(1, 3))
 
 	got, err := s.Changes(t.Context(), feed.PositionOf(1, 2), 0)
 	if err != nil || len(got.Entries) != 1 || got.Entries[0].Key != "c" {
-		t.Errorf("next read: got %v, %v, want c alone", got.Entries, err)
+		t.Errorf("next read: got %v, %v, want only c", got.Entries, err)
 	}
 }
 
-// serveFirstFrameOnly answers each read with the first frame of its answer, and no more until the reader
-// hangs up.
+// serveFirstFrameOnly sends only the first frame of each response and waits until the reader closes
+// the connection.
 func serveFirstFrameOnly(t *testing.T, l *Log) netip.AddrPort {
 	t.Helper()
 
@@ -247,22 +247,22 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// Guards against long reads over slow links that begin anew each time they break off.
+// A long read over a slow link never completed if each interruption made it start over.
 func TestInterruptedReadResumes(t *testing.T) {
 	const n = 60
 
-	above := newLog()
+	remote := newLog()
 	large := make([]byte, 2000)
 
 	for i := range uint64(n) {
-		// Two changes at each position: a whole set that replaces another removes several.
-		above.Append([]feed.Entry{
+		// Several changes can share a position: a snapshot removes several keys at once.
+		remote.Append([]feed.Entry{
 			{Key: fmt.Sprint("a", i), Data: large, At: feed.PositionOf(1, i)},
 			{Key: fmt.Sprint("b", i), Data: large, At: feed.PositionOf(1, i)},
 		}, feed.PositionOf(1, i+1))
 	}
 
-	up := Upstream{Address: serveFirstFrameOnly(t, above)}
+	up := Upstream{Address: serveFirstFrameOnly(t, remote)}
 	s := &Source{Feed: "rules", Origin: newLog(), Log: newLog(), Upstream: func() Upstream { return up }, Dialer: &net.Dialer{}}
 	seen := make(map[string]bool)
 
@@ -273,11 +273,11 @@
 		cancel()
 
 		if err != nil {
-			t.Fatalf("read %d: got %v, want progress", reads, err)
+			t.Fatalf("read %d: got %v, want the entries of the first frame", reads, err)
 		}
 
 		if changes.Next <= at || changes.Next < feed.PositionOf(1, n) && changes.End <= changes.Next {
-			t.Fatalf("read %d from %d: got next %d and end %d, want progress and more to come", reads, at.Offset(), changes.Next.Offset(), changes.End.Offset())
+			t.Fatalf("read %d from %d: got next %d and end %d, want a later position before the end", reads, at.Offset(), changes.Next.Offset(), changes.End.Offset())
 		}
 
 		at = changes.Next
@@ -292,19 +292,20 @@
 	}
 }
 
-// sourceWithNewerInstance returns a source of an origin whose first read goes to another instance.
+// sourceWithNewerInstance returns a source that reads from origin, except for its first read, which
+// goes to the newer instance.
 func sourceWithNewerInstance(origin *countingOrigin, newer netip.AddrPort) *Source {
-	asked := false
+	used := false
 
 	return &Source{
 		Feed: "rules", Origin: origin, Log: &Log{Clock: clock.NewSteady()}, Dialer: &net.Dialer{},
 		Upstream: func() Upstream { return Upstream{Origin: true} },
 		NewerInstance: func() (netip.AddrPort, bool) {
-			if asked {
+			if used {
 				return netip.AddrPort{}, false
 			}
 
-			asked = true
+			used = true
 
 			return newer, true
 		},
@@ -320,15 +321,16 @@
 
 	changes, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0)
 	if err != nil || !s.LastReadRelayed() || len(changes.Entries) != 1 || changes.Next != feed.PositionOf(1, 2) {
-		t.Errorf("ahead: got %v, %v, relayed %t, want b from the other instance", changes, err, s.LastReadRelayed())
+		t.Errorf("first read: got %v, %v, relayed %t, want b from the newer instance", changes, err, s.LastReadRelayed())
 	}
 
 	if _, err := s.Changes(t.Context(), changes.Next, 0); err != nil || s.LastReadRelayed() {
-		t.Errorf("after it: got %v, relayed %t, want a read of the origin", err, s.LastReadRelayed())
+		t.Errorf("second read: got %v, relayed %t, want a read of the origin", err, s.LastReadRelayed())
 	}
 }
 
-// A whole set for one missed change would be read at the origin by each instance.
+// If the newer instance no longer retains the missed changes, the reader must keep its position.
+// Otherwise each instance would read a full snapshot from the origin for one missed change.
 func TestTrimmedNewerInstanceCausesNoSnapshot(t *testing.T) {
 	trimmed := &Log{Clock: clock.NewSteady()}
 	trimmed.Replace(nil, feed.PositionOf(1, 9))
@@ -336,7 +338,7 @@
 	s := sourceWithNewerInstance(&countingOrigin{Log: newLog(change("a", "x", 0))}, serveLog(t, trimmed))
 
 	if _, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0); err == nil || errors.Is(err, feed.ErrTrimmed) {
-		t.Errorf("trimmed at the other: got %v, want an error that keeps the position", err)
+		t.Errorf("trimmed at the newer instance: got %v, want an error other than ErrTrimmed", err)
 	}
 
 	if _, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0); err != nil || s.LastReadRelayed() {
@@ -355,10 +357,10 @@
 	began := time.Now()
 
 	if _, err := s.Changes(t.Context(), feed.PositionOf(1, 1), 0); err == nil {
-		t.Error("silent: got no error, want one")
+		t.Error("unresponsive instance: got no error, want one")
 	}
 
-	if got, most := time.Since(began), 2*catchUpTimeout; got > most {
-		t.Errorf("silent: got an end after %v, want within %v", got, most)
+	if got, limit := time.Since(began), 2*catchUpTimeout; got > limit {
+		t.Errorf("unresponsive instance: read ended after %v, want within %v", got, limit)
 	}
 }
