--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,15 +1,15 @@
-// Package feed follows records of which the newest of each key counts, such as
-// the operators' rules and the register of backend servers.
+// Package feed follows keyed records of which only the newest of each key is valid,
+// such as the operators' rules and the register of backend servers.
 //
-// A Follower takes the whole set once and the changes from there on. If changes
-// have been deleted before it read them, it takes the whole set again.
+// A Follower reads a full snapshot once and then the changes after it. If changes
+// were deleted before it read them, it reads a full snapshot again.
 //
 // # Usage
 //
 //	f := &feed.Follower{
 //		Source: source, Clock: clk,
-//		Pace:    func() feed.Pace { return feed.Pace{Wait: time.Second} },
-//		Apply:   func(entries []feed.Entry, whole bool) { … },
+//		Timing:  func() feed.PollTiming { return feed.PollTiming{MaxWait: time.Second} },
+//		Apply:   func(entries []feed.Entry, snapshot bool) { … },
 //		Confirm: tracker.Confirm,
 //	}
 //	f.Run(ctx)
@@ -28,91 +28,94 @@
 	"monsoonlever/clock"
 )
 
-// ErrTrimmed means that the changes asked for have been deleted.
+// ErrTrimmed means that the requested changes were deleted.
 var ErrTrimmed = merry.Sentinel("changes are no longer kept")
 
-// ErrNoSource means that it is not known yet where to read from. The next Wake ends the
+// ErrNoSource means that no source to read from is known yet. Wake and SourceChanged end the
 // pause after it.
 var ErrNoSource = merry.Sentinel("no source to read from")
 
-// Entry is the newest content under a key.
+// Entry is the content of a key after a change.
 type Entry struct {
 	Key string
-	// Data is empty where the key was removed.
+	// Data is empty if the key was removed.
 	Data []byte
-	// At is the place of the change.
+	// At is the position of the change.
 	At Position
 }
 
-// Changes are what one read brought.
+// Changes is the result of one read of changes.
 type Changes struct {
 	Entries []Entry
-	// Next is where to read on, End the end of all changes when it was read.
+	// Next is the position of the next read. End is the end of all changes at the time of the
+	// read; more changes can be read immediately if Next is before End.
 	Next, End Position
 }
 
-// Source is where the records are.
+// Source provides the records of a feed.
 type Source interface {
-	// Snapshot returns the newest entry of each key, no older than the call, and a
-	// position from which on all later changes are found.
+	// Snapshot returns the newest entry of each key as of a time after the call began, and
+	// the position from which all later changes can be read.
 	Snapshot(ctx context.Context) ([]Entry, Position, error)
-	// Changes returns the changes from a position on. Where there is none yet it
-	// waits up to wait for one.
+	// Changes returns the changes from a position on. If there is none, it waits up to
+	// wait for one.
 	Changes(ctx context.Context, from Position, wait time.Duration) (Changes, error)
 }
 
 const (
-	// readTimeoutMargin is what a call may take beyond the wait that was asked for.
+	// readTimeoutMargin is how long a read of changes may take in addition to its wait.
 	readTimeoutMargin = 1500 * time.Millisecond
-	// snapshotTimeout bounds the reading of a whole set: sources bound each of its parts by
-	// themselves, so that a slow link is no reason to begin anew.
+	// snapshotTimeout bounds the read of a snapshot. It is long because sources bound each part
+	// of the response themselves, and a slow link must not make the read start over.
 	snapshotTimeout = 15 * time.Second
-	// minBackoff and maxBackoff bound the pause after a failed call: each call
-	// has its price, also a refused one, and the store's return must be noticed
-	// well within the bound on the age of the rules.
+	// minBackoff and maxBackoff bound the delay after a failed read. Each read has a cost,
+	// even a refused one, but the recovery of the store must be noticed well within the
+	// maximum age of the rules.
 	minBackoff = 150 * time.Millisecond
 	maxBackoff = 700 * time.Millisecond
 )
 
-// PollTiming says how often a source is read.
+// PollTiming configures how often a source is read.
 type PollTiming struct {
-	// MaxWait is how long a read waits for a change, Interval the pause between reads.
+	// MaxWait is how long a read waits for a change; Interval is the delay between a read and
+	// the next.
 	MaxWait, Interval time.Duration
-	// MaxBackoff bounds the pause after failed reads where it is longer than the default: many
-	// that read one source wait longer, so that all together do not ask more often.
+	// MaxBackoff bounds the delay after failed reads if it is longer than the default maximum.
+	// A source with many readers needs a longer delay to bound the rate of all their requests.
 	MaxBackoff time.Duration
 }
 
-// Follower reads a source. Its exported fields are set before Run.
+// Follower reads a source continuously. Its exported fields are set before Run.
 type Follower struct {
 	// Name is used in logs.
 	Name   string
 	Source Source
 	Clock  clock.Clock
-	// Timing is asked before each read; nil is no wait and no pause.
+	// Timing is called before each read; if it is nil, reads neither wait nor pause.
 	Timing func() PollTiming
-	// ExtraDelay is asked once a pause is over: how long the next read may still wait, because
-	// others have read meanwhile. It may be nil.
+	// ExtraDelay is called at the end of a pause and returns how long the next read can still be
+	// postponed, because other instances have read the source meanwhile. It may be nil.
 	ExtraDelay func() time.Duration
-	// Apply takes entries in; whole tells that keys that are not among them are gone.
-	Apply func(entries []Entry, whole bool)
-	// Confirm is told the time before a read that reached the end; it may be nil.
-	Confirm func(asked time.Time)
+	// Apply processes entries. If they are a snapshot, all keys that are not in it are removed.
+	Apply func(entries []Entry, snapshot bool)
+	// Confirm is called after each read that reached the end of the source, with the time at
+	// which that read began. It may be nil.
+	Confirm func(startedAt time.Time)
 
 	next        Position
 	hasPosition bool
 	backoff     time.Duration
 	sourceLost  bool
-	// lastRead is when the last read succeeded, in Unix nanoseconds.
+	// lastRead is the time of the last successful read in Unix nanoseconds.
 	lastRead atomic.Int64
 
 	wake, sourceChanged Signal
-	// skipWait is set when the next read must not wait, and snapshotRequested when it has to be of the
-	// whole set.
+	// skipWait is set if the next read must not wait for a change, and snapshotRequested if it
+	// has to read a full snapshot.
 	skipWait, snapshotRequested atomic.Bool
 }
 
-// Run follows until ctx ends.
+// Run reads the source until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		more, err := f.readOnce(ctx)
@@ -126,7 +129,7 @@
 			f.sleepUnlessWoken(ctx, maxBackoff)
 		case err != nil:
 			f.backoff = min(max(2*f.backoff, minBackoff), max(maxBackoff, f.timing().MaxBackoff))
-			// Readers that failed together return apart.
+			// The random part spreads the retries of readers that failed at the same time.
 			clock.Sleep(ctx, f.Clock, f.backoff/2+rand.N(f.backoff/2))
 		case !more:
 			f.pause(ctx)
@@ -134,17 +137,17 @@
 	}
 }
 
-// RequestSnapshot asks for the whole set at once, in place of changes.
+// RequestSnapshot requests an immediate read of a full snapshot instead of changes.
 func (f *Follower) RequestSnapshot() {
 	f.snapshotRequested.Store(true)
 	f.wake.Send()
 }
 
-// Wake asks for a read at once, in place of a wait or a pause.
+// Wake requests an immediate read. It ends a wait for changes or a pause.
 func (f *Follower) Wake() { f.wake.Send() }
 
-// SourceChanged asks for a read at once because the source has changed. It also ends a read of changes
-// that is under way: the source before may not answer.
+// SourceChanged requests an immediate read because the source has changed. It also cancels a read
+// of changes in progress, since the previous source may not respond.
 func (f *Follower) SourceChanged() { f.sourceChanged.Send() }
 
 func (f *Follower) timing() PollTiming {
@@ -163,7 +166,7 @@
 	}
 }
 
-// sleepUnlessWoken waits for some time and reports whether it passed without a request to read.
+// sleepUnlessWoken sleeps and reports whether the time passed without a request for a read.
 func (f *Follower) sleepUnlessWoken(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-f.Clock.After(wait):
@@ -187,13 +190,14 @@
 	return f.ExtraDelay()
 }
 
-// beginRead returns the context of one read and how long it waits. A wake-up ends the wait, a redirect the
-// read.
+// beginRead returns the context of the next read and how long that read waits for a change. Wake
+// cancels the context of a read that waits, SourceChanged that of any read of changes.
 func (f *Follower) beginRead(ctx context.Context) (context.Context, context.CancelFunc, time.Duration) {
 	wait := f.timing().MaxWait
 	if skip := f.skipWait.Swap(false); skip || f.backoff > 0 {
-		// After a failure the read that confirms what is known must not wait for news: a
-		// wait of 1.5 s at the return of a store was 1.5 s more of refusals.
+		// The first read after a failure confirms the known entries and must not wait for a
+		// change: a wait of 1.5 s after the recovery of the store prolonged the refusal of
+		// requests by 1.5 s.
 		wait = 0
 	}
 
@@ -225,7 +229,7 @@
 	return readCtx, cancel, wait
 }
 
-// LastRead returns when the source was last read, or the zero time.
+// LastRead returns the time of the last successful read, or the zero time if there was none.
 func (f *Follower) LastRead() time.Time {
 	if at := f.lastRead.Load(); at != 0 {
 		return time.Unix(0, at)
@@ -234,7 +238,8 @@
 	return time.Time{}
 }
 
-// readOnce makes one call and tells whether more is waiting.
+// readOnce reads a snapshot or changes once and reports whether more changes can be read
+// immediately. It also returns true after a snapshot.
 func (f *Follower) readOnce(ctx context.Context) (bool, error) {
 	readCtx, cancel, wait := f.beginRead(ctx)
 	defer cancel()
@@ -283,7 +288,8 @@
 	}
 }
 
-// recordResult logs when the source is lost and regained.
+// recordResult records the result of a read, and logs when the source becomes unreachable and when
+// it is reachable again.
 func (f *Follower) recordResult(err error) {
 	if err == nil {
 		f.backoff = 0
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -11,7 +11,7 @@
 	"monsoonlever/clock"
 )
 
-// scriptedSource is a source that answers calls in a fixed order.
+// scriptedSource is a source that returns a fixed sequence of responses.
 type scriptedSource struct {
 	calls     []string
 	responses []func() (Changes, error)
@@ -46,9 +46,9 @@
 	confirmed := 0
 	f := &Follower{
 		Source: source, Clock: clock.NewManual(time.Unix(0, 0)),
-		Apply: func(entries []Entry, whole bool) {
+		Apply: func(entries []Entry, snapshot bool) {
 			for _, e := range entries {
-				applied = append(applied, fmt.Sprint(e.Key, string(e.Data), whole))
+				applied = append(applied, fmt.Sprint(e.Key, string(e.Data), snapshot))
 			}
 		},
 		Confirm: func(time.Time) { confirmed++ },
@@ -69,14 +69,14 @@
 		t.Errorf("applied: got %s, want %s", got, want)
 	}
 
-	// Two whole sets and one read to the end say that the set is the newest; neither
-	// a read that leaves more behind nor a failed one does.
+	// Two snapshots and one read to the end confirm the entries. A read that stops before the
+	// end and failed reads do not.
 	if confirmed != 3 {
 		t.Errorf("confirmed: got %d, want 3", confirmed)
 	}
 }
 
-// blockingSource is a source whose reads wait for their context or for as long as asked.
+// blockingSource is a source whose reads with a wait block until their context ends.
 type blockingSource struct {
 	waits chan time.Duration
 }
@@ -95,7 +95,7 @@
 	return Changes{Next: from, End: from}, nil
 }
 
-// A wake-up ends a long wait and asks again at once, without a wait.
+// Wake cancels a read that waits for changes; the next read begins immediately and does not wait.
 func TestWakeEndsLongRead(t *testing.T) {
 	source := &blockingSource{waits: make(chan time.Duration, 16)}
 	confirmed := make(chan time.Time, 16)
@@ -103,7 +103,7 @@
 		Name: "rules", Source: source, Clock: clock.NewSteady(),
 		Timing:  func() PollTiming { return PollTiming{MaxWait: time.Minute} },
 		Apply:   func([]Entry, bool) {},
-		Confirm: func(asked time.Time) { confirmed <- asked },
+		Confirm: func(startedAt time.Time) { confirmed <- startedAt },
 	}
 
 	ctx, cancel := context.WithCancel(t.Context())
@@ -132,7 +132,7 @@
 	<-done
 }
 
-// unresponsiveSource is a source whose first read of changes is not answered.
+// unresponsiveSource is a source that does not respond to the first read of changes.
 type unresponsiveSource struct {
 	reads chan int
 	count int
@@ -170,13 +170,13 @@
 
 	<-source.reads
 
-	began := time.Now()
+	changedAt := time.Now()
 
 	f.SourceChanged()
 	<-source.reads
 
-	if got, limit := time.Since(began), readTimeoutMargin/2; got > limit {
-		t.Errorf("read at another source: got after %v, want within %v", got, limit)
+	if got, limit := time.Since(changedAt), readTimeoutMargin/2; got > limit {
+		t.Errorf("read of the new source: got it after %v, want within %v", got, limit)
 	}
 
 	cancel()
@@ -190,8 +190,7 @@
 	}
 }
 
-// A read is put off for as long as others keep what is known young, and made once they
-// stop.
+// A read is postponed while other instances read the source, and happens once they stop.
 func TestExtraDelayPostponesRead(t *testing.T) {
 	clk := clock.NewManual(time.Unix(0, 0))
 
@@ -203,7 +202,7 @@
 		ExtraDelay: func() time.Duration {
 			delayCalls++
 
-			// The others read until then.
+			// Other instances read the source until then.
 			return time.Unix(delayUntilSecond, 0).Sub(clk.Now())
 		},
 	}
@@ -218,11 +217,11 @@
 		select {
 		case <-done:
 			if got, want := clk.Now(), time.Unix(delayUntilSecond, 0); got.Before(want) {
-				t.Errorf("next read: got at %v, want no sooner than %v", got, want)
+				t.Errorf("next read: got it at %v, want it no sooner than %v", got, want)
 			}
 
 			if delayCalls == 0 {
-				t.Error("asked whether it may wait: got never, want after each pause")
+				t.Error("ExtraDelay: got no call, want one after each pause")
 			}
 
 			return
@@ -233,13 +232,13 @@
 	}
 }
 
-// Once a source is back, the first read confirms what is known and does not wait for a
+// The first read after a source has recovered confirms the known entries and does not wait for a
 // change.
 func TestFirstReadAfterFailureDoesNotWait(t *testing.T) {
 	var waits []time.Duration
 
 	failing := true
-	source := &changesFunc{changes: func(wait time.Duration) (Changes, error) {
+	source := &funcSource{changes: func(wait time.Duration) (Changes, error) {
 		waits = append(waits, wait)
 		if failing {
 			return Changes{}, errors.New("away")
@@ -269,13 +268,13 @@
 	}
 }
 
-// changesFunc is a source whose reads of changes are a function of their wait.
-type changesFunc struct {
+// funcSource is a source that reads changes with a function of the wait.
+type funcSource struct {
 	changes func(wait time.Duration) (Changes, error)
 }
 
-func (*changesFunc) Snapshot(context.Context) ([]Entry, Position, error) { return nil, 5, nil }
+func (*funcSource) Snapshot(context.Context) ([]Entry, Position, error) { return nil, 5, nil }
 
-func (s *changesFunc) Changes(_ context.Context, _ Position, wait time.Duration) (Changes, error) {
+func (s *funcSource) Changes(_ context.Context, _ Position, wait time.Duration) (Changes, error) {
 	return s.changes(wait)
 }
--- a/feed/position.go
+++ b/feed/position.go
@@ -1,13 +1,13 @@
 package feed
 
 // Position is a place in the order of all changes: an era of the source and an offset in
-// it. A source that came back from an older copy of itself begins a new era, in which
-// offsets are given out again. Any position of an era comes before any of the next, so that
-// what is ordered or fenced by positions stays so.
+// that era. A source that was restored from an older copy of itself begins a new era, in which
+// it assigns the same offsets again. All positions of an era are less than those of the next, so
+// that order and fencing by position still hold.
 type Position uint64
 
-// offsetBits is the part of a position that holds the offset: a thousand records a second
-// for 35 years.
+// offsetBits is the number of bits of a position that hold the offset: enough for a thousand
+// records a second for 35 years.
 const offsetBits = 40
 
 // PositionOf returns the position of an offset in an era.
--- a/feed/signal.go
+++ b/feed/signal.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Signal asks a loop to go on at once. One request is kept until the loop takes it, also
-// before the loop has begun. The zero value is ready.
+// Signal wakes a loop. One request is stored until the loop receives it, even if the loop has not
+// started yet. The zero value is ready to use.
 type Signal struct {
 	once    sync.Once
 	pending chan struct{}
 }
 
-// Send asks; it never waits.
+// Send wakes the loop. It never blocks, and does nothing if a request is already pending.
 func (s *Signal) Send() {
 	select {
 	case s.channel() <- struct{}{}:
@@ -17,7 +17,7 @@
 	}
 }
 
-// C returns the channel on which the request comes.
+// C returns the channel that delivers the request.
 func (s *Signal) C() <-chan struct{} { return s.channel() }
 
 func (s *Signal) channel() chan struct{} {
