--- a/ruleset/kind.go
+++ b/ruleset/kind.go
@@ -1,6 +1,6 @@
 package ruleset
 
-// Kind says what may be repeated of the requests of a route.
+// Kind determines whether the requests of a route may be repeated.
 type Kind int
 
 // The kinds.
@@ -9,11 +9,11 @@
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
-	// Streaming requests are answered by a stream of events.
+	// Streaming requests have a stream of events as their response.
 	Streaming
 )
 
-// String returns the name of the kind.
+// String returns the name of the kind in lower case.
 func (k Kind) String() string {
 	switch k {
 	case Safe:
--- a/ruleset/route.go
+++ b/ruleset/route.go
@@ -6,27 +6,27 @@
 	"monsoonlever/fleet"
 )
 
-// Route says which service runs the requests below a prefix of a host.
+// Route maps the requests for a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time until the final answer.
+	// Timeout bounds the time to the end of the response.
 	Timeout time.Duration
-	// Objective is the time to the whole answer, or to the first event of a
-	// stream, that operators aim for.
+	// Objective is the operators' latency objective for the complete response, or
+	// for the first event of a stream.
 	Objective time.Duration
-	// GapObjective is the same for the pause between two events.
+	// GapObjective is the latency objective between two events of a stream.
 	GapObjective time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	Targets  []Target
-	// MaxAttempts is how many backend servers one request may be sent to.
+	// MaxAttempts is the maximum number of backend servers that a request is sent to.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes require no key of a client account.
 	Public bool
-	// Resumable streams may go on at another backend server.
+	// Resumable streams can be continued by another backend server.
 	Resumable bool
 	// Generative routes carry prompts for model engines.
 	Generative bool
@@ -34,23 +34,24 @@
 	totalWeight int
 }
 
-// Target is a service that a route sends a part of its requests to.
+// Target is a service that receives a share of the requests of a route.
 type Target struct {
 	Service fleet.Service
 	Weight  int
 }
 
-// Idempotent tells whether a request of the route may run more than once.
+// Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Attempts returns how many backend servers a request may be sent to, at least one.
+// Attempts returns the maximum number of backend servers for a request, at least one.
 func (r *Route) Attempts() int {
 	return max(r.MaxAttempts, 1)
 }
 
-// PickService returns the service for a request; draw is uniform in [0, 1).
+// PickService selects the service of a request by the weights of the targets; draw is
+// a uniform random number in [0, 1).
 func (r *Route) PickService(draw float64) fleet.Service {
 	at := draw * float64(r.totalWeight)
 
--- a/ruleset/ruleset.go
+++ b/ruleset/ruleset.go
@@ -1,17 +1,17 @@
-// Package ruleset holds what operators have put in force for forwarded routes:
-// routes, services, client accounts and the limits of connections.
+// Package ruleset represents the operators' rules for forwarded requests: routes,
+// services, client accounts and connection limits.
 //
-// A Ruleset is immutable. It is built whole from a Spec, so that the path of a
-// request reads one version and never a mixture of two.
+// A Ruleset is immutable and is built from a complete Spec, so that the handling
+// of a request uses one version and never a mixture of two.
 //
 // # Usage
 //
 //	rules, err := ruleset.New(spec)
 //	if err != nil {
-//		return err // all findings, each with its place
+//		return err // lists all findings with their location
 //	}
 //	route, ok := rules.Match(host, path)
-//	account, ok := rules.AccountOf(key)
+//	account, ok := rules.AccountByKey(key)
 package ruleset
 
 import (
@@ -25,7 +25,7 @@
 	"monsoonlever/fleet"
 )
 
-// Spec is the content of one version, as an adapter decodes it.
+// Spec is the decoded content of one version of the rules.
 type Spec struct {
 	Version  uint64
 	Routes   []Route
@@ -34,7 +34,7 @@
 	Limits   Limits
 }
 
-// Limits bound what one caller's connection may send and how long it may idle.
+// Limits bound the size of requests on a caller's connection, and its timeouts.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -42,7 +42,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Ruleset is one version in force.
+// Ruleset is one validated version of the rules.
 type Ruleset struct {
 	version  uint64
 	limits   Limits
@@ -52,8 +52,8 @@
 	byKey    map[string]*Account
 }
 
-// New checks a spec and builds the ruleset of it. The error is a *finding.Error
-// with everything that is wrong.
+// New validates a spec and builds a ruleset from it. The error is a *finding.Error
+// that lists all findings.
 func New(s Spec) (*Ruleset, error) {
 	r := &Ruleset{
 		version:  s.Version,
@@ -144,33 +144,33 @@
 	r.byHost[host] = append(r.byHost[host], &route)
 }
 
-// Version returns the operators' number of this version.
+// Version returns the version number that the operators assigned.
 func (r *Ruleset) Version() uint64 { return r.version }
 
-// Limits returns the bounds of callers' connections.
+// Limits returns the limits of callers' connections.
 func (r *Ruleset) Limits() Limits { return r.limits }
 
 // Accounts returns all client accounts.
 func (r *Ruleset) Accounts() []*Account { return r.accounts }
 
-// Service returns a service by its name, or nil.
+// Service returns the service with a name, or nil.
 func (r *Ruleset) Service(name fleet.Service) *Service { return r.services[name] }
 
-// Services returns all services by their names. It must not be changed.
+// Services returns all services by name. The map must not be modified.
 func (r *Ruleset) Services() map[fleet.Service]*Service { return r.services }
 
-// RequiresKey tells whether requests have to bring the key of a client account.
+// RequiresKey reports whether requests must present the key of a client account.
 func (r *Ruleset) RequiresKey() bool { return len(r.accounts) > 0 }
 
-// AccountByKey returns the client account that holds a key.
+// AccountByKey returns the client account with a key.
 func (r *Ruleset) AccountByKey(key string) (*Account, bool) {
 	a, ok := r.byKey[key]
 
 	return a, ok
 }
 
-// Match returns the route of a host whose prefix is the longest that the path
-// begins with.
+// Match returns the route of a host with the longest prefix that matches the path.
+// The host may include a port.
 func (r *Ruleset) Match(host, path string) (*Route, bool) {
 	routes := r.byHost[strings.ToLower(host)]
 	if routes == nil {
