--- a/window/counter.go
+++ b/window/counter.go
@@ -7,19 +7,19 @@
 
 const bucketValueBits = 32
 
-// Counter sums changes by the time they were made at. It is safe for
-// concurrent use.
+// Counter sums changes over a sliding time window. It is safe for concurrent use.
 type Counter struct {
 	width   time.Duration
 	buckets []atomic.Uint64
 }
 
-// NewCounter returns a counter of n buckets that are width wide.
+// NewCounter returns a counter with n buckets that each cover a duration of width.
 func NewCounter(width time.Duration, n int) *Counter {
 	return &Counter{width: width, buckets: make([]atomic.Uint64, n)}
 }
 
-// Add counts delta at now. A change that is a whole turn late is dropped.
+// Add adds delta to the bucket of now. It discards the change if that bucket was
+// already replaced by the bucket one pass of the ring later.
 func (c *Counter) Add(now time.Time, delta int32) {
 	number := c.bucketNumber(now)
 	bucket := &c.buckets[number%int64(len(c.buckets))]
@@ -29,7 +29,8 @@
 		age := int32(uint32(number) - uint32(old>>bucketValueBits))
 		value := int32(uint32(old))
 
-		// A bucket far ahead was filled before the clock was set back.
+		// A bucket further ahead than the ring is long was written before the clock
+		// was set back. It is overwritten.
 		late := age < 0 && int(age) >= -len(c.buckets)
 		if late {
 			return
@@ -45,7 +46,7 @@
 	}
 }
 
-// Sum returns the changes in the newest n buckets, the one of now included.
+// Sum returns the sum of the newest n buckets, including the bucket of now.
 func (c *Counter) Sum(now time.Time, n int) int64 {
 	number := uint32(c.bucketNumber(now))
 	sum := int64(0)
@@ -62,8 +63,8 @@
 	return sum
 }
 
-// Since returns the changes from the bucket of t to that of now. It knows no
-// more than the whole ring, however old t is.
+// Since returns the sum of the buckets from that of t to that of now. If t is older
+// than the ring, it returns the sum of the whole ring.
 func (c *Counter) Since(now, t time.Time) int64 {
 	n := c.bucketNumber(now) - c.bucketNumber(t) + 1
 
--- a/window/counter_test.go
+++ b/window/counter_test.go
@@ -18,9 +18,9 @@
 	}{
 		{desc: "same bucket", at: 0, sumAt: 999 * time.Millisecond, n: 1, want: 3},
 		{desc: "bucket before", at: 0, sumAt: time.Second, n: 1, want: 0},
-		{desc: "bucket before in span", at: 0, sumAt: time.Second, n: 2, want: 3},
+		{desc: "bucket before in window", at: 0, sumAt: time.Second, n: 2, want: 3},
 		{desc: "last bucket of the ring", at: 0, sumAt: 3 * time.Second, n: 4, want: 3},
-		{desc: "a whole turn later", at: 0, sumAt: 4 * time.Second, n: 4, want: 0},
+		{desc: "after a full pass over the ring", at: 0, sumAt: 4 * time.Second, n: 4, want: 0},
 	}
 
 	for _, tt := range tests {
--- a/window/window.go
+++ b/window/window.go
@@ -1,8 +1,8 @@
-// Package window counts events over a sliding span of time without a lock.
+// Package window counts events over a sliding time window without locks.
 //
-// A Counter is a ring of buckets. A bucket holds its own number beside its
-// value in one word, so that a bucket of an earlier turn is never read as one
-// of this turn, and adding needs one compare-and-swap.
+// A Counter is a ring of buckets. A bucket stores its number and its value in one
+// word, so that a value from an earlier pass over the ring is never counted again,
+// and Add needs a single compare-and-swap.
 //
 // # Usage
 //
