--- a/listener/limit.go
+++ b/listener/limit.go
@@ -1,11 +1,11 @@
-// Package listener bounds the open connections of a listener.
+// Package listener limits the number of open connections of a listener.
 //
-// A connection over the bound gets a short HTTP refusal and is closed, so that
+// A connection over the limit receives a short HTTP response and is closed, so that
 // the caller learns the reason instead of waiting in a queue.
 //
 // # Usage
 //
-//	l := &listener.Limit{Listener: inner, Max: 4096, Answer: answer}
+//	l := &listener.Limit{Listener: inner, Max: 4096, Refusal: response}
 //	server.Serve(l)
 package listener
 
@@ -24,9 +24,9 @@
 type Limit struct {
 	net.Listener
 	Max int64
-	// Refusal is written to a connection over the bound.
+	// Refusal is the response that is written to a connection over the limit.
 	Refusal []byte
-	// OnRefused is called for each connection over the bound; it may be nil.
+	// OnRefused is called for each connection over the limit; it may be nil.
 	OnRefused func()
 
 	open atomic.Int64
@@ -37,7 +37,7 @@
 	return l.open.Load()
 }
 
-// Accept returns the next connection within the bound.
+// Accept returns the next connection within the limit, and refuses those over it.
 func (l *Limit) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -59,14 +59,14 @@
 		l.OnRefused()
 	}
 
-	// A caller that does not read its refusal must not hold up the others; the
-	// answer fits into the send buffer of a new connection.
+	// A caller that does not read the response must not block Accept. The response
+	// fits into the send buffer of a new connection.
 	_ = c.SetWriteDeadline(time.Now().Add(refusalTimeout))
 	_, _ = c.Write(l.Refusal)
 	_ = c.Close()
 }
 
-// countedConn counts itself out when it is closed.
+// countedConn decrements the number of open connections on its first Close.
 type countedConn struct {
 	net.Conn
 	once sync.Once
--- a/listener/limit_test.go
+++ b/listener/limit_test.go
@@ -48,7 +48,7 @@
 	<-refused
 
 	if got, _ := io.ReadAll(second); string(got) != "busy" {
-		t.Errorf("answer over the bound: got %q, want %q", got, "busy")
+		t.Errorf("response over the limit: got %q, want %q", got, "busy")
 	}
 
 	firstAccepted.Close()
