--- a/logpipe/logpipe.go
+++ b/logpipe/logpipe.go
@@ -1,16 +1,16 @@
-// Package logpipe passes log lines on without ever making the writer wait, and no
-// more of them than a number of bytes a second.
+// Package logpipe writes log lines asynchronously, so that logging never blocks, and
+// limits them to a number of bytes per second.
 //
-// Lines that find no room are counted, and the next line that does find room is
-// preceded by one that says how many were left out.
+// Lines over the limit, or over the length of the queue, are dropped and counted. The
+// next line that is accepted is preceded by a line with the number of dropped lines.
 //
 // # Usage
 //
 //	p := &logpipe.Pipe{Out: os.Stdout, Clock: clk}
 //	go p.Run(ctx)
 //	klog.SetOutput(p)
-//	if p.Roomy() {
-//		// Log also what went well.
+//	if p.HasSpareCapacity() {
+//		// Log successful requests as well.
 //	}
 package logpipe
 
@@ -25,16 +25,17 @@
 )
 
 const (
-	// RateBytesPerSecond is how many bytes a second are passed on in the long run: some hundred
-	// lines, four times what an instance logs on a calm day.
+	// RateBytesPerSecond is the sustained rate in bytes per second: some hundred lines, four
+	// times the volume that an instance logs on a quiet day.
 	RateBytesPerSecond = 32 << 10
-	// BurstBytes is how many bytes may be passed on at once.
+	// BurstBytes is the number of bytes that can be written in a burst.
 	BurstBytes = 256 << 10
-	// queueLines is how many lines wait for a reader of the output that is slow.
+	// queueLines is the number of lines that are queued while the reader of the output is slow.
 	queueLines = 1024
 )
 
-// Pipe is a writer of log lines. Its fields are set before its first use.
+// Pipe is an asynchronous, rate-limited writer of log lines. Its exported fields are set
+// before its first use.
 type Pipe struct {
 	Out   io.Writer
 	Clock clock.Clock
@@ -55,7 +56,7 @@
 	})
 }
 
-// Write takes one line. It never waits and never fails.
+// Write queues or drops one line. It never blocks and never returns an error.
 func (p *Pipe) Write(line []byte) (int, error) {
 	p.initOnce()
 	p.mu.Lock()
@@ -79,7 +80,7 @@
 	return len(line), nil
 }
 
-// enqueue hands a line over if there is room for it.
+// enqueue queues a line and reports whether the queue had room for it.
 func (p *Pipe) enqueue(line []byte) bool {
 	select {
 	case p.lines <- line:
@@ -97,8 +98,8 @@
 	p.refilledAt = now
 }
 
-// HasSpareCapacity tells whether there is room for lines that matter less: what went well is
-// left out before what failed.
+// HasSpareCapacity reports whether there is room for less important lines. Callers use it to omit
+// lines about successful requests before lines about failures are dropped.
 func (p *Pipe) HasSpareCapacity() bool {
 	p.initOnce()
 	p.mu.Lock()
@@ -108,14 +109,14 @@
 	return p.tokenBytes > BurstBytes/2 && p.dropped == 0
 }
 
-// Run passes lines on until ctx ends, and then what still waits.
+// Run writes queued lines to Out until ctx ends, and then the lines that are still queued.
 func (p *Pipe) Run(ctx context.Context) {
 	p.initOnce()
 
 	for {
 		select {
 		case line := <-p.lines:
-			// An output that fails has nobody who could be told.
+			// A failed write cannot be reported: this is the output of the log.
 			_, _ = p.Out.Write(line)
 		case <-ctx.Done():
 			p.drain()
--- a/logpipe/logpipe_test.go
+++ b/logpipe/logpipe_test.go
@@ -19,12 +19,12 @@
 
 	for range 300 {
 		if n, err := p.Write(line); n != len(line) || err != nil {
-			t.Fatalf("write: got %d, %v, want all and none", n, err)
+			t.Fatalf("write: got %d, %v, want the length of the line and no error", n, err)
 		}
 	}
 
 	if p.HasSpareCapacity() {
-		t.Error("full: got roomy, want not")
+		t.Error("after a burst: got spare capacity, want none")
 	}
 
 	c.Advance(20 * time.Second)
@@ -34,7 +34,7 @@
 	}
 
 	if !p.HasSpareCapacity() {
-		t.Error("20s later: got not roomy, want roomy")
+		t.Error("20s later: got no spare capacity, want some")
 	}
 
 	ctx, cancel := context.WithCancel(t.Context())
@@ -50,7 +50,7 @@
 	}
 }
 
-// A reader that never reads must not hold the writer up.
+// Write must not block while no reader takes lines from the pipe.
 func TestWriteNeverBlocks(t *testing.T) {
 	p := &Pipe{Out: &bytes.Buffer{}, Clock: clock.NewManual(time.Unix(1000, 0))}
 
