--- a/monsoonleverd/entry.go
+++ b/monsoonleverd/entry.go
@@ -19,8 +19,8 @@
 	Check    bool   `help:"Check the settings and stop."`
 }
 
-// memoryLimitFraction is the part of the machine's memory at which collection of garbage
-// becomes eager; the rest is for what the runtime does not count.
+// memoryLimitFraction is the soft memory limit of the Go runtime as a fraction of the configured
+// memory. The rest is for memory that the runtime does not account for.
 const memoryLimitFraction = 0.7
 
 // Run serves until ctx ends.
@@ -44,8 +44,8 @@
 	return e.Run(ctx)
 }
 
-// redirectLog sends log lines to standard output through a pipe that never makes them wait.
-// The returned function ends that once all lines are written.
+// redirectLog redirects log lines to a pipe, so that logging never blocks. The returned function
+// stops the pipe after all queued lines are written.
 func redirectLog(pipe *logpipe.Pipe) func() {
 	setLogFlags(map[string]string{"logtostderr": "false", "one_output": "true", "stderrthreshold": "FATAL"})
 	klog.SetOutput(pipe)
@@ -65,22 +65,22 @@
 	}
 }
 
-// watchReloads reads the settings again on each hangup, until the instance stops. Settings with
-// findings change nothing.
+// watchReloads reads the settings again on each SIGHUP until ctx ends, and sends them to the returned
+// channel. Settings that cannot be read or have findings are logged and ignored.
 func (c *entryCommand) watchReloads(ctx context.Context, reloads reloadSignals) <-chan settings.Entry {
 	reloaded := make(chan settings.Entry)
 
 	go func() {
 		for range reloads {
 			if ctx.Err() != nil {
-				klog.InfoS("settings are not reloaded, the instance stops")
+				klog.InfoS("settings not reloaded: instance is stopping")
 
 				continue
 			}
 
 			s, err := settings.LoadEntry(c.Settings)
 			if err != nil {
-				klog.ErrorS(err, "settings are not reloaded")
+				klog.ErrorS(err, "settings not reloaded")
 
 				continue
 			}
--- a/monsoonleverd/main.go
+++ b/monsoonleverd/main.go
@@ -5,10 +5,12 @@
 //	monsoonleverd --settings /etc/monsoonlever/daemon.jsonc
 //	monsoonleverd entry --settings /etc/monsoonlever/entry.jsonc
 //
-// The first form, also written "monsoonleverd serve", runs an instance of a
-// deployment with a manifest; it prints one line of JSON with its addresses once
-// it listens. The second runs one on the users' platform, which reads its settings
-// again on SIGHUP. Both stop gracefully on SIGTERM, SIGINT and SIGQUIT. Exit codes: 0 stopped, 1 failed, 2 bad settings.
+// The first form, which is short for "monsoonleverd serve", runs an instance of a
+// deployment with a manifest. It prints one line of JSON with its addresses when it
+// listens. The second form runs an instance on the users' platform, which reloads its
+// settings on SIGHUP. Both stop gracefully on SIGTERM, SIGINT and SIGQUIT.
+//
+// Exit codes: 0 stopped, 1 failed, 2 invalid settings.
 package main
 
 import (
@@ -30,7 +32,7 @@
 	exitBadSettings = 2
 )
 
-// commandLine is the command line.
+// commandLine is the command line as kong parses it.
 type commandLine struct {
 	Serve serveCommand `cmd:"" default:"withargs" help:"Run an entry instance of a deployment with a manifest."`
 	Entry entryCommand `cmd:"" help:"Run an entry instance on the users' platform."`
@@ -54,7 +56,7 @@
 	os.Exit(code)
 }
 
-// reportError says what is wrong on standard error and returns the exit code for it.
+// reportError reports an error on standard error and returns the exit code for it.
 func reportError(err error) int {
 	if err == nil {
 		return 0
@@ -73,7 +75,8 @@
 	return exitFailed
 }
 
-// setLogFlags sets flags of the log library, whose names and values are our own.
+// setLogFlags sets flags of klog. It panics on an error, since all names and values come from
+// this program.
 func setLogFlags(values map[string]string) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
--- a/monsoonleverd/serve.go
+++ b/monsoonleverd/serve.go
@@ -29,7 +29,7 @@
 
 	go func() {
 		for range reloads {
-			klog.InfoS("settings are read at the start only, SIGHUP changes nothing")
+			klog.InfoS("SIGHUP ignored: settings are read only at startup")
 		}
 	}()
 
@@ -39,6 +39,6 @@
 }
 
 func printAddresses(a daemon.Addresses) {
-	// Standard output that is closed must not keep the instance from serving.
+	// The instance must serve even if standard output is closed.
 	_ = json.NewEncoder(os.Stdout).Encode(a)
 }
--- a/monsoonleverd/signals.go
+++ b/monsoonleverd/signals.go
@@ -10,17 +10,17 @@
 	"k8s.io/klog/v2"
 )
 
-// reloadSignals brings each SIGHUP, by which operators ask for the settings to be read again.
+// reloadSignals delivers SIGHUP signals, with which operators request a reload of the settings.
 type reloadSignals <-chan os.Signal
 
-// logReady is called once the flags of the log are set: they must not be set while a line is written.
+// logReady is called after the log flags are set. They must not be set while a log line is written.
 type logReady func()
 
-// handleSignals takes the signals in that operators send, and returns a context that the
-// first SIGTERM, SIGINT or SIGQUIT ends. None is given back until the process exits: in any
-// phase, the default action of a signal that nobody expects would end the process and cut
-// the requests that it runs. So would SIGPIPE where standard output loses its reader. A stop
-// takes effect, and is logged, once the log is ready.
+// handleSignals registers the signal handlers and returns a context that the first SIGTERM, SIGINT
+// or SIGQUIT cancels. The handlers stay registered until the process exits: in any phase, the
+// default action of a signal without a handler would kill the process and cut its requests. SIGPIPE
+// is ignored for the same reason: it is raised if the reader of standard output terminates. A stop
+// signal is logged and takes effect only after the log is ready.
 func handleSignals() (context.Context, reloadSignals, logReady) {
 	signal.Ignore(syscall.SIGPIPE)
 
@@ -37,11 +37,11 @@
 		<-ready
 
 		got := <-stops
-		klog.InfoS("asked to stop", "signal", got.String())
+		klog.InfoS("received stop signal", "signal", got.String())
 		cancel()
 
 		for got := range stops {
-			klog.InfoS("asked to stop again, it goes on stopping", "signal", got.String())
+			klog.InfoS("ignored repeated stop signal", "signal", got.String())
 		}
 	}()
 
--- a/monsoonleverd/signals_test.go
+++ b/monsoonleverd/signals_test.go
@@ -17,10 +17,10 @@
 	"monsoonlever/platform/soak"
 )
 
-// runMainEnv makes this test binary run the program itself, as a process of its own.
+// runMainEnv is the environment variable that makes this test binary run main instead of tests.
 const runMainEnv = "MONSOONLEVERD_TEST_AS_PROGRAM"
 
-// eventTimeout bounds the wait for what must come about.
+// eventTimeout bounds the wait for an expected event.
 const eventTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// program returns the command that runs the program of this package.
+// program returns the command that runs this test binary as monsoonleverd.
 func program(t *testing.T) soak.Program {
 	t.Helper()
 
@@ -43,7 +43,7 @@
 	return soak.Program{Path: path, Env: []string{runMainEnv + "=1"}}
 }
 
-// operatorSignals are those that operators and their tools send.
+// operatorSignals are the signals that operators and their tools send.
 var operatorSignals = []syscall.Signal{
 	syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGPIPE, syscall.SIGALRM, syscall.SIGWINCH,
 	syscall.SIGTERM, syscall.SIGINT, syscall.SIGQUIT,
@@ -53,15 +53,15 @@
 	return s == syscall.SIGTERM || s == syscall.SIGINT || s == syscall.SIGQUIT
 }
 
-// Users saw streams cut at an instance that had got SIGTERM and then SIGHUP: while it stopped
-// nothing took that signal in any more, and it ended the process. In no phase of its life may
-// a signal that operators send, once or twice, cut a request or end the process in another
-// way than a stop.
+// A process that receives SIGHUP after SIGTERM must not cut its streams: if no handler is
+// registered for the signal during shutdown, its default action kills the process. No signal that
+// operators send, once or twice and in any phase of the process, may cut a request or terminate
+// the process other than by a graceful stop.
 func TestSignalsCutNoRequest(t *testing.T) {
 	for _, s := range operatorSignals {
 		for phase, send := range map[string]func(*testing.T, syscall.Signal){
-			"at the start": signalDuringStart, "while it runs": signalWhileRunning,
-			"while it stops": signalWhileStopping, "at the end": signalDuringExit,
+			"during start": signalDuringStart, "while running": signalWhileRunning,
+			"while stopping": signalWhileStopping, "during exit": signalDuringExit,
 		} {
 			t.Run(fmt.Sprint(s, " ", phase), func(t *testing.T) {
 				t.Parallel()
@@ -95,8 +95,7 @@
 	}
 }
 
-// Standard output may lose its reader in any phase. What can't be written is lost, the
-// requests are not.
+// If the reader of standard output terminates, log lines are lost, but no request is cut.
 func TestClosedStandardOutputCutsNoRequest(t *testing.T) {
 	t.Parallel()
 
@@ -122,7 +121,7 @@
 	p := soak.NewPlatform()
 	defer p.Close()
 
-	// The process reads its settings from a pipe, and waits there until they are written.
+	// The process reads its settings from a named pipe and blocks until they are written.
 	fifo := filepath.Join(t.TempDir(), "settings.jsonc")
 	if err := syscall.Mkfifo(fifo, 0o600); err != nil {
 		t.Fatal(err)
@@ -220,7 +219,7 @@
 	e.expectCleanExit(t)
 }
 
-// process is an instance that runs as a process of its own.
+// process is an instance in a separate process.
 type process struct {
 	addresses soak.Addresses
 	command   *exec.Cmd
@@ -242,7 +241,7 @@
 	return e
 }
 
-// launch starts the process. Settings that are not there yet are written.
+// launch starts the process. It writes the settings file if there is none.
 func launch(t *testing.T, p *soak.Platform, settings string) *process {
 	t.Helper()
 
@@ -321,11 +320,11 @@
 	t.Helper()
 
 	if err := e.command.Process.Signal(s); err != nil && !e.hasExited() {
-		t.Fatalf("%v: got %v, want it sent", s, err)
+		t.Fatalf("send signal %v: got %v, want no error", s, err)
 	}
 }
 
-// awaitLog waits for a line of the log.
+// awaitLog waits until the log contains a text.
 func (e *process) awaitLog(t *testing.T, text string) {
 	t.Helper()
 	e.awaitCondition(t, text, func() bool {
@@ -351,18 +350,18 @@
 		select {
 		case <-tick.C:
 		case <-limit:
-			t.Fatalf("%s: got not within %v, want it", what, eventTimeout)
+			t.Fatalf("%s: not observed within %v", what, eventTimeout)
 		}
 	}
 }
 
-// beginStream begins a beginStream and returns once it has begun. The channel brings how it ended.
+// beginStream starts a stream and returns after its first event. The channel delivers its result.
 func beginStream(t *testing.T, p *soak.Platform, e *process) <-chan error {
 	t.Helper()
 
 	ended, err := p.BeginStream(t.Context(), e.addresses)
 	if err != nil {
-		t.Fatalf("stream: got %v, want it begun", err)
+		t.Fatalf("begin stream: got %v, want no error", err)
 	}
 
 	return ended
@@ -374,7 +373,7 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("stream: got %v, want it whole", err)
+			t.Errorf("stream: got %v, want it complete", err)
 		}
 	case <-time.After(eventTimeout):
 		t.Errorf("stream: got no end within %v, want one", eventTimeout)
@@ -387,15 +386,15 @@
 	select {
 	case err := <-e.done:
 		if err != nil {
-			t.Errorf("end of the process: got %v, want exit code 0", err)
+			t.Errorf("process exit: got %v, want exit code 0", err)
 		}
 	case <-time.After(eventTimeout):
-		t.Errorf("end of the process: got none within %v, want one", eventTimeout)
+		t.Errorf("process exit: got none within %v, want one", eventTimeout)
 	}
 }
 
-// Processes get series of signals that overlap, under callers that keep their connections
-// until a process is gone.
+// Instances receive overlapping series of signals while callers keep their connections open until
+// a process exits.
 func TestSignalSoakFindsNoBreach(t *testing.T) {
 	t.Parallel()
 
@@ -407,7 +406,7 @@
 	}
 
 	if report.Completed == 0 || report.Signals == 0 {
-		t.Errorf("got %d answers and %d signals, want some", report.Completed, report.Signals)
+		t.Errorf("got %d completed requests and %d signals, want some", report.Completed, report.Signals)
 	}
 
 	for _, breach := range report.Breaches {
