--- a/replica/message_test.go
+++ b/replica/message_test.go
@@ -43,11 +43,11 @@
 	return sum
 }
 
-// When all instances start, the 20 members of a relay read a snapshot of the register at the same
+// When all instances start, the 20 subscribers of a relay read a snapshot of the register at the same
 // time. Over a small link the start took too long, or never completed, with large snapshots.
-func TestRelayLinkCarriesSnapshotsToAllMembers(t *testing.T) {
+func TestRelayLinkCarriesSnapshotsToAllSubscribers(t *testing.T) {
 	const (
-		members            = 20
+		subscribers        = 20
 		linkBytesPerSecond = 10_000_000 / 8
 		maxDuration        = 5 * time.Second
 	)
@@ -61,8 +61,8 @@
 		}
 
 		size := totalBytes(frames)
-		if took := time.Duration(float64(members*size) / linkBytesPerSecond * float64(time.Second)); took > maxDuration {
-			t.Errorf("%d servers: got %d bytes, %v for %d members, want at most %v", n, size, took, members, maxDuration)
+		if took := time.Duration(float64(subscribers*size) / linkBytesPerSecond * float64(time.Second)); took > maxDuration {
+			t.Errorf("%d servers: got %d bytes, %v for %d subscribers, want at most %v", n, size, took, subscribers, maxDuration)
 		}
 	}
 }
