--- /dev/null
+++ b/admission/priorityclass.go
@@ -0,0 +1,143 @@
+package admission
+
+import (
+	"container/heap"
+	"time"
+
+	"monsoonlever/fleet"
+)
+
+// priorityClass holds the queued requests of one priority and serves its accounts by
+// start-time fair queueing.
+type priorityClass struct {
+	priority fleet.Priority
+	// flows holds idle flows as well, while they are ahead of virtual time.
+	flows       map[*account]*flow
+	active      flowHeap
+	virtualTime float64
+	size        int
+	// totalWeight is the sum of the totalWeight of the active flows.
+	totalWeight float64
+}
+
+func newPriorityClass(p fleet.Priority) *priorityClass {
+	return &priorityClass{priority: p, flows: make(map[*account]*flow)}
+}
+
+func (c *priorityClass) push(t *Ticket) {
+	f := c.flows[t.account]
+	if f == nil {
+		f = &flow{account: t.account, heapIndex: notInHeap}
+		c.flows[t.account] = f
+	}
+
+	f.tickets = append(f.tickets, t)
+	c.size++
+
+	if f.heapIndex == notInHeap {
+		f.virtualStart = max(f.virtualStart, c.virtualTime)
+		heap.Push(&c.active, f)
+		c.totalWeight += f.weight()
+	}
+}
+
+// pop takes the first request of the account that is furthest behind.
+func (c *priorityClass) pop() *Ticket {
+	f := c.active[0]
+	t := f.tickets[0]
+	c.virtualTime = f.virtualStart
+	f.virtualStart += cost(&t.request) / f.weight()
+	heap.Fix(&c.active, f.heapIndex)
+	c.remove(t)
+
+	return t
+}
+
+func (c *priorityClass) remove(t *Ticket) {
+	f := c.flows[t.account]
+	f.remove(t)
+	c.size--
+
+	if len(f.tickets) > 0 {
+		return
+	}
+
+	heap.Remove(&c.active, f.heapIndex)
+	c.totalWeight -= f.weight()
+	c.evictIdle(f)
+}
+
+// evictIdle drops idle flows that virtual time has caught up with.
+func (c *priorityClass) evictIdle(f *flow) {
+	if c.size == 0 {
+		clear(c.flows)
+		c.virtualTime = 0
+		c.totalWeight = 0
+
+		return
+	}
+
+	if f.virtualStart <= c.virtualTime {
+		delete(c.flows, f.account)
+	}
+}
+
+// mostLoadedWith returns the flow that queues the most for its weight, counting the
+// newcomer t as queued.
+func (c *priorityClass) mostLoadedWith(t *Ticket) *flow {
+	own := &flow{account: t.account, tickets: []*Ticket{t}}
+	if f := c.flows[t.account]; f != nil {
+		own = f
+	}
+
+	most := own
+	load := (float64(own.position(t)) + 1) / own.weight()
+
+	for _, f := range c.active {
+		if f != own && f.load() > load {
+			most, load = f, f.load()
+		}
+	}
+
+	return most
+}
+
+// mostLoaded returns the flow that queues the most for its weight.
+func (c *priorityClass) mostLoaded() *flow {
+	most := c.active[0]
+
+	for _, f := range c.active[1:] {
+		if f.load() > most.load() {
+			most = f
+		}
+	}
+
+	return most
+}
+
+// position returns the position of t in its account's queue, or where it would be added.
+func (c *priorityClass) position(t *Ticket) int {
+	if f := c.flows[t.account]; f != nil {
+		return f.position(t)
+	}
+
+	return 0
+}
+
+// nextArrival returns the arrival of the request that is next by fair queueing.
+func (c *priorityClass) nextArrival() time.Time {
+	return c.active[0].tickets[0].arrivedAt
+}
+
+// ahead estimates how many requests of this class start before the request at
+// place n of its account's queue.
+func (c *priorityClass) ahead(t *Ticket, n int) float64 {
+	weight := t.account.limits.Load().config.Weight
+	weights := c.totalWeight
+
+	if f := c.flows[t.account]; f == nil || f.heapIndex == notInHeap {
+		weights += weight
+	}
+
+	return min(float64(n)*weights/weight+float64(len(c.active)), float64(c.size))
+}
