--- a/admission/goodput_test.go
+++ b/admission/goodput_test.go
@@ -14,15 +14,14 @@
 	simMeanServiceTime = 100 * time.Millisecond
 	simDeadline        = time.Second
 	simDuration        = 20 * time.Second
-	// simCapacity is what the simulated service can do, in requests a second.
+	// simCapacity is the capacity of the simulated service, in requests per second.
 	simCapacity      = float64(simSlots) / 0.1
 	simLargeAccounts = 2
 	simSmallAccounts = 3
-	// simSmallLoadFraction is the part of the load that one small account offers.
+	// simSmallLoadFraction is the fraction of the load that each small account offers.
 	simSmallLoadFraction = 1.0 / 30
 )
 
-// simRequest is one request of the simulation.
 type simRequest struct {
 	ticket   *Ticket
 	deadline time.Time
@@ -32,30 +31,30 @@
 
 // simulation offers load to a controller in front of one service.
 type simulation struct {
-	controller   *Controller
-	random       *rand.Rand
-	now          time.Time
-	setDeadlines bool
-	waiting      []*simRequest
-	running      []*simRequest
-	offered      [2]int
-	inTime       [2]int
-	admitted     int
-	maxWait      time.Duration
+	controller     *Controller
+	random         *rand.Rand
+	now            time.Time
+	setDeadlines   bool
+	waiting        []*simRequest
+	running        []*simRequest
+	offered        [2]int
+	inTime         [2]int
+	admitted       int
+	maxRefusalWait time.Duration
 }
 
-// simResult is what the simulation measured.
+// simResult holds the measurements of a simulation.
 type simResult struct {
 	goodput        float64
 	smallInTime    float64
 	wastedFraction float64
-	maxWait        time.Duration
+	maxRefusalWait time.Duration
 }
 
 func (r simResult) log(t *testing.T, loadFactor float64, policy string) {
 	t.Helper()
 	t.Logf("%.0fx    %s    %.3f    %.3f          %.3f        %v",
-		loadFactor, policy, r.goodput, r.smallInTime, r.wastedFraction, r.maxWait)
+		loadFactor, policy, r.goodput, r.smallInTime, r.wastedFraction, r.maxRefusalWait)
 }
 
 func newSimulation(t *testing.T, fair bool) *simulation {
@@ -99,7 +98,7 @@
 	s.waiting = append(s.waiting, r)
 }
 
-// startAdmitted moves admitted requests to the service and drops refused ones.
+// startAdmitted starts admitted requests at the service and drops refused ones.
 func (s *simulation) startAdmitted() {
 	var waiting []*simRequest
 
@@ -114,7 +113,7 @@
 			r.endsAt = s.now.Add(time.Duration(s.random.ExpFloat64() * float64(simMeanServiceTime)))
 			s.running = append(s.running, r)
 		default:
-			s.maxWait = max(s.maxWait, d.Waited)
+			s.maxRefusalWait = max(s.maxRefusalWait, d.Waited)
 		}
 	}
 
@@ -171,11 +170,11 @@
 		goodput:        good / simDuration.Seconds() / simCapacity,
 		smallInTime:    float64(s.inTime[1]) / float64(s.offered[1]),
 		wastedFraction: 1 - good/float64(s.admitted),
-		maxWait:        s.maxWait,
+		maxRefusalWait: s.maxRefusalWait,
 	}
 }
 
-// TestGoodput compares the policies at one, two and five times the capacity.
+// TestGoodput compares fair queueing with FIFO at one, two and five times the capacity.
 func TestGoodput(t *testing.T) {
 	tests := []struct {
 		loadFactor      float64
