--- a/controller/planner.go
+++ b/controller/planner.go
@@ -19,8 +19,8 @@
 type planner struct {
 	config      placement.Config
 	forecasters map[fleet.Service]*placement.Forecaster
-	refusals    *placement.Memory
-	reclaims    *placement.Memory
+	refusals    *placement.CellPenalties
+	reclaims    *placement.CellPenalties
 	measuredAt  time.Time
 	// reclaimed are the leaving instances that were noted.
 	reclaimed map[fleet.InstanceID]bool
@@ -32,8 +32,8 @@
 	return &planner{
 		config:      config,
 		forecasters: make(map[fleet.Service]*placement.Forecaster),
-		refusals:    config.NewMemory(),
-		reclaims:    config.NewMemory(),
+		refusals:    config.NewCellPenalties(),
+		reclaims:    config.NewCellPenalties(),
 		reclaimed:   make(map[fleet.InstanceID]bool),
 	}
 }
@@ -49,7 +49,7 @@
 	for _, s := range v.manifest.Services() {
 		f, ok := c.planner.forecasters[s.Name()]
 		if !ok {
-			f = placement.NewForecaster(serviceOf(v.manifest, s).Lead())
+			f = placement.NewForecaster(serviceOf(v.manifest, s).LeadTime())
 			c.planner.forecasters[s.Name()] = f
 		}
 
@@ -86,7 +86,7 @@
 			continue
 		}
 
-		have := c.reconciler.Have(s.Name())
+		have := c.reconciler.InstanceCounts(s.Name())
 		for cell, n := range h.foreign[s.Name()] {
 			have[cell] += n
 		}
@@ -94,7 +94,7 @@
 		state.Services = append(state.Services, placement.ServiceState{
 			Service:  serviceOf(v.manifest, s),
 			Forecast: c.planner.forecasters[s.Name()].Forecast(),
-			Have:     have,
+			InstanceCounts:     have,
 			Surge:    h.rollout.surge[s.Name()],
 		})
 	}
@@ -137,7 +137,7 @@
 		leaving[instance.ID] = true
 
 		if !c.planner.reclaimed[instance.ID] {
-			c.planner.reclaims.Note(v.now, cellOf(instance))
+			c.planner.reclaims.Add(v.now, cellOf(instance))
 		}
 	}
 
--- a/costing/foresight.go
+++ b/costing/foresight.go
@@ -64,7 +64,7 @@
 
 // Plan implements Planner.
 func (Foresight) Plan(v View) placement.Decision {
-	lead := int(v.Day.Service.Lead()/time.Minute) + 1
+	lead := int(v.Day.Service.LeadTime()/time.Minute) + 1
 	need := placement.Load{}
 
 	for minute := v.Minute; minute <= v.Minute+lead && minute < Minutes; minute++ {
@@ -82,7 +82,7 @@
 		Services: []placement.ServiceState{{
 			Service:  v.Day.Service,
 			Forecast: placement.Forecast{Now: v.Load, Need: need, Peak: need},
-			Have:     v.Have,
+			InstanceCounts:     v.Have,
 		}},
 	})
 }
--- a/placement/memory.go
+++ b/placement/memory.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Memory remembers in which cells a purchase was refused or an instance was
+// CellPenalties remembers in which cells a purchase was refused or an instance was
 // reclaimed. What it remembers loses half its weight every half-life.
-type Memory struct {
+type CellPenalties struct {
 	// HalfLife is the time in which a mark loses half its weight.
 	HalfLife time.Duration
 
@@ -22,8 +22,8 @@
 // maxWeight bounds how long many marks in a row are remembered.
 const maxWeight = 4
 
-// Note marks a cell.
-func (m *Memory) Note(now time.Time, cell Cell) {
+// Add marks a cell.
+func (m *CellPenalties) Add(now time.Time, cell Cell) {
 	if m.marks == nil {
 		m.marks = make(map[Cell]mark)
 	}
@@ -32,7 +32,7 @@
 }
 
 // Weight returns the weight of a cell at now: 0 where nothing is remembered.
-func (m *Memory) Weight(now time.Time, cell Cell) float64 {
+func (m *CellPenalties) Weight(now time.Time, cell Cell) float64 {
 	if m == nil {
 		return 0
 	}
@@ -47,8 +47,8 @@
 	return last.weight * math.Exp2(-halves)
 }
 
-// Since returns when a cell was last marked.
-func (m *Memory) Since(cell Cell) (time.Time, bool) {
+// LastAdded returns when a cell was last marked.
+func (m *CellPenalties) LastAdded(cell Cell) (time.Time, bool) {
 	if m == nil {
 		return time.Time{}, false
 	}
@@ -58,7 +58,7 @@
 	return last.at, ok
 }
 
-// Forget drops the mark of a cell, as after a purchase that went through.
-func (m *Memory) Forget(cell Cell) {
+// Clear drops the mark of a cell, as after a purchase that went through.
+func (m *CellPenalties) Clear(cell Cell) {
 	delete(m.marks, cell)
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -49,7 +49,7 @@
 			have[place] = rapid.IntRange(0, 3).Draw(t, "have")
 		}
 
-		s.Services[0].Have = have
+		s.Services[0].InstanceCounts = have
 		d := placement.Plan(start, s)
 
 		if got := remaining(d, ""); got < need {
@@ -78,8 +78,8 @@
 		})
 	}
 
-	s.Refusals = s.Config.NewMemory()
-	s.Refusals.Note(start, cheap)
+	s.Refusals = s.Config.NewCellPenalties()
+	s.Refusals.Add(start, cheap)
 
 	for _, tt := range []struct {
 		desc  string
--- a/placement/reconcile.go
+++ b/placement/reconcile.go
@@ -83,7 +83,7 @@
 	return []Command{r.append(now, Record{Step: StepClose, Token: intent.Token})}
 }
 
-func (r *Reconciler) drain(now time.Time, o *Observed) []Command {
+func (r *Reconciler) drain(now time.Time, o *ObservedInstance) []Command {
 	if o.DrainSince.IsZero() {
 		o.DrainSince = now
 		o.Idle = false
@@ -96,7 +96,7 @@
 	return []Command{DrainCommand{Instance: o.Instance.ID}}
 }
 
-func (r *Reconciler) release(now time.Time, o *Observed) []Command {
+func (r *Reconciler) release(now time.Time, o *ObservedInstance) []Command {
 	if !o.releasedAt.IsZero() && now.Sub(o.releasedAt) < r.BuyRetry {
 		return nil
 	}
@@ -175,7 +175,7 @@
 // closed: each may have an instance, or get one. Purchases beyond what is needed
 // wait for a change of the hour.
 func (r *Reconciler) open(now time.Time, limit Limit, targets []Target) []Command {
-	have := r.Have(limit.Service)
+	have := r.InstanceCounts(limit.Service)
 	held := r.held(limit.Service)
 	moves := r.ChangesPerHour - r.ledger.Moves(now)
 	useful := 0
@@ -231,7 +231,7 @@
 // and the hour's changes are not used up. At the limit, where a replacement
 // cannot come first, one ready instance goes before its replacement comes.
 func (r *Reconciler) retireSurplus(now time.Time, limit Limit, wanted map[Cell]int, total int) []Command {
-	have := r.Have(limit.Service)
+	have := r.InstanceCounts(limit.Service)
 	allowed := allowance{
 		ready:   r.ready(limit.Service),
 		enough:  total,
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -27,14 +27,14 @@
 	// bought to save money, in an hour over all services. The log keeps the count, so a new holder goes on with it.
 	ChangesPerHour int
 	// Refusals is told of every refused purchase; it may be nil.
-	Refusals *Memory
+	Refusals *CellPenalties
 
 	ledger   *Ledger
 	fence    lease.Fence
 	sequence uint64
 	pending  map[uint64]Record
 	calls    map[Token]*call
-	seen     map[Token]*Observed
+	seen     map[Token]*ObservedInstance
 	listing  listing
 	// appendedAt is when a record was last appended.
 	appendedAt time.Time
@@ -71,7 +71,7 @@
 		ledger:         NewLedger(),
 		pending:        make(map[uint64]Record),
 		calls:          make(map[Token]*call),
-		seen:           make(map[Token]*Observed),
+		seen:           make(map[Token]*ObservedInstance),
 	}
 }
 
@@ -106,8 +106,8 @@
 	}
 }
 
-// Bought takes in the answer to a purchase.
-func (r *Reconciler) Bought(now time.Time, token Token, outcome Outcome, instance provider.Instance) {
+// PurchaseFinished takes in the answer to a purchase.
+func (r *Reconciler) PurchaseFinished(now time.Time, token Token, outcome Outcome, instance provider.Instance) {
 	c, ok := r.calls[token]
 	if !ok {
 		return
@@ -130,8 +130,8 @@
 	}
 }
 
-// Listed takes in the answer to a listing.
-func (r *Reconciler) Listed(number uint64, instances []provider.Instance) {
+// ListFinished takes in the answer to a listing.
+func (r *Reconciler) ListFinished(number uint64, instances []provider.Instance) {
 	if number <= r.listing.done {
 		return
 	}
@@ -175,8 +175,8 @@
 	}
 }
 
-// Have counts what each cell of a service holds or is about to, for a plan.
-func (r *Reconciler) Have(service fleet.Service) map[Cell]int {
+// InstanceCounts counts what each cell of a service holds or is about to, for a plan.
+func (r *Reconciler) InstanceCounts(service fleet.Service) map[Cell]int {
 	result := make(map[Cell]int)
 
 	for _, intent := range r.ledger.Intents() {
@@ -189,8 +189,8 @@
 }
 
 // Instances returns the instances that belong to intents, oldest first.
-func (r *Reconciler) Instances(service fleet.Service) []Observed {
-	var result []Observed
+func (r *Reconciler) Instances(service fleet.Service) []ObservedInstance {
+	var result []ObservedInstance
 
 	for _, intent := range r.ledger.Intents() {
 		if o, ok := r.seen[intent.Token]; ok && intent.Service == service {
@@ -268,7 +268,7 @@
 		return
 	}
 
-	r.seen[token] = &Observed{Instance: instance}
+	r.seen[token] = &ObservedInstance{Instance: instance}
 }
 
 // gone notes that an instance was there and is no more.
@@ -290,14 +290,14 @@
 func (r *Reconciler) noteRefusal(now time.Time, token Token) {
 	intent, ok := r.ledger.intents[token]
 	if ok && r.Refusals != nil {
-		r.Refusals.Note(now, intent.Cell)
+		r.Refusals.Add(now, intent.Cell)
 	}
 }
 
 func (r *Reconciler) forgetRefusal(token Token) {
 	intent, ok := r.ledger.intents[token]
 	if ok && r.Refusals != nil {
-		r.Refusals.Forget(intent.Cell)
+		r.Refusals.Clear(intent.Cell)
 	}
 }
 
