--- a/controller/planner.go
+++ b/controller/planner.go
@@ -75,11 +75,11 @@
 		Reclaims: c.planner.reclaims,
 	}
 
-	var unmanaged []placement.Line
+	var unmanaged []placement.Explanation
 
 	for _, s := range v.manifest.Services() {
 		if s.Capacity().Max() == 0 {
-			unmanaged = append(unmanaged, placement.Line{
+			unmanaged = append(unmanaged, placement.Explanation{
 				Service: s.Name(), Text: "left as it is: the manifest bounds no number of servers for it",
 			})
 
@@ -92,15 +92,15 @@
 		}
 
 		state.Services = append(state.Services, placement.ServiceState{
-			Service:  serviceOf(v.manifest, s),
-			Forecast: c.planner.forecasters[s.Name()].Forecast(),
-			InstanceCounts:     have,
-			Surge:    h.rollout.surge[s.Name()],
+			Service:        serviceOf(v.manifest, s),
+			Forecast:       c.planner.forecasters[s.Name()].Forecast(),
+			InstanceCounts: have,
+			Surge:          h.rollout.surge[s.Name()],
 		})
 	}
 
 	h.decision = placement.Plan(v.now, state)
-	h.decision.Lines = append(h.decision.Lines, unmanaged...)
+	h.decision.Explanations = append(h.decision.Explanations, unmanaged...)
 }
 
 // foreign counts by service and cell the instances that are not this system's
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -15,14 +15,14 @@
 // engine is a runner that loads what it is ordered to and checks fences.
 type engine struct {
 	id      fleet.InstanceID
-	holding placement.Holding
+	holding placement.EngineSpec
 	fence   lease.Fence
 	ready   bool
 	loading int
 	busy    int
 }
 
-func (e *engine) take(fence lease.Fence, holding placement.Holding) {
+func (e *engine) take(fence lease.Fence, holding placement.EngineSpec) {
 	if fence < e.fence {
 		return
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-func version(v string) placement.Holding {
-	return placement.Holding{Model: "ledger", Version: fleet.ModelVersion(v)}
+func version(v string) placement.EngineSpec {
+	return placement.EngineSpec{Model: "ledger", Version: fleet.ModelVersion(v)}
 }
 
 // fleetOfEngines runs a rollout with delayed orders and changes of the holder.
@@ -51,14 +51,14 @@
 type rolloutHolder struct {
 	fence     lease.Fence
 	rollout   *placement.Rollout
-	corrector *lease.Corrector[placement.Holding]
+	corrector *lease.Corrector[placement.EngineSpec]
 }
 
 func newRolloutHolder(fence lease.Fence) *rolloutHolder {
 	return &rolloutHolder{
 		fence:     fence,
 		rollout:   &placement.Rollout{DrainTimeout: 5 * time.Second, MaxUnavailable: 2},
-		corrector: &lease.Corrector[placement.Holding]{ReadInterval: second, RetryInterval: 2 * second, MaxOrderDelay: 3 * second},
+		corrector: &lease.Corrector[placement.EngineSpec]{ReadInterval: second, RetryInterval: 2 * second, MaxOrderDelay: 3 * second},
 	}
 }
 
@@ -80,7 +80,7 @@
 	var result []placement.Runner
 	for _, e := range f.engines {
 		result = append(result, placement.Runner{
-			Instance: e.id, Holding: e.holding, Ready: e.ready, Idle: e.busy == 0, Settled: e.fence == fence,
+			Instance: e.id, Spec: e.holding, Ready: e.ready, Idle: e.busy == 0, Settled: e.fence == fence,
 		})
 	}
 
@@ -89,7 +89,7 @@
 
 // send delivers an order late if its sender is paused. At times the answer is
 // lost, and the order lands within the flight after its call ended.
-func (f *fleetOfEngines) send(h *rolloutHolder, a lease.Action[placement.Holding]) {
+func (f *fleetOfEngines) send(h *rolloutHolder, a lease.Action[placement.EngineSpec]) {
 	e := f.find(a.Target)
 	delay := rapid.IntRange(0, 2).Draw(f.t, "delay")
 
@@ -167,7 +167,7 @@
 			})
 		}
 
-		wanted := placement.Service{Name: service, Holding: version("2")}
+		wanted := placement.Service{Name: service, Spec: version("2")}
 		holders := []*rolloutHolder{newRolloutHolder(1)}
 
 		for f.step = 0; f.step < 250; f.step++ {
@@ -184,11 +184,11 @@
 		}
 
 		for _, e := range f.engines {
-			if len(f.engines) > 1 && e.holding != wanted.Holding {
-				t.Errorf("%s: got version %s, want %s", e.id, e.holding.Version, wanted.Holding.Version)
+			if len(f.engines) > 1 && e.holding != wanted.Spec {
+				t.Errorf("%s: got version %s, want %s", e.id, e.holding.Version, wanted.Spec.Version)
 			}
 
-			if e.holding == wanted.Holding {
+			if e.holding == wanted.Spec {
 				moved++
 			}
 		}
@@ -204,7 +204,7 @@
 func (f *fleetOfEngines) act(h *rolloutHolder, wanted placement.Service) {
 	all := func(fleet.InstanceID) bool { return true }
 	for _, a := range h.rollout.Step(f.now(), wanted, f.runners(h.fence), all) {
-		h.corrector.SetDesired(a.Instance, a.Holding)
+		h.corrector.SetDesired(a.Instance, a.Spec)
 	}
 
 	for _, a := range h.corrector.Step(f.now(), h.fence) {
@@ -215,6 +215,6 @@
 		}
 
 		e := f.find(a.Target)
-		h.corrector.Observe(a.Target, lease.Readback[placement.Holding]{State: e.holding, Fence: e.fence, ChecksFence: true})
+		h.corrector.Observe(a.Target, lease.Readback[placement.EngineSpec]{State: e.holding, Fence: e.fence, ChecksFence: true})
 	}
 }
