--- a/dispatch/answers.go
+++ b/dispatch/answers.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Continue continues an answer that another entry instance left.
+// Continue continues an answer whose owner, another entry instance, no longer runs it.
 func (a *Answers) Continue(c answer.Continue) {
 	a.run(c.Request, c.Epoch, c.Kept, true, func(answer.Result) {})
 }
@@ -119,25 +119,25 @@
 		a.running = make(map[answer.RequestID]*runningAnswer)
 	}
 
-	own := &runningAnswer{epoch: epoch, cancel: cancel, done: ctx.Done(), async: async}
-	a.running[r.ID] = own
+	running := &runningAnswer{epoch: epoch, cancel: cancel, done: ctx.Done(), async: async}
+	a.running[r.ID] = running
 	a.mu.Unlock()
 
 	a.group.Go(func() {
 		defer cancel()
 
 		result := a.Runner.Continue(ctx, r, epoch, tokens, a.Replicator.Sink(r.ID, epoch))
-		a.remove(r.ID, own)
+		a.remove(r.ID, running)
 		ended(result)
 	})
 }
 
 // remove removes an answer, unless a later ownership has replaced it.
-func (a *Answers) remove(id answer.RequestID, own *runningAnswer) {
+func (a *Answers) remove(id answer.RequestID, running *runningAnswer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	if a.running[id] == own {
+	if a.running[id] == running {
 		delete(a.running, id)
 	}
 }
@@ -177,9 +177,9 @@
 	a.mu.Unlock()
 
 	a.group.Go(func() {
-		for left := a.GracePeriod; left > 0; left = a.abandonUnread(id, r, release) {
+		for remaining := a.GracePeriod; remaining > 0; remaining = a.abandonUnread(id, r, release) {
 			select {
-			case <-a.Clock.After(left):
+			case <-a.Clock.After(remaining):
 			case <-r.done:
 				return
 			}
@@ -203,15 +203,15 @@
 // instance during the grace period, it returns the time until the next check.
 func (a *Answers) abandonUnread(id answer.RequestID, r *runningAnswer, release int) time.Duration {
 	a.mu.Lock()
-	left := r.followedElsewhereAt.Add(a.GracePeriod).Sub(a.Clock.Now())
-	wanted := a.running[id] != r || r.followers > 0 || r.releases != release
+	remaining := r.followedElsewhereAt.Add(a.GracePeriod).Sub(a.Clock.Now())
+	obsolete := a.running[id] != r || r.followers > 0 || r.releases != release
 	a.mu.Unlock()
 
 	switch {
-	case wanted:
+	case obsolete:
 		return 0
-	case left > 0:
-		return left
+	case remaining > 0:
+		return remaining
 	}
 
 	a.Replicator.Abandon(id, r.epoch)
--- a/dispatch/failover.go
+++ b/dispatch/failover.go
@@ -60,8 +60,8 @@
 // that a server that hangs does not use up the deadline. The timeout is at least twice
 // the latency target.
 func (f *failover) sendNextBounded(parent context.Context) (backend.Reply, error) {
-	left := f.request.Deadline.Sub(f.plain.Clock.Now())
-	timeout := max(left/attemptDivisor, minAttemptTargets*f.request.Kind.LatencyTarget().Whole())
+	remaining := f.request.Deadline.Sub(f.plain.Clock.Now())
+	timeout := max(remaining/attemptDivisor, minAttemptTargets*f.request.Kind.LatencyTarget().Whole())
 
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	defer cancel()
--- a/dispatch/fixture_test.go
+++ b/dispatch/fixture_test.go
@@ -72,7 +72,7 @@
 	return listings, nil
 }
 
-func (f *fakeFleet) sent() int {
+func (f *fakeFleet) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
--- a/dispatch/plain_test.go
+++ b/dispatch/plain_test.go
@@ -20,7 +20,7 @@
 	nonIdempotentCall fleet.CallKind = "submit-bank-file"
 )
 
-var replied = backend.Reply{Status: http.StatusOK}
+var okReply = backend.Reply{Status: http.StatusOK}
 
 func TestIdempotentCallLeavesHangingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -31,7 +31,7 @@
 				return backend.Reply{}, ctx.Err()
 			}
 
-			return replied, nil
+			return okReply, nil
 		}}
 		p, _ := newPlain(t, f)
 
@@ -75,7 +75,7 @@
 					t.Errorf("refusal: got %v, want %s and %s", refused, tt.want, tt.run)
 				}
 
-				if got := f.sent(); got != tt.sent {
+				if got := f.callCount(); got != tt.sent {
 					t.Errorf("sent: got %d times, want %d", got, tt.sent)
 				}
 			})
@@ -99,7 +99,7 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &fakeFleet{do: func(_ context.Context, n int) (backend.Reply, error) { return replied, tt.errs[n] }}
+				f := &fakeFleet{do: func(_ context.Context, n int) (backend.Reply, error) { return okReply, tt.errs[n] }}
 				p, claims := newPlain(t, f)
 				p.Call(t.Context(), newRequest(t, nonIdempotentCall, 30*time.Second))
 
@@ -107,7 +107,7 @@
 					t.Errorf("outcome: got %v, want %v", claims.err, tt.want)
 				}
 
-				if got := f.sent(); got != tt.sent {
+				if got := f.callCount(); got != tt.sent {
 					t.Errorf("sent: got %d times, want %d", got, tt.sent)
 				}
 			})
@@ -124,7 +124,7 @@
 
 			select {
 			case <-time.After(time.Second):
-				return replied, nil
+				return okReply, nil
 			case <-ctx.Done():
 				return backend.Reply{}, ctx.Err()
 			}
--- a/gateway/client_test.go
+++ b/gateway/client_test.go
@@ -285,7 +285,7 @@
 				t.Errorf("Retry-After is set: got %v, want %v", got, tt.retryAfter)
 			}
 
-			if got, bound := time.Since(start), 5*time.Second; got > bound {
+			if got, limit := time.Since(start), 5*time.Second; got > limit {
 				t.Errorf("refused after: got %v, want an immediate refusal", got)
 			}
 		})
--- a/gateway/deadline.go
+++ b/gateway/deadline.go
@@ -22,7 +22,7 @@
 // fallback from now if the request has neither.
 func requestDeadline(h http.Header, now time.Time, fallback time.Duration) (time.Time, *refusal.Refusal) {
 	deadline := now.Add(fallback)
-	bounded := false
+	hasTimeout := false
 
 	if text := h.Get(HeaderTimeout); text != "" {
 		d, err := time.ParseDuration(text)
@@ -31,7 +31,7 @@
 		}
 
 		deadline = now.Add(d)
-		bounded = true
+		hasTimeout = true
 	}
 
 	if text := h.Get(HeaderDeadline); text != "" {
@@ -40,7 +40,7 @@
 			return time.Time{}, refusal.New(refusal.BadRequest, "%s must be a time in RFC 3339", HeaderDeadline)
 		}
 
-		if !bounded || parsed.Before(deadline) {
+		if !hasTimeout || parsed.Before(deadline) {
 			deadline = parsed
 		}
 	}
--- a/gateway/engine_tap_test.go
+++ b/gateway/engine_tap_test.go
@@ -32,7 +32,7 @@
 		defer func() { e.ended <- struct{}{} }()
 
 		if e.blockAfter > 0 {
-			w = &blockingWriter{ResponseWriter: w, left: e.blockAfter, release: r.Context().Done()}
+			w = &blockingWriter{ResponseWriter: w, remaining: e.blockAfter, release: r.Context().Done()}
 		}
 
 		e.handler.ServeHTTP(w, r)
@@ -47,17 +47,17 @@
 // blockingWriter blocks after a number of writes until release is closed.
 type blockingWriter struct {
 	http.ResponseWriter
-	left    int
-	release <-chan struct{}
+	remaining int
+	release   <-chan struct{}
 }
 
 func (w *blockingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 func (w *blockingWriter) Write(p []byte) (int, error) {
-	if w.left == 0 {
+	if w.remaining == 0 {
 		<-w.release
 	} else {
-		w.left--
+		w.remaining--
 	}
 
 	return w.ResponseWriter.Write(p)
--- a/gateway/relay_bench_test.go
+++ b/gateway/relay_bench_test.go
@@ -113,8 +113,8 @@
 func TestRelayedTokenCostsOneAllocation(t *testing.T) {
 	const (
 		tokens = 10_000
-		// bound allows for the fixed allocations of a request.
-		bound = 1.1
+		// maxPerToken allows for the fixed allocations of a request.
+		maxPerToken = 1.1
 	)
 
 	g := newGateway(t)
@@ -125,8 +125,8 @@
 		}
 	})
 
-	if got := allocations / tokens; got > bound {
-		t.Errorf("allocations per token: got %.2f, want at most %.1f", got, bound)
+	if got := allocations / tokens; got > maxPerToken {
+		t.Errorf("allocations per token: got %.2f, want at most %.1f", got, maxPerToken)
 	}
 }
 
