--- a/claim/keeper_test.go
+++ b/claim/keeper_test.go
@@ -21,7 +21,7 @@
 // entries is several entry instances over one log.
 type entries struct {
 	log     *memoryLog
-	keepers []*Keeper
+	keepers []*Executor
 	stop    func()
 }
 
@@ -35,11 +35,11 @@
 		client := &logstream.Client{
 			Log: e.log, Clock: clock.System{}, Stream: "claims", Writer: id, Incarnation: 1, Retention: 2 * time.Hour,
 		}
-		keeper := &Keeper{
-			Journal:    client,
+		keeper := &Executor{
+			Log:    client,
 			Clock:      clock.System{},
 			Config:     Config{Self: id, Incarnation: 1},
-			KeepHeader: []string{"Content-Type"},
+			StoredHeaders: []string{"Content-Type"},
 		}
 		client.Subscribers = []logstream.Subscriber{keeper}
 		e.keepers = append(e.keepers, keeper)
