--- a/admission/shares_holds_test.go
+++ b/admission/shares_holds_test.go
@@ -30,7 +30,7 @@
 	lastSent    []time.Time
 }
 
-// message is a digest or, with join set, the news of a member.
+// message is a digest or, if join is set, the notification that a member joined.
 type message struct {
 	deliverAt time.Time
 	from, to  int
@@ -38,8 +38,7 @@
 	join      bool
 }
 
-// shareModel is a set of entry instances whose digests are delayed, lost,
-// repeated and reordered.
+// shareModel is a set of entry instances whose digests are delayed, lost, duplicated and reordered.
 type shareModel struct {
 	now         time.Time
 	members     []*modelMember
@@ -63,7 +62,7 @@
 		t.Fatalf("configure: %v", err)
 	}
 
-	member := &modelMember{c: c, id: c.Instance, skew: skew, partition: rapid.IntRange(0, 1).Draw(t, "side")}
+	member := &modelMember{c: c, id: c.Instance, skew: skew, partition: rapid.IntRange(0, 1).Draw(t, "partition")}
 	m.members = append(m.members, member)
 
 	for j := range m.members {
@@ -114,15 +113,16 @@
 		return
 	}
 
-	reached := &m.members[from].lastSent[to]
+	lastSent := &m.members[from].lastSent[to]
 	delay := time.Duration(rapid.IntRange(0, 15).Draw(t, "delay")) * modelStep
 
-	// A loss that lasts is a cut, which is drawn apart.
-	if m.now.Sub(*reached) < modelMemberTimeout/2 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+	// Losses do not last longer than half the member timeout: a longer one is a partition, which
+	// is drawn separately.
+	if m.now.Sub(*lastSent) < modelMemberTimeout/2 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 		return
 	}
 
-	*reached = m.now
+	*lastSent = m.now
 	for range rapid.IntRange(1, 2).Draw(t, "copies") {
 		m.messages = append(m.messages, message{deliverAt: m.now.Add(delay), from: from, to: to, digest: digest})
 	}
@@ -153,7 +153,7 @@
 }
 
 func (m *shareModel) injectFault(t *rapid.T) {
-	member := m.members[rapid.IntRange(0, len(m.members)-1).Draw(t, "upset")]
+	member := m.members[rapid.IntRange(0, len(m.members)-1).Draw(t, "faultyMember")]
 
 	switch rapid.IntRange(0, 30).Draw(t, "fault") {
 	case 0:
@@ -167,7 +167,7 @@
 	}
 }
 
-// maxTotalShare is the part of a limit that all living instances hold together, for the
+// maxTotalShare returns the fraction of a limit that all running instances hold together, for the
 // account of which they hold the most.
 func (m *shareModel) maxTotalShare() float64 {
 	var first, second float64
@@ -203,14 +203,15 @@
 		}
 
 		partitionAt := -1
-		if rapid.Bool().Draw(t, "isCut") {
-			partitionAt = rapid.IntRange(20, 40).Draw(t, "cutAt")
+		if rapid.Bool().Draw(t, "isPartitioned") {
+			partitionAt = rapid.IntRange(20, 40).Draw(t, "partitionAt")
 		}
 
 		want := 1.0
 
 		for i := range 160 {
-			// Both sides may use all until each has noticed that the other is gone.
+			// While the members of the other side time out one by one, each side may see a majority
+			// and use the whole limit. After that, a minority counts the silent members again.
 			if i == partitionAt {
 				m.partitioned, want = true, 2
 			}
