--- a/controller/purchases.go
+++ b/controller/purchases.go
@@ -39,7 +39,7 @@
 		c.append(kindIntent, command.Record)
 	case placement.ListCommand:
 		c.callList(ctx, c.holding.fence, func(instances []provider.Instance) {
-			c.reconciler.Listed(command.Number, instances)
+			c.reconciler.ListFinished(command.Number, instances)
 		})
 	case placement.BuyCommand:
 		c.buy(ctx, c.holding.fence, command)
@@ -69,7 +69,7 @@
 			return
 		}
 
-		c.reconciler.Bought(c.Clock.Now(), command.Token, outcome, instance)
+		c.reconciler.PurchaseFinished(c.Clock.Now(), command.Token, outcome, instance)
 
 		if outcome == placement.OutcomeRefused {
 			// The plan was made without knowing of it.
