--- a/placement/rollout_step_test.go
+++ b/placement/rollout_step_test.go
@@ -10,11 +10,11 @@
 
 func TestRolloutDrains(t *testing.T) {
 	old, wanted := version("1"), version("2")
-	ready := placement.Runner{Instance: "a", Holding: old, Ready: true, Settled: true}
-	second := placement.Runner{Instance: "b", Holding: old, Ready: true, Settled: true}
-	unsettled := placement.Runner{Instance: "b", Holding: old, Ready: true}
-	leaving := placement.Runner{Instance: "b", Holding: old, Ready: true, Settled: true, Leaving: true}
-	loading := placement.Runner{Instance: "b", Holding: wanted, Settled: true}
+	ready := placement.Runner{Instance: "a", Spec: old, Ready: true, Settled: true}
+	second := placement.Runner{Instance: "b", Spec: old, Ready: true, Settled: true}
+	unsettled := placement.Runner{Instance: "b", Spec: old, Ready: true}
+	leaving := placement.Runner{Instance: "b", Spec: old, Ready: true, Settled: true, Leaving: true}
+	loading := placement.Runner{Instance: "b", Spec: wanted, Settled: true}
 
 	for _, tt := range []struct {
 		desc  string
@@ -30,7 +30,7 @@
 			r := &placement.Rollout{DrainTimeout: time.Minute, MaxUnavailable: 1}
 			all := func(fleet.InstanceID) bool { return true }
 
-			assignments := r.Step(start, placement.Service{Holding: wanted}, []placement.Runner{ready, tt.other}, all)
+			assignments := r.Step(start, placement.Service{Spec: wanted}, []placement.Runner{ready, tt.other}, all)
 			if got := assignments[0].Drain; got != tt.want {
 				t.Errorf("drains: got %v, want %v: %s", got, tt.want, assignments[0].Reason)
 			}
