--- a/dispatch/failover.go
+++ b/dispatch/failover.go
@@ -113,7 +113,7 @@
 func (f *failover) pick() (routing.Choice, *discovery.Server, error) {
 	request := routing.NewRequest(routing.NewKey(f.request.Service, "", "", ""))
 	if f.request.Kind.Idempotent() {
-		request = request.WithRepeatable()
+		request = request.WithIdempotent()
 	}
 
 	excluded := f.tried
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -60,7 +60,7 @@
 		Excluding(q.Exclude).
 		WithPrefix(q.PromptPrefix).
 		Preferring(q.Prefer).
-		WithRepeatable()
+		WithIdempotent()
 }
 
 // choose picks servers until one of them has not begun to leave since it was picked,
--- a/routing/comparison/table.go
+++ b/routing/comparison/table.go
@@ -63,7 +63,7 @@
 
 // Choose implements Chooser.
 func (c *tableChooser) Choose(now time.Duration, prefix uint64) (int, Answered) {
-	request := routing.NewRequest(engineKey).WithPrefix(prefix).WithRepeatable()
+	request := routing.NewRequest(engineKey).WithPrefix(prefix).WithIdempotent()
 
 	choice, err := c.table.Pick(start.Add(now), c.random, request)
 	if err != nil {
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -30,7 +30,7 @@
 	}
 
 	for range rapid.IntRange(1, 200).Draw(t, "calls") {
-		choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithRepeatable())
+		choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithIdempotent())
 		if err != nil || !choice.Sent(m.now) {
 			continue
 		}
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -58,7 +58,7 @@
 func deaf(c Choice, now time.Time)    { c.Failed(now, FailDial) }
 
 func TestFaultyServerIsEjectedAndReadmitted(t *testing.T) {
-	repeatable := NewRequest(testKey).WithRepeatable()
+	repeatable := NewRequest(testKey).WithIdempotent()
 
 	tests := []struct {
 		desc    string
@@ -141,7 +141,7 @@
 
 // TestProbesDoNotPileUp gives an ejected server probes that it doesn't answer.
 func TestProbesDoNotPileUp(t *testing.T) {
-	s := &serving{table: newTestTable(9, 4), now: testStart, request: NewRequest(testKey).WithRepeatable(), faulty: testID(4), fault: deaf}
+	s := &serving{table: newTestTable(9, 4), now: testStart, request: NewRequest(testKey).WithIdempotent(), faulty: testID(4), fault: deaf}
 	s.run(t, 10*time.Second)
 
 	s.got = 0
--- a/routing/leaving_test.go
+++ b/routing/leaving_test.go
@@ -92,7 +92,7 @@
 }
 
 func (m *leavingModel) pick(t *rapid.T) {
-	choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithRepeatable().WithPrefix(7))
+	choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithIdempotent().WithPrefix(7))
 	if err != nil || !choice.Sent(m.now) {
 		return
 	}
--- a/routing/pick_bench_test.go
+++ b/routing/pick_bench_test.go
@@ -17,7 +17,7 @@
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			table := newTestTable(size, 8)
 			random := newTestRandom()
-			request := NewRequest(testKey).WithRepeatable()
+			request := NewRequest(testKey).WithIdempotent()
 			b.ReportAllocs()
 
 			for b.Loop() {
@@ -117,7 +117,7 @@
 func TestPickAllocatesNothing(t *testing.T) {
 	table := newTestTable(1600, 8)
 	random := newTestRandom()
-	request := NewRequest(testKey).WithPrefix(42).WithRepeatable()
+	request := NewRequest(testKey).WithPrefix(42).WithIdempotent()
 
 	got := testing.AllocsPerRun(1000, func() {
 		_, _ = table.Pick(testStart, random, request)
--- a/routing/request.go
+++ b/routing/request.go
@@ -32,8 +32,8 @@
 	return r
 }
 
-// WithRepeatable allows the request to probe an ejected server.
-func (r Request) WithRepeatable() Request {
+// WithIdempotent allows the request to probe an ejected server.
+func (r Request) WithIdempotent() Request {
 	r.repeatable = true
 
 	return r
