--- a/dispatch/failover.go
+++ b/dispatch/failover.go
@@ -127,7 +127,7 @@
 		}
 
 		server, ok := f.plain.Directory.Server(choice.ID())
-		if ok && choice.Sent(f.plain.Clock.Now()) {
+		if ok && choice.Begin(f.plain.Clock.Now()) {
 			return choice, server, nil
 		}
 
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -73,7 +73,7 @@
 		}
 
 		start := p.Clock.Now()
-		if choice.Sent(start) {
+		if choice.Begin(start) {
 			return answer.Choice{Server: choice.ID(), Release: p.release(choice, start)}, true
 		}
 	}
--- a/routing/choice.go
+++ b/routing/choice.go
@@ -35,10 +35,10 @@
 // Leaving tells whether the picked server is known to leave by now.
 func (c Choice) Leaving() bool { return c.server.leaving.Load() }
 
-// Sent counts the request as in flight, right before the attempt, dialling
+// Begin counts the request as in flight, right before the attempt, dialling
 // included. One call of Done or Failed must follow. It returns false, and counts nothing, if the server began to leave after it
 // was picked; the request must not be sent to it then.
-func (c Choice) Sent(now time.Time) bool {
+func (c Choice) Begin(now time.Time) bool {
 	if !c.server.begin(now) {
 		return false
 	}
--- a/routing/comparison/table.go
+++ b/routing/comparison/table.go
@@ -70,7 +70,7 @@
 		panic(err) // No server of the model ever leaves.
 	}
 
-	choice.Sent(start.Add(now))
+	choice.Begin(start.Add(now))
 
 	return c.servers[choice.ID()], func(now, latency time.Duration, tokens int) {
 		choice.Done(start.Add(now), latency, tokens)
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -33,7 +33,7 @@
 					choice, err := table.Pick(testStart, random, NewRequest(testKey).WithPrefix(7))
 					before := drained.Load()
 
-					if err != nil || !choice.Sent(testStart) {
+					if err != nil || !choice.Begin(testStart) {
 						continue
 					}
 
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -31,7 +31,7 @@
 
 	for range rapid.IntRange(1, 200).Draw(t, "calls") {
 		choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithIdempotent())
-		if err != nil || !choice.Sent(m.now) {
+		if err != nil || !choice.Begin(m.now) {
 			continue
 		}
 
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -34,7 +34,7 @@
 		s.now = s.now.Add(servingStep)
 
 		choice, err := s.table.Pick(s.now, random, s.request)
-		if err != nil || !choice.Sent(s.now) {
+		if err != nil || !choice.Begin(s.now) {
 			t.Fatalf("no server: %v", err)
 		}
 
@@ -102,7 +102,7 @@
 		now = now.Add(servingStep)
 
 		choice, err := table.Pick(now, random, NewRequest(testKey))
-		if err != nil || !choice.Sent(now) {
+		if err != nil || !choice.Begin(now) {
 			t.Fatalf("no server: %v", err)
 		}
 
@@ -122,7 +122,7 @@
 	random := newTestRandom()
 
 	choice, _ := table.Pick(testStart, random, NewRequest(testKey))
-	choice.Sent(testStart)
+	choice.Begin(testStart)
 	choice.Failed(testStart, FailDial)
 	table.Tick(testStart, random)
 
--- a/routing/leaving_test.go
+++ b/routing/leaving_test.go
@@ -93,7 +93,7 @@
 
 func (m *leavingModel) pick(t *rapid.T) {
 	choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithIdempotent().WithPrefix(7))
-	if err != nil || !choice.Sent(m.now) {
+	if err != nil || !choice.Begin(m.now) {
 		return
 	}
 
@@ -151,7 +151,7 @@
 		}
 
 		choice, err := table.Pick(now, random, NewRequest(testKey))
-		if err != nil || !choice.Sent(now) {
+		if err != nil || !choice.Begin(now) {
 			t.Fatalf("no server at %v: %v", at, err)
 		}
 
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -37,7 +37,7 @@
 
 			for _, at := range tt.sent {
 				choice, _ := table.Pick(start.Add(at), newTestRandom(), NewRequest(testKey))
-				choice.Sent(start.Add(at))
+				choice.Begin(start.Add(at))
 				choices = append(choices, choice)
 			}
 
--- a/routing/pick_bench_test.go
+++ b/routing/pick_bench_test.go
@@ -38,7 +38,7 @@
 
 			for range 3 {
 				choice, _ := table.Pick(testStart, random, request)
-				choice.Sent(testStart)
+				choice.Begin(testStart)
 			}
 
 			b.ReportAllocs()
@@ -80,7 +80,7 @@
 
 	for b.Loop() {
 		choice, _ := table.Pick(testStart, random, request)
-		choice.Sent(testStart)
+		choice.Begin(testStart)
 		choice.Done(testStart, time.Millisecond, 0)
 	}
 }
