--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -194,7 +194,7 @@
 	}
 
 	if !again {
-		w.Table.Leave(w.Clock.Now(), id, source)
+		w.Table.MarkLeaving(w.Clock.Now(), id, source)
 		klog.InfoS("backend server is leaving", "instance", id, "source", source, "at", at)
 	}
 
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -51,7 +51,7 @@
 			})
 		}
 
-		table.Leave(testStart, leaving, SourceNotice)
+		table.MarkLeaving(testStart, leaving, SourceNotice)
 
 		for !drained.Load() {
 			table.Tick(testStart, rand.NewPCG(uint64(round), workers))
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -52,7 +52,7 @@
 }
 
 func (m *ejectionModel) leave(t *rapid.T) {
-	m.table.Leave(m.now, testID(rapid.IntRange(0, m.size-1).Draw(t, "server")), SourceNotice)
+	m.table.MarkLeaving(m.now, testID(rapid.IntRange(0, m.size-1).Draw(t, "server")), SourceNotice)
 }
 
 func (m *ejectionModel) check(t *rapid.T) {
--- a/routing/leaving_test.go
+++ b/routing/leaving_test.go
@@ -88,7 +88,7 @@
 	source := rapid.SampledFrom([]Source{SourceNotice, SourcePeer}).Draw(t, "source")
 
 	m.learn(id)
-	m.table.Leave(m.now, id, source)
+	m.table.MarkLeaving(m.now, id, source)
 }
 
 func (m *leavingModel) pick(t *rapid.T) {
@@ -136,7 +136,7 @@
 	leaving := testID(3)
 	last := time.Duration(-1)
 
-	table.Leave(testStart, leaving, SourceNotice)
+	table.MarkLeaving(testStart, leaving, SourceNotice)
 
 	for at := time.Duration(0); at < 2*lag; at += step {
 		now := testStart.Add(at)
--- a/routing/preferred_test.go
+++ b/routing/preferred_test.go
@@ -36,7 +36,7 @@
 			})
 
 			if tt.leaving {
-				table.Leave(now, "b", SourceNotice)
+				table.MarkLeaving(now, "b", SourceNotice)
 			}
 
 			random := rand.New(rand.NewPCG(1, 1))
--- a/routing/update.go
+++ b/routing/update.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Leave takes in the news that a server is leaving, whether it is known yet or not.
-func (t *Table) Leave(now time.Time, id fleet.InstanceID, source Source) {
+// MarkLeaving takes in the news that a server is leaving, whether it is known yet or not.
+func (t *Table) MarkLeaving(now time.Time, id fleet.InstanceID, source Source) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prepare()
