--- a/daemon/peer_members.go
+++ b/daemon/peer_members.go
@@ -41,7 +41,7 @@
 	}
 
 	p.replicator.SetMembers(others)
-	p.table.UpdateEntries(now, len(others)+1)
+	p.table.UpdateEntryCount(now, len(others)+1)
 	p.forgetGone(view, live)
 }
 
--- a/routing/comparison/table.go
+++ b/routing/comparison/table.go
@@ -51,7 +51,7 @@
 		}
 
 		c.table.UpdateList(start, listings)
-		c.table.UpdateEntries(start, s.Entries)
+		c.table.UpdateEntryCount(start, s.Entries)
 
 		for _, id := range c.ids {
 			c.table.Report(start, id, backend.LoadReport{At: start, Capacity: slotsPerServer})
--- a/routing/update.go
+++ b/routing/update.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// UpdateEntries takes in how many entry instances send requests, this one
+// UpdateEntryCount takes in how many entry instances send requests, this one
 // included.
-func (t *Table) UpdateEntries(now time.Time, n int) {
+func (t *Table) UpdateEntryCount(now time.Time, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prepare()
