--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -264,7 +264,7 @@
 	}
 
 	now := w.Clock.Now()
-	w.Table.UpdateState(now, s.ID(), state)
+	w.Table.UpdateEngineState(now, s.ID(), state)
 
 	if state.Ready {
 		s.askStateAt(now.Add(cmp.Or(w.StateEvery, defaultStateEvery)))
--- a/routing/update.go
+++ b/routing/update.go
@@ -60,9 +60,9 @@
 	return changed
 }
 
-// UpdateState takes in what an engine holds. A server whose engine isn't ready
+// UpdateEngineState takes in what an engine holds. A server whose engine isn't ready
 // gets no request.
-func (t *Table) UpdateState(now time.Time, id fleet.InstanceID, state backend.EngineState) {
+func (t *Table) UpdateEngineState(now time.Time, id fleet.InstanceID, state backend.EngineState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prepare()
--- a/routing/update_test.go
+++ b/routing/update_test.go
@@ -56,7 +56,7 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			table := newTestTable(1, 4)
-			table.UpdateState(testStart, testID(0), tt.state)
+			table.UpdateEngineState(testStart, testID(0), tt.state)
 
 			_, err := table.Pick(testStart, newTestRandom(), NewRequest(key))
 			if got := err == nil; got != tt.want {
