--- a/daemon/status.go
+++ b/daemon/status.go
@@ -109,7 +109,7 @@
 
 		servers = append(servers, ServerStatus{
 			ID: s.ID(), Service: s.Key().Service(), Model: s.Key().Model(), Version: s.Key().Version(),
-			Domain: s.Domain(), State: state, InFlight: s.InFlight(), Load: s.Load(), Reported: s.Reported(),
+			Domain: s.Domain(), State: state, InFlight: s.InFlight(), Load: s.Load(), Reported: s.ReportedAt(),
 		})
 	}
 
--- a/routing/status.go
+++ b/routing/status.go
@@ -37,8 +37,8 @@
 // InFlight returns the requests of this entry instance that the server holds.
 func (s Status) InFlight() int64 { return s.inFlight }
 
-// Reported returns the time of the last load report.
-func (s Status) Reported() time.Time { return s.reported }
+// ReportedAt returns the time of the last load report.
+func (s Status) ReportedAt() time.Time { return s.reported }
 
 // Leaving tells whether the server is leaving.
 func (s Status) Leaving() bool { return s.leaving }
