--- a/routing/choice.go
+++ b/routing/choice.go
@@ -8,13 +8,13 @@
 
 // Choice is a picked server, by which the caller reports back.
 type Choice struct {
-	server  *server
-	table   *Table
-	address string
-	domain  fleet.FailureDomain
-	prefix  uint64
-	probe   bool
-	hinted  bool
+	server   *server
+	table    *Table
+	address  string
+	domain   fleet.FailureDomain
+	prefix   uint64
+	probe    bool
+	byPrefix bool
 }
 
 // ID returns the instance that was picked.
@@ -29,8 +29,8 @@
 // Probe tells whether the request tries out an ejected server.
 func (c Choice) Probe() bool { return c.probe }
 
-// Hinted tells whether the server was picked for its cached prefix.
-func (c Choice) Hinted() bool { return c.hinted }
+// ByPrefix tells whether the server was picked for its cached prefix.
+func (c Choice) ByPrefix() bool { return c.byPrefix }
 
 // Leaving tells whether the picked server is known to leave by now.
 func (c Choice) Leaving() bool { return c.server.leaving.Load() }
@@ -44,7 +44,7 @@
 	}
 
 	if c.prefix != 0 {
-		c.table.prefixes.hold(now, c.prefix, c.server)
+		c.table.prefixes.add(now, c.prefix, c.server)
 	}
 
 	return true
@@ -54,19 +54,19 @@
 // is compared per token.
 func (c Choice) Done(now time.Time, latency time.Duration, tokens int) {
 	c.server.end(now)
-	c.server.suspect.Store(false)
+	c.server.dialFailed.Store(false)
 
 	perToken := latency / time.Duration(max(1, tokens))
 
 	if c.probe {
-		c.server.interval.probeTime.Store(int64(perToken))
-		c.server.interval.probeDone.Add(1)
+		c.server.pendingOutcomes.probeLatency.Store(int64(perToken))
+		c.server.pendingOutcomes.probeSucceeded.Add(1)
 
 		return
 	}
 
-	c.server.interval.latency.Add(int64(perToken))
-	c.server.interval.done.Add(1)
+	c.server.pendingOutcomes.latencySum.Add(int64(perToken))
+	c.server.pendingOutcomes.succeeded.Add(1)
 }
 
 // Failed ends a request that was sent and failed.
@@ -78,14 +78,14 @@
 	}
 
 	if kind == FailDial {
-		c.server.suspect.Store(true)
+		c.server.dialFailed.Store(true)
 	}
 
 	if c.probe {
-		c.server.interval.probeFailed.Add(1)
+		c.server.pendingOutcomes.probeFailed.Add(1)
 
 		return
 	}
 
-	c.server.interval.failed.Add(1)
+	c.server.pendingOutcomes.failed.Add(1)
 }
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -10,19 +10,19 @@
 	"monsoonlever/backend"
 )
 
-// TestNoRequestFollowsAnEmptyLeavingServer checks that a server which is leaving
+// TestDrainedLeavingServerGetsNoRequest checks that a server which is leaving
 // and was seen without requests gets none afterwards, whatever runs beside it.
-func TestNoRequestFollowsAnEmptyLeavingServer(t *testing.T) {
+func TestDrainedLeavingServerGetsNoRequest(t *testing.T) {
 	const size, workers = 4, 4
 
 	for round := range 50 {
 		var (
-			table   = newTestTable(size, 4)
-			leaving = testID(round % size)
-			drained atomic.Bool
-			held    atomic.Int64
-			stopped atomic.Bool
-			wg      sync.WaitGroup
+			table           = newTestTable(size, 4)
+			leaving         = testID(round % size)
+			drained         atomic.Bool
+			leavingInFlight atomic.Int64
+			stopped         atomic.Bool
+			wg              sync.WaitGroup
 		)
 
 		for worker := range workers {
@@ -31,19 +31,19 @@
 
 				for !stopped.Load() {
 					choice, err := table.Pick(testStart, random, NewRequest(testKey).WithPrefix(7))
-					before := drained.Load()
+					drainedBefore := drained.Load()
 
 					if err != nil || !choice.Begin(testStart) {
 						continue
 					}
 
-					if before && choice.ID() == leaving {
+					if drainedBefore && choice.ID() == leaving {
 						t.Errorf("%s got a request after it was drained", leaving)
 					}
 
 					if choice.ID() == leaving {
-						held.Add(1)
-						held.Add(-1)
+						leavingInFlight.Add(1)
+						leavingInFlight.Add(-1)
 					}
 
 					choice.Done(testStart, time.Millisecond, 0)
@@ -65,7 +65,7 @@
 		}
 
 		for range 100 {
-			if held.Load() > 0 {
+			if leavingInFlight.Load() > 0 {
 				t.Errorf("%s holds a request after it was drained", leaving)
 			}
 		}
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -23,10 +23,10 @@
 	faulty := rapid.SliceOfNDistinct(rapid.IntRange(0, m.size-1), 0, m.size, rapid.ID).Draw(t, "faulty")
 	kind := rapid.SampledFrom([]Failure{FailDial, FailReset, FailTimeout, FailCancelled}).Draw(t, "kind")
 	slow := rapid.Bool().Draw(t, "slow")
-	bad := make(map[fleet.InstanceID]bool)
+	isFaulty := make(map[fleet.InstanceID]bool)
 
 	for _, i := range faulty {
-		bad[testID(i)] = true
+		isFaulty[testID(i)] = true
 	}
 
 	for range rapid.IntRange(1, 200).Draw(t, "calls") {
@@ -36,7 +36,7 @@
 		}
 
 		switch {
-		case !bad[choice.ID()]:
+		case !isFaulty[choice.ID()]:
 			choice.Done(m.now, time.Millisecond, 0)
 		case slow:
 			choice.Done(m.now, time.Second, 0)
@@ -70,8 +70,8 @@
 		}
 	}
 
-	if most := int(0.34 * float64(servers)); ejected > most {
-		t.Fatalf("%d of %d servers are ejected, want at most %d", ejected, servers, most)
+	if limit := int(0.34 * float64(servers)); ejected > limit {
+		t.Fatalf("%d of %d servers are ejected, want at most %d", ejected, servers, limit)
 	}
 }
 
--- a/routing/health.go
+++ b/routing/health.go
@@ -12,43 +12,43 @@
 // health is what the outcomes of calls say of a server. Old outcomes fade with
 // a half-life and with newer ones.
 type health struct {
-	done    float64
-	failed  float64
-	latency float64
-	at      time.Time
+	succeeded  float64
+	failed     float64
+	latencySum float64
+	updatedAt  time.Time
 
 	ejections int
 	probeAt   time.Time
-	// suspectUntil is when a server that can't be dialled is tried again,
+	// dialFailedUntil is when a server that can't be dialled is tried again,
 	// although it couldn't be ejected.
-	suspectUntil time.Time
+	dialFailedUntil time.Time
 }
 
-func (h *health) add(now time.Time, halfLife time.Duration, o outcomes) {
-	fade := 1.0
-	if !h.at.IsZero() {
-		fade = math.Exp2(-float64(now.Sub(h.at)) / float64(halfLife))
+func (h *health) addOutcomes(now time.Time, halfLife time.Duration, o outcomeCounts) {
+	factor := 1.0
+	if !h.updatedAt.IsZero() {
+		factor = math.Exp2(-float64(now.Sub(h.updatedAt)) / float64(halfLife))
 	}
 
-	h.at = now
-	h.fade(fade)
-	h.done += float64(o.done)
+	h.updatedAt = now
+	h.scale(factor)
+	h.succeeded += float64(o.succeeded)
 	h.failed += float64(o.failed)
-	h.latency += float64(o.latency)
+	h.latencySum += float64(o.latencySum)
 
 	if n := h.samples(); n > maxSamples {
-		h.fade(maxSamples / n)
+		h.scale(maxSamples / n)
 	}
 }
 
-func (h *health) fade(part float64) {
-	h.done *= part
-	h.failed *= part
-	h.latency *= part
+func (h *health) scale(factor float64) {
+	h.succeeded *= factor
+	h.failed *= factor
+	h.latencySum *= factor
 }
 
 func (h *health) samples() float64 {
-	return h.done + h.failed
+	return h.succeeded + h.failed
 }
 
 func (h *health) errorRate() float64 {
@@ -61,14 +61,14 @@
 
 // meanLatency is per token where calls report tokens.
 func (h *health) meanLatency() float64 {
-	if h.done == 0 {
+	if h.succeeded == 0 {
 		return 0
 	}
 
-	return h.latency / h.done
+	return h.latencySum / h.succeeded
 }
 
-// clear forgets the outcomes but not how often the server was ejected.
-func (h *health) clear() {
-	h.fade(0)
+// clearOutcomes forgets the outcomes but not how often the server was ejected.
+func (h *health) clearOutcomes() {
+	h.scale(0)
 }
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -8,30 +8,30 @@
 	"monsoonlever/fleet"
 )
 
-// serving drives a table with requests to servers of which one is faulty.
-type serving struct {
+// faultScenario drives a table with requests to servers of which one is faulty.
+type faultScenario struct {
 	table   *Table
 	now     time.Time
 	request Request
 	faulty  fleet.InstanceID
-	fault   func(Choice, time.Time)
-	// got counts the requests that the faulty server got.
-	got int
+	finish  func(Choice, time.Time)
+	// faultyRequests counts the requests that the faulty server faultyRequests.
+	faultyRequests int
 }
 
 const (
-	servingStep  = 10 * time.Millisecond
-	servingSteps = 25
+	requestInterval = 10 * time.Millisecond
+	requestsPerTick = 25
 )
 
 // run sends a request at every step, with a tick and reports every 25 steps.
-func (s *serving) run(t *testing.T, d time.Duration) {
+func (s *faultScenario) run(t *testing.T, d time.Duration) {
 	t.Helper()
 
 	random := newTestRandom()
 
-	for step := range int(d / servingStep) {
-		s.now = s.now.Add(servingStep)
+	for step := range int(d / requestInterval) {
+		s.now = s.now.Add(requestInterval)
 
 		choice, err := s.table.Pick(s.now, random, s.request)
 		if err != nil || !choice.Begin(s.now) {
@@ -39,67 +39,67 @@
 		}
 
 		if choice.ID() == s.faulty {
-			s.got++
-			s.fault(choice, s.now)
+			s.faultyRequests++
+			s.finish(choice, s.now)
 		} else {
 			choice.Done(s.now, 10*time.Millisecond, 0)
 		}
 
-		if step%servingSteps == 0 {
+		if step%requestsPerTick == 0 {
 			s.table.Tick(s.now, random)
 			s.table.Report(s.now, s.faulty, backend.LoadReport{At: s.now, Capacity: 4})
 		}
 	}
 }
 
-func healthy(c Choice, now time.Time) { c.Done(now, 10*time.Millisecond, 0) }
-func slow(c Choice, now time.Time)    { c.Done(now, 100*time.Millisecond, 0) }
-func resets(c Choice, now time.Time)  { c.Failed(now, FailReset) }
-func deaf(c Choice, now time.Time)    { c.Failed(now, FailDial) }
+func succeed(c Choice, now time.Time)       { c.Done(now, 10*time.Millisecond, 0) }
+func succeedSlowly(c Choice, now time.Time) { c.Done(now, 100*time.Millisecond, 0) }
+func failReset(c Choice, now time.Time)     { c.Failed(now, FailReset) }
+func failDial(c Choice, now time.Time)      { c.Failed(now, FailDial) }
 
-func TestFaultyServerIsEjectedAndReadmitted(t *testing.T) {
-	repeatable := NewRequest(testKey).WithIdempotent()
+func TestTickEjectsFaultyServerAndReadmitsRecovered(t *testing.T) {
+	idempotent := NewRequest(testKey).WithIdempotent()
 
 	tests := []struct {
 		desc    string
 		request Request
-		fault   func(Choice, time.Time)
-		// most is how many requests the faulty server may get in a minute.
-		most int
+		finish  func(Choice, time.Time)
+		// maxFaulty is how many requests the faulty server may get in a minute.
+		maxFaulty int
 	}{
-		{desc: "slow", request: repeatable, fault: slow, most: 60},
-		{desc: "resets", request: repeatable, fault: resets, most: 60},
-		{desc: "can't be dialled", request: repeatable, fault: deaf, most: 20},
-		{desc: "can't be dialled, requests may not probe", request: NewRequest(testKey), fault: deaf, most: 20},
+		{desc: "slow", request: idempotent, finish: succeedSlowly, maxFaulty: 60},
+		{desc: "resets", request: idempotent, finish: failReset, maxFaulty: 60},
+		{desc: "can't be dialled", request: idempotent, finish: failDial, maxFaulty: 20},
+		{desc: "can't be dialled, requests may not probe", request: NewRequest(testKey), finish: failDial, maxFaulty: 20},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			s := &serving{table: newTestTable(9, 4), now: testStart, request: tt.request, faulty: testID(4), fault: tt.fault}
+			s := &faultScenario{table: newTestTable(9, 4), now: testStart, request: tt.request, faulty: testID(4), finish: tt.finish}
 			s.run(t, time.Minute)
-			t.Logf("requests to the faulty server: %d of 6000", s.got)
+			t.Logf("requests to the faulty server: %d of 6000", s.faultyRequests)
 
-			if s.got > tt.most {
-				t.Errorf("requests while faulty: got %d, want at most %d", s.got, tt.most)
+			if s.faultyRequests > tt.maxFaulty {
+				t.Errorf("requests while faulty: got %d, want at most %d", s.faultyRequests, tt.maxFaulty)
 			}
 
-			s.got, s.fault = 0, healthy
+			s.faultyRequests, s.finish = 0, succeed
 			s.run(t, 3*time.Minute)
 
-			if want := 1000; s.got < want {
-				t.Errorf("requests once well: got %d of 18000, want at least %d", s.got, want)
+			if want := 1000; s.faultyRequests < want {
+				t.Errorf("requests once well: got %d of 18000, want at least %d", s.faultyRequests, want)
 			}
 		})
 	}
 }
 
-func TestFaultOfAllServersEjectsNone(t *testing.T) {
+func TestTickEjectsNoneWhenAllServersFail(t *testing.T) {
 	table := newTestTable(9, 4)
 	random := newTestRandom()
 	now := testStart
 
 	for range 2000 {
-		now = now.Add(servingStep)
+		now = now.Add(requestInterval)
 
 		choice, err := table.Pick(now, random, NewRequest(testKey))
 		if err != nil || !choice.Begin(now) {
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestLastServersServeThoughEjected(t *testing.T) {
+func TestPickUsesEjectedServerAsLastResort(t *testing.T) {
 	table := newTestTable(3, 4)
 	random := newTestRandom()
 
@@ -139,16 +139,16 @@
 	}
 }
 
-// TestProbesDoNotPileUp gives an ejected server probes that it doesn't answer.
-func TestProbesDoNotPileUp(t *testing.T) {
-	s := &serving{table: newTestTable(9, 4), now: testStart, request: NewRequest(testKey).WithIdempotent(), faulty: testID(4), fault: deaf}
+// TestUnansweredProbeBlocksFurtherProbes gives an ejected server probes that it doesn't answer.
+func TestUnansweredProbeBlocksFurtherProbes(t *testing.T) {
+	s := &faultScenario{table: newTestTable(9, 4), now: testStart, request: NewRequest(testKey).WithIdempotent(), faulty: testID(4), finish: failDial}
 	s.run(t, 10*time.Second)
 
-	s.got = 0
-	s.fault = func(Choice, time.Time) {}
+	s.faultyRequests = 0
+	s.finish = func(Choice, time.Time) {}
 	s.run(t, 50*time.Second)
 
-	if want := 1; s.got > want {
-		t.Errorf("probes in flight: got %d, want at most %d", s.got, want)
+	if want := 1; s.faultyRequests > want {
+		t.Errorf("probes in flight: got %d, want at most %d", s.faultyRequests, want)
 	}
 }
--- a/routing/leaving_test.go
+++ b/routing/leaving_test.go
@@ -19,16 +19,16 @@
 	random *rand.PCG
 	now    time.Time
 	size   int
-	// firstNews holds when the table was first told that a server is leaving.
-	firstNews map[fleet.InstanceID]time.Time
+	// firstReported holds when the table was first told that a server is leaving.
+	firstReported map[fleet.InstanceID]time.Time
 }
 
 func newLeavingModel(t *rapid.T) *leavingModel {
 	m := &leavingModel{
-		random:    rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0),
-		now:       testStart,
-		size:      rapid.IntRange(1, 9).Draw(t, "size"),
-		firstNews: make(map[fleet.InstanceID]time.Time),
+		random:        rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0),
+		now:           testStart,
+		size:          rapid.IntRange(1, 9).Draw(t, "size"),
+		firstReported: make(map[fleet.InstanceID]time.Time),
 	}
 	m.table = newTestTable(m.size, 4)
 
@@ -39,9 +39,9 @@
 	return testID(rapid.IntRange(0, m.size-1).Draw(t, "server"))
 }
 
-func (m *leavingModel) learn(id fleet.InstanceID) {
-	if _, ok := m.firstNews[id]; !ok {
-		m.firstNews[id] = m.now
+func (m *leavingModel) recordLeaving(id fleet.InstanceID) {
+	if _, ok := m.firstReported[id]; !ok {
+		m.firstReported[id] = m.now
 	}
 }
 
@@ -62,7 +62,7 @@
 			continue
 		case "leaving":
 			l.State = provider.Leaving
-			m.learn(l.ID)
+			m.recordLeaving(l.ID)
 		}
 
 		listings = append(listings, l)
@@ -77,7 +77,7 @@
 	r := backend.LoadReport{At: m.now.Add(-age), Capacity: 4, Leaving: rapid.Bool().Draw(t, "leaving")}
 
 	if r.Leaving {
-		m.learn(id)
+		m.recordLeaving(id)
 	}
 
 	m.table.Report(m.now, id, r)
@@ -87,7 +87,7 @@
 	id := m.drawID(t)
 	source := rapid.SampledFrom([]Source{SourceNotice, SourcePeer}).Draw(t, "source")
 
-	m.learn(id)
+	m.recordLeaving(id)
 	m.table.MarkLeaving(m.now, id, source)
 }
 
@@ -97,8 +97,8 @@
 		return
 	}
 
-	if news, ok := m.firstNews[choice.ID()]; ok {
-		t.Fatalf("%s got a request %v after the first news that it leaves", choice.ID(), m.now.Sub(news))
+	if reported, ok := m.firstReported[choice.ID()]; ok {
+		t.Fatalf("%s got a request %v after the first news that it leaves", choice.ID(), m.now.Sub(reported))
 	}
 
 	if rapid.Bool().Draw(t, "fails") {
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestPickExcludes(t *testing.T) {
+func TestPickSkipsExcludedServersAndDomains(t *testing.T) {
 	const size = 8
 
 	tests := []struct {
--- a/routing/tiebreak.go
+++ b/routing/order.go
@@ -2,16 +2,16 @@
 
 import "monsoonlever/fleet"
 
-// tieBreak compares two servers for an entry instance.
-type tieBreak struct {
+// serverOrder compares two servers for an entry instance.
+type serverOrder struct {
 	domain fleet.FailureDomain
 }
 
-// better tells whether a goes before b: a server that can be dialled, then one
+// prefers tells whether a goes before b: a server that can be dialled, then one
 // that reports, then the less loaded, and only where both are equal the nearer
 // and the cheaper.
-func (t *tieBreak) better(a, b *member) bool {
-	if as, bs := a.server.suspect.Load(), b.server.suspect.Load(); as != bs {
+func (o *serverOrder) prefers(a, b *member) bool {
+	if as, bs := a.server.dialFailed.Load(), b.server.dialFailed.Load(); as != bs {
 		return bs
 	}
 
@@ -23,7 +23,7 @@
 		return au < bu
 	}
 
-	if an, bn := a.spec.domain == t.domain, b.spec.domain == t.domain; an != bn {
+	if an, bn := a.spec.domain == o.domain, b.spec.domain == o.domain; an != bn {
 		return an
 	}
 
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// cause tells why a server is ejected; a smaller one goes first.
-type cause int
+// ejectionCause tells why a server is ejected; a smaller one goes first.
+type ejectionCause int
 
 const (
-	causeDial cause = iota
+	causeDial ejectionCause = iota
 	causeErrors
 	causeLatency
 	causeNone
@@ -18,26 +18,26 @@
 
 type outlier struct {
 	server *server
-	cause  cause
-	// excess orders outliers of one cause.
-	excess float64
+	cause  ejectionCause
+	// severity orders outliers of one cause.
+	severity float64
 }
 
-// outlierOf compares a server with what is typical for its pool.
-func (t *Table) outlierOf(s *server, typical typical) outlier {
-	if s.suspect.Load() {
+// classify compares a server with what is typical for its pool.
+func (t *Table) classify(s *server, medians poolMedians) outlier {
+	if s.dialFailed.Load() {
 		return outlier{server: s, cause: causeDial}
 	}
 
 	h := &s.health
 
 	// A comparison with NaN is false, so that too few peers eject nobody.
-	if h.samples() >= t.policy.MinSamples && h.errorRate() > typical.errorRate+t.policy.ErrorMargin {
-		return outlier{server: s, cause: causeErrors, excess: h.errorRate()}
+	if h.samples() >= t.policy.MinSamples && h.errorRate() > medians.errorRate+t.policy.ErrorMargin {
+		return outlier{server: s, cause: causeErrors, severity: h.errorRate()}
 	}
 
-	if h.done >= t.policy.MinSamples && h.meanLatency() > typical.latency*t.policy.LatencyFactor {
-		return outlier{server: s, cause: causeLatency, excess: h.meanLatency()}
+	if h.succeeded >= t.policy.MinSamples && h.meanLatency() > medians.latency*t.policy.LatencyFactor {
+		return outlier{server: s, cause: causeLatency, severity: h.meanLatency()}
 	}
 
 	return outlier{server: s, cause: causeNone}
@@ -49,42 +49,42 @@
 }
 
 // ejectOutliers ejects the worst servers, as far as the bound of the pool allows.
-func (t *Table) ejectOutliers(now time.Time, random Random, p *pool, typical typical) {
+func (t *Table) ejectOutliers(now time.Time, random Random, p *pool, medians poolMedians) {
 	var outliers []outlier
 
-	room := t.maxEjected(p)
+	allowance := t.maxEjected(p)
 
 	for _, m := range p.members.items {
 		if m.server.ejected.Load() {
-			room--
+			allowance--
 
 			continue
 		}
 
-		if o := t.outlierOf(m.server, typical); o.cause != causeNone {
+		if o := t.classify(m.server, medians); o.cause != causeNone {
 			outliers = append(outliers, o)
 		}
 	}
 
 	slices.SortStableFunc(outliers, func(a, b outlier) int {
-		return cmp.Or(cmp.Compare(a.cause, b.cause), cmp.Compare(b.excess, a.excess))
+		return cmp.Or(cmp.Compare(a.cause, b.cause), cmp.Compare(b.severity, a.severity))
 	})
 
-	room = min(max(room, 0), len(outliers))
+	allowance = min(max(allowance, 0), len(outliers))
 
-	for _, o := range outliers[:room] {
+	for _, o := range outliers[:allowance] {
 		t.eject(now, random, o)
 	}
 
-	for _, o := range outliers[room:] {
-		t.counters.overBound.Inc()
-		t.keep(now, random, o)
+	for _, o := range outliers[allowance:] {
+		t.counters.ejectionsOverBound.Inc()
+		t.keepOutlier(now, random, o)
 	}
 }
 
-// keep leaves an outlier in the pool. One that can't be dialled is chosen after
+// keepOutlier leaves an outlier in the pool. One that can't be dialled is chosen after
 // all others until it is tried again.
-func (t *Table) keep(now time.Time, random Random, o outlier) {
+func (t *Table) keepOutlier(now time.Time, random Random, o outlier) {
 	if o.cause != causeDial {
 		return
 	}
@@ -92,27 +92,27 @@
 	h := &o.server.health
 
 	switch {
-	case h.suspectUntil.IsZero():
-		h.suspectUntil = now.Add(t.backoff(random, 1))
-	case now.After(h.suspectUntil):
-		h.suspectUntil = time.Time{}
-		o.server.suspect.Store(false)
+	case h.dialFailedUntil.IsZero():
+		h.dialFailedUntil = now.Add(t.backoff(random, 1))
+	case now.After(h.dialFailedUntil):
+		h.dialFailedUntil = time.Time{}
+		o.server.dialFailed.Store(false)
 	}
 }
 
 func (t *Table) eject(now time.Time, random Random, o outlier) {
 	s := o.server
 	s.ejected.Store(true)
-	s.health.suspectUntil = time.Time{}
+	s.health.dialFailedUntil = time.Time{}
 	s.health.ejections++
 	s.health.probeAt = now.Add(t.backoff(random, s.health.ejections))
 
 	switch o.cause {
 	case causeDial:
-		t.counters.ejectedDial.Inc()
+		t.counters.ejectionsDial.Inc()
 	case causeErrors:
-		t.counters.ejectedError.Inc()
+		t.counters.ejectionsErrors.Inc()
 	default:
-		t.counters.ejectedSlow.Inc()
+		t.counters.ejectionsLatency.Inc()
 	}
 }
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -18,45 +18,45 @@
 	}
 
 	if m := p.preferred(&r); m != nil {
-		return t.choice(m, &r, false, false), nil
+		return t.newChoice(m, &r, false, false), nil
 	}
 
 	if m := p.takeProbe(&r); m != nil {
 		t.counters.picksToProbe.Inc()
 
-		return t.choice(m, &r, true, false), nil
+		return t.newChoice(m, &r, true, false), nil
 	}
 
-	best := p.draw(random, &r, s.policy.Choices, &s.tieBreak)
+	best := p.draw(random, &r, s.policy.Choices, &s.order)
 	if best == nil {
-		return t.pickRarely(p, random, &r)
+		return t.pickByScan(p, random, &r)
 	}
 
-	if m := t.hinted(now, s, p, &r, best); m != nil {
-		t.counters.picksByHint.Inc()
+	if m := t.prefixHolder(now, s, p, &r, best); m != nil {
+		t.counters.picksByPrefix.Inc()
 
-		return t.choice(m, &r, false, true), nil
+		return t.newChoice(m, &r, false, true), nil
 	}
 
 	t.counters.picksByLoad.Inc()
 
-	return t.choice(best, &r, false, false), nil
+	return t.newChoice(best, &r, false, false), nil
 }
 
-// pickRarely serves a request for which no draw could be used: most of the pool
+// pickByScan serves a request for which no draw could be used: most of the pool
 // is excluded, ejected or leaving.
-func (t *Table) pickRarely(p *pool, random Random, r *Request) (Choice, error) {
+func (t *Table) pickByScan(p *pool, random Random, r *Request) (Choice, error) {
 	if m := p.scan(random, r, false); m != nil {
 		t.counters.picksByLoad.Inc()
 
-		return t.choice(m, r, false, false), nil
+		return t.newChoice(m, r, false, false), nil
 	}
 
 	// An ejected server may still answer; no server certainly doesn't.
 	if m := p.scan(random, r, true); m != nil {
-		t.counters.picksLast.Inc()
+		t.counters.picksLastResort.Inc()
 
-		return t.choice(m, r, false, false), nil
+		return t.newChoice(m, r, false, false), nil
 	}
 
 	t.counters.noServer.Inc()
@@ -64,56 +64,56 @@
 	return Choice{}, ErrNoServer
 }
 
-// hinted returns the least loaded server that may hold the prefix of the
+// prefixHolder returns the least loaded server that may hold the prefix of the
 // request, if its load is within the bound.
-func (t *Table) hinted(now time.Time, s *snapshot, p *pool, r *Request, best *member) *member {
+func (t *Table) prefixHolder(now time.Time, s *snapshot, p *pool, r *Request, best *member) *member {
 	if r.prefix == 0 {
 		return nil
 	}
 
-	var found *member
+	var holder *member
 
 	set := t.prefixes.set(r.prefix)
 	for i := range set {
 		e := set[i].Load()
-		if e == nil || e.prefix != r.prefix || now.After(e.until) {
+		if e == nil || e.prefix != r.prefix || now.After(e.expiresAt) {
 			continue
 		}
 
 		m := e.server.member.Load()
-		if m == nil || m.spec.key != r.key || m.server.doubtful() || !m.usable(r) {
+		if m == nil || m.spec.key != r.key || m.server.unresponsive() || !m.usable(r) {
 			continue
 		}
 
-		if found == nil || s.tieBreak.better(m, found) {
-			found = m
+		if holder == nil || s.order.prefers(m, holder) {
+			holder = m
 		}
 	}
 
-	if found == nil || found == best {
-		return found
+	if holder == nil || holder == best {
+		return holder
 	}
 
-	bound := s.policy.AffinityBound * (p.state.meanUtilisation() + found.share)
+	bound := s.policy.AffinityBound * (p.state.meanUtilisation() + holder.requestShare)
 	bound = min(bound, s.policy.AffinityCeiling)
 
-	if found.utilisation() > max(bound, best.utilisation()) {
-		t.counters.hintOver.Inc()
+	if holder.utilisation() > max(bound, best.utilisation()) {
+		t.counters.prefixOverBound.Inc()
 
 		return nil
 	}
 
-	return found
+	return holder
 }
 
-func (t *Table) choice(m *member, r *Request, probe, hinted bool) Choice {
+func (t *Table) newChoice(m *member, r *Request, probe, hinted bool) Choice {
 	return Choice{
-		server:  m.server,
-		table:   t,
-		address: m.spec.address,
-		domain:  m.spec.domain,
-		prefix:  r.prefix,
-		probe:   probe,
-		hinted:  hinted,
+		server:   m.server,
+		table:    t,
+		address:  m.spec.address,
+		domain:   m.spec.domain,
+		prefix:   r.prefix,
+		probe:    probe,
+		byPrefix: hinted,
 	}
 }
--- a/routing/pick_bench_test.go
+++ b/routing/pick_bench_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// BenchmarkPickAfterRetry excludes a failure domain and a server that was tried.
-func BenchmarkPickAfterRetry(b *testing.B) {
+// BenchmarkPickForRetry excludes a failure domain and a server that was tried.
+func BenchmarkPickForRetry(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			table := newTestTable(size, 8)
@@ -150,8 +150,8 @@
 				table := newTestTable(size, 8)
 				withServers := heapInUse()
 
-				for prefix := range uint64(4 * table.policy.PrefixMemory) {
-					table.prefixes.hold(testStart, prefix, table.servers[testID(0)])
+				for prefix := range uint64(4 * table.policy.MaxPrefixes) {
+					table.prefixes.add(testStart, prefix, table.servers[testID(0)])
 				}
 
 				full := heapInUse()
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -15,10 +15,10 @@
 	spec   spec
 	// pool is the state of the pool that the server is in.
 	pool *poolState
-	// share is the part of the server's capacity that one request takes.
-	share float64
-	// peers is how many other entry instances are taken to do as this one does.
-	peers int64
+	// requestShare is the part of the server's capacity that one request takes.
+	requestShare float64
+	// otherEntries is how many other entry instances are taken to do as this one does.
+	otherEntries int64
 }
 
 // load estimates how many requests the server holds: those of this entry
@@ -27,21 +27,21 @@
 // entry instances run to the same server between two reports.
 func (m *member) load() int64 {
 	own := m.server.inFlight.Load()
-	others := m.server.others.Load() + m.peers*(own-m.server.ownThen.Load())
+	otherInFlight := m.server.otherAtReport.Load() + m.otherEntries*(own-m.server.ownAtReport.Load())
 
-	return own + max(0, others)
+	return own + max(0, otherInFlight)
 }
 
 // utilisation returns the load of the server, one more request included, as a
 // share of its capacity.
 func (m *member) utilisation() float64 {
-	return float64(m.load()+1) * m.share
+	return float64(m.load()+1) * m.requestShare
 }
 
 // poolState is the part of a pool that outlives snapshots.
 type poolState struct {
-	mean atomic.Uint64
-	due  atomic.Pointer[member]
+	mean           atomic.Uint64
+	probeCandidate atomic.Pointer[member]
 }
 
 func (s *poolState) meanUtilisation() float64 {
@@ -61,8 +61,8 @@
 // takeProbe returns the ejected server that is due for a probe, if the request
 // may be risked on it and is the first to come.
 func (p *pool) takeProbe(r *Request) *member {
-	m := p.state.due.Load()
-	if m == nil || !r.repeatable {
+	m := p.state.probeCandidate.Load()
+	if m == nil || !r.idempotent {
 		return nil
 	}
 
@@ -70,7 +70,7 @@
 		return nil
 	}
 
-	if !p.state.due.CompareAndSwap(m, nil) {
+	if !p.state.probeCandidate.CompareAndSwap(m, nil) {
 		return nil
 	}
 
@@ -79,7 +79,7 @@
 
 // draw returns the best of n servers that were drawn by capacity, or nil if
 // none of the draws could be used.
-func (p *pool) draw(random Random, r *Request, n int, t *tieBreak) *member {
+func (p *pool) draw(random Random, r *Request, n int, order *serverOrder) *member {
 	var best *member
 
 	for draws := n * drawsPerChoice; draws > 0 && n > 0; draws-- {
@@ -90,7 +90,7 @@
 
 		n--
 
-		if best == nil || t.better(m, best) {
+		if best == nil || order.prefers(m, best) {
 			best = m
 		}
 	}
--- a/routing/preferred_test.go
+++ b/routing/preferred_test.go
@@ -9,7 +9,7 @@
 	"monsoonlever/provider"
 )
 
-func TestPreferredServerIsTakenIfItCanBe(t *testing.T) {
+func TestPickReturnsUsablePreferredServer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	key := NewKey("payrun-api", "", "", "")
 
@@ -40,7 +40,7 @@
 			}
 
 			random := rand.New(rand.NewPCG(1, 1))
-			hits := 0
+			preferredPicks := 0
 
 			for range 30 {
 				choice, err := table.Pick(now, random, NewRequest(key).Preferring(tt.prefer).Excluding(tt.exclude))
@@ -49,12 +49,12 @@
 				}
 
 				if choice.ID() == tt.prefer {
-					hits++
+					preferredPicks++
 				}
 			}
 
-			if got := hits == 30; got != tt.want {
-				t.Errorf("always preferred: got %v (%d of 30), want %v", got, hits, tt.want)
+			if got := preferredPicks == 30; got != tt.want {
+				t.Errorf("always preferred: got %v (%d of 30), want %v", got, preferredPicks, tt.want)
 			}
 		})
 	}
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/backend"
 )
 
-func TestPrefixLeadsToItsHolder(t *testing.T) {
+func TestPickReturnsPrefixHolder(t *testing.T) {
 	const prefix = 7
 
 	stored := backend.CacheEvent{Sequence: 1, Prefix: prefix}
@@ -39,7 +39,7 @@
 				t.Fatal(err)
 			}
 
-			if got := choice.Hinted() && choice.ID() == testID(5); got != tt.want {
+			if got := choice.ByPrefix() && choice.ID() == testID(5); got != tt.want {
 				t.Errorf("led to the holder: got %v, want %v", got, tt.want)
 			}
 		})
@@ -54,16 +54,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(4, 9).Draw(t, "size")
 		holder := rapid.IntRange(0, size-1).Draw(t, "holder")
-		most := rapid.IntRange(1, 12).Draw(t, "most")
+		holderLoad := rapid.IntRange(1, 12).Draw(t, "most")
 		table := newTestTable(size, capacity)
 		random := rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0)
 		now := testStart.Add(time.Second)
-		total := most
+		total := holderLoad
 
 		for i := range size {
-			running := most
+			running := holderLoad
 			if i != holder {
-				running = rapid.IntRange(0, most-1).Draw(t, "running")
+				running = rapid.IntRange(0, holderLoad-1).Draw(t, "running")
 				total += running
 			}
 
@@ -80,21 +80,21 @@
 
 		mean := float64(total) / float64(capacity*size)
 		bound := min(1, 1.5*(mean+1.0/capacity))
-		utilisation := float64(most+1) / capacity
+		utilisation := float64(holderLoad+1) / capacity
 
-		if want := utilisation <= bound; choice.Hinted() != want {
+		if want := utilisation <= bound; choice.ByPrefix() != want {
 			t.Fatalf("chosen for its prefix at utilisation %.2f with bound %.2f: got %v, want %v",
-				utilisation, bound, choice.Hinted(), want)
+				utilisation, bound, choice.ByPrefix(), want)
 		}
 	})
 }
 
-func TestPrefixMemoryIsBounded(t *testing.T) {
+func TestPrefixIndexSizeIsBounded(t *testing.T) {
 	const size = 64
 
-	p := newPrefixes(size, time.Minute)
+	p := newPrefixIndex(size, time.Minute)
 	for prefix := range uint64(10 * size) {
-		p.hold(testStart, prefix, newServer("server", prefix))
+		p.add(testStart, prefix, newServer("server", prefix))
 	}
 
 	got := 0
--- a/routing/prefixes.go
+++ b/routing/prefixes.go
@@ -6,60 +6,60 @@
 )
 
 const (
-	// prefixWays is how many holders of prefixes share a set.
-	prefixWays = 8
+	// entriesPerSet is how many holders of prefixes share a set.
+	entriesPerSet = 8
 	// maxHolders is how many holders of one prefix are remembered.
 	maxHolders = 6
 )
 
-// prefixes remembers which servers may hold a prompt prefix in their cache. Its
+// prefixIndex remembers which servers may hold a prompt prefix in their cache. Its
 // size is fixed: a new prefix takes the place of the oldest of its set. What it
 // says is a hint, for the events behind it are late and have gaps.
-type prefixes struct {
-	sets     []prefixSet
-	lifetime time.Duration
+type prefixIndex struct {
+	sets []prefixSet
+	ttl  time.Duration
 }
 
-type prefixSet [prefixWays]atomic.Pointer[prefixEntry]
+type prefixSet [entriesPerSet]atomic.Pointer[prefixEntry]
 
 // prefixEntry is immutable.
 type prefixEntry struct {
-	prefix uint64
-	server *server
-	until  time.Time
+	prefix    uint64
+	server    *server
+	expiresAt time.Time
 }
 
-func newPrefixes(size int, lifetime time.Duration) *prefixes {
-	return &prefixes{sets: make([]prefixSet, max(1, size/prefixWays)), lifetime: lifetime}
+func newPrefixIndex(size int, ttl time.Duration) *prefixIndex {
+	return &prefixIndex{sets: make([]prefixSet, max(1, size/entriesPerSet)), ttl: ttl}
 }
 
-func (p *prefixes) set(prefix uint64) *prefixSet {
+func (p *prefixIndex) set(prefix uint64) *prefixSet {
 	return &p.sets[prefix%uint64(len(p.sets))]
 }
 
-// hold notes that a server has the prefix, or will have it soon. Of the holders
+// add notes that a server has the prefix, or will have it soon. Of the holders
 // of one prefix the ones of lowest rank are kept, so that entry instances which
 // hear the same events don't all send to the same few.
-func (p *prefixes) hold(now time.Time, prefix uint64, s *server) {
+func (p *prefixIndex) add(now time.Time, prefix uint64, s *server) {
 	set := p.set(prefix)
-	if i := set.place(now, prefix, s); i >= 0 {
-		set[i].Store(&prefixEntry{prefix: prefix, server: s, until: now.Add(p.lifetime)})
+	if i := set.slotFor(now, prefix, s); i >= 0 {
+		set[i].Store(&prefixEntry{prefix: prefix, server: s, expiresAt: now.Add(p.ttl)})
 	}
 }
 
-// place returns where the entry of a holder goes, or -1 for nowhere.
-func (set *prefixSet) place(now time.Time, prefix uint64, s *server) int {
+// slotFor returns where the entry of a holder goes, or -1 for nowhere.
+func (set *prefixSet) slotFor(now time.Time, prefix uint64, s *server) int {
 	var (
 		holders, highest, oldest int
 		highestRank              uint64
-		oldestUntil              time.Time
+		oldestExpiry             time.Time
 	)
 
 	for i := range set {
 		e := set[i].Load()
 
-		if e == nil || now.After(e.until) {
-			oldest, oldestUntil = i, time.Time{}
+		if e == nil || now.After(e.expiresAt) {
+			oldest, oldestExpiry = i, time.Time{}
 
 			continue
 		}
@@ -76,8 +76,8 @@
 			}
 		}
 
-		if i == 0 || e.until.Before(oldestUntil) {
-			oldest, oldestUntil = i, e.until
+		if i == 0 || e.expiresAt.Before(oldestExpiry) {
+			oldest, oldestExpiry = i, e.expiresAt
 		}
 	}
 
@@ -92,8 +92,8 @@
 	return -1
 }
 
-// drop notes that a server has evicted the prefix.
-func (p *prefixes) drop(prefix uint64, s *server) {
+// remove notes that a server has evicted the prefix.
+func (p *prefixIndex) remove(prefix uint64, s *server) {
 	set := p.set(prefix)
 
 	for i := range set {
--- a/routing/rebuild.go
+++ b/routing/rebuild.go
@@ -8,7 +8,7 @@
 
 // rebuild makes the snapshot anew.
 func (t *Table) rebuild(now time.Time) {
-	t.stale = false
+	t.snapshotStale = false
 	byKey := make(map[Key][]*member)
 
 	for _, s := range t.servers {
@@ -29,12 +29,12 @@
 
 		pools[key] = &pool{
 			members: newSampler(members, func(m *member) float64 { return float64(m.spec.capacity) }),
-			state:   t.state(key),
+			state:   t.poolStateOf(key),
 		}
 		t.readmitOverBound(now, pools[key])
 	}
 
-	t.current.Store(&snapshot{pools: pools, policy: t.policy, tieBreak: tieBreak{domain: t.Domain}})
+	t.current.Store(&snapshot{pools: pools, policy: t.policy, order: serverOrder{domain: t.Domain}})
 }
 
 // readmitOverBound keeps the bound of ejections where a pool has shrunk: servers
@@ -59,7 +59,7 @@
 
 // newMember returns nil for a server that takes no requests.
 func (t *Table) newMember(now time.Time, s *server) *member {
-	if s.leaving.Load() || s.spec.loading || s.spec.address == "" || t.lost(now, s) {
+	if s.leaving.Load() || s.spec.loading || s.spec.address == "" || t.unreachable(now, s) {
 		return nil
 	}
 
@@ -71,39 +71,39 @@
 	}
 
 	return &member{
-		server: s,
-		spec:   spec,
-		pool:   t.state(spec.key),
-		share:  1 / float64(spec.capacity),
-		peers:  int64(t.peers),
+		server:       s,
+		spec:         spec,
+		pool:         t.poolStateOf(spec.key),
+		requestShare: 1 / float64(spec.capacity),
+		otherEntries: int64(t.otherEntries),
 	}
 }
 
-// lost tells whether neither the list nor the server itself says that it lives.
-func (t *Table) lost(now time.Time, s *server) bool {
-	return s.absent && now.Sub(s.heard) > t.policy.ReportGrace
+// unreachable tells whether neither the list nor the server itself says that it lives.
+func (t *Table) unreachable(now time.Time, s *server) bool {
+	return s.unlisted && now.Sub(s.lastSeen) > t.policy.ReportTimeout
 }
 
-// forget drops servers that are long gone, and with them the mark of leaving.
-func (t *Table) forget(now time.Time) {
+// removeExpired drops servers that are long gone, and with them the mark of leaving.
+func (t *Table) removeExpired(now time.Time) {
 	for id, s := range t.servers {
-		last := s.listed
-		if s.heard.After(last) {
-			last = s.heard
+		last := s.lastListed
+		if s.lastSeen.After(last) {
+			last = s.lastSeen
 		}
 
-		if s.absent && now.Sub(last) > t.policy.ForgetAfter {
+		if s.unlisted && now.Sub(last) > t.policy.UnlistedRetention {
 			s.member.Store(nil)
 			delete(t.servers, id)
 		}
 	}
 }
 
-func (t *Table) state(key Key) *poolState {
-	s, ok := t.states[key]
+func (t *Table) poolStateOf(key Key) *poolState {
+	s, ok := t.poolStates[key]
 	if !ok {
 		s = &poolState{}
-		t.states[key] = s
+		t.poolStates[key] = s
 	}
 
 	return s
--- a/routing/request.go
+++ b/routing/request.go
@@ -7,7 +7,7 @@
 	key             Key
 	prefix          uint64
 	preferred       fleet.InstanceID
-	repeatable      bool
+	idempotent      bool
 	excluded        []fleet.InstanceID
 	excludedDomains []fleet.FailureDomain
 }
@@ -34,7 +34,7 @@
 
 // WithIdempotent allows the request to probe an ejected server.
 func (r Request) WithIdempotent() Request {
-	r.repeatable = true
+	r.idempotent = true
 
 	return r
 }
--- a/routing/server.go
+++ b/routing/server.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	sentBucketWidth = 64 * time.Millisecond
-	sentBuckets     = 64
+	inFlightBucketWidth = 64 * time.Millisecond
+	inFlightBuckets     = 64
 )
 
 // server is one instance for its lifetime. Snapshots share it, so that what is
@@ -21,48 +21,48 @@
 	rank uint64
 
 	// The fields below are read and written on the path of a request.
-	leaving atomic.Bool
-	ejected atomic.Bool
-	suspect atomic.Bool
+	leaving    atomic.Bool
+	ejected    atomic.Bool
+	dialFailed atomic.Bool
 	// silent is set while the server, unlike before, does not report.
 	silent   atomic.Bool
 	inFlight atomic.Int64
-	// others and ownThen are the requests of other entry instances and of this
+	// otherAtReport and ownThen are the requests of other entry instances and of this
 	// one that the server held when it last reported.
-	others  atomic.Int64
-	ownThen atomic.Int64
+	otherAtReport atomic.Int64
+	ownAtReport   atomic.Int64
 
-	sent     *window.Counter
-	interval interval
+	inFlightChanges *window.Counter
+	pendingOutcomes outcomeCounters
 	// member is the server in the newest snapshot, nil if it takes no requests.
 	member atomic.Pointer[member]
 
 	// The fields below belong to the writers of the table.
-	spec       spec
-	reported   time.Time
-	heard      time.Time
-	listed     time.Time
-	absent     bool
-	cacheEvent uint64
-	outcomes   outcomes
-	health     health
+	spec           spec
+	reportedAt     time.Time
+	lastSeen       time.Time
+	lastListed     time.Time
+	unlisted       bool
+	lastCacheEvent uint64
+	tickOutcomes   outcomeCounts
+	health         health
 }
 
 func newServer(id fleet.InstanceID, rank uint64) *server {
-	return &server{id: id, rank: rank, sent: window.NewCounter(sentBucketWidth, sentBuckets)}
+	return &server{id: id, rank: rank, inFlightChanges: window.NewCounter(inFlightBucketWidth, inFlightBuckets)}
 }
 
-// doubtful tells whether others are to be preferred.
-func (s *server) doubtful() bool {
-	return s.suspect.Load() || s.silent.Load()
+// unresponsive tells whether others are to be preferred.
+func (s *server) unresponsive() bool {
+	return s.dialFailed.Load() || s.silent.Load()
 }
 
 // applyLoad splits a report into the share of others and that of this node.
 // What this node sent or finished since the report's time is not in it.
 func (s *server) applyLoad(now, at time.Time, total int64) {
-	ownThen := max(0, s.inFlight.Load()-s.sent.Since(now, at))
-	s.ownThen.Store(ownThen)
-	s.others.Store(max(0, total-ownThen))
+	ownAtReport := max(0, s.inFlight.Load()-s.inFlightChanges.Since(now, at))
+	s.ownAtReport.Store(ownAtReport)
+	s.otherAtReport.Store(max(0, total-ownAtReport))
 }
 
 // begin counts a request, unless the server is leaving. It counts before it
@@ -77,12 +77,12 @@
 		return false
 	}
 
-	s.sent.Add(now, 1)
+	s.inFlightChanges.Add(now, 1)
 
 	return true
 }
 
 func (s *server) end(now time.Time) {
 	s.inFlight.Add(-1)
-	s.sent.Add(now, -1)
+	s.inFlightChanges.Add(now, -1)
 }
--- a/routing/silent_test.go
+++ b/routing/silent_test.go
@@ -7,7 +7,7 @@
 	"monsoonlever/backend"
 )
 
-func TestServerThatStopsReportingIsAvoidedUntilItReportsAgain(t *testing.T) {
+func TestPickSkipsSilentServerUntilItReports(t *testing.T) {
 	const (
 		servers = 8
 		picks   = 1000
--- a/routing/status.go
+++ b/routing/status.go
@@ -68,7 +68,7 @@
 			domain:   s.spec.domain,
 			load:     load,
 			inFlight: s.inFlight.Load(),
-			reported: s.reported,
+			reported: s.reportedAt,
 			leaving:  s.leaving.Load(),
 			loading:  s.spec.loading,
 			ejected:  s.ejected.Load(),
--- a/routing/table.go
+++ b/routing/table.go
@@ -25,17 +25,17 @@
 	Metrics *metrics.Set
 
 	current  atomic.Pointer[snapshot]
-	prefixes *prefixes
+	prefixes *prefixIndex
 	counters *counters
 
-	mu     sync.Mutex
-	policy Policy
-	peers  int
-	// stale tells that the snapshot lacks news which can wait for a tick.
-	stale   bool
-	servers map[fleet.InstanceID]*server
-	states  map[Key]*poolState
-	prices  map[offerKey]float64
+	mu           sync.Mutex
+	policy       Policy
+	otherEntries int
+	// snapshotStale tells that the snapshot lacks news which can wait for a tick.
+	snapshotStale bool
+	servers       map[fleet.InstanceID]*server
+	poolStates    map[Key]*poolState
+	prices        map[offerKey]float64
 }
 
 type offerKey struct {
@@ -43,9 +43,9 @@
 	domain fleet.FailureDomain
 }
 
-// prepare fills what the zero value lacks. Pick reads none of it before the
+// initialize fills what the zero value lacks. Pick reads none of it before the
 // first snapshot is there.
-func (t *Table) prepare() {
+func (t *Table) initialize() {
 	if t.servers != nil {
 		return
 	}
@@ -56,8 +56,8 @@
 
 	t.policy = t.Policy.withDefaults()
 	t.counters = newCounters(t.Metrics)
-	t.prefixes = newPrefixes(t.policy.PrefixMemory, t.policy.PrefixLifetime)
+	t.prefixes = newPrefixIndex(t.policy.MaxPrefixes, t.policy.PrefixTTL)
 	t.servers = make(map[fleet.InstanceID]*server)
-	t.states = make(map[Key]*poolState)
+	t.poolStates = make(map[Key]*poolState)
 	t.prices = make(map[offerKey]float64)
 }
--- a/routing/tick.go
+++ b/routing/tick.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// minPeers is how many servers must be measured before one is an outlier.
-const minPeers = 3
+// minMedianServers is how many servers must be measured before one is an outlier.
+const minMedianServers = 3
 
 // Tick judges the servers by the outcomes since the last tick: outliers are
 // ejected, and ejected servers are probed and readmitted. It is called a few
@@ -15,11 +15,11 @@
 func (t *Table) Tick(now time.Time, random Random) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
-	t.forget(now)
+	t.initialize()
+	t.removeExpired(now)
 	t.markSilent(now)
 
-	if t.stale || t.graceEnded(now) {
+	if t.snapshotStale || t.hasUnreachableMember(now) {
 		t.rebuild(now)
 	}
 
@@ -29,7 +29,7 @@
 	}
 
 	for _, p := range s.pools {
-		t.judge(now, random, p)
+		t.evaluatePool(now, random, p)
 	}
 }
 
@@ -37,14 +37,14 @@
 // still does. Its calls fail only after the wait for a first token.
 func (t *Table) markSilent(now time.Time) {
 	for _, s := range t.servers {
-		s.silent.Store(!s.heard.IsZero() && now.Sub(s.heard) > t.policy.SilentAfter)
+		s.silent.Store(!s.lastSeen.IsZero() && now.Sub(s.lastSeen) > t.policy.SilenceTimeout)
 	}
 }
 
-// graceEnded tells whether a server of the snapshot is lost by now.
-func (t *Table) graceEnded(now time.Time) bool {
+// hasUnreachableMember tells whether a server of the snapshot is lost by now.
+func (t *Table) hasUnreachableMember(now time.Time) bool {
 	for _, s := range t.servers {
-		if s.member.Load() != nil && t.lost(now, s) {
+		if s.member.Load() != nil && t.unreachable(now, s) {
 			return true
 		}
 	}
@@ -52,61 +52,61 @@
 	return false
 }
 
-func (t *Table) judge(now time.Time, random Random, p *pool) {
-	typical := t.measure(now, p)
+func (t *Table) evaluatePool(now time.Time, random Random, p *pool) {
+	medians := t.updateHealth(now, p)
 
 	for _, m := range p.members.items {
-		t.judgeProbe(now, random, m.server, typical)
-		t.forgive(now, m.server)
+		t.evaluateProbe(now, random, m.server, medians)
+		t.reduceEjections(now, m.server)
 	}
 
-	t.ejectOutliers(now, random, p, typical)
+	t.ejectOutliers(now, random, p, medians)
 	t.offerProbe(now, random, p)
 }
 
-// measure takes the outcomes in and returns what is typical for the pool.
-func (t *Table) measure(now time.Time, p *pool) typical {
+// updateHealth takes the outcomes in and returns what is typical for the pool.
+func (t *Table) updateHealth(now time.Time, p *pool) poolMedians {
 	var (
-		latencies, errorRates []float64
-		load, capacity        float64
+		latencies, errorRates    []float64
+		totalLoad, totalCapacity float64
 	)
 
 	for _, m := range p.members.items {
 		s := m.server
-		s.outcomes = s.interval.take()
-		s.health.add(now, t.policy.HalfLife, s.outcomes)
+		s.tickOutcomes = s.pendingOutcomes.take()
+		s.health.addOutcomes(now, t.policy.OutcomeHalfLife, s.tickOutcomes)
 
 		if s.ejected.Load() {
 			continue
 		}
 
-		load += float64(m.load())
-		capacity += float64(m.spec.capacity)
+		totalLoad += float64(m.load())
+		totalCapacity += float64(m.spec.capacity)
 
 		if s.health.samples() >= t.policy.MinSamples {
 			errorRates = append(errorRates, s.health.errorRate())
 		}
 
-		if s.health.done >= t.policy.MinSamples {
+		if s.health.succeeded >= t.policy.MinSamples {
 			latencies = append(latencies, s.health.meanLatency())
 		}
 	}
 
-	if capacity > 0 {
-		p.state.setMeanUtilisation(load / capacity)
+	if totalCapacity > 0 {
+		p.state.setMeanUtilisation(totalLoad / totalCapacity)
 	}
 
-	return typical{latency: median(latencies), errorRate: median(errorRates)}
+	return poolMedians{latency: median(latencies), errorRate: median(errorRates)}
 }
 
-// typical holds medians of a pool; NaN stands for too few servers.
-type typical struct {
+// poolMedians holds medians of a pool; NaN stands for too few servers.
+type poolMedians struct {
 	latency   float64
 	errorRate float64
 }
 
 func median(values []float64) float64 {
-	if len(values) < minPeers {
+	if len(values) < minMedianServers {
 		return math.NaN()
 	}
 
--- a/routing/update.go
+++ b/routing/update.go
@@ -9,16 +9,16 @@
 	"monsoonlever/provider"
 )
 
-// maxPeers bounds how far the sends of this entry instance are extrapolated to
+// maxOtherEntries bounds how far the sends of this entry instance are extrapolated to
 // others; more than this has not been measured.
-const maxPeers = 39
+const maxOtherEntries = 39
 
 // UpdateList takes the platform's list of instances in. A server that the list
 // lacks is kept while it reports itself, for the list lags.
 func (t *Table) UpdateList(now time.Time, listings []provider.Listing) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
 	listed := make(map[fleet.InstanceID]bool, len(listings))
 
@@ -30,8 +30,8 @@
 	}
 
 	for id, s := range t.servers {
-		changed = changed || s.absent == listed[id]
-		s.absent = !listed[id]
+		changed = changed || s.unlisted == listed[id]
+		s.unlisted = !listed[id]
 	}
 
 	if changed {
@@ -41,8 +41,8 @@
 
 // updateListing tells whether the entry changed anything.
 func (t *Table) updateListing(now time.Time, l provider.Listing) bool {
-	s := t.server(now, l.ID)
-	s.listed = now
+	s := t.getOrAddServer(now, l.ID)
+	s.lastListed = now
 
 	next := s.spec
 	next.key.service = l.Service
@@ -53,7 +53,7 @@
 	changed := next != s.spec
 	s.spec = next
 
-	if l.State == provider.Leaving && t.leave(s, SourceList) {
+	if l.State == provider.Leaving && t.markLeaving(s, SourceList) {
 		return true
 	}
 
@@ -65,10 +65,10 @@
 func (t *Table) UpdateEngineState(now time.Time, id fleet.InstanceID, state backend.EngineState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	s := t.server(now, id)
-	s.heard = now
+	s := t.getOrAddServer(now, id)
+	s.lastSeen = now
 
 	next := s.spec
 	next.key.model = state.Model
@@ -86,7 +86,7 @@
 func (t *Table) UpdateOffers(now time.Time, offers []provider.Offer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
 	prices := make(map[offerKey]float64, len(offers))
 
@@ -108,11 +108,11 @@
 func (t *Table) UpdateEntryCount(now time.Time, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	peers := min(max(0, n-1), maxPeers)
-	if peers != t.peers {
-		t.peers = peers
+	otherEntries := min(max(0, n-1), maxOtherEntries)
+	if otherEntries != t.otherEntries {
+		t.otherEntries = otherEntries
 		t.rebuild(now)
 	}
 }
@@ -122,26 +122,26 @@
 func (t *Table) Report(now time.Time, id fleet.InstanceID, r backend.LoadReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	s := t.server(now, id)
-	s.heard = now
+	s := t.getOrAddServer(now, id)
+	s.lastSeen = now
 
-	if r.Leaving && t.leave(s, SourceServer) {
+	if r.Leaving && t.markLeaving(s, SourceServer) {
 		t.rebuild(now)
 	}
 
-	if !r.At.After(s.reported) {
+	if !r.At.After(s.reportedAt) {
 		return
 	}
 
-	s.reported = r.At
+	s.reportedAt = r.At
 	s.applyLoad(now, r.At, int64(r.Running+r.Waiting))
 
 	// The next tick makes the snapshot, once for all reports until then.
 	if r.Capacity != s.spec.capacity {
 		s.spec.capacity = r.Capacity
-		t.stale = true
+		t.snapshotStale = true
 	}
 }
 
@@ -149,16 +149,16 @@
 func (t *Table) MarkLeaving(now time.Time, id fleet.InstanceID, source Source) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	if t.leave(t.server(now, id), source) {
+	if t.markLeaving(t.getOrAddServer(now, id), source) {
 		t.rebuild(now)
 	}
 }
 
-// leave marks a server and tells whether that is news. Nothing takes the mark
+// markLeaving marks a server and tells whether that is news. Nothing takes the mark
 // away: what says "live" later may be older, and a replacement has another id.
-func (t *Table) leave(s *server, source Source) bool {
+func (t *Table) markLeaving(s *server, source Source) bool {
 	if s.leaving.Swap(true) {
 		return false
 	}
@@ -172,36 +172,36 @@
 func (t *Table) CacheEvents(now time.Time, id fleet.InstanceID, events []backend.CacheEvent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	s := t.server(now, id)
+	s := t.getOrAddServer(now, id)
 
 	for _, e := range events {
-		if e.Sequence <= s.cacheEvent {
+		if e.Sequence <= s.lastCacheEvent {
 			continue
 		}
 
-		if e.Sequence != s.cacheEvent+1 {
+		if e.Sequence != s.lastCacheEvent+1 {
 			t.counters.eventGaps.Inc()
 		}
 
-		s.cacheEvent = e.Sequence
+		s.lastCacheEvent = e.Sequence
 
 		if e.Evicted {
-			t.prefixes.drop(e.Prefix, s)
+			t.prefixes.remove(e.Prefix, s)
 		} else {
-			t.prefixes.hold(now, e.Prefix, s)
+			t.prefixes.add(now, e.Prefix, s)
 		}
 	}
 }
 
-// server returns the server with an id, made if it is new.
-func (t *Table) server(now time.Time, id fleet.InstanceID) *server {
+// getOrAddServer returns the getOrAddServer with an id, made if it is new.
+func (t *Table) getOrAddServer(now time.Time, id fleet.InstanceID) *server {
 	s, ok := t.servers[id]
 	if !ok {
 		s = newServer(id, rank(t.Self, id))
-		s.listed = now
-		s.absent = true
+		s.lastListed = now
+		s.unlisted = true
 		t.servers[id] = s
 	}
 
--- a/routing/update_test.go
+++ b/routing/update_test.go
@@ -8,7 +8,7 @@
 	"monsoonlever/provider"
 )
 
-func TestServerMissingFromListStaysWhileItReports(t *testing.T) {
+func TestUnlistedServerIsPickedWhileItReports(t *testing.T) {
 	tests := []struct {
 		desc    string
 		reports bool
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestEngineGetsRequestsOnceItIsReady(t *testing.T) {
+func TestPickRequiresReadyEngine(t *testing.T) {
 	key := NewKey(testKey.Service(), "m", "v1", "")
 
 	tests := []struct {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestEqualServersAreChosenByDomainThenPrice(t *testing.T) {
+func TestPickPrefersOwnDomainThenLowerPrice(t *testing.T) {
 	table := &Table{Domain: testDomains[1], Policy: Policy{Choices: 20}}
 	listings := testListings(4)
 	listings[3].Class = "cheap"
