--- a/routing/comparison/baselines.go
+++ b/routing/comparison/baselines.go
@@ -10,55 +10,55 @@
 // Baselines returns the plain policies.
 func Baselines() []Policy {
 	return []Policy{
-		baseline("round robin", (*blind).roundRobin),
-		baseline("random", (*blind).anyServer),
-		baseline("least reported load", (*blind).leastReported),
-		baseline("two choices", (*blind).twoChoices),
+		baseline("round robin", (*baselineChooser).roundRobin),
+		baseline("random", (*baselineChooser).randomServer),
+		baseline("least reported load", (*baselineChooser).leastReportedLoad),
+		baseline("two choices", (*baselineChooser).twoChoices),
 	}
 }
 
-// blind knows nothing but the last load reports.
-type blind struct {
-	random *rand.Rand
-	loads  []int
-	next   int
-	choose func(*blind) int
+// baselineChooser knows nothing but the last load reports.
+type baselineChooser struct {
+	random     *rand.Rand
+	loads      []int
+	lastServer int
+	choose     func(*baselineChooser) int
 }
 
-func baseline(name string, choose func(*blind) int) Policy {
+func baseline(name string, choose func(*baselineChooser) int) Policy {
 	return Policy{Name: name, New: func(s Scenario, random *rand.PCG) Chooser {
 		r := rand.New(random)
 
-		return &blind{random: r, loads: make([]int, s.Servers), next: r.IntN(s.Servers), choose: choose}
+		return &baselineChooser{random: r, loads: make([]int, s.Servers), lastServer: r.IntN(s.Servers), choose: choose}
 	}}
 }
 
-func (b *blind) roundRobin() int {
-	b.next = (b.next + 1) % len(b.loads)
+func (b *baselineChooser) roundRobin() int {
+	b.lastServer = (b.lastServer + 1) % len(b.loads)
 
-	return b.next
+	return b.lastServer
 }
 
-func (b *blind) anyServer() int {
+func (b *baselineChooser) randomServer() int {
 	return b.random.IntN(len(b.loads))
 }
 
-// leastReported starts at a random place, so that equal servers share the load.
-func (b *blind) leastReported() int {
-	start := b.anyServer()
+// leastReportedLoad starts at a random place, so that equal servers share the load.
+func (b *baselineChooser) leastReportedLoad() int {
+	start := b.randomServer()
 	best := start
 
 	for i := range b.loads {
-		if at := (start + i) % len(b.loads); b.loads[at] < b.loads[best] {
-			best = at
+		if i := (start + i) % len(b.loads); b.loads[i] < b.loads[best] {
+			best = i
 		}
 	}
 
 	return best
 }
 
-func (b *blind) twoChoices() int {
-	first, second := b.anyServer(), b.anyServer()
+func (b *baselineChooser) twoChoices() int {
+	first, second := b.randomServer(), b.randomServer()
 	if b.loads[second] < b.loads[first] {
 		return second
 	}
@@ -67,17 +67,17 @@
 }
 
 // Choose implements Chooser.
-func (b *blind) Choose(time.Duration, uint64) (int, Answered) {
+func (b *baselineChooser) Choose(time.Duration, uint64) (int, DoneFunc) {
 	return b.choose(b), func(time.Duration, time.Duration, int) {}
 }
 
 // Report implements Chooser.
-func (b *blind) Report(_ time.Duration, server int, r backend.LoadReport) {
+func (b *baselineChooser) Report(_ time.Duration, server int, r backend.LoadReport) {
 	b.loads[server] = r.Running + r.Waiting
 }
 
 // CacheEvents implements Chooser.
-func (b *blind) CacheEvents(time.Duration, int, []backend.CacheEvent) {}
+func (b *baselineChooser) CacheEvents(time.Duration, int, []backend.CacheEvent) {}
 
 // Tick implements Chooser.
-func (b *blind) Tick(time.Duration) {}
+func (b *baselineChooser) Tick(time.Duration) {}
--- a/routing/comparison/result.go
+++ b/routing/comparison/result.go
@@ -8,12 +8,12 @@
 
 // Result is what one policy made of a scenario.
 type Result struct {
-	policy     string
-	waits      []time.Duration
-	firsts     []time.Duration
-	hits       int
-	recomputed int
-	imbalances []float64
+	policy           string
+	waits            []time.Duration
+	ttfts            []time.Duration
+	cacheHits        int
+	recomputedTokens int
+	imbalances       []float64
 }
 
 // Policy returns the name of the policy.
@@ -23,17 +23,19 @@
 func (r *Result) Requests() int { return len(r.waits) }
 
 // Wait returns a quantile of the time that requests queued at servers.
-func (r *Result) Wait(quantile float64) time.Duration { return at(r.waits, quantile) }
+func (r *Result) Wait(quantile float64) time.Duration { return quantileOf(r.waits, quantile) }
 
 // FirstToken returns a quantile of the time to the first token.
-func (r *Result) FirstToken(quantile float64) time.Duration { return at(r.firsts, quantile) }
+func (r *Result) FirstToken(quantile float64) time.Duration {
+	return quantileOf(r.ttfts, quantile)
+}
 
 // HitShare returns the share of requests that found their prefix cached.
-func (r *Result) HitShare() float64 { return float64(r.hits) / float64(len(r.waits)) }
+func (r *Result) HitShare() float64 { return float64(r.cacheHits) / float64(len(r.waits)) }
 
 // RecomputedTokens returns the prefill of prefixes that some server had
 // computed before.
-func (r *Result) RecomputedTokens() int { return r.recomputed }
+func (r *Result) RecomputedTokens() int { return r.recomputedTokens }
 
 // Imbalance returns the mean over time of the greatest load of a server
 // relative to the mean load.
@@ -57,15 +59,15 @@
 	return fmt.Sprintf("| %s | %s | %s | %s | %s | %s | %.1f%% | %d | %.2f |", r.policy,
 		seconds(r.Wait(0.5)), seconds(r.Wait(0.95)), seconds(r.Wait(0.99)),
 		seconds(r.FirstToken(0.5)), seconds(r.FirstToken(0.99)),
-		100*r.HitShare(), r.recomputed, r.Imbalance())
+		100*r.HitShare(), r.recomputedTokens, r.Imbalance())
 }
 
 func (r *Result) sort() {
 	slices.Sort(r.waits)
-	slices.Sort(r.firsts)
+	slices.Sort(r.ttfts)
 }
 
-func at(sorted []time.Duration, quantile float64) time.Duration {
+func quantileOf(sorted []time.Duration, quantile float64) time.Duration {
 	return sorted[int(quantile*float64(len(sorted)-1))]
 }
 
--- a/routing/comparison/run.go
+++ b/routing/comparison/run.go
@@ -7,180 +7,180 @@
 	"monsoonlever/backend"
 )
 
-// model is one run of a scenario.
-type model struct {
+// simulation is one run of a scenario.
+type simulation struct {
 	scenario Scenario
 	schedule schedule
 	random   *rand.Rand
 	servers  []*server
 	choosers []Chooser
-	seen     map[uint64]bool
+	computed map[uint64]bool
 	result   Result
 }
 
 // Run returns what a policy makes of a scenario.
 func Run(s Scenario, p Policy) *Result {
-	m := &model{
+	sim := &simulation{
 		scenario: s,
 		random:   rand.New(rand.NewPCG(s.Seed, 2)),
-		seen:     make(map[uint64]bool),
+		computed: make(map[uint64]bool),
 		result:   Result{policy: p.Name},
 	}
 
 	for i := range s.Servers {
-		slow := 1.0
-		if i < s.Grey {
-			slow = s.SlowFactor
+		slowFactor := 1.0
+		if i < s.SlowServers {
+			slowFactor = s.SlowFactor
 		}
 
-		m.servers = append(m.servers, &server{slow: slow})
+		sim.servers = append(sim.servers, &server{slowFactor: slowFactor})
 	}
 
 	for i := range s.Entries {
-		m.choosers = append(m.choosers, p.New(s, rand.NewPCG(s.Seed, uint64(100+i))))
+		sim.choosers = append(sim.choosers, p.New(s, rand.NewPCG(s.Seed, uint64(100+i))))
 	}
 
-	m.plan()
-	m.schedule.runAll()
-	m.result.sort()
+	sim.scheduleEvents()
+	sim.schedule.runAll()
+	sim.result.sort()
 
-	return &m.result
+	return &sim.result
 }
 
-// plan schedules everything that doesn't follow from a choice.
-func (m *model) plan() {
-	for _, j := range m.scenario.jobs() {
-		m.schedule.after(j.arrival, func() { m.arrive(j) })
+// scheduleEvents schedules everything that doesn't follow from a choice.
+func (sim *simulation) scheduleEvents() {
+	for _, r := range sim.scenario.requests() {
+		sim.schedule.after(r.arrival, func() { sim.arrive(r) })
 	}
 
-	for i := range m.servers {
-		offset := time.Duration(m.random.Int64N(int64(reportEvery)))
-		m.schedule.after(offset, func() {
-			m.schedule.every(reportEvery, m.scenario.Duration, func() { m.publishLoad(i) })
+	for i := range sim.servers {
+		offset := time.Duration(sim.random.Int64N(int64(reportInterval)))
+		sim.schedule.after(offset, func() {
+			sim.schedule.every(reportInterval, sim.scenario.Duration, func() { sim.publishLoad(i) })
 		})
 	}
 
-	for _, c := range m.choosers {
-		m.schedule.every(tickEvery, m.scenario.Duration, func() { c.Tick(m.schedule.now) })
+	for _, c := range sim.choosers {
+		sim.schedule.every(tickInterval, sim.scenario.Duration, func() { c.Tick(sim.schedule.now) })
 	}
 
-	m.schedule.every(time.Second, m.scenario.Duration, m.sampleImbalance)
+	sim.schedule.every(time.Second, sim.scenario.Duration, sim.recordImbalance)
 }
 
-func (m *model) arrive(j *job) {
-	server, answered := m.choosers[j.entry].Choose(m.schedule.now, j.prefix)
-	j.server = server
-	j.answered = answered
+func (sim *simulation) arrive(r *request) {
+	server, done := sim.choosers[r.entry].Choose(sim.schedule.now, r.prefix)
+	r.server = server
+	r.done = done
 
-	s := m.servers[server]
+	s := sim.servers[server]
 	if s.running == slotsPerServer {
-		s.waiting = append(s.waiting, j)
+		s.waiting = append(s.waiting, r)
 
 		return
 	}
 
-	m.begin(j)
+	sim.begin(r)
 }
 
-func (m *model) begin(j *job) {
-	s := m.servers[j.server]
+func (sim *simulation) begin(r *request) {
+	s := sim.servers[r.server]
 	s.running++
 
-	hit, events := s.use(j.prefix)
-	m.publishEvents(j.server, events)
+	hit, events := s.lookUpPrefix(r.prefix)
+	sim.publishEvents(r.server, events)
 
-	tokens := ownTokens
+	tokens := suffixTokens
 	if !hit {
 		tokens += prefixTokens
 	}
 
-	prefill := s.stretch(time.Duration(tokens) * prefillTime)
-	decode := s.stretch(time.Duration(j.decode) * decodeTime)
-	m.measure(j, hit, prefill)
-	m.schedule.after(prefill+decode, func() { m.finish(j) })
+	prefill := s.scaleDuration(time.Duration(tokens) * prefillTimePerToken)
+	decode := s.scaleDuration(time.Duration(r.decodeTokens) * decodeTimePerToken)
+	sim.measure(r, hit, prefill)
+	sim.schedule.after(prefill+decode, func() { sim.finish(r) })
 }
 
-func (m *model) finish(j *job) {
-	j.answered(m.schedule.now, m.schedule.now-j.arrival, j.decode)
+func (sim *simulation) finish(r *request) {
+	r.done(sim.schedule.now, sim.schedule.now-r.arrival, r.decodeTokens)
 
-	s := m.servers[j.server]
+	s := sim.servers[r.server]
 	s.running--
 
 	if len(s.waiting) > 0 {
 		next := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		m.begin(next)
+		sim.begin(next)
 	}
 }
 
-func (m *model) measure(j *job, hit bool, prefill time.Duration) {
-	known := m.seen[j.prefix]
-	m.seen[j.prefix] = true
+func (sim *simulation) measure(r *request, hit bool, prefill time.Duration) {
+	wasComputed := sim.computed[r.prefix]
+	sim.computed[r.prefix] = true
 
-	if j.arrival < m.scenario.WarmUp {
+	if r.arrival < sim.scenario.WarmUp {
 		return
 	}
 
-	wait := m.schedule.now - j.arrival
-	m.result.waits = append(m.result.waits, wait)
-	m.result.firsts = append(m.result.firsts, wait+prefill)
+	wait := sim.schedule.now - r.arrival
+	sim.result.waits = append(sim.result.waits, wait)
+	sim.result.ttfts = append(sim.result.ttfts, wait+prefill)
 
 	switch {
 	case hit:
-		m.result.hits++
-	case known:
-		m.result.recomputed += prefixTokens
+		sim.result.cacheHits++
+	case wasComputed:
+		sim.result.recomputedTokens += prefixTokens
 	}
 }
 
 // publishLoad sends a report to each entry instance, with a lag of its own.
-func (m *model) publishLoad(i int) {
-	s := m.servers[i]
+func (sim *simulation) publishLoad(i int) {
+	s := sim.servers[i]
 	report := backend.LoadReport{
-		At:       start.Add(m.schedule.now),
+		At:       start.Add(sim.schedule.now),
 		Running:  s.running,
 		Waiting:  len(s.waiting),
 		Capacity: slotsPerServer,
 	}
 
-	for _, c := range m.choosers {
-		m.schedule.after(m.lag(), func() { c.Report(m.schedule.now, i, report) })
+	for _, c := range sim.choosers {
+		sim.schedule.after(sim.lag(), func() { c.Report(sim.schedule.now, i, report) })
 	}
 }
 
 // publishEvents sends cache events, of which some are lost.
-func (m *model) publishEvents(i int, events []backend.CacheEvent) {
+func (sim *simulation) publishEvents(i int, events []backend.CacheEvent) {
 	for _, e := range events {
-		for _, c := range m.choosers {
-			lag := m.lag()
-			if m.random.Float64() < eventLossRate {
+		for _, c := range sim.choosers {
+			lag := sim.lag()
+			if sim.random.Float64() < eventLossRate {
 				continue
 			}
 
-			m.schedule.after(lag, func() {
-				c.CacheEvents(m.schedule.now, i, []backend.CacheEvent{e})
+			sim.schedule.after(lag, func() {
+				c.CacheEvents(sim.schedule.now, i, []backend.CacheEvent{e})
 			})
 		}
 	}
 }
 
-func (m *model) lag() time.Duration {
-	return reportLagMin + time.Duration(m.random.Int64N(int64(reportLagMax-reportLagMin)))
+func (sim *simulation) lag() time.Duration {
+	return minLag + time.Duration(sim.random.Int64N(int64(maxLag-minLag)))
 }
 
-func (m *model) sampleImbalance() {
-	if m.schedule.now < m.scenario.WarmUp {
+func (sim *simulation) recordImbalance() {
+	if sim.schedule.now < sim.scenario.WarmUp {
 		return
 	}
 
-	most, sum := 0, 0
-	for _, s := range m.servers {
-		most = max(most, s.load())
-		sum += s.load()
+	maxLoad, totalLoad := 0, 0
+	for _, s := range sim.servers {
+		maxLoad = max(maxLoad, s.load())
+		totalLoad += s.load()
 	}
 
-	if sum > 0 {
-		mean := float64(sum) / float64(len(m.servers))
-		m.result.imbalances = append(m.result.imbalances, float64(most)/mean)
+	if totalLoad > 0 {
+		mean := float64(totalLoad) / float64(len(sim.servers))
+		sim.result.imbalances = append(sim.result.imbalances, float64(maxLoad)/mean)
 	}
 }
--- a/routing/comparison/schedule.go
+++ b/routing/comparison/schedule.go
@@ -7,20 +7,20 @@
 
 // schedule runs events in the order of their time.
 type schedule struct {
-	now    time.Duration
-	number uint64
-	events eventHeap
+	now      time.Duration
+	sequence uint64
+	events   eventHeap
 }
 
-type event struct {
-	at     time.Duration
-	number uint64
-	run    func()
+type scheduledEvent struct {
+	dueAt    time.Duration
+	sequence uint64
+	run      func()
 }
 
 func (s *schedule) after(d time.Duration, run func()) {
-	s.number++
-	heap.Push(&s.events, event{at: s.now + d, number: s.number, run: run})
+	s.sequence++
+	heap.Push(&s.events, scheduledEvent{dueAt: s.now + d, sequence: s.sequence, run: run})
 }
 
 // every repeats an event until the end.
@@ -36,27 +36,27 @@
 
 func (s *schedule) runAll() {
 	for s.events.Len() > 0 {
-		e := heap.Pop(&s.events).(event)
-		s.now = e.at
+		e := heap.Pop(&s.events).(scheduledEvent)
+		s.now = e.dueAt
 		e.run()
 	}
 }
 
-type eventHeap []event
+type eventHeap []scheduledEvent
 
 func (h eventHeap) Len() int      { return len(h) }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 func (h eventHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
+	if h[i].dueAt != h[j].dueAt {
+		return h[i].dueAt < h[j].dueAt
 	}
 
-	return h[i].number < h[j].number
+	return h[i].sequence < h[j].sequence
 }
 
 // Push implements heap.Interface.
-func (h *eventHeap) Push(e any) { *h = append(*h, e.(event)) }
+func (h *eventHeap) Push(e any) { *h = append(*h, e.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
--- a/routing/comparison/server.go
+++ b/routing/comparison/server.go
@@ -9,9 +9,9 @@
 
 // server is a model engine: slots, a first-come queue and a prefix cache.
 type server struct {
-	slow    float64
-	running int
-	waiting []*job
+	slowFactor float64
+	running    int
+	waiting    []*request
 	// cache holds prefixes, the most recently used last.
 	cache    []uint64
 	sequence uint64
@@ -21,8 +21,8 @@
 	return s.running + len(s.waiting)
 }
 
-// use looks a prefix up, puts it into the cache, and returns the events.
-func (s *server) use(prefix uint64) (bool, []backend.CacheEvent) {
+// lookUpPrefix looks a prefix up, puts it into the cache, and returns the events.
+func (s *server) lookUpPrefix(prefix uint64) (bool, []backend.CacheEvent) {
 	if i := slices.Index(s.cache, prefix); i >= 0 {
 		s.cache = append(slices.Delete(s.cache, i, i+1), prefix)
 
@@ -30,22 +30,22 @@
 	}
 
 	s.cache = append(s.cache, prefix)
-	events := []backend.CacheEvent{s.event(prefix, false)}
+	events := []backend.CacheEvent{s.nextEvent(prefix, false)}
 
-	if len(s.cache) > cachedPrefixes {
-		events = append(events, s.event(s.cache[0], true))
+	if len(s.cache) > prefixCacheSize {
+		events = append(events, s.nextEvent(s.cache[0], true))
 		s.cache = s.cache[1:]
 	}
 
 	return false, events
 }
 
-func (s *server) event(prefix uint64, evicted bool) backend.CacheEvent {
+func (s *server) nextEvent(prefix uint64, evicted bool) backend.CacheEvent {
 	s.sequence++
 
 	return backend.CacheEvent{Sequence: s.sequence, Prefix: prefix, Evicted: evicted}
 }
 
-func (s *server) stretch(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * s.slow)
+func (s *server) scaleDuration(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * s.slowFactor)
 }
--- a/routing/comparison/table.go
+++ b/routing/comparison/table.go
@@ -11,8 +11,8 @@
 	"monsoonlever/routing"
 )
 
-// DefaultTable is a table with the default policy.
-var DefaultTable = routing.Policy{}
+// DefaultTablePolicy is a table with the default policy.
+var DefaultTablePolicy = routing.Policy{}
 
 var (
 	start     = time.Unix(1_800_000_000, 0)
@@ -24,7 +24,7 @@
 	table   *routing.Table
 	random  *rand.PCG
 	ids     []fleet.InstanceID
-	servers map[fleet.InstanceID]int
+	indexes map[fleet.InstanceID]int
 }
 
 // TablePolicy returns the policy of package routing with given settings.
@@ -33,7 +33,7 @@
 		c := &tableChooser{
 			table:   &routing.Table{Policy: p, Self: fleet.InstanceID(fmt.Sprint(random.Uint64()))},
 			random:  random,
-			servers: make(map[fleet.InstanceID]int, s.Servers),
+			indexes: make(map[fleet.InstanceID]int, s.Servers),
 		}
 
 		var listings []provider.Listing
@@ -41,7 +41,7 @@
 		for i := range s.Servers {
 			id := fleet.InstanceID(fmt.Sprintf("server-%04d", i))
 			c.ids = append(c.ids, id)
-			c.servers[id] = i
+			c.indexes[id] = i
 			listings = append(listings, provider.Listing{
 				ID:      id,
 				Service: engineKey.Service(),
@@ -62,7 +62,7 @@
 }
 
 // Choose implements Chooser.
-func (c *tableChooser) Choose(now time.Duration, prefix uint64) (int, Answered) {
+func (c *tableChooser) Choose(now time.Duration, prefix uint64) (int, DoneFunc) {
 	request := routing.NewRequest(engineKey).WithPrefix(prefix).WithIdempotent()
 
 	choice, err := c.table.Pick(start.Add(now), c.random, request)
@@ -72,7 +72,7 @@
 
 	choice.Begin(start.Add(now))
 
-	return c.servers[choice.ID()], func(now, latency time.Duration, tokens int) {
+	return c.indexes[choice.ID()], func(now, latency time.Duration, tokens int) {
 		choice.Done(start.Add(now), latency, tokens)
 	}
 }
--- a/routing/comparison_test.go
+++ b/routing/comparison_test.go
@@ -17,25 +17,25 @@
 // requests, and holds the policy to its margins over each baseline.
 func TestComparison(t *testing.T) {
 	tests := []struct {
-		desc    string
-		servers int
-		grey    int
+		desc        string
+		servers     int
+		slowServers int
 		// entries is 9 unless given.
 		entries int
 		// duration and warmUp are shorter where more requests come at once.
 		duration time.Duration
 		warmUp   time.Duration
 		large    bool
-		// wait is the greatest p99 wait relative to any baseline's.
-		wait float64
-		// recomputed is the greatest share of any baseline's recomputed tokens.
-		recomputed float64
+		// maxWaitRatio is the greatest p99 maxWaitRatio relative to any baseline's.
+		maxWaitRatio float64
+		// maxRecomputedRatio is the greatest share of any baseline's maxRecomputedRatio tokens.
+		maxRecomputedRatio float64
 	}{
-		{desc: "9 servers", servers: 9, duration: 600 * time.Second, warmUp: 60 * time.Second, wait: 1.2, recomputed: 0.5},
-		{desc: "9 servers of which 1 grey", servers: 9, grey: 1, duration: 600 * time.Second, warmUp: 60 * time.Second, wait: 0.5, recomputed: 0.5},
-		{desc: "100 servers of which 3 grey", servers: 100, grey: 3, duration: 120 * time.Second, warmUp: 60 * time.Second, wait: 0.75, recomputed: 0.35},
-		{desc: "400 servers of which 12 grey, 40 entry instances", servers: 400, grey: 12, entries: 40, duration: 90 * time.Second, warmUp: 60 * time.Second, large: true, wait: 1, recomputed: 0.35},
-		{desc: "1600 servers of which 48 grey", servers: 1600, grey: 48, duration: 90 * time.Second, warmUp: 60 * time.Second, large: true, wait: 1, recomputed: 0.35},
+		{desc: "9 servers", servers: 9, duration: 600 * time.Second, warmUp: 60 * time.Second, maxWaitRatio: 1.2, maxRecomputedRatio: 0.5},
+		{desc: "9 servers of which 1 grey", servers: 9, slowServers: 1, duration: 600 * time.Second, warmUp: 60 * time.Second, maxWaitRatio: 0.5, maxRecomputedRatio: 0.5},
+		{desc: "100 servers of which 3 grey", servers: 100, slowServers: 3, duration: 120 * time.Second, warmUp: 60 * time.Second, maxWaitRatio: 0.75, maxRecomputedRatio: 0.35},
+		{desc: "400 servers of which 12 grey, 40 entry instances", servers: 400, slowServers: 12, entries: 40, duration: 90 * time.Second, warmUp: 60 * time.Second, large: true, maxWaitRatio: 1, maxRecomputedRatio: 0.35},
+		{desc: "1600 servers of which 48 grey", servers: 1600, slowServers: 48, duration: 90 * time.Second, warmUp: 60 * time.Second, large: true, maxWaitRatio: 1, maxRecomputedRatio: 0.35},
 	}
 
 	for _, tt := range tests {
@@ -48,7 +48,7 @@
 				Servers:     tt.servers,
 				Entries:     max(9, tt.entries),
 				Utilisation: 0.8,
-				Grey:        tt.grey,
+				SlowServers: tt.slowServers,
 				SlowFactor:  5,
 				Duration:    tt.duration,
 				WarmUp:      tt.warmUp,
@@ -56,23 +56,23 @@
 			}
 
 			policies := comparison.Policies()
-			ours := comparison.Run(s, policies[len(policies)-1])
+			result := comparison.Run(s, policies[len(policies)-1])
 
 			t.Log(comparison.Header())
-			t.Log(ours)
+			t.Log(result)
 
 			for _, p := range policies[:len(policies)-1] {
 				baseline := comparison.Run(s, p)
 				t.Log(baseline)
 
-				want := time.Duration(tt.wait * float64(baseline.Wait(0.99)))
-				if got := ours.Wait(0.99); got > want {
+				want := time.Duration(tt.maxWaitRatio * float64(baseline.Wait(0.99)))
+				if got := result.Wait(0.99); got > want {
 					t.Errorf("p99 wait: got %v, want at most %v of %s", got, want, p.Name)
 				}
 
-				most := int(tt.recomputed * float64(baseline.RecomputedTokens()))
-				if got := ours.RecomputedTokens(); got > most {
-					t.Errorf("recomputed tokens: got %d, want at most %d of %s", got, most, p.Name)
+				limit := int(tt.maxRecomputedRatio * float64(baseline.RecomputedTokens()))
+				if got := result.RecomputedTokens(); got > limit {
+					t.Errorf("recomputed tokens: got %d, want at most %d of %s", got, limit, p.Name)
 				}
 			}
 		})
