--- a/routing/choice.go
+++ b/routing/choice.go
@@ -6,7 +6,8 @@
 	"monsoonlever/fleet"
 )
 
-// Choice is a picked server, by which the caller reports back.
+// Choice is the server picked for one request. The caller reports the start and the
+// outcome of the request through its methods.
 type Choice struct {
 	server   *server
 	table    *Table
@@ -17,7 +18,7 @@
 	byPrefix bool
 }
 
-// ID returns the instance that was picked.
+// ID returns the id of the picked instance.
 func (c Choice) ID() fleet.InstanceID { return c.server.id }
 
 // Address returns the address of the picked server.
@@ -26,18 +27,21 @@
 // Domain returns the failure domain of the picked server.
 func (c Choice) Domain() fleet.FailureDomain { return c.domain }
 
-// Probe tells whether the request tries out an ejected server.
+// Probe reports whether the request probes an ejected server.
 func (c Choice) Probe() bool { return c.probe }
 
-// ByPrefix tells whether the server was picked for its cached prefix.
+// ByPrefix reports whether the server was picked because it may have the prompt prefix
+// of the request cached.
 func (c Choice) ByPrefix() bool { return c.byPrefix }
 
-// Leaving tells whether the picked server is known to leave by now.
+// Leaving reports whether the picked server is known to be leaving, also when this
+// became known only after the pick.
 func (c Choice) Leaving() bool { return c.server.leaving.Load() }
 
-// Begin counts the request as in flight, right before the attempt, dialling
-// included. One call of Done or Failed must follow. It returns false, and counts nothing, if the server began to leave after it
-// was picked; the request must not be sent to it then.
+// Begin counts the request as in flight. It is called right before the attempt, dialing
+// included. If it returns true, exactly one call of Done or Failed must follow. It
+// returns false, and counts nothing, if the server began to leave after it was picked;
+// the request must not be sent to it then.
 func (c Choice) Begin(now time.Time) bool {
 	if !c.server.begin(now) {
 		return false
@@ -50,8 +54,8 @@
 	return true
 }
 
-// Done ends a request that was answered. The latency of an answer with tokens
-// is compared per token.
+// Done ends a request that was answered. The latency is recorded per token if the
+// answer has tokens.
 func (c Choice) Done(now time.Time, latency time.Duration, tokens int) {
 	c.server.end(now)
 	c.server.dialFailed.Store(false)
@@ -69,7 +73,8 @@
 	c.server.pendingOutcomes.succeeded.Add(1)
 }
 
-// Failed ends a request that was sent and failed.
+// Failed ends a request that failed after Begin. A cancelled request doesn't affect the
+// health of the server.
 func (c Choice) Failed(now time.Time, kind Failure) {
 	c.server.end(now)
 
--- a/routing/comparison/baselines.go
+++ b/routing/comparison/baselines.go
@@ -7,7 +7,7 @@
 	"monsoonlever/backend"
 )
 
-// Baselines returns the plain policies.
+// Baselines returns simple policies to compare with.
 func Baselines() []Policy {
 	return []Policy{
 		baseline("round robin", (*baselineChooser).roundRobin),
@@ -17,7 +17,7 @@
 	}
 }
 
-// baselineChooser knows nothing but the last load reports.
+// baselineChooser uses nothing but the last load report of each server.
 type baselineChooser struct {
 	random     *rand.Rand
 	loads      []int
@@ -43,14 +43,15 @@
 	return b.random.IntN(len(b.loads))
 }
 
-// leastReportedLoad starts at a random place, so that equal servers share the load.
+// leastReportedLoad scans from a random server on, so that ties are spread over all
+// servers with the same load.
 func (b *baselineChooser) leastReportedLoad() int {
 	start := b.randomServer()
 	best := start
 
 	for i := range b.loads {
-		if i := (start + i) % len(b.loads); b.loads[i] < b.loads[best] {
-			best = i
+		if server := (start + i) % len(b.loads); b.loads[server] < b.loads[best] {
+			best = server
 		}
 	}
 
--- a/routing/comparison/chooser.go
+++ b/routing/comparison/chooser.go
@@ -7,25 +7,26 @@
 	"monsoonlever/backend"
 )
 
-// Chooser is the decision of one entry instance.
+// Chooser chooses servers on behalf of one entry instance.
 type Chooser interface {
-	// Choose returns a server for a request and what to call once it is answered.
+	// Choose returns the index of the server for a request, and the function to call
+	// when the request is answered.
 	Choose(now time.Duration, prefix uint64) (int, DoneFunc)
 	Report(now time.Duration, server int, r backend.LoadReport)
 	CacheEvents(now time.Duration, server int, events []backend.CacheEvent)
 	Tick(now time.Duration)
 }
 
-// DoneFunc tells a chooser that a request was answered.
+// DoneFunc reports to a Chooser that a request was answered.
 type DoneFunc func(now, latency time.Duration, tokens int)
 
-// Policy makes the chooser of each entry instance.
+// Policy is a named routing policy. New returns the Chooser of one entry instance.
 type Policy struct {
 	Name string
 	New  func(s Scenario, random *rand.PCG) Chooser
 }
 
-// Policies returns the baselines and, last, the policy of package routing.
+// Policies returns the baselines followed by the policy of package routing.
 func Policies() []Policy {
 	return append(Baselines(), TablePolicy("routing.Table", DefaultTablePolicy))
 }
--- a/routing/comparison/comparison.go
+++ b/routing/comparison/comparison.go
@@ -1,9 +1,10 @@
 // Package comparison compares routing policies on one seeded stream of requests.
 //
-// It is a small queueing model: servers with slots, a first-come queue and a
-// prefix cache; entry instances that each decide alone; load reports and cache
-// events that come late, the latter with gaps; and servers that are slow. It
-// has no network and no failures beyond that, and is no cluster simulator.
+// It simulates a small queueing model: servers with slots, a first-in, first-out
+// queue and a prefix cache; entry instances that choose independently; load
+// reports and cache events that lag, of which some cache events are lost; and slow
+// servers. The model has no network and no other failures; it isn't a cluster
+// simulator.
 //
 // # Usage
 //
--- a/routing/comparison/request.go
+++ b/routing/comparison/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// request is one request.
+// request is one request and, once it has arrived, its server.
 type request struct {
 	arrival      time.Duration
 	entry        int
@@ -16,7 +16,8 @@
 	done   DoneFunc
 }
 
-// requests returns the same stream of requests for every policy.
+// requests returns the request stream of the scenario, which is the same for every
+// policy.
 func (s Scenario) requests() []*request {
 	var (
 		random   = rand.New(rand.NewPCG(s.Seed, 1))
--- a/routing/comparison/result.go
+++ b/routing/comparison/result.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Result is what one policy made of a scenario.
+// Result is the measurement of one policy in a scenario.
 type Result struct {
 	policy           string
 	waits            []time.Duration
@@ -22,23 +22,21 @@
 // Requests returns how many requests were measured.
 func (r *Result) Requests() int { return len(r.waits) }
 
-// Wait returns a quantile of the time that requests queued at servers.
+// Wait returns a quantile of the time that requests waited in the queue of a server.
 func (r *Result) Wait(quantile float64) time.Duration { return quantileOf(r.waits, quantile) }
 
 // FirstToken returns a quantile of the time to the first token.
-func (r *Result) FirstToken(quantile float64) time.Duration {
-	return quantileOf(r.ttfts, quantile)
-}
+func (r *Result) FirstToken(quantile float64) time.Duration { return quantileOf(r.ttfts, quantile) }
 
-// HitShare returns the share of requests that found their prefix cached.
+// HitShare returns the share of requests whose prefix was in the cache of their server.
 func (r *Result) HitShare() float64 { return float64(r.cacheHits) / float64(len(r.waits)) }
 
-// RecomputedTokens returns the prefill of prefixes that some server had
-// computed before.
+// RecomputedTokens returns the number of prefix tokens that were computed although some
+// server had computed the same prefix before.
 func (r *Result) RecomputedTokens() int { return r.recomputedTokens }
 
-// Imbalance returns the mean over time of the greatest load of a server
-// relative to the mean load.
+// Imbalance returns the ratio of the maximum to the mean load of the servers, averaged
+// over time.
 func (r *Result) Imbalance() float64 {
 	sum := 0.0
 	for _, i := range r.imbalances {
@@ -48,13 +46,13 @@
 	return sum / float64(len(r.imbalances))
 }
 
-// Header returns the heading of the lines that String makes.
+// Header returns the header of the Markdown table whose rows String returns.
 func Header() string {
 	return "| policy | wait p50 | p95 | p99 | first token p50 | p99 | cache hits | recomputed tokens | max/mean load |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |"
 }
 
-// String returns the result as a line of a table.
+// String returns the result as a row of a Markdown table.
 func (r *Result) String() string {
 	return fmt.Sprintf("| %s | %s | %s | %s | %s | %s | %.1f%% | %d | %.2f |", r.policy,
 		seconds(r.Wait(0.5)), seconds(r.Wait(0.95)), seconds(r.Wait(0.99)),
--- a/routing/comparison/run.go
+++ b/routing/comparison/run.go
@@ -7,7 +7,7 @@
 	"monsoonlever/backend"
 )
 
-// simulation is one run of a scenario.
+// simulation is one run of a scenario with one policy.
 type simulation struct {
 	scenario Scenario
 	schedule schedule
@@ -18,7 +18,7 @@
 	result   Result
 }
 
-// Run returns what a policy makes of a scenario.
+// Run simulates a scenario with a policy and returns the result.
 func Run(s Scenario, p Policy) *Result {
 	sim := &simulation{
 		scenario: s,
@@ -47,7 +47,8 @@
 	return &sim.result
 }
 
-// scheduleEvents schedules everything that doesn't follow from a choice.
+// scheduleEvents schedules the events that don't depend on choices: arrivals, load
+// reports, ticks and measurements of the imbalance.
 func (sim *simulation) scheduleEvents() {
 	for _, r := range sim.scenario.requests() {
 		sim.schedule.after(r.arrival, func() { sim.arrive(r) })
@@ -133,7 +134,7 @@
 	}
 }
 
-// publishLoad sends a report to each entry instance, with a lag of its own.
+// publishLoad sends a load report to each entry instance, each with its own lag.
 func (sim *simulation) publishLoad(i int) {
 	s := sim.servers[i]
 	report := backend.LoadReport{
@@ -148,7 +149,7 @@
 	}
 }
 
-// publishEvents sends cache events, of which some are lost.
+// publishEvents sends cache events to each entry instance; a fraction of them is lost.
 func (sim *simulation) publishEvents(i int, events []backend.CacheEvent) {
 	for _, e := range events {
 		for _, c := range sim.choosers {
--- a/routing/comparison/scenario.go
+++ b/routing/comparison/scenario.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The model of an engine and its requests.
+// Parameters of the simulated engines and requests.
 const (
 	slotsPerServer      = 8
 	prefixTokens        = 2000
@@ -16,7 +16,7 @@
 	prefixZipfExponent  = 1.1
 )
 
-// The model of the news that entry instances get.
+// Parameters of the load reports, cache events and ticks at the entry instances.
 const (
 	reportInterval = 500 * time.Millisecond
 	minLag         = 500 * time.Millisecond
@@ -25,28 +25,32 @@
 	tickInterval   = 250 * time.Millisecond
 )
 
-// Scenario is one stream of requests and the servers that take it.
+// Scenario describes the servers, the entry instances and the request stream of a
+// simulation.
 type Scenario struct {
 	Servers int
-	// Entries is how many entry instances decide, each alone.
+	// Entries is the number of entry instances, each of which chooses independently.
 	Entries int
-	// Utilisation is the offered load as a share of all slots, were no prefix cached.
+	// Utilisation is the offered load as a fraction of the slots of all servers, if
+	// every prefix had to be computed.
 	Utilisation float64
-	// SlowServers is how many servers are slow by SlowFactor though they look well.
+	// SlowServers is the number of servers that take SlowFactor times as long for each
+	// request, while their load reports look healthy (a gray failure).
 	SlowServers int
 	SlowFactor  float64
 	Duration    time.Duration
-	// WarmUp is the time whose requests aren't measured.
+	// WarmUp is the initial time whose requests aren't measured.
 	WarmUp time.Duration
 	Seed   uint64
 }
 
-// meanServiceTime is the mean time of a request in a slot, were no prefix cached.
+// meanServiceTime returns the mean time that a request holds a slot if its prefix has
+// to be computed.
 func meanServiceTime() time.Duration {
 	return (prefixTokens+suffixTokens)*prefillTimePerToken + (minDecodeTokens+maxDecodeTokens)/2*decodeTimePerToken
 }
 
-// meanInterArrivalTime is the mean time between two requests.
+// meanInterArrivalTime returns the mean time between two arrivals.
 func (s Scenario) meanInterArrivalTime() time.Duration {
 	slots := float64(s.Servers * slotsPerServer)
 
--- a/routing/comparison/schedule.go
+++ b/routing/comparison/schedule.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// schedule runs events in the order of their time.
+// schedule is an event queue in simulated time. Events with the same time run in the
+// order in which they were added.
 type schedule struct {
 	now      time.Duration
 	sequence uint64
@@ -23,7 +24,7 @@
 	heap.Push(&s.events, scheduledEvent{dueAt: s.now + d, sequence: s.sequence, run: run})
 }
 
-// every repeats an event until the end.
+// every runs an event each interval d until the end time.
 func (s *schedule) every(d, end time.Duration, run func()) {
 	s.after(d, func() {
 		run()
--- a/routing/comparison/server.go
+++ b/routing/comparison/server.go
@@ -7,12 +7,13 @@
 	"monsoonlever/backend"
 )
 
-// server is a model engine: slots, a first-come queue and a prefix cache.
+// server is a simulated model engine with slots, a first-in, first-out queue and a
+// prefix cache.
 type server struct {
 	slowFactor float64
 	running    int
 	waiting    []*request
-	// cache holds prefixes, the most recently used last.
+	// cache holds the cached prefixes, the most recently used last.
 	cache    []uint64
 	sequence uint64
 }
@@ -21,7 +22,8 @@
 	return s.running + len(s.waiting)
 }
 
-// lookUpPrefix looks a prefix up, puts it into the cache, and returns the events.
+// lookUpPrefix reports whether a prefix is cached. It makes the prefix the most
+// recently used one and returns the events of the change.
 func (s *server) lookUpPrefix(prefix uint64) (bool, []backend.CacheEvent) {
 	if i := slices.Index(s.cache, prefix); i >= 0 {
 		s.cache = append(slices.Delete(s.cache, i, i+1), prefix)
--- a/routing/comparison/table.go
+++ b/routing/comparison/table.go
@@ -11,7 +11,7 @@
 	"monsoonlever/routing"
 )
 
-// DefaultTablePolicy is a table with the default policy.
+// DefaultTablePolicy is the default policy of routing.Table.
 var DefaultTablePolicy = routing.Policy{}
 
 var (
@@ -19,7 +19,7 @@
 	engineKey = routing.NewKey("ledger-llm", "", "", "")
 )
 
-// tableChooser asks a routing.Table.
+// tableChooser chooses servers with a routing.Table.
 type tableChooser struct {
 	table   *routing.Table
 	random  *rand.PCG
@@ -27,7 +27,8 @@
 	indexes map[fleet.InstanceID]int
 }
 
-// TablePolicy returns the policy of package routing with given settings.
+// TablePolicy returns a policy that chooses servers with a routing.Table with the given
+// settings.
 func TablePolicy(name string, p routing.Policy) Policy {
 	return Policy{Name: name, New: func(s Scenario, random *rand.PCG) Chooser {
 		c := &tableChooser{
@@ -67,7 +68,7 @@
 
 	choice, err := c.table.Pick(start.Add(now), c.random, request)
 	if err != nil {
-		panic(err) // No server of the model ever leaves.
+		panic(err) // The simulated servers never leave.
 	}
 
 	choice.Begin(start.Add(now))
--- a/routing/comparison_test.go
+++ b/routing/comparison_test.go
@@ -9,33 +9,35 @@
 )
 
 var (
-	large = flag.Bool("large", false, "compare the policies at 1,600 servers too")
-	seed  = flag.Uint64("seed", 1, "seed of the compared requests")
+	large = flag.Bool("large", false, "also run the scenarios with 400 and 1,600 servers")
+	seed  = flag.Uint64("seed", 1, "seed of the request stream")
 )
 
-// TestComparison prints what the policy and plain baselines make of the same
-// requests, and holds the policy to its margins over each baseline.
+// TestComparison runs the policy of package routing and the baselines on the same
+// requests, prints the results, and checks the margins of the policy over each
+// baseline.
 func TestComparison(t *testing.T) {
 	tests := []struct {
 		desc        string
 		servers     int
 		slowServers int
-		// entries is 9 unless given.
+		// entries is the number of entry instances, by default 9.
 		entries int
-		// duration and warmUp are shorter where more requests come at once.
+		// duration and warmUp are shorter in scenarios with a higher request rate.
 		duration time.Duration
 		warmUp   time.Duration
 		large    bool
-		// maxWaitRatio is the greatest p99 maxWaitRatio relative to any baseline's.
+		// maxWaitRatio is the maximum p99 wait relative to that of each baseline.
 		maxWaitRatio float64
-		// maxRecomputedRatio is the greatest share of any baseline's maxRecomputedRatio tokens.
+		// maxRecomputedRatio is the maximum number of recomputed tokens relative to
+		// that of each baseline.
 		maxRecomputedRatio float64
 	}{
 		{desc: "9 servers", servers: 9, duration: 600 * time.Second, warmUp: 60 * time.Second, maxWaitRatio: 1.2, maxRecomputedRatio: 0.5},
-		{desc: "9 servers of which 1 grey", servers: 9, slowServers: 1, duration: 600 * time.Second, warmUp: 60 * time.Second, maxWaitRatio: 0.5, maxRecomputedRatio: 0.5},
-		{desc: "100 servers of which 3 grey", servers: 100, slowServers: 3, duration: 120 * time.Second, warmUp: 60 * time.Second, maxWaitRatio: 0.75, maxRecomputedRatio: 0.35},
-		{desc: "400 servers of which 12 grey, 40 entry instances", servers: 400, slowServers: 12, entries: 40, duration: 90 * time.Second, warmUp: 60 * time.Second, large: true, maxWaitRatio: 1, maxRecomputedRatio: 0.35},
-		{desc: "1600 servers of which 48 grey", servers: 1600, slowServers: 48, duration: 90 * time.Second, warmUp: 60 * time.Second, large: true, maxWaitRatio: 1, maxRecomputedRatio: 0.35},
+		{desc: "9 servers, 1 slow", servers: 9, slowServers: 1, duration: 600 * time.Second, warmUp: 60 * time.Second, maxWaitRatio: 0.5, maxRecomputedRatio: 0.5},
+		{desc: "100 servers, 3 slow", servers: 100, slowServers: 3, duration: 120 * time.Second, warmUp: 60 * time.Second, maxWaitRatio: 0.75, maxRecomputedRatio: 0.35},
+		{desc: "400 servers, 12 slow, 40 entry instances", servers: 400, slowServers: 12, entries: 40, duration: 90 * time.Second, warmUp: 60 * time.Second, large: true, maxWaitRatio: 1, maxRecomputedRatio: 0.35},
+		{desc: "1600 servers, 48 slow", servers: 1600, slowServers: 48, duration: 90 * time.Second, warmUp: 60 * time.Second, large: true, maxWaitRatio: 1, maxRecomputedRatio: 0.35},
 	}
 
 	for _, tt := range tests {
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -10,8 +10,9 @@
 	"monsoonlever/backend"
 )
 
-// TestDrainedLeavingServerGetsNoRequest checks that a server which is leaving
-// and was seen without requests gets none afterwards, whatever runs beside it.
+// TestDrainedLeavingServerGetsNoRequest checks that a leaving server that once had no
+// request in flight gets none afterwards, while picks, ticks and reports run
+// concurrently.
 func TestDrainedLeavingServerGetsNoRequest(t *testing.T) {
 	const size, workers = 4, 4
 
@@ -38,7 +39,7 @@
 					}
 
 					if drainedBefore && choice.ID() == leaving {
-						t.Errorf("%s got a request after it was drained", leaving)
+						t.Errorf("server %s: got a request after it was drained, want none", leaving)
 					}
 
 					if choice.ID() == leaving {
@@ -66,7 +67,7 @@
 
 		for range 100 {
 			if leavingInFlight.Load() > 0 {
-				t.Errorf("%s holds a request after it was drained", leaving)
+				t.Errorf("server %s: got a request in flight after it was drained, want none", leaving)
 			}
 		}
 
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/fleet"
 )
 
-// ejectionModel gives servers bad days and takes servers away.
+// ejectionModel makes servers fail or respond slowly, and removes servers.
 type ejectionModel struct {
 	table  *Table
 	random *rand.PCG
@@ -18,7 +18,7 @@
 	size   int
 }
 
-// call sends requests of which those to some servers fail or are slow.
+// call sends requests; those to a random subset of the servers fail or are slow.
 func (m *ejectionModel) call(t *rapid.T) {
 	faulty := rapid.SliceOfNDistinct(rapid.IntRange(0, m.size-1), 0, m.size, rapid.ID).Draw(t, "faulty")
 	kind := rapid.SampledFrom([]Failure{FailDial, FailReset, FailTimeout, FailCancelled}).Draw(t, "kind")
@@ -71,7 +71,7 @@
 	}
 
 	if limit := int(0.34 * float64(servers)); ejected > limit {
-		t.Fatalf("%d of %d servers are ejected, want at most %d", ejected, servers, limit)
+		t.Fatalf("ejected servers: got %d of %d, want at most %d", ejected, servers, limit)
 	}
 }
 
--- a/routing/failure.go
+++ b/routing/failure.go
@@ -1,20 +1,22 @@
 package routing
 
-// Failure is the kind of a failed call.
+// Failure is the kind of failure of a call to a backend server.
 type Failure int
 
-// The kinds of failed calls.
+// The kinds of failures.
 const (
-	// FailDial means that no connection was made; it counts at once.
+	// FailDial means that no connection could be established. A single one makes the
+	// server an outlier, without a minimum number of samples.
 	FailDial Failure = iota
-	// FailRefused means that the server refused the call before running it.
+	// FailRefused means that the server refused the call before executing it.
 	FailRefused
-	// FailReset means that the connection broke, or an answer ended early.
+	// FailReset means that the connection broke, or the answer ended prematurely.
 	FailReset
-	// FailTimeout means that no answer came in time.
+	// FailTimeout means that no answer arrived before the timeout.
 	FailTimeout
-	// FailServer means that the server answered with a fault of its own.
+	// FailServer means that the server responded with a server error.
 	FailServer
-	// FailCancelled means that the caller gave up; it says nothing of the server.
+	// FailCancelled means that the caller cancelled the call. It doesn't count against
+	// the server.
 	FailCancelled
 )
--- a/routing/health.go
+++ b/routing/health.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// maxSamples is how many outcomes are remembered, so that a busy server is found
-// faulty as soon as an idle one.
+// maxSamples caps the total weight of the outcomes, so that a fault of a busy server is
+// detected as soon as that of an idle one.
 const maxSamples = 50
 
-// health is what the outcomes of calls say of a server. Old outcomes fade with
-// a half-life and with newer ones.
+// health is the outcome statistics of a server and its ejection state. The weight of an
+// outcome decays with Policy.OutcomeHalfLife and as newer outcomes push the total over
+// maxSamples.
 type health struct {
 	succeeded  float64
 	failed     float64
@@ -19,8 +20,8 @@
 
 	ejections int
 	probeAt   time.Time
-	// dialFailedUntil is when a server that can't be dialled is tried again,
-	// although it couldn't be ejected.
+	// dialFailedUntil is when a server that can't be dialed, but couldn't be ejected
+	// because of the limit on ejections, loses its dialFailed mark.
 	dialFailedUntil time.Time
 }
 
@@ -59,7 +60,8 @@
 	return h.failed / h.samples()
 }
 
-// meanLatency is per token where calls report tokens.
+// meanLatency returns the mean latency of successful calls, per token where the calls
+// reported tokens.
 func (h *health) meanLatency() float64 {
 	if h.succeeded == 0 {
 		return 0
@@ -68,7 +70,7 @@
 	return h.latencySum / h.succeeded
 }
 
-// clearOutcomes forgets the outcomes but not how often the server was ejected.
+// clearOutcomes discards the outcomes, but keeps the number of ejections.
 func (h *health) clearOutcomes() {
 	h.scale(0)
 }
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -8,14 +8,14 @@
 	"monsoonlever/fleet"
 )
 
-// faultScenario drives a table with requests to servers of which one is faulty.
+// faultScenario sends requests to the servers of a table, one of which is faulty.
 type faultScenario struct {
 	table   *Table
 	now     time.Time
 	request Request
 	faulty  fleet.InstanceID
 	finish  func(Choice, time.Time)
-	// faultyRequests counts the requests that the faulty server faultyRequests.
+	// faultyRequests is the number of requests that the faulty server got.
 	faultyRequests int
 }
 
@@ -24,7 +24,8 @@
 	requestsPerTick = 25
 )
 
-// run sends a request at every step, with a tick and reports every 25 steps.
+// run sends one request per requestInterval, with a tick and a report of the faulty
+// server after every requestsPerTick requests.
 func (s *faultScenario) run(t *testing.T, d time.Duration) {
 	t.Helper()
 
@@ -35,7 +36,7 @@
 
 		choice, err := s.table.Pick(s.now, random, s.request)
 		if err != nil || !choice.Begin(s.now) {
-			t.Fatalf("no server: %v", err)
+			t.Fatalf("pick or begin failed: error %v", err)
 		}
 
 		if choice.ID() == s.faulty {
@@ -64,13 +65,13 @@
 		desc    string
 		request Request
 		finish  func(Choice, time.Time)
-		// maxFaulty is how many requests the faulty server may get in a minute.
+		// maxFaulty is the maximum number of requests to the faulty server in a minute.
 		maxFaulty int
 	}{
 		{desc: "slow", request: idempotent, finish: succeedSlowly, maxFaulty: 60},
 		{desc: "resets", request: idempotent, finish: failReset, maxFaulty: 60},
-		{desc: "can't be dialled", request: idempotent, finish: failDial, maxFaulty: 20},
-		{desc: "can't be dialled, requests may not probe", request: NewRequest(testKey), finish: failDial, maxFaulty: 20},
+		{desc: "can't be dialed", request: idempotent, finish: failDial, maxFaulty: 20},
+		{desc: "can't be dialed, non-idempotent requests", request: NewRequest(testKey), finish: failDial, maxFaulty: 20},
 	}
 
 	for _, tt := range tests {
@@ -87,7 +88,7 @@
 			s.run(t, 3*time.Minute)
 
 			if want := 1000; s.faultyRequests < want {
-				t.Errorf("requests once well: got %d of 18000, want at least %d", s.faultyRequests, want)
+				t.Errorf("requests after recovery: got %d of 18000, want at least %d", s.faultyRequests, want)
 			}
 		})
 	}
@@ -103,7 +104,7 @@
 
 		choice, err := table.Pick(now, random, NewRequest(testKey))
 		if err != nil || !choice.Begin(now) {
-			t.Fatalf("no server: %v", err)
+			t.Fatalf("pick or begin failed: error %v", err)
 		}
 
 		choice.Failed(now, FailServer)
@@ -112,7 +113,7 @@
 
 	for _, s := range table.Statuses() {
 		if s.Ejected() {
-			t.Errorf("%s: got ejected, want none", s.ID())
+			t.Errorf("server %s: got ejected, want not ejected", s.ID())
 		}
 	}
 }
@@ -139,7 +140,8 @@
 	}
 }
 
-// TestUnansweredProbeBlocksFurtherProbes gives an ejected server probes that it doesn't answer.
+// TestUnansweredProbeBlocksFurtherProbes checks that an ejected server that doesn't
+// answer a probe gets no further ones meanwhile.
 func TestUnansweredProbeBlocksFurtherProbes(t *testing.T) {
 	s := &faultScenario{table: newTestTable(9, 4), now: testStart, request: NewRequest(testKey).WithIdempotent(), faulty: testID(4), finish: failDial}
 	s.run(t, 10*time.Second)
--- a/routing/key.go
+++ b/routing/key.go
@@ -2,8 +2,8 @@
 
 import "monsoonlever/fleet"
 
-// Key names the servers that can take the same requests. A plain service has
-// neither model, version nor role.
+// Key identifies a set of interchangeable servers: each can take any request for the
+// key. A plain service has neither model, version nor role.
 type Key struct {
 	service fleet.Service
 	model   fleet.Model
@@ -11,7 +11,7 @@
 	role    string
 }
 
-// NewKey returns the key of the servers of a service, model, version and role.
+// NewKey returns the key of the servers with a service, model, version and role.
 func NewKey(s fleet.Service, m fleet.Model, v fleet.ModelVersion, role string) Key {
 	return Key{service: s, model: m, version: v, role: role}
 }
@@ -22,8 +22,8 @@
 // Model returns the model of the key, empty for a plain service.
 func (k Key) Model() fleet.Model { return k.model }
 
-// Version returns the model version of the key.
+// Version returns the model version of the key, empty for a plain service.
 func (k Key) Version() fleet.ModelVersion { return k.version }
 
-// Role returns the engine role of the key.
+// Role returns the engine role of the key, empty for a plain service.
 func (k Key) Role() string { return k.role }
--- a/routing/leaving_test.go
+++ b/routing/leaving_test.go
@@ -12,14 +12,15 @@
 	"monsoonlever/provider"
 )
 
-// leavingModel is a world in which servers leave, and news of it comes from
-// four sources that lag each on its own.
+// leavingModel simulates servers that leave while the updates about it arrive from four
+// sources, each with its own lag.
 type leavingModel struct {
 	table  *Table
 	random *rand.PCG
 	now    time.Time
 	size   int
-	// firstReported holds when the table was first told that a server is leaving.
+	// firstReported holds the time at which the table first received an update that a
+	// server is leaving.
 	firstReported map[fleet.InstanceID]time.Time
 }
 
@@ -50,7 +51,8 @@
 	m.table.Tick(m.now, m.random)
 }
 
-// list shows any mix of live, leaving and missing, as a list that lags does.
+// list updates the table with a list in which each server is live, leaving or missing
+// at random, like a list that lags.
 func (m *leavingModel) list(t *rapid.T) {
 	var listings []provider.Listing
 
@@ -98,7 +100,7 @@
 	}
 
 	if reported, ok := m.firstReported[choice.ID()]; ok {
-		t.Fatalf("%s got a request %v after the first news that it leaves", choice.ID(), m.now.Sub(reported))
+		t.Fatalf("server %s: got a request %v after the first update that it is leaving, want none", choice.ID(), m.now.Sub(reported))
 	}
 
 	if rapid.Bool().Draw(t, "fails") {
@@ -122,8 +124,8 @@
 	})
 }
 
-// TestLeavingServerGetsNoRequestWhileListLags measures the time from the first
-// news, a reclaim notice, to the last new request.
+// TestLeavingServerGetsNoRequestWhileListLags checks that a server gets no request
+// after a reclaim notice, although the list shows it as live for 30 s more.
 func TestLeavingServerGetsNoRequestWhileListLags(t *testing.T) {
 	const (
 		servers = 9
@@ -152,7 +154,7 @@
 
 		choice, err := table.Pick(now, random, NewRequest(testKey))
 		if err != nil || !choice.Begin(now) {
-			t.Fatalf("no server at %v: %v", at, err)
+			t.Fatalf("pick or begin at %v failed: error %v", at, err)
 		}
 
 		if choice.ID() == leaving {
@@ -163,6 +165,6 @@
 	}
 
 	if last >= 0 {
-		t.Errorf("last new request: got %v after the news, want none", last)
+		t.Errorf("last new request: got %v after the reclaim notice, want none", last)
 	}
 }
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -8,13 +8,15 @@
 	"monsoonlever/fleet"
 )
 
-// TestLoadCountsOwnRequestsOnce checks the load after a report that lags.
+// TestLoadCountsOwnRequestsOnce checks that requests of this entry instance are neither
+// counted twice nor omitted when a load report lags.
 func TestLoadCountsOwnRequestsOnce(t *testing.T) {
 	const second = time.Second
 
 	tests := []struct {
 		desc string
-		// sent and done are when the requests of this node began and ended.
+		// sent and done are the times at which requests of this entry instance began
+		// and ended.
 		sent    []time.Duration
 		done    []time.Duration
 		at      time.Duration
@@ -23,9 +25,9 @@
 	}{
 		{desc: "all sent before the report", sent: []time.Duration{0, 0}, at: second, running: 5, want: 5},
 		{desc: "all sent after the report", sent: []time.Duration{second, second}, at: 0, running: 5, want: 7},
-		{desc: "one on each side", sent: []time.Duration{0, 2 * second}, at: second, running: 5, want: 6},
-		{desc: "finished since", sent: []time.Duration{0, 0}, done: []time.Duration{2 * second}, at: second, running: 5, want: 4},
-		{desc: "report knows less than we do", sent: []time.Duration{0, 0}, at: second, running: 0, want: 2},
+		{desc: "one before and one after the report", sent: []time.Duration{0, 2 * second}, at: second, running: 5, want: 6},
+		{desc: "one ended after the report", sent: []time.Duration{0, 0}, done: []time.Duration{2 * second}, at: second, running: 5, want: 4},
+		{desc: "report lacks own requests", sent: []time.Duration{0, 0}, at: second, running: 0, want: 2},
 	}
 
 	for _, tt := range tests {
@@ -64,11 +66,11 @@
 		domains []fleet.FailureDomain
 		want    int
 	}{
-		{desc: "nothing", want: 8},
-		{desc: "a server", ids: []fleet.InstanceID{testID(3)}, want: 7},
-		{desc: "a failure domain", domains: testDomains[:1], want: 6},
-		{desc: "all failure domains but one, and a server of it", ids: []fleet.InstanceID{testID(3)}, domains: testDomains[:3], want: 1},
-		{desc: "everything", domains: testDomains, want: 0},
+		{desc: "no exclusion", want: 8},
+		{desc: "one server", ids: []fleet.InstanceID{testID(3)}, want: 7},
+		{desc: "one failure domain", domains: testDomains[:1], want: 6},
+		{desc: "all failure domains but one, and one server in it", ids: []fleet.InstanceID{testID(3)}, domains: testDomains[:3], want: 1},
+		{desc: "all failure domains", domains: testDomains, want: 0},
 	}
 
 	for _, tt := range tests {
--- a/routing/order.go
+++ b/routing/order.go
@@ -2,14 +2,15 @@
 
 import "monsoonlever/fleet"
 
-// serverOrder compares two servers for an entry instance.
+// serverOrder is the order in which an entry instance prefers the servers of a pool.
 type serverOrder struct {
 	domain fleet.FailureDomain
 }
 
-// prefers tells whether a goes before b: a server that can be dialled, then one
-// that reports, then the less loaded, and only where both are equal the nearer
-// and the cheaper.
+// prefers reports whether a is preferred to b. A server whose last dial didn't fail
+// comes first, then one that isn't silent, then the one with the lower utilisation.
+// Only on a tie in all of these, a server in the failure domain of the entry instance
+// comes first, then the cheaper one.
 func (o *serverOrder) prefers(a, b *member) bool {
 	if as, bs := a.server.dialFailed.Load(), b.server.dialFailed.Load(); as != bs {
 		return bs
--- a/routing/outcomes.go
+++ b/routing/outcomes.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// outcomeCounters collects the outcomes of calls between two ticks.
+// outcomeCounters accumulates the outcomes of calls between two ticks.
 type outcomeCounters struct {
 	succeeded      atomic.Int64
 	failed         atomic.Int64
@@ -15,7 +15,7 @@
 	probeFailed    atomic.Int64
 }
 
-// outcomeCounts is an interval that was taken out.
+// outcomeCounts is the content of outcomeCounters at a tick.
 type outcomeCounts struct {
 	succeeded  int64
 	failed     int64
@@ -26,13 +26,13 @@
 	probeFailed    int64
 }
 
-func (i *outcomeCounters) take() outcomeCounts {
+func (c *outcomeCounters) take() outcomeCounts {
 	return outcomeCounts{
-		succeeded:      i.succeeded.Swap(0),
-		failed:         i.failed.Swap(0),
-		latencySum:     time.Duration(i.latencySum.Swap(0)),
-		probeSucceeded: i.probeSucceeded.Swap(0),
-		probeLatency:   time.Duration(i.probeLatency.Swap(0)),
-		probeFailed:    i.probeFailed.Swap(0),
+		succeeded:      c.succeeded.Swap(0),
+		failed:         c.failed.Swap(0),
+		latencySum:     time.Duration(c.latencySum.Swap(0)),
+		probeSucceeded: c.probeSucceeded.Swap(0),
+		probeLatency:   time.Duration(c.probeLatency.Swap(0)),
+		probeFailed:    c.probeFailed.Swap(0),
 	}
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// ejectionCause tells why a server is ejected; a smaller one goes first.
+// ejectionCause is the reason to eject a server. Outliers with a lower value are
+// ejected first.
 type ejectionCause int
 
 const (
@@ -19,11 +20,11 @@
 type outlier struct {
 	server *server
 	cause  ejectionCause
-	// severity orders outliers of one cause.
+	// severity orders outliers with the same cause; the highest is ejected first.
 	severity float64
 }
 
-// classify compares a server with what is typical for its pool.
+// classify compares the health of a server with the medians of its pool.
 func (t *Table) classify(s *server, medians poolMedians) outlier {
 	if s.dialFailed.Load() {
 		return outlier{server: s, cause: causeDial}
@@ -31,7 +32,8 @@
 
 	h := &s.health
 
-	// A comparison with NaN is false, so that too few peers eject nobody.
+	// A comparison with NaN is false, so a pool with too few measured servers for a
+	// median has no outliers by errors or latency.
 	if h.samples() >= t.policy.MinSamples && h.errorRate() > medians.errorRate+t.policy.ErrorMargin {
 		return outlier{server: s, cause: causeErrors, severity: h.errorRate()}
 	}
@@ -43,12 +45,14 @@
 	return outlier{server: s, cause: causeNone}
 }
 
-// maxEjected returns how many servers of a pool may be ejected at once.
+// maxEjected returns the maximum number of servers of a pool that may be ejected at the
+// same time.
 func (t *Table) maxEjected(p *pool) int {
 	return int(t.policy.MaxEjectedShare * float64(len(p.members.items)))
 }
 
-// ejectOutliers ejects the worst servers, as far as the bound of the pool allows.
+// ejectOutliers ejects the worst outliers of a pool, up to its limit of ejected
+// servers.
 func (t *Table) ejectOutliers(now time.Time, random Random, p *pool, medians poolMedians) {
 	var outliers []outlier
 
@@ -82,8 +86,9 @@
 	}
 }
 
-// keepOutlier leaves an outlier in the pool. One that can't be dialled is chosen after
-// all others until it is tried again.
+// keepOutlier handles an outlier that the limit of the pool protects from ejection. If
+// it can't be dialed, it keeps its dialFailed mark, by which all other servers are
+// preferred to it, until a backoff has passed.
 func (t *Table) keepOutlier(now time.Time, random Random, o outlier) {
 	if o.cause != causeDial {
 		return
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Pick chooses a server for a request. It returns ErrNoServer if none can take
-// it. The caller reports back by the methods of the Choice.
+// Pick chooses a server for a request. It returns ErrNoServer if no server can take the
+// request. The caller reports the start and the outcome of the request through the
+// methods of the Choice.
 func (t *Table) Pick(now time.Time, random Random, r Request) (Choice, error) {
 	s := t.current.Load()
 	if s == nil {
@@ -43,8 +44,8 @@
 	return t.newChoice(best, &r, false, false), nil
 }
 
-// pickByScan serves a request for which no draw could be used: most of the pool
-// is excluded, ejected or leaving.
+// pickByScan scans the whole pool for a request for which no drawn server was usable,
+// because most of the pool is excluded, ejected or leaving.
 func (t *Table) pickByScan(p *pool, random Random, r *Request) (Choice, error) {
 	if m := p.scan(random, r, false); m != nil {
 		t.counters.picksByLoad.Inc()
@@ -52,7 +53,7 @@
 		return t.newChoice(m, r, false, false), nil
 	}
 
-	// An ejected server may still answer; no server certainly doesn't.
+	// An ejected server may still be able to answer, so it is better than an error.
 	if m := p.scan(random, r, true); m != nil {
 		t.counters.picksLastResort.Inc()
 
@@ -64,8 +65,9 @@
 	return Choice{}, ErrNoServer
 }
 
-// prefixHolder returns the least loaded server that may hold the prefix of the
-// request, if its load is within the bound.
+// prefixHolder returns the most preferred server that may have the prompt prefix of the
+// request cached, or nil if there is none or its utilisation exceeds both the affinity
+// bound and the utilisation of best, the server that was drawn by load.
 func (t *Table) prefixHolder(now time.Time, s *snapshot, p *pool, r *Request, best *member) *member {
 	if r.prefix == 0 {
 		return nil
@@ -106,7 +108,7 @@
 	return holder
 }
 
-func (t *Table) newChoice(m *member, r *Request, probe, hinted bool) Choice {
+func (t *Table) newChoice(m *member, r *Request, probe, byPrefix bool) Choice {
 	return Choice{
 		server:   m.server,
 		table:    t,
@@ -114,6 +116,6 @@
 		domain:   m.spec.domain,
 		prefix:   r.prefix,
 		probe:    probe,
-		byPrefix: hinted,
+		byPrefix: byPrefix,
 	}
 }
--- a/routing/pick_bench_test.go
+++ b/routing/pick_bench_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkPickForRetry excludes a failure domain and a server that was tried.
+// BenchmarkPickForRetry excludes a failure domain and a server, as a retry does.
 func BenchmarkPickForRetry(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestPickAllocatesNothing keeps the path of a request free of allocations.
+// TestPickAllocatesNothing guards against heap allocations on the request path.
 func TestPickAllocatesNothing(t *testing.T) {
 	table := newTestTable(1600, 8)
 	random := newTestRandom()
@@ -140,8 +140,8 @@
 	}
 }
 
-// BenchmarkMemory reports what a table keeps for each server, and its memory of
-// prefixes once that is full.
+// BenchmarkMemory reports the memory of a table per server, and that of its prefix
+// index when full.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -2,45 +2,55 @@
 
 import "time"
 
-// Policy holds the settings of a table. A zero field stands for its default.
+// Policy holds the settings of a table. A zero field selects its default.
 type Policy struct {
-	// Choices is how many servers are drawn for a request.
+	// Choices is the number of servers that are drawn for a request, of which the most
+	// preferred is picked.
 	Choices int
-	// AffinityBound is how far above the mean load of its pool a server with a
-	// cached prefix may be, as a factor.
+	// AffinityBound is the maximum utilisation of a server that is picked for its
+	// cached prefix, as a multiple of the mean utilisation of its pool with one more
+	// request.
 	AffinityBound float64
-	// AffinityCeiling is the utilisation above which a cached prefix isn't
-	// worth the wait for a slot.
+	// AffinityCeiling is the upper limit of the affinity bound. Above this utilisation,
+	// the wait for a slot costs more than a cached prefix saves.
 	AffinityCeiling float64
-	// MaxPrefixes is how many prefixes are remembered.
+	// MaxPrefixes is the capacity of the prefix index, in pairs of a prefix and a
+	// server.
 	MaxPrefixes int
-	// PrefixTTL is how long a prefix is remembered.
+	// PrefixTTL is how long an entry of the prefix index is valid.
 	PrefixTTL time.Duration
 	// OutcomeHalfLife is the time in which the outcome of a call loses half its weight.
 	OutcomeHalfLife time.Duration
-	// MinSamples is how many outcomes a server is judged by.
+	// MinSamples is the minimum number of weighted outcomes by which a server is
+	// evaluated.
 	MinSamples float64
-	// MaxEjectedShare is the greatest share of a pool that is ejected.
+	// MaxEjectedShare is the maximum share of the servers of a pool that may be
+	// ejected.
 	MaxEjectedShare float64
-	// LatencyFactor is how far above the median a latency is an outlier.
+	// LatencyFactor is the multiple of the median latency above which a server is an
+	// outlier.
 	LatencyFactor float64
-	// ErrorMargin is how far above the median an error rate is an outlier.
+	// ErrorMargin is how far an error rate must exceed the median for the server to be
+	// an outlier, as an absolute difference.
 	ErrorMargin float64
-	// InitialProbeDelay is the time from the first ejection to the first probe. It
-	// doubles with each ejection or failed probe.
+	// InitialProbeDelay is the maximum time from the first ejection to the first probe.
+	// It doubles with each further ejection or failed probe.
 	InitialProbeDelay time.Duration
-	// MaxProbeDelay bounds the time between probes.
+	// MaxProbeDelay is the maximum time between probes.
 	MaxProbeDelay time.Duration
-	// ReportTimeout is how long a server that the list lacks is kept for its own
-	// reports.
+	// ReportTimeout is how long after its last load report or engine state a server
+	// that is missing from the instance list still gets requests.
 	ReportTimeout time.Duration
-	// SilenceTimeout is how long after its last report a server is used only where
-	// the others that were drawn are silent too.
+	// SilenceTimeout is how long after its last load report or engine state a server
+	// counts as silent. Among the drawn servers, a silent one is picked only if all the
+	// others are silent or can't be dialed.
 	SilenceTimeout time.Duration
-	// UnlistedRetention is how long a server that the list lacks is remembered, so
-	// that a late list can't bring it back.
+	// UnlistedRetention is how long the state of a server that is missing from the
+	// instance list is retained, so that an outdated list can't make a leaving server
+	// available again.
 	UnlistedRetention time.Duration
-	// DefaultCapacity stands for the capacity of a server that said none.
+	// DefaultCapacity is the capacity of a server that reported none, in concurrent
+	// requests.
 	DefaultCapacity int
 }
 
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -5,26 +5,28 @@
 	"sync/atomic"
 )
 
-// drawsPerChoice bounds how often a draw is repeated that hit a server which
-// can't be used or was drawn already.
+// drawsPerChoice limits the number of draws for each wanted server, since a draw may
+// return an unusable server or the best one so far once more.
 const drawsPerChoice = 4
 
-// member is a server as it stands in one snapshot. It is immutable.
+// member is a server as one snapshot has it. It is immutable.
 type member struct {
 	server *server
 	spec   spec
-	// pool is the state of the pool that the server is in.
+	// pool is the state of the pool that the server belongs to.
 	pool *poolState
-	// requestShare is the part of the server's capacity that one request takes.
+	// requestShare is the fraction of the server's capacity that one request takes.
 	requestShare float64
-	// otherEntries is how many other entry instances are taken to do as this one does.
+	// otherEntries is the number of other entry instances that are assumed to send
+	// requests at the same rate as this one.
 	otherEntries int64
 }
 
-// load estimates how many requests the server holds: those of this entry
-// instance now, those of others when the server last reported, and what others
-// will have sent since, if they did as this one. Without the last part all
-// entry instances run to the same server between two reports.
+// load estimates how many requests the server holds: those of this entry instance at
+// present, those of the other entry instances at the server's last report, and those
+// that the others have sent since, assuming that each sent as many as this one. Without
+// the extrapolation all entry instances would send to the same least loaded server
+// between two reports.
 func (m *member) load() int64 {
 	own := m.server.inFlight.Load()
 	otherInFlight := m.server.otherAtReport.Load() + m.otherEntries*(own-m.server.ownAtReport.Load())
@@ -32,34 +34,36 @@
 	return own + max(0, otherInFlight)
 }
 
-// utilisation returns the load of the server, one more request included, as a
-// share of its capacity.
+// utilisation returns the load of the server including one more request, as a fraction
+// of its capacity.
 func (m *member) utilisation() float64 {
 	return float64(m.load()+1) * m.requestShare
 }
 
-// poolState is the part of a pool that outlives snapshots.
+// poolState is the mutable state of a pool, which new snapshots take over.
 type poolState struct {
-	mean           atomic.Uint64
+	meanBits       atomic.Uint64
 	probeCandidate atomic.Pointer[member]
 }
 
 func (s *poolState) meanUtilisation() float64 {
-	return math.Float64frombits(s.mean.Load())
+	return math.Float64frombits(s.meanBits.Load())
 }
 
 func (s *poolState) setMeanUtilisation(mean float64) {
-	s.mean.Store(math.Float64bits(mean))
+	s.meanBits.Store(math.Float64bits(mean))
 }
 
-// pool holds the servers of one key that are neither leaving nor loading.
+// pool holds the servers of one key that can take requests (see Table.newMember),
+// ejected ones included.
 type pool struct {
 	members sampler[*member]
 	state   *poolState
 }
 
-// takeProbe returns the ejected server that is due for a probe, if the request
-// may be risked on it and is the first to come.
+// takeProbe returns the ejected server that is due for a probe, or nil. It returns the
+// server only to an idempotent request, and only to the first one after the server
+// became due.
 func (p *pool) takeProbe(r *Request) *member {
 	m := p.state.probeCandidate.Load()
 	if m == nil || !r.idempotent {
@@ -77,8 +81,8 @@
 	return m
 }
 
-// draw returns the best of n servers that were drawn by capacity, or nil if
-// none of the draws could be used.
+// draw draws up to n usable servers, weighted by capacity, and returns the most
+// preferred of them, or nil if no drawn server was usable.
 func (p *pool) draw(random Random, r *Request, n int, order *serverOrder) *member {
 	var best *member
 
@@ -98,9 +102,8 @@
 	return best
 }
 
-// scan returns the first usable server from a random place on. It serves the
-// rare request for which no draw could be used. Where allow is set, ejected
-// servers are usable too.
+// scan returns the first usable server from a random position on, or nil. With
+// allowEjected, ejected servers are usable too.
 func (p *pool) scan(random Random, r *Request, allowEjected bool) *member {
 	items := p.members.items
 	start := int(random.Uint64() % uint64(len(items)))
--- a/routing/preferred.go
+++ b/routing/preferred.go
@@ -2,7 +2,8 @@
 
 import "monsoonlever/fleet"
 
-// preferred returns the server that the request prefers, if it can be used.
+// preferred returns the server that the request prefers, or nil if it has no preference
+// or the server isn't usable.
 func (p *pool) preferred(r *Request) *member {
 	if r.preferred == "" {
 		return nil
@@ -17,8 +18,8 @@
 	return nil
 }
 
-// Versions returns the versions of a model that servers of a service are ready
-// to serve, in no order.
+// Versions returns the versions of a model for which a service has servers that are
+// ready, in no particular order.
 func (t *Table) Versions(service fleet.Service, model fleet.Model) []fleet.ModelVersion {
 	s := t.current.Load()
 	if s == nil {
--- a/routing/preferred_test.go
+++ b/routing/preferred_test.go
@@ -20,7 +20,7 @@
 		leaving bool
 		want    bool
 	}{
-		{desc: "taken", prefer: "b", want: true},
+		{desc: "usable", prefer: "b", want: true},
 		{desc: "excluded", prefer: "b", exclude: []fleet.InstanceID{"b"}},
 		{desc: "leaving", prefer: "b", leaving: true},
 		{desc: "unknown", prefer: "z"},
@@ -54,7 +54,7 @@
 			}
 
 			if got := preferredPicks == 30; got != tt.want {
-				t.Errorf("always preferred: got %v (%d of 30), want %v", got, preferredPicks, tt.want)
+				t.Errorf("preferred server always picked: got %v (%d of 30), want %v", got, preferredPicks, tt.want)
 			}
 		})
 	}
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -24,9 +24,9 @@
 	}{
 		{desc: "stored", events: []backend.CacheEvent{stored}, want: true},
 		{desc: "evicted", events: []backend.CacheEvent{stored, evicted}, want: false},
-		{desc: "late event after a newer one", events: []backend.CacheEvent{evicted, stored}, want: false},
+		{desc: "older event after a newer one", events: []backend.CacheEvent{evicted, stored}, want: false},
 		{desc: "stored after a gap", events: []backend.CacheEvent{{Sequence: 9, Prefix: prefix}}, want: true},
-		{desc: "too old", events: []backend.CacheEvent{stored}, after: time.Hour, want: false},
+		{desc: "expired", events: []backend.CacheEvent{stored}, after: time.Hour, want: false},
 	}
 
 	for _, tt := range tests {
@@ -40,14 +40,14 @@
 			}
 
 			if got := choice.ByPrefix() && choice.ID() == testID(5); got != tt.want {
-				t.Errorf("led to the holder: got %v, want %v", got, tt.want)
+				t.Errorf("picked the holder for its prefix: got %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// TestHoldsPrefixNeverOverridesLoad checks that the most loaded server isn't
-// chosen for a prefix once it is over the bound.
+// TestHoldsPrefixNeverOverridesLoad checks that the most loaded server is picked for
+// its cached prefix only while its utilisation is within the affinity bound.
 func TestHoldsPrefixNeverOverridesLoad(t *testing.T) {
 	const capacity = 4
 
@@ -83,7 +83,7 @@
 		utilisation := float64(holderLoad+1) / capacity
 
 		if want := utilisation <= bound; choice.ByPrefix() != want {
-			t.Fatalf("chosen for its prefix at utilisation %.2f with bound %.2f: got %v, want %v",
+			t.Fatalf("picked for its prefix at utilisation %.2f with bound %.2f: got %v, want %v",
 				utilisation, bound, choice.ByPrefix(), want)
 		}
 	})
@@ -108,6 +108,6 @@
 	}
 
 	if got > size {
-		t.Errorf("prefixes remembered: got %d, want at most %d", got, size)
+		t.Errorf("entries in the prefix index: got %d, want at most %d", got, size)
 	}
 }
--- a/routing/prefixes.go
+++ b/routing/prefixes.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// entriesPerSet is how many holders of prefixes share a set.
+	// entriesPerSet is the number of entries in a set (the associativity).
 	entriesPerSet = 8
-	// maxHolders is how many holders of one prefix are remembered.
+	// maxHolders is the maximum number of servers that are stored for one prefix.
 	maxHolders = 6
 )
 
-// prefixIndex remembers which servers may hold a prompt prefix in their cache. Its
-// size is fixed: a new prefix takes the place of the oldest of its set. What it
-// says is a hint, for the events behind it are late and have gaps.
+// prefixIndex is a set-associative cache of which servers may have a prompt prefix
+// cached. Its size is fixed: a new entry replaces the one of its set that expires
+// first. Its entries are only hints, since cache events arrive late and may be lost.
 type prefixIndex struct {
 	sets []prefixSet
 	ttl  time.Duration
@@ -37,9 +37,10 @@
 	return &p.sets[prefix%uint64(len(p.sets))]
 }
 
-// add notes that a server has the prefix, or will have it soon. Of the holders
-// of one prefix the ones of lowest rank are kept, so that entry instances which
-// hear the same events don't all send to the same few.
+// add records that a server has a prefix cached, or soon will have. Of more than
+// maxHolders servers with the same prefix, the index keeps those of lowest rank. The
+// rank depends on the entry instance, so that entry instances that receive the same
+// cache events don't all send to the same few servers.
 func (p *prefixIndex) add(now time.Time, prefix uint64, s *server) {
 	set := p.set(prefix)
 	if i := set.slotFor(now, prefix, s); i >= 0 {
@@ -47,7 +48,8 @@
 	}
 }
 
-// slotFor returns where the entry of a holder goes, or -1 for nowhere.
+// slotFor returns the index of the entry to write for a server with a prefix, or -1 if
+// the prefix has enough servers of lower rank.
 func (set *prefixSet) slotFor(now time.Time, prefix uint64, s *server) int {
 	var (
 		holders, highest, oldest int
@@ -92,7 +94,7 @@
 	return -1
 }
 
-// remove notes that a server has evicted the prefix.
+// remove records that a server has evicted a prefix.
 func (p *prefixIndex) remove(prefix uint64, s *server) {
 	set := p.set(prefix)
 
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -5,16 +5,17 @@
 // maxDoublings keeps the backoff from overflowing.
 const maxDoublings = 20
 
-// backoff returns the wait before the next probe: it doubles with each
-// ejection, and half of it is random, lest entry instances probe together.
+// backoff returns the delay before the next probe. It doubles with each ejection, and
+// half of it is random, so that entry instances don't probe a server at the same time.
 func (t *Table) backoff(random Random, ejections int) time.Duration {
 	doublings := min(max(ejections-1, 0), maxDoublings)
-	wait := min(t.policy.InitialProbeDelay<<doublings, t.policy.MaxProbeDelay)
+	delay := min(t.policy.InitialProbeDelay<<doublings, t.policy.MaxProbeDelay)
 
-	return wait/2 + time.Duration(fraction(random)*float64(wait/2))
+	return delay/2 + time.Duration(fraction(random)*float64(delay/2))
 }
 
-// evaluateProbe readmits an ejected server whose probe went well.
+// evaluateProbe readmits an ejected server after a successful probe, and delays its
+// next probe after a failed or slow one.
 func (t *Table) evaluateProbe(now time.Time, random Random, s *server, medians poolMedians) {
 	if !s.ejected.Load() {
 		return
@@ -45,7 +46,8 @@
 	t.counters.readmissions.Inc()
 }
 
-// offerProbe offers an ejected server to the next request that may probe it.
+// offerProbe makes an ejected server of the pool available to the next idempotent
+// request as a probe.
 func (t *Table) offerProbe(now time.Time, random Random, p *pool) {
 	offered := p.state.probeCandidate.Load()
 	if offered == nil || !p.isEjectedMember(offered.server) {
@@ -61,8 +63,8 @@
 		return
 	}
 
-	// No request of the pool may probe. A server that reports itself is let in
-	// again; if it fails, it is out for twice as long.
+	// No idempotent request took the probe in time. A server that still reports is
+	// readmitted without a probe; if it fails again, its next backoff is twice as long.
 	if now.Sub(s.lastSeen) <= t.policy.ReportTimeout {
 		t.readmit(now, s)
 	}
@@ -70,21 +72,22 @@
 	p.state.probeCandidate.Store(t.nextProbe(now, random, p))
 }
 
-// isEjectedMember tells whether a server is an ejected one of this pool.
+// isEjectedMember reports whether a server is in this pool and ejected.
 func (p *pool) isEjectedMember(s *server) bool {
 	m := s.member.Load()
 
 	return m != nil && m.pool == p.state && s.ejected.Load()
 }
 
-// nextProbe returns the ejected server that has waited longest for its probe. It
-// puts the next probe of that server off, lest a lost one keep it out for ever.
+// nextProbe returns the ejected server whose probe is most overdue, or nil. It also
+// schedules the probe after that, so that a probe whose outcome is never reported
+// doesn't keep the server ejected forever.
 func (t *Table) nextProbe(now time.Time, random Random, p *pool) *member {
 	var due *member
 
 	for _, m := range p.members.items {
 		s := m.server
-		if !s.ejected.Load() || s.health.probeAt.After(now) || t.hasEnoughLoad(now, m) {
+		if !s.ejected.Load() || s.health.probeAt.After(now) || t.tooLoadedToProbe(now, m) {
 			continue
 		}
 
@@ -100,11 +103,11 @@
 	return due
 }
 
-// hasEnoughLoad tells whether a server has enough to do to show how it is: it
-// still holds a request of this entry instance, or more than its share of the
-// load. Else a slow server would drown in probes. An answer that never comes
-// puts the next probe off for a bounded time only.
-func (t *Table) hasEnoughLoad(now time.Time, m *member) bool {
+// tooLoadedToProbe reports whether a server has too much work for a probe: it still
+// holds a request of this entry instance, or has more than the mean utilisation of its
+// pool. This keeps probes from overloading a slow server. A request that is never
+// answered delays the next probe by at most Policy.MaxProbeDelay.
+func (t *Table) tooLoadedToProbe(now time.Time, m *member) bool {
 	if now.Sub(m.server.health.probeAt) >= t.policy.MaxProbeDelay {
 		return false
 	}
@@ -112,8 +115,8 @@
 	return m.server.inFlight.Load() > 0 || m.utilisation() > m.pool.meanUtilisation()+m.requestShare
 }
 
-// reduceEjections lets a server that has behaved since its last ejection be probed
-// sooner after the next.
+// reduceEjections decrements the number of ejections of a server that hasn't been
+// ejected for Policy.MaxProbeDelay, which shortens the backoff after its next ejection.
 func (t *Table) reduceEjections(now time.Time, s *server) {
 	if s.ejected.Load() || s.health.ejections == 0 || s.health.probeAt.After(now) {
 		return
--- a/routing/random.go
+++ b/routing/random.go
@@ -1,6 +1,6 @@
 package routing
 
-// Random is a source of random numbers, as math/rand/v2 has them.
+// Random is a source of random numbers, as rand.Source of math/rand/v2.
 type Random interface {
 	Uint64() uint64
 }
--- a/routing/rank.go
+++ b/routing/rank.go
@@ -6,7 +6,8 @@
 	"monsoonlever/fleet"
 )
 
-// rank orders servers differently for each entry instance.
+// rank returns the rank of a server for the entry instance self. Each entry instance
+// ranks the servers in a different pseudorandom order.
 func rank(self, server fleet.InstanceID) uint64 {
 	var d xxhash.Digest
 
--- a/routing/rebuild.go
+++ b/routing/rebuild.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// rebuild makes the snapshot anew.
+// rebuild replaces the snapshot by one that is made from the present state of all
+// servers.
 func (t *Table) rebuild(now time.Time) {
 	t.snapshotStale = false
 	byKey := make(map[Key][]*member)
@@ -37,8 +38,8 @@
 	t.current.Store(&snapshot{pools: pools, policy: t.policy, order: serverOrder{domain: t.Domain}})
 }
 
-// readmitOverBound keeps the bound of ejections where a pool has shrunk: servers
-// whose probe is next are readmitted first.
+// readmitOverBound readmits servers of a pool that has shrunk until its limit of
+// ejected servers holds again, starting with those whose probe is due first.
 func (t *Table) readmitOverBound(now time.Time, p *pool) {
 	var ejected []*server
 
@@ -57,7 +58,7 @@
 	}
 }
 
-// newMember returns nil for a server that takes no requests.
+// newMember returns nil for a server that can't take requests.
 func (t *Table) newMember(now time.Time, s *server) *member {
 	if s.leaving.Load() || s.spec.loading || s.spec.address == "" || t.unreachable(now, s) {
 		return nil
@@ -79,12 +80,14 @@
 	}
 }
 
-// unreachable tells whether neither the list nor the server itself says that it lives.
+// unreachable reports whether a server is missing from the instance list and hasn't
+// reported for Policy.ReportTimeout.
 func (t *Table) unreachable(now time.Time, s *server) bool {
 	return s.unlisted && now.Sub(s.lastSeen) > t.policy.ReportTimeout
 }
 
-// removeExpired drops servers that are long gone, and with them the mark of leaving.
+// removeExpired removes servers that have been neither listed nor seen for
+// Policy.UnlistedRetention. Their leaving mark is lost with them.
 func (t *Table) removeExpired(now time.Time) {
 	for id, s := range t.servers {
 		last := s.lastListed
--- a/routing/sampler.go
+++ b/routing/sampler.go
@@ -2,10 +2,10 @@
 
 import "sort"
 
-// sampler draws items by weight. It is immutable.
+// sampler draws random items by weight. It is immutable.
 type sampler[T any] struct {
 	items []T
-	// cumulative holds the sums of the weights up to and with each item.
+	// cumulative holds, for each item, the sum of the weights up to and including it.
 	cumulative []float64
 }
 
@@ -21,7 +21,7 @@
 	return s
 }
 
-// draw returns the index of one item; there must be one.
+// draw returns the index of a random item; there must be at least one item.
 func (s *sampler[T]) draw(r Random) int {
 	last := len(s.cumulative) - 1
 	target := fraction(r) * s.cumulative[last]
--- a/routing/server.go
+++ b/routing/server.go
@@ -13,31 +13,33 @@
 	inFlightBuckets     = 64
 )
 
-// server is one instance for its lifetime. Snapshots share it, so that what is
-// learnt of it is seen through old snapshots as well.
+// server is the state of one instance for its lifetime. Snapshots share it, so that an
+// update takes effect in older snapshots as well.
 type server struct {
 	id fleet.InstanceID
-	// rank orders servers for this entry instance.
+	// rank is the rank of the server for this entry instance; see the function rank.
 	rank uint64
 
-	// The fields below are read and written on the path of a request.
+	// The fields below are accessed for each request, without the lock of the table.
 	leaving    atomic.Bool
 	ejected    atomic.Bool
 	dialFailed atomic.Bool
-	// silent is set while the server, unlike before, does not report.
+	// silent is set if a server that has reported before hasn't done so for
+	// Policy.SilenceTimeout.
 	silent   atomic.Bool
 	inFlight atomic.Int64
-	// otherAtReport and ownThen are the requests of other entry instances and of this
-	// one that the server held when it last reported.
+	// otherAtReport and ownAtReport are the requests that the server held at its last
+	// report, of other entry instances and of this one.
 	otherAtReport atomic.Int64
 	ownAtReport   atomic.Int64
 
 	inFlightChanges *window.Counter
 	pendingOutcomes outcomeCounters
-	// member is the server in the newest snapshot, nil if it takes no requests.
+	// member is the server as the newest snapshot has it, nil if it can't take
+	// requests.
 	member atomic.Pointer[member]
 
-	// The fields below belong to the writers of the table.
+	// The fields below are guarded by the lock of the table.
 	spec           spec
 	reportedAt     time.Time
 	lastSeen       time.Time
@@ -52,22 +54,24 @@
 	return &server{id: id, rank: rank, inFlightChanges: window.NewCounter(inFlightBucketWidth, inFlightBuckets)}
 }
 
-// unresponsive tells whether others are to be preferred.
+// unresponsive reports whether a dial of the server failed, without a success since, or
+// the server is silent.
 func (s *server) unresponsive() bool {
 	return s.dialFailed.Load() || s.silent.Load()
 }
 
-// applyLoad splits a report into the share of others and that of this node.
-// What this node sent or finished since the report's time is not in it.
+// applyLoad splits the load that a server reported into the requests of this entry
+// instance and those of the others. The report doesn't include requests that this entry
+// instance began or ended after the time of the report.
 func (s *server) applyLoad(now, at time.Time, total int64) {
 	ownAtReport := max(0, s.inFlight.Load()-s.inFlightChanges.Since(now, at))
 	s.ownAtReport.Store(ownAtReport)
 	s.otherAtReport.Store(max(0, total-ownAtReport))
 }
 
-// begin counts a request, unless the server is leaving. It counts before it
-// looks, so that who marks the server and then sees no request in flight knows
-// that none follows.
+// begin counts a request as in flight and returns true, unless the server is leaving.
+// It increments inFlight before it checks leaving, so that a caller that sets leaving
+// and then reads inFlight as 0 knows that no further request begins.
 func (s *server) begin(now time.Time) bool {
 	s.inFlight.Add(1)
 
--- a/routing/silent_test.go
+++ b/routing/silent_test.go
@@ -17,7 +17,8 @@
 	random := newTestRandom()
 	now := testStart
 
-	// picked counts the picks of the first server, while others report.
+	// picked returns how often the first server is picked after an interval in which
+	// all other servers report, and the first one only if reports is set.
 	picked := func(reports bool) int {
 		now = now.Add(3 * time.Second)
 
@@ -46,10 +47,10 @@
 	}
 
 	if got, want := picked(false), 0; got != want {
-		t.Errorf("picks while it is silent: got %d, want %d", got, want)
+		t.Errorf("picks of the silent server: got %d, want %d", got, want)
 	}
 
 	if got := picked(true); got == 0 {
-		t.Error("picks once it reports again: got 0, want some")
+		t.Error("picks after it reports again: got 0, want some")
 	}
 }
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -1,7 +1,7 @@
 package routing
 
-// snapshot is what Pick reads. It is immutable, but for the atomics of servers
-// and pool states.
+// snapshot is the state that Pick reads. It is immutable, except for the atomics in the
+// servers and pool states that it points to.
 type snapshot struct {
 	pools  map[Key]*pool
 	policy Policy
--- a/routing/source.go
+++ b/routing/source.go
@@ -1,9 +1,10 @@
 package routing
 
-// Source tells who said that a server is leaving.
+// Source is the origin of an update that a server is leaving.
 type Source int
 
-// The sources of the news that a server is leaving.
+// The sources of such updates: the instance list, a reclaim notice, the server itself
+// and another entry instance.
 const (
 	SourceList Source = iota
 	SourceNotice
@@ -12,7 +13,7 @@
 	sourceCount
 )
 
-// String returns the name of the source as metrics show it.
+// String returns the value of the metric label for the source.
 func (s Source) String() string {
 	switch s {
 	case SourceList:
--- a/routing/spec.go
+++ b/routing/spec.go
@@ -5,7 +5,8 @@
 	"monsoonlever/provider"
 )
 
-// spec is the slowly changing part of a server; it is replaced as a whole.
+// spec is the part of the state of a server that rarely changes. A change replaces it
+// as a whole.
 type spec struct {
 	key      Key
 	address  string
@@ -13,6 +14,6 @@
 	class    provider.Class
 	price    float64
 	capacity int
-	// loading is set while the engine can't serve its model yet.
+	// loading is set while the engine isn't ready to serve its model.
 	loading bool
 }
--- a/routing/status.go
+++ b/routing/status.go
@@ -8,7 +8,7 @@
 	"monsoonlever/fleet"
 )
 
-// Status is what the table holds of one server.
+// Status is the state that the table has of one server.
 type Status struct {
 	id       fleet.InstanceID
 	key      Key
@@ -21,7 +21,7 @@
 	ejected  bool
 }
 
-// ID returns the instance of the server.
+// ID returns the instance id of the server.
 func (s Status) ID() fleet.InstanceID { return s.id }
 
 // Key returns the key of the requests that the server takes.
@@ -30,26 +30,26 @@
 // Domain returns the failure domain of the server.
 func (s Status) Domain() fleet.FailureDomain { return s.domain }
 
-// Load returns the estimate of the requests that the server holds, 0 if it
-// takes none.
+// Load returns the estimated number of requests that the server holds, 0 if it can't
+// take requests.
 func (s Status) Load() int64 { return s.load }
 
-// InFlight returns the requests of this entry instance that the server holds.
+// InFlight returns the number of requests of this entry instance that the server holds.
 func (s Status) InFlight() int64 { return s.inFlight }
 
-// ReportedAt returns the time of the last load report.
+// ReportedAt returns the time of the last load report, as the server stamped it.
 func (s Status) ReportedAt() time.Time { return s.reported }
 
-// Leaving tells whether the server is leaving.
+// Leaving reports whether the server is leaving.
 func (s Status) Leaving() bool { return s.leaving }
 
-// Loading tells whether the engine of the server isn't ready.
+// Loading reports whether the engine of the server isn't ready yet.
 func (s Status) Loading() bool { return s.loading }
 
-// Ejected tells whether the server is ejected as an outlier.
+// Ejected reports whether the server is ejected as an outlier.
 func (s Status) Ejected() bool { return s.ejected }
 
-// Statuses returns what the table holds of every server, by id.
+// Statuses returns the status of every server, sorted by id.
 func (t *Table) Statuses() []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/routing/table.go
+++ b/routing/table.go
@@ -10,18 +10,19 @@
 	"monsoonlever/provider"
 )
 
-// Table chooses backend servers. Its exported fields are set before its first
-// use. Pick and the methods of Choice take no lock; the steps that bring news
-// may be called from any goroutine and wait for each other.
+// Table chooses backend servers. Its exported fields must be set before its first use.
+// Pick and the methods of Choice take no lock. The methods that update the table are
+// safe for concurrent use and exclude each other.
 type Table struct {
 	// Domain is the failure domain of this entry instance.
 	Domain fleet.FailureDomain
-	// Self names this entry instance; entry instances with different names keep
-	// different holders of a common prefix.
+	// Self is the id of this entry instance. Entry instances with different ids index
+	// different servers for a prefix that many servers have cached.
 	Self fleet.InstanceID
-	// Policy holds the settings; zero fields stand for defaults.
+	// Policy holds the settings; zero fields select defaults.
 	Policy Policy
-	// Metrics receives the counters, unless it is nil.
+	// Metrics is the set in which the counters are registered. If nil, a private set is
+	// used.
 	Metrics *metrics.Set
 
 	current  atomic.Pointer[snapshot]
@@ -31,7 +32,8 @@
 	mu           sync.Mutex
 	policy       Policy
 	otherEntries int
-	// snapshotStale tells that the snapshot lacks news which can wait for a tick.
+	// snapshotStale is set if the snapshot lacks a change that can wait for the next
+	// Tick.
 	snapshotStale bool
 	servers       map[fleet.InstanceID]*server
 	poolStates    map[Key]*poolState
@@ -43,8 +45,8 @@
 	domain fleet.FailureDomain
 }
 
-// initialize fills what the zero value lacks. Pick reads none of it before the
-// first snapshot is there.
+// initialize sets up the unexported fields on first use. Pick doesn't need it, since it
+// reads no such field before the first snapshot exists.
 func (t *Table) initialize() {
 	if t.servers != nil {
 		return
--- a/routing/tick.go
+++ b/routing/tick.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// minMedianServers is how many servers must be measured before one is an outlier.
+// minMedianServers is the minimum number of measured servers for a median.
 const minMedianServers = 3
 
-// Tick judges the servers by the outcomes since the last tick: outliers are
-// ejected, and ejected servers are probed and readmitted. It is called a few
-// times a second.
+// Tick evaluates the servers by the outcomes since the last tick: it ejects outliers,
+// offers ejected servers for probes and readmits those whose probe succeeded. It also
+// publishes pending changes in a new snapshot. It should run a few times a second.
 func (t *Table) Tick(now time.Time, random Random) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -33,15 +33,16 @@
 	}
 }
 
-// markSilent marks the servers that stopped reporting, as a process that stands
-// still does. Its calls fail only after the wait for a first token.
+// markSilent marks the servers that stopped reporting, such as a process that hangs.
+// Calls to such a process fail only after the timeout for the first token, which is too
+// late to detect it by their outcomes.
 func (t *Table) markSilent(now time.Time) {
 	for _, s := range t.servers {
 		s.silent.Store(!s.lastSeen.IsZero() && now.Sub(s.lastSeen) > t.policy.SilenceTimeout)
 	}
 }
 
-// hasUnreachableMember tells whether a server of the snapshot is lost by now.
+// hasUnreachableMember reports whether a server of the snapshot has become unreachable.
 func (t *Table) hasUnreachableMember(now time.Time) bool {
 	for _, s := range t.servers {
 		if s.member.Load() != nil && t.unreachable(now, s) {
@@ -64,7 +65,9 @@
 	t.offerProbe(now, random, p)
 }
 
-// updateHealth takes the outcomes in and returns what is typical for the pool.
+// updateHealth adds the outcomes since the last tick to the health of the servers of a
+// pool, updates the mean utilisation of the pool, and returns the medians of its
+// servers that aren't ejected.
 func (t *Table) updateHealth(now time.Time, p *pool) poolMedians {
 	var (
 		latencies, errorRates    []float64
@@ -99,7 +102,7 @@
 	return poolMedians{latency: median(latencies), errorRate: median(errorRates)}
 }
 
-// poolMedians holds medians of a pool; NaN stands for too few servers.
+// poolMedians holds medians over the servers of a pool; NaN stands for too few servers.
 type poolMedians struct {
 	latency   float64
 	errorRate float64
--- a/routing/update.go
+++ b/routing/update.go
@@ -9,12 +9,13 @@
 	"monsoonlever/provider"
 )
 
-// maxOtherEntries bounds how far the sends of this entry instance are extrapolated to
-// others; more than this has not been measured.
+// maxOtherEntries caps the number of other entry instances to which the sends of this
+// one are extrapolated. The extrapolation is verified for up to 40 entry instances
+// (TestComparison with -large).
 const maxOtherEntries = 39
 
-// UpdateList takes the platform's list of instances in. A server that the list
-// lacks is kept while it reports itself, for the list lags.
+// UpdateList applies the platform's list of instances. The list lags, so a server that
+// is missing from it still gets requests while it reports.
 func (t *Table) UpdateList(now time.Time, listings []provider.Listing) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +40,7 @@
 	}
 }
 
-// updateListing tells whether the entry changed anything.
+// updateListing applies one entry of the list and reports whether it changed anything.
 func (t *Table) updateListing(now time.Time, l provider.Listing) bool {
 	s := t.getOrAddServer(now, l.ID)
 	s.lastListed = now
@@ -60,8 +61,8 @@
 	return changed
 }
 
-// UpdateEngineState takes in what an engine holds. A server whose engine isn't ready
-// gets no request.
+// UpdateEngineState applies the state of a server's engine. A server whose engine isn't
+// ready gets no requests.
 func (t *Table) UpdateEngineState(now time.Time, id fleet.InstanceID, state backend.EngineState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +83,8 @@
 	}
 }
 
-// UpdateOffers takes the present prices in; the lower price of a class counts.
+// UpdateOffers applies the current prices. Of several offers for the same class and
+// failure domain, the lowest price counts.
 func (t *Table) UpdateOffers(now time.Time, offers []provider.Offer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,8 +105,8 @@
 	}
 }
 
-// UpdateEntryCount takes in how many entry instances send requests, this one
-// included.
+// UpdateEntryCount sets the number of entry instances that send requests, including
+// this one.
 func (t *Table) UpdateEntryCount(now time.Time, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,8 +119,8 @@
 	}
 }
 
-// Report takes in what a server says of its load. An older report than the
-// last changes no load, but is still believed that the server is leaving.
+// Report applies a load report of a server. A report that isn't newer than the last one
+// doesn't change the load, but still marks the server as leaving if it says so.
 func (t *Table) Report(now time.Time, id fleet.InstanceID, r backend.LoadReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,14 +140,14 @@
 	s.reportedAt = r.At
 	s.applyLoad(now, r.At, int64(r.Running+r.Waiting))
 
-	// The next tick makes the snapshot, once for all reports until then.
+	// The next tick rebuilds the snapshot once for all reports since the last one.
 	if r.Capacity != s.spec.capacity {
 		s.spec.capacity = r.Capacity
 		t.snapshotStale = true
 	}
 }
 
-// MarkLeaving takes in the news that a server is leaving, whether it is known yet or not.
+// MarkLeaving marks a server as leaving. The server need not be known yet.
 func (t *Table) MarkLeaving(now time.Time, id fleet.InstanceID, source Source) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,8 +158,9 @@
 	}
 }
 
-// markLeaving marks a server and tells whether that is news. Nothing takes the mark
-// away: what says "live" later may be older, and a replacement has another id.
+// markLeaving marks a server as leaving and reports whether it wasn't marked before.
+// The mark is never cleared: a later update that shows the server as live may be
+// outdated, and a replacement has a different id.
 func (t *Table) markLeaving(s *server, source Source) bool {
 	if s.leaving.Swap(true) {
 		return false
@@ -168,7 +171,8 @@
 	return true
 }
 
-// CacheEvents takes in what entered or left the prefix cache of an engine.
+// CacheEvents applies insertions into and evictions from the prefix cache of an engine.
+// It skips events that aren't newer than the last one.
 func (t *Table) CacheEvents(now time.Time, id fleet.InstanceID, events []backend.CacheEvent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -195,7 +199,7 @@
 	}
 }
 
-// getOrAddServer returns the getOrAddServer with an id, made if it is new.
+// getOrAddServer returns the server with an id, and adds it if it isn't known.
 func (t *Table) getOrAddServer(now time.Time, id fleet.InstanceID) *server {
 	s, ok := t.servers[id]
 	if !ok {
--- a/routing/update_test.go
+++ b/routing/update_test.go
@@ -16,8 +16,8 @@
 		want    bool
 	}{
 		{desc: "just reported", reports: false, after: time.Second, want: true},
-		{desc: "silent for longer than the grace", reports: false, after: 10 * time.Second, want: false},
-		{desc: "goes on reporting", reports: true, after: 10 * time.Second, want: true},
+		{desc: "no report within the timeout", reports: false, after: 10 * time.Second, want: false},
+		{desc: "keeps reporting", reports: true, after: 10 * time.Second, want: true},
 	}
 
 	for _, tt := range tests {
@@ -83,8 +83,8 @@
 		request Request
 		want    int
 	}{
-		{desc: "the own domain", request: NewRequest(testKey), want: 1},
-		{desc: "the cheapest elsewhere", request: NewRequest(testKey).ExcludingDomains(testDomains[1:2]), want: 3},
+		{desc: "own failure domain", request: NewRequest(testKey), want: 1},
+		{desc: "lowest price outside the own failure domain", request: NewRequest(testKey).ExcludingDomains(testDomains[1:2]), want: 3},
 	}
 
 	for _, tt := range tests {
