--- a/admission/callkind.go
+++ b/admission/callkind.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// callKind holds what is known of one callKind of call of a service.
+// callKind holds the latency target and the measured duration of one kind of call of a service.
 type callKind struct {
 	targetLatency atomic.Int64
 	meanDuration  atomic.Uint64
@@ -19,7 +19,7 @@
 	}
 
 	mean := math.Float64frombits(k.meanDuration.Load())
-	spread := math.Float64frombits(k.meanDeviation.Load())
+	meanDeviation := math.Float64frombits(k.meanDeviation.Load())
 
 	if mean == 0 {
 		mean = float64(d)
@@ -27,13 +27,14 @@
 
 	deviation := float64(d) - mean
 	mean += smoothingFactor * deviation
-	spread += smoothingFactor * (math.Abs(deviation) - spread)
+	meanDeviation += smoothingFactor * (math.Abs(deviation) - meanDeviation)
 
 	k.meanDuration.Store(math.Float64bits(mean))
-	k.meanDeviation.Store(math.Float64bits(spread))
+	k.meanDeviation.Store(math.Float64bits(meanDeviation))
 }
 
-// expectedDuration returns a time that most requests of the kind stay under.
+// expectedDuration returns a duration that most calls of this kind stay below: the mean plus the
+// mean absolute deviation.
 func (k *callKind) expectedDuration() time.Duration {
 	return time.Duration(math.Float64frombits(k.meanDuration.Load()) + math.Float64frombits(k.meanDeviation.Load()))
 }
--- a/admission/ratelimiter.go
+++ b/admission/ratelimiter.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// rateLimiter limits a rate by the generic cell rate algorithm: one atomic holds the
-// time at which all that was taken will have been earned.
+// rateLimiter limits a rate by the generic cell rate algorithm (GCRA). Its state is the theoretical
+// arrival time: the time at which all that was consumed will have been replenished.
 type rateLimiter struct {
 	theoreticalArrival atomic.Int64
 }
 
-// take takes cost at the given rate a second, or returns the time until it can.
-func (p *rateLimiter) take(now time.Time, cost, rate float64, burst time.Duration) (time.Duration, bool) {
+// take consumes cost at the given rate per second. If the limit does not allow it, take returns
+// false and the time until it does; at a rate of 0, that time is burst.
+func (l *rateLimiter) take(now time.Time, cost, rate float64, burst time.Duration) (time.Duration, bool) {
 	if rate <= 0 {
 		return burst, false
 	}
@@ -21,9 +22,10 @@
 	step := int64(cost / rate * float64(time.Second))
 
 	for {
-		earned := p.theoreticalArrival.Load()
-		start := max(earned, at)
-		// A cost above the whole burst passes when nothing is owed, or it never would.
+		arrival := l.theoreticalArrival.Load()
+		start := max(arrival, at)
+		// A cost above the burst is allowed when nothing is outstanding; otherwise it could
+		// never be taken.
 		wait := start + step - at - int64(burst)
 		wait = min(wait, start-at)
 
@@ -31,33 +33,33 @@
 			return time.Duration(wait), false
 		}
 
-		if p.theoreticalArrival.CompareAndSwap(earned, start+step) {
+		if l.theoreticalArrival.CompareAndSwap(arrival, start+step) {
 			return 0, true
 		}
 	}
 }
 
-// refund returns cost that was taken and not used, or takes more with a negative cost.
-func (p *rateLimiter) refund(cost, rate float64) {
+// refund returns cost that was taken and not used. A negative cost consumes more.
+func (l *rateLimiter) refund(cost, rate float64) {
 	if rate <= 0 {
 		return
 	}
 
-	p.theoreticalArrival.Add(-int64(cost / rate * float64(time.Second)))
+	l.theoreticalArrival.Add(-int64(cost / rate * float64(time.Second)))
 }
 
-// rescale keeps what is owed when the rate changes: in as much as the rate rises
-// by a factor, it is earned in less time.
-func (p *rateLimiter) rescale(now time.Time, factor float64) {
+// rescale preserves the outstanding consumption when the rate changes by a factor: at a higher
+// rate, the same consumption is replenished in less time.
+func (l *rateLimiter) rescale(now time.Time, factor float64) {
 	at := now.UnixNano()
 
 	for {
-		earned := p.theoreticalArrival.Load()
-		if earned <= at {
+		arrival := l.theoreticalArrival.Load()
+		if arrival <= at {
 			return
 		}
 
-		if p.theoreticalArrival.CompareAndSwap(earned, at+int64(float64(earned-at)/factor)) {
+		if l.theoreticalArrival.CompareAndSwap(arrival, at+int64(float64(arrival-at)/factor)) {
 			return
 		}
 	}
--- a/costing/evaluate.go
+++ b/costing/evaluate.go
@@ -16,8 +16,8 @@
 type simulation struct {
 	day      *ServiceDay
 	planner  Planner
-	refusals *placement.Memory
-	reclaims *placement.Memory
+	refusals *placement.CellPenalties
+	reclaims *placement.CellPenalties
 	running  []*instance
 	backlog  backlog
 	moves    []int
@@ -39,8 +39,8 @@
 	s := &simulation{
 		day:      &day,
 		planner:  planner,
-		refusals: config.NewMemory(),
-		reclaims: config.NewMemory(),
+		refusals: config.NewCellPenalties(),
+		reclaims: config.NewCellPenalties(),
 	}
 
 	for minute := range Minutes {
@@ -82,7 +82,7 @@
 			}
 
 			s.result.Reclaimed++
-			s.reclaims.Note(s.now(minute), i.cell)
+			s.reclaims.Add(s.now(minute), i.cell)
 		}
 
 		s.running = kept
@@ -186,7 +186,7 @@
 			}
 
 			if s.day.market.refused(minute, t.Cell) {
-				s.refusals.Note(s.now(minute), t.Cell)
+				s.refusals.Add(s.now(minute), t.Cell)
 
 				break
 			}
