--- a/dispatch/failover.go
+++ b/dispatch/failover.go
@@ -113,7 +113,7 @@
 func (f *failover) pick() (routing.Choice, *discovery.Server, error) {
 	request := routing.NewRequest(routing.NewKey(f.request.Service, "", "", ""))
 	if f.request.Kind.Idempotent() {
-		request = request.WithRepeatable()
+		request = request.WithIdempotent()
 	}
 
 	excluded := f.tried
@@ -127,7 +127,7 @@
 		}
 
 		server, ok := f.plain.Directory.Server(choice.ID())
-		if ok && choice.Sent(f.plain.Clock.Now()) {
+		if ok && choice.Begin(f.plain.Clock.Now()) {
 			return choice, server, nil
 		}
 
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -10,19 +10,20 @@
 	"monsoonlever/backend"
 )
 
-// TestNoRequestFollowsAnEmptyLeavingServer checks that a server which is leaving
-// and was seen without requests gets none afterwards, whatever runs beside it.
-func TestNoRequestFollowsAnEmptyLeavingServer(t *testing.T) {
+// TestDrainedLeavingServerGetsNoRequest checks that a leaving server that once had no
+// request in flight gets none afterwards, while picks, ticks and reports run
+// concurrently.
+func TestDrainedLeavingServerGetsNoRequest(t *testing.T) {
 	const size, workers = 4, 4
 
 	for round := range 50 {
 		var (
-			table   = newTestTable(size, 4)
-			leaving = testID(round % size)
-			drained atomic.Bool
-			held    atomic.Int64
-			stopped atomic.Bool
-			wg      sync.WaitGroup
+			table           = newTestTable(size, 4)
+			leaving         = testID(round % size)
+			drained         atomic.Bool
+			leavingInFlight atomic.Int64
+			stopped         atomic.Bool
+			wg              sync.WaitGroup
 		)
 
 		for worker := range workers {
@@ -31,19 +32,19 @@
 
 				for !stopped.Load() {
 					choice, err := table.Pick(testStart, random, NewRequest(testKey).WithPrefix(7))
-					before := drained.Load()
+					drainedBefore := drained.Load()
 
-					if err != nil || !choice.Sent(testStart) {
+					if err != nil || !choice.Begin(testStart) {
 						continue
 					}
 
-					if before && choice.ID() == leaving {
-						t.Errorf("%s got a request after it was drained", leaving)
+					if drainedBefore && choice.ID() == leaving {
+						t.Errorf("server %s: got a request after it was drained, want none", leaving)
 					}
 
 					if choice.ID() == leaving {
-						held.Add(1)
-						held.Add(-1)
+						leavingInFlight.Add(1)
+						leavingInFlight.Add(-1)
 					}
 
 					choice.Done(testStart, time.Millisecond, 0)
@@ -51,7 +52,7 @@
 			})
 		}
 
-		table.Leave(testStart, leaving, SourceNotice)
+		table.MarkLeaving(testStart, leaving, SourceNotice)
 
 		for !drained.Load() {
 			table.Tick(testStart, rand.NewPCG(uint64(round), workers))
@@ -65,8 +66,8 @@
 		}
 
 		for range 100 {
-			if held.Load() > 0 {
-				t.Errorf("%s holds a request after it was drained", leaving)
+			if leavingInFlight.Load() > 0 {
+				t.Errorf("server %s: got a request in flight after it was drained, want none", leaving)
 			}
 		}
 
