--- a/dispatch/failover.go
+++ b/dispatch/failover.go
@@ -60,8 +60,8 @@
 // that a server that hangs does not use up the deadline. The timeout is at least twice
 // the latency target.
 func (f *failover) sendNextBounded(parent context.Context) (backend.Reply, error) {
-	left := f.request.Deadline.Sub(f.plain.Clock.Now())
-	timeout := max(left/attemptDivisor, minAttemptTargets*f.request.Kind.LatencyTarget().Whole())
+	remaining := f.request.Deadline.Sub(f.plain.Clock.Now())
+	timeout := max(remaining/attemptDivisor, minAttemptTargets*f.request.Kind.LatencyTarget().Whole())
 
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	defer cancel()
@@ -113,7 +113,7 @@
 func (f *failover) pick() (routing.Choice, *discovery.Server, error) {
 	request := routing.NewRequest(routing.NewKey(f.request.Service, "", "", ""))
 	if f.request.Kind.Idempotent() {
-		request = request.WithRepeatable()
+		request = request.WithIdempotent()
 	}
 
 	excluded := f.tried
@@ -127,7 +127,7 @@
 		}
 
 		server, ok := f.plain.Directory.Server(choice.ID())
-		if ok && choice.Sent(f.plain.Clock.Now()) {
+		if ok && choice.Begin(f.plain.Clock.Now()) {
 			return choice, server, nil
 		}
 
--- a/peer/link.go
+++ b/peer/link.go
@@ -6,34 +6,35 @@
 	"sync"
 )
 
-// link holds what waits for one remote address, and the connection to it.
+// link holds the messages queued for one remote address and the connection that
+// they are written to.
 type link struct {
 	node    *Node
 	address string
 	wake    chan struct{}
 	random  *rand.Rand
 
-	mu        sync.Mutex
-	must      queue
-	droppable queue
-	conn      *conn
-	writing   bool
-	closed    bool
+	mu          sync.Mutex
+	undroppable queue
+	droppable   queue
+	conn        *conn
+	writing     bool
+	closed      bool
 }
 
 func newLink(n *Node, address string) *link {
 	return &link{
-		node:      n,
-		address:   address,
-		wake:      make(chan struct{}, 1),
-		random:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		must:      queue{limit: n.queueLength()},
-		droppable: queue{limit: n.queueLength()},
+		node:        n,
+		address:     address,
+		wake:        make(chan struct{}, 1),
+		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		undroppable: queue{limit: n.queueLength()},
+		droppable:   queue{limit: n.queueLength()},
 	}
 }
 
-// enqueue adds f to its queue. It reports false when the link has closed and
-// the caller must take a new one.
+// enqueue adds f to the queue for its kind. It reports false if the link is
+// closed and the caller must get a new one from Node.link.
 func (l *link) enqueue(f frame, droppable bool) (bool, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,11 +44,11 @@
 	}
 
 	if !droppable {
-		if !l.must.push(f) {
+		if !l.undroppable.push(f) {
 			return true, ErrQueueFull
 		}
-	} else if l.droppable.displace(f) {
-		displaced.Inc()
+	} else if l.droppable.pushDroppingOldest(f) {
+		displacedFrames.Inc()
 	}
 
 	l.signal()
@@ -62,7 +63,8 @@
 	}
 }
 
-// attach makes c the connection to write to, unless a working one is there.
+// attach makes c the connection to write to, unless the link is closed or has a
+// working connection.
 func (l *link) attach(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +74,7 @@
 	}
 }
 
-// current returns the working connection, or nil.
+// current returns the link's working connection, or nil if it has none.
 func (l *link) current() *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,24 +86,25 @@
 	return l.conn
 }
 
-func (l *link) take() []frame {
+func (l *link) takeAll() []frame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	frames := append(l.must.take(), l.droppable.take()...)
+	frames := append(l.undroppable.takeAll(), l.droppable.takeAll()...)
 	l.writing = len(frames) > 0
 
 	return frames
 }
 
-func (l *link) written() {
+func (l *link) finishWrite() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	l.writing = false
 }
 
-// run writes what is queued until ctx ends or the link has been idle.
+// run writes queued messages until ctx ends or none was queued for the node's
+// IdleTimeout.
 func (l *link) run(ctx context.Context) {
 	defer l.close()
 
@@ -117,17 +120,18 @@
 	}
 }
 
-// flush connects if need be and writes every queued frame.
+// flush connects to the remote unless a working connection exists, and writes
+// every queued frame. If no connection can be established, it drops the frames.
 func (l *link) flush(ctx context.Context) {
 	c := l.connect(ctx)
 	if c == nil {
-		l.abandon()
+		l.dropQueued()
 
 		return
 	}
 
-	frames := l.take()
-	defer l.written()
+	frames := l.takeAll()
+	defer l.finishWrite()
 
 	var buffer []byte
 	for _, f := range frames {
@@ -140,7 +144,7 @@
 
 	if err := c.write(buffer); err != nil {
 		c.close()
-		undeliverable.Add(len(frames))
+		undeliverableFrames.Add(len(frames))
 		l.node.failCalls(l.address)
 
 		return
@@ -149,10 +153,10 @@
 	sentFrames.Add(len(frames))
 }
 
-// connect returns the working connection or dials one, with a bounded number
-// of attempts.
+// connect returns the working connection, or dials up to maxDialAttempts times.
+// It returns nil if no connection could be established.
 func (l *link) connect(ctx context.Context) *conn {
-	for attempt := 1; attempt <= maxDials; attempt++ {
+	for attempt := 1; attempt <= maxDialAttempts; attempt++ {
 		if c := l.current(); c != nil {
 			return c
 		}
@@ -174,21 +178,23 @@
 	return l.current()
 }
 
-// abandon drops what is queued for a remote that cannot be reached.
-func (l *link) abandon() {
-	undeliverable.Add(len(l.take()))
-	l.written()
+// dropQueued drops the queued messages and fails the pending calls to the
+// remote.
+func (l *link) dropQueued() {
+	undeliverableFrames.Add(len(l.takeAll()))
+	l.finishWrite()
 	l.node.failCalls(l.address)
 }
 
-// close ends the link. A message that races with it takes a new link.
+// close removes the link from the node, drops its queued messages and closes its
+// connection. A message that finds the link closed is queued on a new link.
 func (l *link) close() {
-	l.node.forget(l)
+	l.node.removeLink(l)
 	l.mu.Lock()
 	l.closed = true
 	c := l.conn
 	l.mu.Unlock()
-	l.abandon()
+	l.dropQueued()
 
 	if c != nil {
 		c.close()
--- a/routing/choice.go
+++ b/routing/choice.go
@@ -6,18 +6,19 @@
 	"monsoonlever/fleet"
 )
 
-// Choice is a picked server, by which the caller reports back.
+// Choice is the server picked for one request. The caller reports the start and the
+// outcome of the request through its methods.
 type Choice struct {
-	server  *server
-	table   *Table
-	address string
-	domain  fleet.FailureDomain
-	prefix  uint64
-	probe   bool
-	hinted  bool
+	server   *server
+	table    *Table
+	address  string
+	domain   fleet.FailureDomain
+	prefix   uint64
+	probe    bool
+	byPrefix bool
 }
 
-// ID returns the instance that was picked.
+// ID returns the id of the picked instance.
 func (c Choice) ID() fleet.InstanceID { return c.server.id }
 
 // Address returns the address of the picked server.
@@ -26,50 +27,54 @@
 // Domain returns the failure domain of the picked server.
 func (c Choice) Domain() fleet.FailureDomain { return c.domain }
 
-// Probe tells whether the request tries out an ejected server.
+// Probe reports whether the request probes an ejected server.
 func (c Choice) Probe() bool { return c.probe }
 
-// Hinted tells whether the server was picked for its cached prefix.
-func (c Choice) Hinted() bool { return c.hinted }
+// ByPrefix reports whether the server was picked because it may have the prompt prefix
+// of the request cached.
+func (c Choice) ByPrefix() bool { return c.byPrefix }
 
-// Leaving tells whether the picked server is known to leave by now.
+// Leaving reports whether the picked server is known to be leaving, also when this
+// became known only after the pick.
 func (c Choice) Leaving() bool { return c.server.leaving.Load() }
 
-// Sent counts the request as in flight, right before the attempt, dialling
-// included. One call of Done or Failed must follow. It returns false, and counts nothing, if the server began to leave after it
-// was picked; the request must not be sent to it then.
-func (c Choice) Sent(now time.Time) bool {
+// Begin counts the request as in flight. It is called right before the attempt, dialing
+// included. If it returns true, exactly one call of Done or Failed must follow. It
+// returns false, and counts nothing, if the server began to leave after it was picked;
+// the request must not be sent to it then.
+func (c Choice) Begin(now time.Time) bool {
 	if !c.server.begin(now) {
 		return false
 	}
 
 	if c.prefix != 0 {
-		c.table.prefixes.hold(now, c.prefix, c.server)
+		c.table.prefixes.add(now, c.prefix, c.server)
 	}
 
 	return true
 }
 
-// Done ends a request that was answered. The latency of an answer with tokens
-// is compared per token.
+// Done ends a request that was answered. The latency is recorded per token if the
+// answer has tokens.
 func (c Choice) Done(now time.Time, latency time.Duration, tokens int) {
 	c.server.end(now)
-	c.server.suspect.Store(false)
+	c.server.dialFailed.Store(false)
 
 	perToken := latency / time.Duration(max(1, tokens))
 
 	if c.probe {
-		c.server.interval.probeTime.Store(int64(perToken))
-		c.server.interval.probeDone.Add(1)
+		c.server.pendingOutcomes.probeLatency.Store(int64(perToken))
+		c.server.pendingOutcomes.probeSucceeded.Add(1)
 
 		return
 	}
 
-	c.server.interval.latency.Add(int64(perToken))
-	c.server.interval.done.Add(1)
+	c.server.pendingOutcomes.latencySum.Add(int64(perToken))
+	c.server.pendingOutcomes.succeeded.Add(1)
 }
 
-// Failed ends a request that was sent and failed.
+// Failed ends a request that failed after Begin. A cancelled request doesn't affect the
+// health of the server.
 func (c Choice) Failed(now time.Time, kind Failure) {
 	c.server.end(now)
 
@@ -78,14 +83,14 @@
 	}
 
 	if kind == FailDial {
-		c.server.suspect.Store(true)
+		c.server.dialFailed.Store(true)
 	}
 
 	if c.probe {
-		c.server.interval.probeFailed.Add(1)
+		c.server.pendingOutcomes.probeFailed.Add(1)
 
 		return
 	}
 
-	c.server.interval.failed.Add(1)
+	c.server.pendingOutcomes.failed.Add(1)
 }
--- a/routing/comparison/table.go
+++ b/routing/comparison/table.go
@@ -11,29 +11,30 @@
 	"monsoonlever/routing"
 )
 
-// DefaultTable is a table with the default policy.
-var DefaultTable = routing.Policy{}
+// DefaultTablePolicy is the default policy of routing.Table.
+var DefaultTablePolicy = routing.Policy{}
 
 var (
 	start     = time.Unix(1_800_000_000, 0)
 	engineKey = routing.NewKey("ledger-llm", "", "", "")
 )
 
-// tableChooser asks a routing.Table.
+// tableChooser chooses servers with a routing.Table.
 type tableChooser struct {
 	table   *routing.Table
 	random  *rand.PCG
 	ids     []fleet.InstanceID
-	servers map[fleet.InstanceID]int
+	indexes map[fleet.InstanceID]int
 }
 
-// TablePolicy returns the policy of package routing with given settings.
+// TablePolicy returns a policy that chooses servers with a routing.Table with the given
+// settings.
 func TablePolicy(name string, p routing.Policy) Policy {
 	return Policy{Name: name, New: func(s Scenario, random *rand.PCG) Chooser {
 		c := &tableChooser{
 			table:   &routing.Table{Policy: p, Self: fleet.InstanceID(fmt.Sprint(random.Uint64()))},
 			random:  random,
-			servers: make(map[fleet.InstanceID]int, s.Servers),
+			indexes: make(map[fleet.InstanceID]int, s.Servers),
 		}
 
 		var listings []provider.Listing
@@ -41,7 +42,7 @@
 		for i := range s.Servers {
 			id := fleet.InstanceID(fmt.Sprintf("server-%04d", i))
 			c.ids = append(c.ids, id)
-			c.servers[id] = i
+			c.indexes[id] = i
 			listings = append(listings, provider.Listing{
 				ID:      id,
 				Service: engineKey.Service(),
@@ -51,7 +52,7 @@
 		}
 
 		c.table.UpdateList(start, listings)
-		c.table.UpdateEntries(start, s.Entries)
+		c.table.UpdateEntryCount(start, s.Entries)
 
 		for _, id := range c.ids {
 			c.table.Report(start, id, backend.LoadReport{At: start, Capacity: slotsPerServer})
@@ -62,17 +63,17 @@
 }
 
 // Choose implements Chooser.
-func (c *tableChooser) Choose(now time.Duration, prefix uint64) (int, Answered) {
-	request := routing.NewRequest(engineKey).WithPrefix(prefix).WithRepeatable()
+func (c *tableChooser) Choose(now time.Duration, prefix uint64) (int, DoneFunc) {
+	request := routing.NewRequest(engineKey).WithPrefix(prefix).WithIdempotent()
 
 	choice, err := c.table.Pick(start.Add(now), c.random, request)
 	if err != nil {
-		panic(err) // No server of the model ever leaves.
+		panic(err) // The simulated servers never leave.
 	}
 
-	choice.Sent(start.Add(now))
+	choice.Begin(start.Add(now))
 
-	return c.servers[choice.ID()], func(now, latency time.Duration, tokens int) {
+	return c.indexes[choice.ID()], func(now, latency time.Duration, tokens int) {
 		choice.Done(start.Add(now), latency, tokens)
 	}
 }
