--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -24,7 +24,7 @@
 
 // rollout is what the holder of one grant does with the runners.
 type rollout struct {
-	corrector *lease.Corrector[placement.Holding]
+	corrector *lease.Corrector[placement.EngineSpec]
 	steps     map[modelKey]*placement.Rollout
 	runners   map[fleet.InstanceID]*runner
 	surge     map[fleet.Service]int
@@ -39,7 +39,7 @@
 
 func newRollout() *rollout {
 	return &rollout{
-		corrector: &lease.Corrector[placement.Holding]{
+		corrector: &lease.Corrector[placement.EngineSpec]{
 			ReadInterval: readEvery, RetryInterval: orderRetry, MaxOrderDelay: lease.DefaultConfig().MaxOrderDelay,
 		},
 		steps:   make(map[modelKey]*placement.Rollout),
@@ -114,7 +114,7 @@
 func (r *rollout) decide(now time.Time, m *manifest.Manifest, s manifest.Service, model manifest.Model) {
 	group := r.group(s, model.Name())
 	service := serviceOf(m, s)
-	service.Holding = holdingOf(model)
+	service.Spec = holdingOf(model)
 
 	var states []placement.Runner
 	for _, one := range group {
@@ -127,7 +127,7 @@
 		r.surge[s.Name()] = max(r.surge[s.Name()], step.Surge(service, states))
 	}
 
-	allowed := placement.LoadQueue{AtOnce: loadsAtOnce}.Allowed(r.loads(service.Priority))
+	allowed := placement.LoadQueue{MaxConcurrent: loadsAtOnce}.Allowed(r.loads(service.Priority))
 	mayLoad := func(id fleet.InstanceID) bool { return slices.Contains(allowed, id) }
 
 	moving := 0
@@ -136,7 +136,7 @@
 		one := r.runners[assignment.Instance]
 		one.assign(assignment, r.corrector)
 
-		if one.known && one.holding() != service.Holding {
+		if one.known && one.holding() != service.Spec {
 			moving++
 			r.lines = append(r.lines, fmt.Sprintf("%s: %s %s", s.Name(), assignment.Instance, assignment.Reason))
 		}
--- a/placement/record_test.go
+++ b/placement/record_test.go
@@ -45,11 +45,11 @@
 }
 
 func TestHoldingSurvivesOrder(t *testing.T) {
-	want := placement.Holding{Model: "ledger", Version: "2", Adapter: "dk", Role: "decode"}
+	want := placement.EngineSpec{Model: "ledger", Version: "2", Adapter: "dk", Role: "decode"}
 	o := want.Order(4)
 	state := backend.EngineState{Fence: o.Fence, Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role}
 
-	if got := placement.ReadbackOf(state); got.State != want || got.Fence != 4 {
+	if got := placement.EngineReadback(state); got.State != want || got.Fence != 4 {
 		t.Errorf("read back: got %+v, want %+v under 4", got, want)
 	}
 }
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/fleet"
 )
 
-// ejectionModel gives servers bad days and takes servers away.
+// ejectionModel makes servers fail or respond slowly, and removes servers.
 type ejectionModel struct {
 	table  *Table
 	random *rand.PCG
@@ -18,25 +18,25 @@
 	size   int
 }
 
-// call sends requests of which those to some servers fail or are slow.
+// call sends requests; those to a random subset of the servers fail or are slow.
 func (m *ejectionModel) call(t *rapid.T) {
 	faulty := rapid.SliceOfNDistinct(rapid.IntRange(0, m.size-1), 0, m.size, rapid.ID).Draw(t, "faulty")
 	kind := rapid.SampledFrom([]Failure{FailDial, FailReset, FailTimeout, FailCancelled}).Draw(t, "kind")
 	slow := rapid.Bool().Draw(t, "slow")
-	bad := make(map[fleet.InstanceID]bool)
+	isFaulty := make(map[fleet.InstanceID]bool)
 
 	for _, i := range faulty {
-		bad[testID(i)] = true
+		isFaulty[testID(i)] = true
 	}
 
 	for range rapid.IntRange(1, 200).Draw(t, "calls") {
-		choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithRepeatable())
-		if err != nil || !choice.Sent(m.now) {
+		choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithIdempotent())
+		if err != nil || !choice.Begin(m.now) {
 			continue
 		}
 
 		switch {
-		case !bad[choice.ID()]:
+		case !isFaulty[choice.ID()]:
 			choice.Done(m.now, time.Millisecond, 0)
 		case slow:
 			choice.Done(m.now, time.Second, 0)
@@ -52,7 +52,7 @@
 }
 
 func (m *ejectionModel) leave(t *rapid.T) {
-	m.table.Leave(m.now, testID(rapid.IntRange(0, m.size-1).Draw(t, "server")), SourceNotice)
+	m.table.MarkLeaving(m.now, testID(rapid.IntRange(0, m.size-1).Draw(t, "server")), SourceNotice)
 }
 
 func (m *ejectionModel) check(t *rapid.T) {
@@ -70,8 +70,8 @@
 		}
 	}
 
-	if most := int(0.34 * float64(servers)); ejected > most {
-		t.Fatalf("%d of %d servers are ejected, want at most %d", ejected, servers, most)
+	if limit := int(0.34 * float64(servers)); ejected > limit {
+		t.Fatalf("ejected servers: got %d of %d, want at most %d", ejected, servers, limit)
 	}
 }
 
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -2,45 +2,55 @@
 
 import "time"
 
-// Policy holds the settings of a table. A zero field stands for its default.
+// Policy holds the settings of a table. A zero field selects its default.
 type Policy struct {
-	// Choices is how many servers are drawn for a request.
+	// Choices is the number of servers that are drawn for a request, of which the most
+	// preferred is picked.
 	Choices int
-	// AffinityBound is how far above the mean load of its pool a server with a
-	// cached prefix may be, as a factor.
+	// AffinityBound is the maximum utilisation of a server that is picked for its
+	// cached prefix, as a multiple of the mean utilisation of its pool with one more
+	// request.
 	AffinityBound float64
-	// AffinityCeiling is the utilisation above which a cached prefix isn't
-	// worth the wait for a slot.
+	// AffinityCeiling is the upper limit of the affinity bound. Above this utilisation,
+	// the wait for a slot costs more than a cached prefix saves.
 	AffinityCeiling float64
-	// PrefixMemory is how many prefixes are remembered.
-	PrefixMemory int
-	// PrefixLifetime is how long a prefix is remembered.
-	PrefixLifetime time.Duration
-	// HalfLife is the time in which the outcome of a call loses half its weight.
-	HalfLife time.Duration
-	// MinSamples is how many outcomes a server is judged by.
+	// MaxPrefixes is the capacity of the prefix index, in pairs of a prefix and a
+	// server.
+	MaxPrefixes int
+	// PrefixTTL is how long an entry of the prefix index is valid.
+	PrefixTTL time.Duration
+	// OutcomeHalfLife is the time in which the outcome of a call loses half its weight.
+	OutcomeHalfLife time.Duration
+	// MinSamples is the minimum number of weighted outcomes by which a server is
+	// evaluated.
 	MinSamples float64
-	// MaxEjectedShare is the greatest share of a pool that is ejected.
+	// MaxEjectedShare is the maximum share of the servers of a pool that may be
+	// ejected.
 	MaxEjectedShare float64
-	// LatencyFactor is how far above the median a latency is an outlier.
+	// LatencyFactor is the multiple of the median latency above which a server is an
+	// outlier.
 	LatencyFactor float64
-	// ErrorMargin is how far above the median an error rate is an outlier.
+	// ErrorMargin is how far an error rate must exceed the median for the server to be
+	// an outlier, as an absolute difference.
 	ErrorMargin float64
-	// ProbeAfter is the time from the first ejection to the first probe. It
-	// doubles with each ejection or failed probe.
-	ProbeAfter time.Duration
-	// ProbeAtMost bounds the time between probes.
-	ProbeAtMost time.Duration
-	// ReportGrace is how long a server that the list lacks is kept for its own
-	// reports.
-	ReportGrace time.Duration
-	// SilentAfter is how long after its last report a server is used only where
-	// the others that were drawn are silent too.
-	SilentAfter time.Duration
-	// ForgetAfter is how long a server that the list lacks is remembered, so
-	// that a late list can't bring it back.
-	ForgetAfter time.Duration
-	// DefaultCapacity stands for the capacity of a server that said none.
+	// InitialProbeDelay is the maximum time from the first ejection to the first probe.
+	// It doubles with each further ejection or failed probe.
+	InitialProbeDelay time.Duration
+	// MaxProbeDelay is the maximum time between probes.
+	MaxProbeDelay time.Duration
+	// ReportTimeout is how long after its last load report or engine state a server
+	// that is missing from the instance list still gets requests.
+	ReportTimeout time.Duration
+	// SilenceTimeout is how long after its last load report or engine state a server
+	// counts as silent. Among the drawn servers, a silent one is picked only if all the
+	// others are silent or can't be dialed.
+	SilenceTimeout time.Duration
+	// UnlistedRetention is how long the state of a server that is missing from the
+	// instance list is retained, so that an outdated list can't make a leaving server
+	// available again.
+	UnlistedRetention time.Duration
+	// DefaultCapacity is the capacity of a server that reported none, in concurrent
+	// requests.
 	DefaultCapacity int
 }
 
@@ -48,18 +58,18 @@
 	setDefault(&p.Choices, 3)
 	setDefault(&p.AffinityBound, 1.5)
 	setDefault(&p.AffinityCeiling, 1)
-	setDefault(&p.PrefixMemory, 1<<15)
-	setDefault(&p.PrefixLifetime, 10*time.Minute)
-	setDefault(&p.HalfLife, time.Minute)
+	setDefault(&p.MaxPrefixes, 1<<15)
+	setDefault(&p.PrefixTTL, 10*time.Minute)
+	setDefault(&p.OutcomeHalfLife, time.Minute)
 	setDefault(&p.MinSamples, 5)
 	setDefault(&p.MaxEjectedShare, 0.34)
 	setDefault(&p.LatencyFactor, 2.5)
 	setDefault(&p.ErrorMargin, 0.25)
-	setDefault(&p.ProbeAfter, time.Second)
-	setDefault(&p.ProbeAtMost, time.Minute)
-	setDefault(&p.ReportGrace, 5*time.Second)
-	setDefault(&p.SilentAfter, 2*time.Second)
-	setDefault(&p.ForgetAfter, 15*time.Minute)
+	setDefault(&p.InitialProbeDelay, time.Second)
+	setDefault(&p.MaxProbeDelay, time.Minute)
+	setDefault(&p.ReportTimeout, 5*time.Second)
+	setDefault(&p.SilenceTimeout, 2*time.Second)
+	setDefault(&p.UnlistedRetention, 15*time.Minute)
 	setDefault(&p.DefaultCapacity, 1)
 
 	return p
