--- a/daemon/build_servers.go
+++ b/daemon/build_servers.go
@@ -14,7 +14,7 @@
 	client := newClient()
 	p.table = &routing.Table{Self: p.settings.Instance, Domain: p.settings.FailureDomain, Metrics: p.metrics}
 	p.directory = discovery.NewDirectory(clients{http: newClient()})
-	p.desk = &evacuation.Desk{
+	p.desk = &evacuation.ExportScheduler{
 		Clock:       p.clock,
 		Coordinator: newCoordinator(),
 		Targets:     p.exportTargets,
--- a/daemon/parts.go
+++ b/daemon/parts.go
@@ -38,7 +38,7 @@
 	admission   *admission.Controller
 	recorder    *burn.Recorder
 	runner      *answer.Runner
-	desk        *evacuation.Desk
+	desk        *evacuation.ExportScheduler
 	replicator  *answer.Replicator
 	answers     *dispatch.Answers
 	// peers is nil for an instance without keys, which stands alone.
--- a/evacuation/desk.go
+++ b/evacuation/desk.go
@@ -14,9 +14,9 @@
 // bytesPerPromptToken estimates the tokens of a prompt from its length.
 const bytesPerPromptToken = 4
 
-// Desk is the shell of a Coordinator: an answer.ExportSource. The exported
+// ExportScheduler is the shell of a Coordinator: an answer.ExportSource. The exported
 // fields are set before Run.
-type Desk struct {
+type ExportScheduler struct {
 	Clock       clock.Clock
 	Coordinator *Coordinator
 	// Targets returns the servers that could take caches at present.
@@ -29,7 +29,7 @@
 }
 
 // Run gives out the turns until the context ends.
-func (d *Desk) Run(ctx context.Context) {
+func (d *ExportScheduler) Run(ctx context.Context) {
 	d.init()
 
 	for {
@@ -48,17 +48,17 @@
 }
 
 // Notice takes a reclaim notice of a backend server.
-func (d *Desk) Notice(n Notice) {
+func (d *ExportScheduler) Notice(n Notice) {
 	d.do(func(now time.Time) { d.Coordinator.Notice(now, n) })
 }
 
 // Gone forgets a server that has been reclaimed.
-func (d *Desk) Gone(server fleet.InstanceID) {
+func (d *ExportScheduler) Gone(server fleet.InstanceID) {
 	d.do(func(time.Time) { d.Coordinator.Gone(server) })
 }
 
 // Target waits for the turn of an answer.
-func (d *Desk) Target(ctx context.Context, r answer.Request, e answer.ExportKV) (answer.ExportTurn, bool) {
+func (d *ExportScheduler) Target(ctx context.Context, r answer.Request, e answer.ExportKV) (answer.ExportTurn, bool) {
 	turn := make(chan fleet.InstanceID, 1)
 	stream := Stream{
 		Attempt:  e.Attempt,
@@ -93,7 +93,7 @@
 	return answer.ExportTurn{}, false
 }
 
-func (d *Desk) init() {
+func (d *ExportScheduler) init() {
 	d.once.Do(func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -103,7 +103,7 @@
 	})
 }
 
-func (d *Desk) do(step func(now time.Time)) {
+func (d *ExportScheduler) do(step func(now time.Time)) {
 	d.init()
 	d.mu.Lock()
 	step(d.Clock.Now())
@@ -116,7 +116,7 @@
 }
 
 // turns gives out the present turns and returns when there may be more.
-func (d *Desk) turns() (time.Time, bool) {
+func (d *ExportScheduler) turns() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
--- a/evacuation/desk_test.go
+++ b/evacuation/desk_test.go
@@ -18,7 +18,7 @@
 func TestDeskExportsOneAtATimeDearestFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		desk := &Desk{
+		desk := &ExportScheduler{
 			Clock:       clock.System{},
 			Coordinator: &Coordinator{Planner: Planner{Policy: testPolicy()}, Gather: 20 * time.Millisecond},
 			Targets:     func() []Target { return []Target{{Server: "t", Domain: "b1", Room: 9000}} },
