--- a/daemon/exports.go
+++ b/daemon/exports.go
@@ -84,8 +84,8 @@
 }
 
 // places returns what is known of each failure domain.
-func (p *parts) places() map[fleet.FailureDomain]evacuation.Place {
-	out := make(map[fleet.FailureDomain]evacuation.Place)
+func (p *parts) places() map[fleet.FailureDomain]evacuation.DomainInfo {
+	out := make(map[fleet.FailureDomain]evacuation.DomainInfo)
 
 	m := p.manifest()
 	if m == nil {
@@ -94,7 +94,7 @@
 
 	for _, region := range m.Regions() {
 		for _, domain := range region.FailureDomains() {
-			out[domain.Name()] = evacuation.Place{Region: region.Name(), Price: dearest(domain)}
+			out[domain.Name()] = evacuation.DomainInfo{Region: region.Name(), Price: dearest(domain)}
 		}
 	}
 
--- a/evacuation/places.go
+++ b/evacuation/places.go
@@ -7,6 +7,6 @@
 )
 
 // SetPlaces replaces what is known of the failure domains.
-func (d *ExportScheduler) SetPlaces(places map[fleet.FailureDomain]Place) {
+func (d *ExportScheduler) SetPlaces(places map[fleet.FailureDomain]DomainInfo) {
 	d.do(func(time.Time) { d.Coordinator.Planner.Wave.Places = places })
 }
--- a/evacuation/plan_test.go
+++ b/evacuation/plan_test.go
@@ -22,7 +22,7 @@
 func testWave() *Wave {
 	return &Wave{
 		HalfLife: time.Minute,
-		Places: map[fleet.FailureDomain]Place{
+		Places: map[fleet.FailureDomain]DomainInfo{
 			"a1": {Region: "a", Instances: 2, Price: 2},
 			"a2": {Region: "a", Instances: 2, Price: 1},
 			"a3": {Region: "a", Instances: 2, Price: 2},
--- a/evacuation/recompute_test.go
+++ b/evacuation/recompute_test.go
@@ -98,7 +98,7 @@
 				Setup:          100 * time.Millisecond,
 				Margin:         500 * time.Millisecond,
 			},
-			Wave:  &Wave{HalfLife: time.Minute, Places: map[fleet.FailureDomain]Place{}},
+			Wave:  &Wave{HalfLife: time.Minute, Places: map[fleet.FailureDomain]DomainInfo{}},
 			order: s.order,
 		},
 	}
@@ -106,7 +106,7 @@
 	prices := w.rng.Perm(4)
 	for i, price := range prices {
 		d := fleet.FailureDomain(fmt.Sprintf("domain-%d", i))
-		w.planner.Wave.Places[d] = Place{Region: "region", Instances: traceRunners, Price: float64(price)}
+		w.planner.Wave.Places[d] = DomainInfo{Region: "region", Instances: traceRunners, Price: float64(price)}
 
 		for n := range traceRunners {
 			w.runners = append(w.runners, &traceRunner{id: fleet.InstanceID(fmt.Sprintf("%s-%d", d, n)), domain: d})
--- a/evacuation/wave.go
+++ b/evacuation/wave.go
@@ -7,8 +7,8 @@
 	"monsoonlever/fleet"
 )
 
-// Place is what is known of a failure domain.
-type Place struct {
+// DomainInfo is what is known of a failure domain.
+type DomainInfo struct {
 	Region    fleet.Region
 	Instances int
 	// Price is the present price of a reclaimable instance.
@@ -20,7 +20,7 @@
 type Wave struct {
 	// HalfLife is the time in which a notice loses half of its weight.
 	HalfLife time.Duration
-	Places   map[fleet.FailureDomain]Place
+	Places   map[fleet.FailureDomain]DomainInfo
 
 	hits map[fleet.FailureDomain]hit
 }
@@ -81,7 +81,7 @@
 }
 
 // scarcity returns how far a price is above the cheapest, from 0 to 1.
-func (w *Wave) scarcity(place Place) float64 {
+func (w *Wave) scarcity(place DomainInfo) float64 {
 	low, high := math.Inf(1), 0.0
 	for _, p := range w.Places {
 		low = math.Min(low, p.Price)
