--- a/daemon/exports.go
+++ b/daemon/exports.go
@@ -74,7 +74,7 @@
 	}
 
 	if server, ok := p.directory.Server(id); ok {
-		p.desk.SetPlaces(p.places())
+		p.desk.SetDomains(p.places())
 		p.desk.Notice(evacuation.Notice{Server: id, Domain: server.Domain(), At: at})
 	}
 
--- a/evacuation/places.go
+++ b/evacuation/places.go
@@ -6,7 +6,7 @@
 	"monsoonlever/fleet"
 )
 
-// SetPlaces replaces what is known of the failure domains.
-func (d *ExportScheduler) SetPlaces(places map[fleet.FailureDomain]DomainInfo) {
+// SetDomains replaces what is known of the failure domains.
+func (d *ExportScheduler) SetDomains(places map[fleet.FailureDomain]DomainInfo) {
 	d.do(func(time.Time) { d.Coordinator.Planner.Wave.Places = places })
 }
