--- a/daemon/exports.go
+++ b/daemon/exports.go
@@ -32,7 +32,7 @@
 
 func newCoordinator() *evacuation.Coordinator {
 	return &evacuation.Coordinator{
-		Gather: gatherExports,
+		GatherWindow: gatherExports,
 		Planner: evacuation.Planner{
 			Wave: &evacuation.Wave{HalfLife: waveHalfLife},
 			Policy: evacuation.Policy{
--- a/evacuation/coordinator.go
+++ b/evacuation/coordinator.go
@@ -19,9 +19,9 @@
 // their turns. The exported fields are set before the first step.
 type Coordinator struct {
 	Planner Planner
-	// Gather is how long streams are gathered before the first turn, so that
+	// GatherWindow is how long streams are gathered before the first turn, so that
 	// the dearest of them is known.
-	Gather time.Duration
+	GatherWindow time.Duration
 
 	leaving map[fleet.InstanceID]*departure
 	order   []fleet.InstanceID
@@ -169,7 +169,7 @@
 
 	d, ok := c.leaving[server]
 	if !ok {
-		d = &departure{from: now.Add(c.Gather)}
+		d = &departure{from: now.Add(c.GatherWindow)}
 		c.leaving[server] = d
 		c.order = append(c.order, server)
 	}
--- a/evacuation/desk_test.go
+++ b/evacuation/desk_test.go
@@ -20,7 +20,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		desk := &ExportScheduler{
 			Clock:       clock.System{},
-			Coordinator: &Coordinator{Planner: Planner{Policy: testPolicy()}, Gather: 20 * time.Millisecond},
+			Coordinator: &Coordinator{Planner: Planner{Policy: testPolicy()}, GatherWindow: 20 * time.Millisecond},
 			Targets:     func() []Target { return []Target{{Server: "t", Domain: "b1", Room: 9000}} },
 		}
 
