--- a/evacuation/desk.go
+++ b/evacuation/desk.go
@@ -52,8 +52,8 @@
 	d.do(func(now time.Time) { d.Coordinator.Notice(now, n) })
 }
 
-// Gone forgets a server that has been reclaimed.
-func (d *ExportScheduler) Gone(server fleet.InstanceID) {
+// RemoveServer forgets a server that has been reclaimed.
+func (d *ExportScheduler) RemoveServer(server fleet.InstanceID) {
 	d.do(func(time.Time) { d.Coordinator.Gone(server) })
 }
 
