--- a/evacuation/coordinator.go
+++ b/evacuation/coordinator.go
@@ -23,19 +23,19 @@
 	// the dearest of them is known.
 	GatherWindow time.Duration
 
-	leaving map[fleet.InstanceID]*departure
+	leaving map[fleet.InstanceID]*leavingServer
 	order   []fleet.InstanceID
 	targets []Target
 }
 
-// departure is one leaving server.
-type departure struct {
+// leavingServer is one leaving server.
+type leavingServer struct {
 	notice  Notice
 	streams []Stream
 	active  backend.AttemptID
 	target  fleet.InstanceID
 	size    int
-	from    time.Time
+	firstTurnAt    time.Time
 }
 
 // Notice takes a reclaim notice. A server that is leaving is no target more.
@@ -44,7 +44,7 @@
 		c.Planner.Wave.Note(now, n.Domain)
 	}
 
-	if d := c.departure(n.Server, now); d.notice.At.IsZero() || n.At.Before(d.notice.At) {
+	if d := c.ensureLeaving(n.Server, now); d.notice.At.IsZero() || n.At.Before(d.notice.At) {
 		d.notice = n
 	}
 }
@@ -52,9 +52,9 @@
 // Targets takes the servers that could take caches at present.
 func (c *Coordinator) Targets(targets []Target) { c.targets = targets }
 
-// Ask puts a stream on the list of its server.
-func (c *Coordinator) Ask(now time.Time, s Stream, by time.Time) {
-	d := c.departure(s.Server, now)
+// Enqueue puts a stream on the list of its server.
+func (c *Coordinator) Enqueue(now time.Time, s Stream, by time.Time) {
+	d := c.ensureLeaving(s.Server, now)
 	if d.notice.At.IsZero() {
 		d.notice = Notice{Server: s.Server, At: by}
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Gone forgets a server.
-func (c *Coordinator) Gone(server fleet.InstanceID) {
+// RemoveServer forgets a server.
+func (c *Coordinator) RemoveServer(server fleet.InstanceID) {
 	delete(c.leaving, server)
 	c.order = slices.DeleteFunc(c.order, func(id fleet.InstanceID) bool { return id == server })
 }
@@ -86,11 +86,11 @@
 
 	for _, server := range c.order {
 		d := c.leaving[server]
-		if d.active != "" || len(d.streams) == 0 || now.Before(d.from) {
+		if d.active != "" || len(d.streams) == 0 || now.Before(d.firstTurnAt) {
 			continue
 		}
 
-		turns = append(turns, c.next(now, d)...)
+		turns = append(turns, c.startNext(now, d)...)
 	}
 
 	return turns
@@ -102,22 +102,22 @@
 
 	for _, server := range c.order {
 		d := c.leaving[server]
-		if len(d.streams) == 0 || !d.from.After(now) {
+		if len(d.streams) == 0 || !d.firstTurnAt.After(now) {
 			continue
 		}
 
-		if at.IsZero() || d.from.Before(at) {
-			at = d.from
+		if at.IsZero() || d.firstTurnAt.Before(at) {
+			at = d.firstTurnAt
 		}
 	}
 
 	return at, !at.IsZero()
 }
 
-// next plans afresh and takes the first of the plan. Without any, the streams
+// startNext plans afresh and takes the first of the plan. Without any, the streams
 // that are left will not be exported.
-func (c *Coordinator) next(now time.Time, d *departure) []Turn {
-	plan := c.Planner.Plan(now, d.notice, d.streams, c.open())
+func (c *Coordinator) startNext(now time.Time, d *leavingServer) []Turn {
+	plan := c.Planner.Plan(now, d.notice, d.streams, c.availableTargets())
 	if len(plan) == 0 {
 		return d.refuseAll()
 	}
@@ -130,7 +130,7 @@
 	return []Turn{{Attempt: first.Attempt, Target: first.Target}}
 }
 
-func (d *departure) refuseAll() []Turn {
+func (d *leavingServer) refuseAll() []Turn {
 	turns := make([]Turn, 0, len(d.streams))
 	for _, s := range d.streams {
 		turns = append(turns, Turn{Attempt: s.Attempt})
@@ -141,8 +141,8 @@
 	return turns
 }
 
-// open returns the targets that are not leaving, less what is on its way.
-func (c *Coordinator) open() []Target {
+// availableTargets returns the targets that are not leaving, less what is on its way.
+func (c *Coordinator) availableTargets() []Target {
 	out := make([]Target, 0, len(c.targets))
 
 	for _, t := range c.targets {
@@ -162,14 +162,14 @@
 	return out
 }
 
-func (c *Coordinator) departure(server fleet.InstanceID, now time.Time) *departure {
+func (c *Coordinator) ensureLeaving(server fleet.InstanceID, now time.Time) *leavingServer {
 	if c.leaving == nil {
-		c.leaving = make(map[fleet.InstanceID]*departure)
+		c.leaving = make(map[fleet.InstanceID]*leavingServer)
 	}
 
 	d, ok := c.leaving[server]
 	if !ok {
-		d = &departure{from: now.Add(c.GatherWindow)}
+		d = &leavingServer{firstTurnAt: now.Add(c.GatherWindow)}
 		c.leaving[server] = d
 		c.order = append(c.order, server)
 	}
--- a/evacuation/places.go
+++ b/evacuation/domains.go
@@ -8,5 +8,5 @@
 
 // SetDomains replaces what is known of the failure domains.
 func (d *ExportScheduler) SetDomains(places map[fleet.FailureDomain]DomainInfo) {
-	d.do(func(time.Time) { d.Coordinator.Planner.Wave.Places = places })
+	d.step(func(time.Time) { d.Coordinator.Planner.Wave.Domains = places })
 }
--- a/evacuation/desk.go
+++ b/evacuation/export_scheduler.go
@@ -34,7 +34,7 @@
 
 	for {
 		var timer <-chan time.Time
-		if at, ok := d.turns(); ok {
+		if at, ok := d.grantTurns(); ok {
 			timer = d.Clock.After(at.Sub(d.Clock.Now()))
 		}
 
@@ -49,12 +49,12 @@
 
 // Notice takes a reclaim notice of a backend server.
 func (d *ExportScheduler) Notice(n Notice) {
-	d.do(func(now time.Time) { d.Coordinator.Notice(now, n) })
+	d.step(func(now time.Time) { d.Coordinator.Notice(now, n) })
 }
 
 // RemoveServer forgets a server that has been reclaimed.
 func (d *ExportScheduler) RemoveServer(server fleet.InstanceID) {
-	d.do(func(time.Time) { d.Coordinator.Gone(server) })
+	d.step(func(time.Time) { d.Coordinator.RemoveServer(server) })
 }
 
 // Target waits for the turn of an answer.
@@ -68,13 +68,13 @@
 		Tokens:   len(r.Prompt)/bytesPerPromptToken + e.Tokens,
 	}
 
-	d.do(func(now time.Time) {
+	d.step(func(now time.Time) {
 		d.waiting[e.Attempt] = turn
-		d.Coordinator.Ask(now, stream, e.By)
+		d.Coordinator.Enqueue(now, stream, e.By)
 	})
 
 	done := func() {
-		d.do(func(time.Time) {
+		d.step(func(time.Time) {
 			delete(d.waiting, e.Attempt)
 			d.Coordinator.Done(e.Attempt)
 		})
@@ -103,7 +103,7 @@
 	})
 }
 
-func (d *ExportScheduler) do(step func(now time.Time)) {
+func (d *ExportScheduler) step(step func(now time.Time)) {
 	d.init()
 	d.mu.Lock()
 	step(d.Clock.Now())
@@ -115,8 +115,8 @@
 	}
 }
 
-// turns gives out the present turns and returns when there may be more.
-func (d *ExportScheduler) turns() (time.Time, bool) {
+// grantTurns gives out the present grantTurns and returns when there may be more.
+func (d *ExportScheduler) grantTurns() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
--- a/evacuation/desk_test.go
+++ b/evacuation/export_scheduler_test.go
@@ -13,9 +13,9 @@
 	"monsoonlever/clock"
 )
 
-// TestDeskExportsOneAtATimeDearestFirst asks in the order of arrival; what
+// TestExportSchedulerExportsCostliestFirst asks in the order of arrival; what
 // does not fit into the notice any more is refused.
-func TestDeskExportsOneAtATimeDearestFirst(t *testing.T) {
+func TestExportSchedulerExportsCostliestFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		desk := &ExportScheduler{
--- a/evacuation/plan.go
+++ b/evacuation/plan.go
@@ -23,12 +23,12 @@
 	ordered := slices.Clone(streams)
 
 	if p.order == nil {
-		slices.SortFunc(ordered, p.dearestFirst)
+		slices.SortFunc(ordered, p.costliestFirst)
 	} else {
 		slices.SortStableFunc(ordered, p.order)
 	}
 
-	left := p.safestFirst(now, n, targets)
+	left := p.lowestRiskFirst(now, n, targets)
 	end := n.At.Add(-p.Policy.Margin)
 	at := now
 
@@ -53,16 +53,16 @@
 	return plan
 }
 
-func (p Planner) dearestFirst(a, b Stream) int {
+func (p Planner) costliestFirst(a, b Stream) int {
 	return cmp.Or(
-		cmp.Compare(p.Policy.worth(b), p.Policy.worth(a)),
+		cmp.Compare(p.Policy.weightedCost(b), p.Policy.weightedCost(a)),
 		cmp.Compare(a.Attempt, b.Attempt),
 	)
 }
 
-// safestFirst orders the targets by the risk of their failure domain, then by
+// lowestRiskFirst orders the targets by the risk of their failure domain, then by
 // their room. The leaving server's own domain is left out: it goes as a whole.
-func (p Planner) safestFirst(now time.Time, n Notice, targets []Target) []Target {
+func (p Planner) lowestRiskFirst(now time.Time, n Notice, targets []Target) []Target {
 	out := make([]Target, 0, len(targets))
 	risk := make(map[fleet.FailureDomain]float64)
 
--- a/evacuation/plan_test.go
+++ b/evacuation/plan_test.go
@@ -22,7 +22,7 @@
 func testWave() *Wave {
 	return &Wave{
 		HalfLife: time.Minute,
-		Places: map[fleet.FailureDomain]DomainInfo{
+		Domains: map[fleet.FailureDomain]DomainInfo{
 			"a1": {Region: "a", Instances: 2, Price: 2},
 			"a2": {Region: "a", Instances: 2, Price: 1},
 			"a3": {Region: "a", Instances: 2, Price: 2},
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestPlanAvoidsTheNextOfTheWave(t *testing.T) {
+func TestPlanAvoidsHighRiskDomains(t *testing.T) {
 	p := Planner{Policy: testPolicy(), Wave: testWave()}
 	p.Wave.Note(testStart, "a1")
 
@@ -94,12 +94,12 @@
 	}
 }
 
-func TestCoordinatorPlansAgainWhenATargetLeaves(t *testing.T) {
+func TestCoordinatorReplansWhenTargetLeaves(t *testing.T) {
 	c := &Coordinator{Planner: Planner{Policy: testPolicy(), Wave: testWave()}}
 	c.Targets([]Target{{Server: "t1", Domain: "b1", Room: 9000}, {Server: "t2", Domain: "a2", Room: 9000}})
 	c.Notice(testStart, Notice{Server: "s", Domain: "a1", At: testStart.Add(9 * time.Second)})
-	c.Ask(testStart, Stream{Attempt: "x", Server: "s", Tokens: 2000}, testStart)
-	c.Ask(testStart, Stream{Attempt: "y", Server: "s", Tokens: 1000}, testStart)
+	c.Enqueue(testStart, Stream{Attempt: "x", Server: "s", Tokens: 2000}, testStart)
+	c.Enqueue(testStart, Stream{Attempt: "y", Server: "s", Tokens: 1000}, testStart)
 
 	first := c.Turns(testStart)
 	if want := 1; len(first) != want {
--- a/evacuation/policy.go
+++ b/evacuation/policy.go
@@ -35,8 +35,8 @@
 	return p.Setup + time.Duration(seconds*float64(time.Second))
 }
 
-// worth returns what the loss of a stream's cache would cost.
-func (p Policy) worth(s Stream) float64 {
+// weightedCost returns what the loss of a stream's cache would cost.
+func (p Policy) weightedCost(s Stream) float64 {
 	rate := p.Rate[s.Model]
 	if rate == 0 {
 		rate = 1
--- a/evacuation/recompute_test.go
+++ b/evacuation/recompute_test.go
@@ -20,7 +20,7 @@
 	traceLength      = 6 * time.Minute
 	traceNotice      = 5 * time.Second
 	traceWaveGap     = 20 * time.Second
-	traceDomainBack  = time.Minute
+	traceRestartDelay  = time.Minute
 	traceRunners     = 3
 	traceSlots       = 16
 	traceDecodeRate  = 15
@@ -43,8 +43,8 @@
 type traceRunner struct {
 	id     fleet.InstanceID
 	domain fleet.FailureDomain
-	diesAt time.Duration
-	backAt time.Duration
+	reclaimAt time.Duration
+	readyAt time.Duration
 	essays []*essay
 }
 
@@ -53,12 +53,12 @@
 	desc    string
 	restart bool
 	export  bool
-	blind   bool
+	ignoreWave   bool
 	order   func(a, b Stream) int
 }
 
-// redone is the work that was done again.
-type redone struct {
+// recomputed is the work that was done again.
+type recomputed struct {
 	decoded   int
 	prefilled int
 	exports   int
@@ -67,9 +67,9 @@
 	better int
 }
 
-func (r redone) tokens() int { return r.decoded + r.prefilled }
+func (r recomputed) tokens() int { return r.decoded + r.prefilled }
 
-func (r redone) engineSeconds() float64 {
+func (r recomputed) engineSeconds() float64 {
 	return float64(r.decoded)/traceDecodeRate + float64(r.prefilled)/tracePrefillRate
 }
 
@@ -81,8 +81,8 @@
 	queue    []*essay
 	waves    map[time.Duration]fleet.FailureDomain
 	planner  Planner
-	redone   redone
-	born     int
+	recomputed   recomputed
+	arrived     int
 	due      float64
 }
 
@@ -98,7 +98,7 @@
 				Setup:          100 * time.Millisecond,
 				Margin:         500 * time.Millisecond,
 			},
-			Wave:  &Wave{HalfLife: time.Minute, Places: map[fleet.FailureDomain]DomainInfo{}},
+			Wave:  &Wave{HalfLife: time.Minute, Domains: map[fleet.FailureDomain]DomainInfo{}},
 			order: s.order,
 		},
 	}
@@ -106,7 +106,7 @@
 	prices := w.rng.Perm(4)
 	for i, price := range prices {
 		d := fleet.FailureDomain(fmt.Sprintf("domain-%d", i))
-		w.planner.Wave.Places[d] = DomainInfo{Region: "region", Instances: traceRunners, Price: float64(price)}
+		w.planner.Wave.Domains[d] = DomainInfo{Region: "region", Instances: traceRunners, Price: float64(price)}
 
 		for n := range traceRunners {
 			w.runners = append(w.runners, &traceRunner{id: fleet.InstanceID(fmt.Sprintf("%s-%d", d, n)), domain: d})
@@ -138,31 +138,31 @@
 	}
 }
 
-func (w *trace) run() redone {
+func (w *trace) run() recomputed {
 	for ; w.now < traceLength; w.now += traceTick {
 		w.arrive()
-		w.notices()
+		w.sendNotices()
 		w.decode()
-		w.moves()
-		w.deaths()
+		w.completeExports()
+		w.reclaim()
 		w.place()
 	}
 
-	return w.redone
+	return w.recomputed
 }
 
 func (w *trace) arrive() {
 	for w.due += traceArrivals * traceTick.Seconds(); w.due >= 1; w.due-- {
-		w.born++
+		w.arrived++
 		w.queue = append(w.queue, &essay{
-			id:     w.born,
+			id:     w.arrived,
 			prompt: 500 + w.rng.IntN(3000),
 			length: 300 + w.rng.IntN(1200),
 		})
 	}
 }
 
-func (r *traceRunner) up(now time.Duration) bool { return now >= r.backAt && r.diesAt == 0 }
+func (r *traceRunner) up(now time.Duration) bool { return now >= r.readyAt && r.reclaimAt == 0 }
 
 func (w *trace) place() {
 	for len(w.queue) > 0 {
@@ -197,7 +197,7 @@
 				return false
 			}
 
-			w.redone.finished++
+			w.recomputed.finished++
 			e.exportTo = nil
 
 			return true
@@ -207,7 +207,7 @@
 
 func (w *trace) at(d time.Duration) time.Time { return testStart.Add(d) }
 
-func (w *trace) notices() {
+func (w *trace) sendNotices() {
 	domain, ok := w.waves[w.now]
 	if !ok {
 		return
@@ -219,7 +219,7 @@
 
 	for _, r := range w.runners {
 		if r.domain == domain {
-			r.diesAt = w.now + traceNotice
+			r.reclaimAt = w.now + traceNotice
 		}
 	}
 
@@ -241,10 +241,10 @@
 		streams = append(streams, Stream{Attempt: id, Server: r.id, Tokens: e.prompt + int(e.generated)})
 	}
 
-	notice := Notice{Server: r.id, Domain: r.domain, At: w.at(r.diesAt)}
+	notice := Notice{Server: r.id, Domain: r.domain, At: w.at(r.reclaimAt)}
 
 	planner := w.planner
-	if w.strategy.blind {
+	if w.strategy.ignoreWave {
 		planner.Wave = nil
 	}
 
@@ -268,17 +268,17 @@
 	return out
 }
 
-// moves lets answers go on at their target once their cache is there. What was
+// completeExports lets answers go on at their target once their cache is there. What was
 // decoded meanwhile is prefilled again.
-func (w *trace) moves() {
+func (w *trace) completeExports() {
 	for _, r := range w.runners {
 		r.essays = slices.DeleteFunc(r.essays, func(e *essay) bool {
 			if e.exportTo == nil || w.now < e.exportAt || !e.exportTo.up(w.now) {
 				return false
 			}
 
-			w.redone.exports++
-			w.redone.prefilled += int(e.generated) - e.exported
+			w.recomputed.exports++
+			w.recomputed.prefilled += int(e.generated) - e.exported
 			e.runner = e.exportTo
 			e.exportTo = nil
 			e.runner.essays = append(e.runner.essays, e)
@@ -288,31 +288,31 @@
 	}
 }
 
-func (w *trace) deaths() {
+func (w *trace) reclaim() {
 	for _, r := range w.runners {
-		if r.diesAt == 0 || w.now < r.diesAt {
+		if r.reclaimAt == 0 || w.now < r.reclaimAt {
 			continue
 		}
 
 		for _, e := range r.essays {
-			w.lose(e)
+			w.requeue(e)
 		}
 
 		r.essays = nil
-		r.diesAt = 0
-		r.backAt = w.now + traceDomainBack
+		r.reclaimAt = 0
+		r.readyAt = w.now + traceRestartDelay
 	}
 }
 
-func (w *trace) lose(e *essay) {
+func (w *trace) requeue(e *essay) {
 	e.exportTo = nil
-	w.redone.prefilled += e.prompt
+	w.recomputed.prefilled += e.prompt
 
 	if w.strategy.restart {
-		w.redone.decoded += int(e.generated)
+		w.recomputed.decoded += int(e.generated)
 		e.generated = 0
 	} else {
-		w.redone.prefilled += int(e.generated)
+		w.recomputed.prefilled += int(e.generated)
 	}
 
 	w.queue = append([]*essay{e}, w.queue...)
@@ -326,11 +326,11 @@
 	strategies := []strategy{
 		{desc: "restart from nothing", restart: true},
 		{desc: "resume from text"},
-		{desc: "KV export, arrival order, blind to the wave", export: true, blind: true, order: arrivalOrder},
+		{desc: "KV export, arrival order, blind to the wave", export: true, ignoreWave: true, order: arrivalOrder},
 		{desc: "KV export, arrival order", export: true, order: arrivalOrder},
 		{desc: "KV export, dearest first", export: true},
 	}
-	totals := make([]redone, len(strategies))
+	totals := make([]recomputed, len(strategies))
 
 	const seeds = 20
 
--- a/evacuation/wave.go
+++ b/evacuation/wave.go
@@ -20,29 +20,29 @@
 type Wave struct {
 	// HalfLife is the time in which a notice loses half of its weight.
 	HalfLife time.Duration
-	Places   map[fleet.FailureDomain]DomainInfo
+	Domains   map[fleet.FailureDomain]DomainInfo
 
-	hits map[fleet.FailureDomain]hit
+	notices map[fleet.FailureDomain]noticeCount
 }
 
-// hit is the decayed count of notices in a failure domain at a time.
-type hit struct {
+// noticeCount is the decayed count of notices in a failure domain at a time.
+type noticeCount struct {
 	count float64
 	at    time.Time
 }
 
 const (
-	neighbourWeight = 0.5
+	sameRegionWeight = 0.5
 	priceWeight     = 0.25
 )
 
 // Note records a notice in a failure domain.
 func (w *Wave) Note(now time.Time, d fleet.FailureDomain) {
-	if w.hits == nil {
-		w.hits = make(map[fleet.FailureDomain]hit)
+	if w.notices == nil {
+		w.notices = make(map[fleet.FailureDomain]noticeCount)
 	}
 
-	w.hits[d] = hit{count: w.count(now, d) + 1, at: now}
+	w.notices[d] = noticeCount{count: w.count(now, d) + 1, at: now}
 }
 
 // Risk returns how likely a failure domain is hit next; only the order of the
@@ -50,27 +50,27 @@
 // beside it in the region come before those elsewhere, and of these the dear
 // ones, whose price tells of scarcity.
 func (w *Wave) Risk(now time.Time, d fleet.FailureDomain) float64 {
-	place := w.Places[d]
-	risk := w.share(now, d)
+	place := w.Domains[d]
+	risk := w.reclaimedFraction(now, d)
 
-	for other, p := range w.Places {
+	for other, p := range w.Domains {
 		if other != d && p.Region == place.Region {
-			risk = math.Max(risk, neighbourWeight*w.share(now, other))
+			risk = math.Max(risk, sameRegionWeight*w.reclaimedFraction(now, other))
 		}
 	}
 
 	return risk + priceWeight*w.scarcity(place)
 }
 
-// share returns the part of a domain's instances that was reclaimed of late.
-func (w *Wave) share(now time.Time, d fleet.FailureDomain) float64 {
-	instances := max(1, w.Places[d].Instances)
+// reclaimedFraction returns the part of a domain's instances that was reclaimed of late.
+func (w *Wave) reclaimedFraction(now time.Time, d fleet.FailureDomain) float64 {
+	instances := max(1, w.Domains[d].Instances)
 
 	return math.Min(1, w.count(now, d)/float64(instances))
 }
 
 func (w *Wave) count(now time.Time, d fleet.FailureDomain) float64 {
-	h, ok := w.hits[d]
+	h, ok := w.notices[d]
 	if !ok || w.HalfLife <= 0 {
 		return h.count
 	}
@@ -83,7 +83,7 @@
 // scarcity returns how far a price is above the cheapest, from 0 to 1.
 func (w *Wave) scarcity(place DomainInfo) float64 {
 	low, high := math.Inf(1), 0.0
-	for _, p := range w.Places {
+	for _, p := range w.Domains {
 		low = math.Min(low, p.Price)
 		high = math.Max(high, p.Price)
 	}
