--- a/controller/servers.go
+++ b/controller/servers.go
@@ -24,10 +24,10 @@
 	Service fleet.Service
 	Domain  fleet.FailureDomain
 	Client  Client
-	// Held is the estimate of the requests that the server holds.
-	Held    int64
-	Ready   bool
-	Leaving bool
+	// InFlight is the estimate of the requests that the server holds.
+	InFlight int64
+	Ready    bool
+	Leaving  bool
 }
 
 // Client is what control asks of a backend server. Order and State are asked
--- a/controller/services.go
+++ b/controller/services.go
@@ -92,7 +92,7 @@
 
 	held := int64(0)
 	for _, server := range v.of(s.Name()) {
-		held += server.Held
+		held += server.InFlight
 	}
 
 	atOnce := s.Concurrency()
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -67,7 +67,7 @@
 
 		servers = append(servers, controller.Server{
 			ID: s.ID(), Service: s.Key().Service(), Domain: s.Domain(), Client: controlClient{server: known},
-			Held: s.Load(), Ready: !s.Loading() && !s.Ejected(), Leaving: s.Leaving(),
+			InFlight: s.Load(), Ready: !s.Loading() && !s.Ejected(), Leaving: s.Leaving(),
 		})
 	}
 
