--- a/controller/drain.go
+++ b/controller/drain.go
@@ -22,7 +22,7 @@
 	}
 
 	c.holding.drains[id] = &drain{since: now}
-	c.Servers.Leave(id, now.Add(c.reconciler.DrainTimeout))
+	c.Servers.MarkLeaving(id, now.Add(c.reconciler.DrainTimeout))
 }
 
 // observeHealth tells the reconciler what is known of each server's work.
--- a/controller/fixture_test.go
+++ b/controller/fixture_test.go
@@ -145,8 +145,8 @@
 	return all, true
 }
 
-// Leave implements controller.Servers.
-func (r *region) Leave(id fleet.InstanceID, _ time.Time) {
+// MarkLeaving implements controller.Servers.
+func (r *region) MarkLeaving(id fleet.InstanceID, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
--- a/controller/market_test.go
+++ b/controller/market_test.go
@@ -48,7 +48,7 @@
 	}
 	r.cloud.OnNotice = func(instances []provider.Instance) {
 		for _, i := range instances {
-			r.Leave(i.ID, time.Time{})
+			r.MarkLeaving(i.ID, time.Time{})
 		}
 	}
 	r.cloud.OnEnd = func(instances []provider.Instance) {
--- a/controller/servers.go
+++ b/controller/servers.go
@@ -14,8 +14,8 @@
 type Servers interface {
 	// All returns every server, and whether the instance list was read at all.
 	All() ([]Server, bool)
-	// Leave tells every entry instance that a server gets no new work.
-	Leave(id fleet.InstanceID, at time.Time)
+	// MarkLeaving tells every entry instance that a server gets no new work.
+	MarkLeaving(id fleet.InstanceID, at time.Time)
 }
 
 // Server is one backend server as control sees it.
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -76,8 +76,8 @@
 	return servers, listed
 }
 
-// Leave tells every entry instance that a server gets no new work.
-func (c *controlServers) Leave(id fleet.InstanceID, at time.Time) {
+// MarkLeaving tells every entry instance that a server gets no new work.
+func (c *controlServers) MarkLeaving(id fleet.InstanceID, at time.Time) {
 	c.watcher.Heard(id, at)
 
 	if c.peers != nil {
