--- a/cmd/decisions.go
+++ b/cmd/decisions.go
@@ -53,7 +53,7 @@
 	holder, until := "nobody", "-"
 	if s.Holder != "" {
 		holder = string(s.Holder)
-		until = s.Until.UTC().Format(time.TimeOnly)
+		until = s.ExpiresAt.UTC().Format(time.TimeOnly)
 	}
 
 	return []string{string(s.Role), holder, fmt.Sprint(s.Fence), until, s.Mode, s.Note}
--- a/controller/lease_test.go
+++ b/controller/lease_test.go
@@ -43,7 +43,7 @@
 					t.Errorf("first holder after %s: got it still holding, want not", took)
 				}
 
-				if got := second.Status(); got.Fence <= fence || got.Holder != "entry-2" || !got.Until.After(time.Now()) {
+				if got := second.Status(); got.Fence <= fence || got.Holder != "entry-2" || !got.ExpiresAt.After(time.Now()) {
 					t.Errorf("status: got %+v, want a greater fence than %d and a time", got, fence)
 				}
 
--- a/controller/status.go
+++ b/controller/status.go
@@ -14,8 +14,8 @@
 	Role   lease.Role       `json:"role"`
 	Holder fleet.InstanceID `json:"holder,omitempty"`
 	Fence  lease.Fence      `json:"fence,omitempty"`
-	// Until is when the lease ends unless it is renewed, as read here.
-	Until time.Time `json:"until,omitzero"`
+	// ExpiresAt is when the lease ends unless it is renewed, as read here.
+	ExpiresAt time.Time `json:"until,omitzero"`
 	// Holds tells whether this instance may act for the role now.
 	Holds bool `json:"holds"`
 	// Note says why this instance could not hold the lease.
@@ -44,7 +44,7 @@
 
 	if snapshot.Last != 0 && !snapshot.Released {
 		s.Holder = snapshot.Holder.Instance
-		s.Until = c.seenAt.Add(snapshot.Term)
+		s.ExpiresAt = c.seenAt.Add(snapshot.Term)
 	}
 
 	if s.Holds && fence == c.holding.fence {
