--- a/cmd/decisions.go
+++ b/cmd/decisions.go
@@ -26,7 +26,7 @@
 			roles[control.Role] = control
 		}
 
-		if control.Holds {
+		if control.IsHolder {
 			roles[control.Role] = control
 		}
 	}
--- a/controller/fixture_test.go
+++ b/controller/fixture_test.go
@@ -248,7 +248,7 @@
 
 // holders returns the candidates that may act now.
 func holders(candidates ...*candidate) []*candidate {
-	return slices.DeleteFunc(slices.Clone(candidates), func(c *candidate) bool { return !c.Status().Holds })
+	return slices.DeleteFunc(slices.Clone(candidates), func(c *candidate) bool { return !c.Status().IsHolder })
 }
 
 // until waits in fake time until a condition holds, and returns how long that took.
--- a/controller/lease_test.go
+++ b/controller/lease_test.go
@@ -26,20 +26,20 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := newRegion(t)
 				first := r.start("entry-1")
-				r.until("holder", 15*time.Second, func() bool { return first.Status().Holds })
+				r.until("holder", 15*time.Second, func() bool { return first.Status().IsHolder })
 
 				second := r.start("entry-2")
 				time.Sleep(time.Minute)
 
-				if got := len(holders(first, second)); got != 1 || !first.Status().Holds {
+				if got := len(holders(first, second)); got != 1 || !first.Status().IsHolder {
 					t.Fatalf("holders: got %d, want the first alone", got)
 				}
 
 				fence := first.Status().Fence
 				tt.end(first)
-				took := r.until("second holder", tt.most, func() bool { return second.Status().Holds })
+				took := r.until("second holder", tt.most, func() bool { return second.Status().IsHolder })
 
-				if first.Status().Holds {
+				if first.Status().IsHolder {
 					t.Errorf("first holder after %s: got it still holding, want not", took)
 				}
 
@@ -95,12 +95,12 @@
 		late := r.start("entry-2")
 		time.Sleep(time.Minute)
 
-		if got, want := late.Status().Fence, first.Status().Fence; got != want || !first.Status().Holds {
+		if got, want := late.Status().Fence, first.Status().Fence; got != want || !first.Status().IsHolder {
 			t.Errorf("fence as the late instance reads it: got %d, want %d", got, want)
 		}
 
 		first.clock.pause()
-		r.until("late holder", 17*time.Second, func() bool { return late.Status().Holds })
+		r.until("late holder", 17*time.Second, func() bool { return late.Status().IsHolder })
 		r.end(first, late)
 	})
 }
--- a/controller/rollout_test.go
+++ b/controller/rollout_test.go
@@ -107,7 +107,7 @@
 			first.clock.resume()
 			time.Sleep(time.Minute)
 
-			if got := r.count(holds(newVersion)); got != len(domains) || first.Status().Holds {
+			if got := r.count(holds(newVersion)); got != len(domains) || first.Status().IsHolder {
 				t.Errorf("after the pause: got %d runners, want %d, and the first not to hold", got, len(domains))
 			}
 
--- a/controller/status.go
+++ b/controller/status.go
@@ -16,8 +16,8 @@
 	Fence  lease.Fence      `json:"fence,omitempty"`
 	// ExpiresAt is when the lease ends unless it is renewed, as read here.
 	ExpiresAt time.Time `json:"until,omitzero"`
-	// Holds tells whether this instance may act for the role now.
-	Holds bool `json:"holds"`
+	// IsHolder tells whether this instance may act for the role now.
+	IsHolder bool `json:"holds"`
 	// Note says why this instance could not hold the lease.
 	Note string `json:"note,omitempty"`
 	// Decisions say why each service has what it has, one line each. Only the
@@ -37,7 +37,7 @@
 	snapshot := c.core.Snapshot()
 	fence, err := c.core.Check(c.Clock.Now())
 
-	s := Status{Mode: "observe", Role: c.core.Role(), Fence: snapshot.Fence, Holds: err == nil, Note: c.note()}
+	s := Status{Mode: "observe", Role: c.core.Role(), Fence: snapshot.Fence, IsHolder: err == nil, Note: c.note()}
 	if c.Act {
 		s.Mode = "act"
 	}
@@ -47,7 +47,7 @@
 		s.ExpiresAt = c.seenAt.Add(snapshot.Term)
 	}
 
-	if s.Holds && fence == c.holding.fence {
+	if s.IsHolder && fence == c.holding.fence {
 		s.Decisions = c.decisions()
 	}
 
--- a/daemon/decisions_test.go
+++ b/daemon/decisions_test.go
@@ -35,12 +35,12 @@
 
 	d.eventually("one holder with decisions that both name", func() bool {
 		first, second := d.statusOf(d.entries[0]).Control, d.statusOf(d.entries[1]).Control
-		if first == nil || second == nil || first.Holds == second.Holds || first.Holder != second.Holder {
+		if first == nil || second == nil || first.IsHolder == second.IsHolder || first.Holder != second.Holder {
 			return false
 		}
 
 		held = *first
-		if second.Holds {
+		if second.IsHolder {
 			held = *second
 		}
 
