--- a/controller/checkpoint.go
+++ b/controller/checkpoint.go
@@ -18,34 +18,34 @@
 }
 
 const (
-	// checkpointEvery is the time between two checkpoints, and less where the
+	// checkpointInterval is the time between two checkpoints, and less where the
 	// log keeps records for less than checkpointsKept times that.
-	checkpointEvery = 5 * time.Minute
-	checkpointsKept = 8
-	// checkpointRetry is the time after which an unread checkpoint is written again.
-	checkpointRetry = 30 * time.Second
+	checkpointInterval      = 5 * time.Minute
+	checkpointsPerRetention = 8
+	// checkpointRetryInterval is the time after which an unread checkpoint is written again.
+	checkpointRetryInterval = 30 * time.Second
 )
 
 // checkpoint writes the state of the role: under each grant, and before the last
 // checkpoint ages out.
 func (c *Controller) checkpoint(now time.Time, retention time.Duration) {
-	every := checkpointEvery
+	interval := checkpointInterval
 	if retention > 0 {
-		every = min(every, retention/checkpointsKept)
+		interval = min(interval, retention/checkpointsPerRetention)
 	}
 
-	sent := c.holding.checkpointSent
-	fresh := c.history.checkpointed.After(sent) && now.Sub(c.history.checkpointed) < every
+	sent := c.grant.checkpointSent
+	fresh := c.stream.checkpointReadAt.After(sent) && now.Sub(c.stream.checkpointReadAt) < interval
 
-	if !sent.IsZero() && (fresh || now.Sub(sent) < min(checkpointRetry, every)) {
+	if !sent.IsZero() && (fresh || now.Sub(sent) < min(checkpointRetryInterval, interval)) {
 		return
 	}
 
-	c.holding.checkpointSent = now
+	c.grant.checkpointSent = now
 	c.counters.checkpoints.Inc()
 	c.append(kindCheckpoint, Checkpoint{
-		AsOf:     c.history.asOf,
-		AsOfTime: c.history.asOfTime,
+		AsOf:     c.stream.asOf,
+		AsOfTime: c.stream.asOfTime,
 		Lease:    c.core.Snapshot(),
 		Intents:  c.reconciler.Ledger().Snapshot(),
 	})
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -47,8 +47,8 @@
 	// DefaultAppendsPerSecond is the share of the log's appends that control
 	// takes, many times what it needs.
 	DefaultAppendsPerSecond = 1
-	// tickEvery is the time between two steps.
-	tickEvery = 250 * time.Millisecond
+	// tickInterval is the time between two steps.
+	tickInterval = 250 * time.Millisecond
 	// callTimeout bounds one call, so that an order ends within the lease's Flight.
 	callTimeout = 2 * time.Second
 	// releaseTimeout bounds the wait for the record that gives the lease up.
@@ -86,15 +86,15 @@
 	calls    conc.WaitGroup
 	counters *counters
 
-	mu         sync.Mutex
-	core       *lease.Core
-	journal    *logstream.Client
-	history    history
-	leaseSent  *logstream.Ticket
-	seenAt     time.Time
-	reconciler *placement.Reconciler
-	planner    *planner
-	holding    holding
+	mu          sync.Mutex
+	core        *lease.Core
+	journal     *logstream.Client
+	stream      streamState
+	leaseTicket *logstream.Ticket
+	leaseSeenAt time.Time
+	reconciler  *placement.Reconciler
+	planner     *planner
+	grant       grantState
 	// actedFence is the grant under which the reconciler last took a step.
 	actedFence lease.Fence
 }
@@ -163,7 +163,7 @@
 
 		select {
 		case <-ctx.Done():
-		case <-c.Clock.After(tickEvery):
+		case <-c.Clock.After(tickInterval):
 		}
 	}
 
@@ -217,18 +217,18 @@
 
 	fence, err := c.core.Check(now)
 	if err != nil {
-		c.lost()
+		c.endGrant()
 
 		return
 	}
 
-	if fence != c.holding.fence {
-		c.begin(now, fence)
+	if fence != c.grant.fence {
+		c.startGrant(now, fence)
 	}
 
 	c.checkpoint(now, m.LogRetention())
 	c.list(ctx, now)
-	c.count(v)
+	c.countCost(v)
 	c.plan(v)
 	c.rollOut(ctx, v)
 
@@ -239,8 +239,8 @@
 
 // stepLease appends what the lease asks for. One record is under way at a time,
 // so that an outage of the log leaves no heap of them.
-func (c *Controller) stepLease(now time.Time, able bool) {
-	c.core.SetCandidate(able && c.history.complete)
+func (c *Controller) stepLease(now time.Time, eligible bool) {
+	c.core.SetCandidate(eligible && c.stream.stateKnown)
 
 	if !c.isReady() {
 		return
@@ -248,12 +248,12 @@
 
 	c.core.CaughtUp(now.Add(-c.journal.ReadAge()))
 
-	if c.leaseSent != nil && !isDone(c.leaseSent) {
+	if c.leaseTicket != nil && !isDone(c.leaseTicket) {
 		return
 	}
 
 	for _, command := range c.core.Step(now) {
-		c.leaseSent = c.append(kindLease, command.Record)
+		c.leaseTicket = c.append(kindLease, command.Record)
 	}
 }
 
@@ -275,22 +275,22 @@
 	}
 }
 
-// begin starts anew under a grant: nothing that was read before it counts.
-func (c *Controller) begin(now time.Time, fence lease.Fence) {
-	c.holding = newHolding(fence)
+// startGrant starts anew under a grant: nothing that was read before it counts.
+func (c *Controller) startGrant(now time.Time, fence lease.Fence) {
+	c.grant = newGrantState(fence)
 	c.counters.holder.Set(1)
 	klog.InfoS("this instance controls the region", "role", c.core.Role(), "fence", fence, "act", c.Act, "at", now)
 }
 
-// lost stops what only the holder does.
-func (c *Controller) lost() {
-	if c.holding.fence == 0 {
+// endGrant stops what only the holder does.
+func (c *Controller) endGrant() {
+	if c.grant.fence == 0 {
 		return
 	}
 
-	klog.InfoS("this instance no longer controls the region", "role", c.core.Role(), "fence", c.holding.fence)
+	klog.InfoS("this instance no longer controls the region", "role", c.core.Role(), "fence", c.grant.fence)
 	c.counters.holder.Set(0)
-	c.holding = holding{}
+	c.grant = grantState{}
 }
 
 // mayCall tells whether a call may be made under a grant at this moment.
@@ -298,8 +298,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	now, err := c.core.Check(c.Clock.Now())
-	if err != nil || now != fence {
+	current, err := c.core.Check(c.Clock.Now())
+	if err != nil || current != fence {
 		c.counters.withheld.Inc()
 
 		return false
--- a/controller/cost.go
+++ b/controller/cost.go
@@ -15,39 +15,39 @@
 }
 
 const (
-	// countEvery is the time between two counts of cost.
-	countEvery = time.Second
-	// countAtMost bounds the time that one count covers. A holder that was paused
+	// costInterval is the time between two counts of cost.
+	costInterval = time.Second
+	// maxCostPeriod bounds the time that one count covers. A holder that was paused
 	// for longer does not know whether another has counted meanwhile.
-	countAtMost = 5 * time.Second
+	maxCostPeriod = 5 * time.Second
 )
 
-// count adds the price of the instances since the last count under this grant.
-func (c *Controller) count(v view) {
-	last := c.holding.countedAt
-	if !last.IsZero() && v.now.Sub(last) < countEvery {
+// countCost adds the price of the instances since the last countCost under this grant.
+func (c *Controller) countCost(v view) {
+	last := c.grant.costCountedAt
+	if !last.IsZero() && v.now.Sub(last) < costInterval {
 		return
 	}
 
-	c.holding.countedAt = v.now
+	c.grant.costCountedAt = v.now
 
-	if last.IsZero() || !c.holding.listing.known {
+	if last.IsZero() || !c.grant.listing.known {
 		return
 	}
 
-	hours := min(v.now.Sub(last), countAtMost).Hours()
+	hours := min(v.now.Sub(last), maxCostPeriod).Hours()
 
-	for service, perHour := range c.spending(v) {
+	for service, perHour := range c.costPerHour(v) {
 		c.Costs.AddCost(service, perHour*hours)
 	}
 }
 
-// spending returns the present price of each service's instances by the hour.
-func (c *Controller) spending(v view) map[fleet.Service]float64 {
+// costPerHour returns the present price of each service's instances by the hour.
+func (c *Controller) costPerHour(v view) map[fleet.Service]float64 {
 	prices := pricesOf(v.manifest, c.Region)
 	perHour := make(map[fleet.Service]float64)
 
-	for _, instance := range c.holding.listing.instances {
+	for _, instance := range c.grant.listing.instances {
 		if service, ok := c.serviceOf(v, instance); ok {
 			perHour[service] += prices[cellOf(instance)]
 		}
--- a/controller/drain.go
+++ b/controller/drain.go
@@ -10,27 +10,27 @@
 
 // drain is an instance that is given up and finishes its work.
 type drain struct {
-	since   time.Time
-	askedAt time.Time
-	idle    bool
+	since       time.Time
+	requestedAt time.Time
+	idle        bool
 }
 
 // drain stops new work on an instance; that cannot be taken back.
 func (c *Controller) drain(now time.Time, id fleet.InstanceID) {
-	if c.holding.drains[id] != nil {
+	if c.grant.drains[id] != nil {
 		return
 	}
 
-	c.holding.drains[id] = &drain{since: now}
+	c.grant.drains[id] = &drain{since: now}
 	c.Servers.MarkLeaving(id, now.Add(c.reconciler.DrainTimeout))
 }
 
 // observeHealth tells the reconciler what is known of each server's work.
 func (c *Controller) observeHealth(ctx context.Context, v view) {
 	for _, s := range v.servers {
-		d := c.holding.drains[s.ID]
+		d := c.grant.drains[s.ID]
 		if d != nil {
-			c.askIdle(ctx, v.now, s, d)
+			c.checkIdle(ctx, v.now, s, d)
 		}
 
 		c.reconciler.Observe(placement.Health{
@@ -42,15 +42,15 @@
 	}
 }
 
-// askIdle asks a server whether its work is done, once every entry instance
+// checkIdle asks a server whether its work is done, once every entry instance
 // knows that it gets no more. Only a report made after that counts.
-func (c *Controller) askIdle(ctx context.Context, now time.Time, s Server, d *drain) {
-	settled := d.since.Add(drainSettle)
-	if d.idle || now.Before(settled) || !isDue(now, d.askedAt, readEvery) {
+func (c *Controller) checkIdle(ctx context.Context, now time.Time, s Server, d *drain) {
+	settled := d.since.Add(drainSettleTime)
+	if d.idle || now.Before(settled) || !isDue(now, d.requestedAt, readInterval) {
 		return
 	}
 
-	d.askedAt = now
+	d.requestedAt = now
 
 	c.calls.Go(func() {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/controller/fixture_test.go
+++ b/controller/fixture_test.go
@@ -45,7 +45,7 @@
 
 	mu      sync.Mutex
 	servers map[fleet.InstanceID]*backendServer
-	left    map[fleet.InstanceID]bool
+	leaving map[fleet.InstanceID]bool
 	costs   map[fleet.Service]float64
 }
 
@@ -63,16 +63,16 @@
 	r := &region{
 		t: t, log: standin.NewLog(clock.System{}), cloud: standin.NewCloud(clock.System{}),
 		servers: make(map[fleet.InstanceID]*backendServer),
-		left:    make(map[fleet.InstanceID]bool),
+		leaving: make(map[fleet.InstanceID]bool),
 		costs:   make(map[fleet.Service]float64),
 	}
-	r.publish()
+	r.setManifest()
 
 	return r
 }
 
-// publish puts the example manifest in force with texts replaced in pairs.
-func (r *region) publish(replace ...string) {
+// setManifest puts the example manifest in force with texts replaced in pairs.
+func (r *region) setManifest(replace ...string) {
 	r.t.Helper()
 
 	data, err := os.ReadFile("../examples/kronvig.manifest.jsonc")
@@ -138,7 +138,7 @@
 	for id, s := range r.servers {
 		ready := s.engine == nil || s.engine.State().Ready
 		all = append(all, controller.Server{
-			ID: id, Service: s.service, Domain: s.domain, Client: s.client, Ready: ready, Leaving: r.left[id],
+			ID: id, Service: s.service, Domain: s.domain, Client: s.client, Ready: ready, Leaving: r.leaving[id],
 		})
 	}
 
@@ -150,7 +150,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.left[id] = true
+	r.leaving[id] = true
 }
 
 // AddCost implements controller.Costs.
@@ -161,7 +161,7 @@
 	r.costs[service] += cost
 }
 
-func (r *region) spent(service fleet.Service) float64 {
+func (r *region) cost(service fleet.Service) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -228,8 +228,8 @@
 	return c
 }
 
-// end stops every candidate.
-func (r *region) end(candidates ...*candidate) {
+// stopAll stops every candidate.
+func (r *region) stopAll(candidates ...*candidate) {
 	for _, c := range candidates {
 		c.clock.resume()
 		c.stop()
@@ -251,8 +251,8 @@
 	return slices.DeleteFunc(slices.Clone(candidates), func(c *candidate) bool { return !c.Status().IsHolder })
 }
 
-// until waits in fake time until a condition holds, and returns how long that took.
-func (r *region) until(what string, limit time.Duration, holds func() bool) time.Duration {
+// waitFor waits in fake time waitFor a condition holds, and returns how long that took.
+func (r *region) waitFor(what string, limit time.Duration, holds func() bool) time.Duration {
 	r.t.Helper()
 
 	start := time.Now()
--- a/controller/holding.go
+++ b/controller/grant_state.go
@@ -9,17 +9,17 @@
 	"monsoonlever/provider"
 )
 
-// holding is what this instance knows as the holder of one grant.
-type holding struct {
+// grantState is what this instance knows as the holder of one grant.
+type grantState struct {
 	fence lease.Fence
 	// checkpointSent is when a checkpoint was last appended.
 	checkpointSent time.Time
 	listing        listing
-	// countedAt is until when cost was counted.
-	countedAt time.Time
-	rollout   *rollout
-	plannedAt time.Time
-	decision  placement.Decision
+	// costCountedAt is until when cost was counted.
+	costCountedAt time.Time
+	rollout       *rollout
+	plannedAt     time.Time
+	decision      placement.Decision
 	// foreign counts the instances that this system did not buy.
 	foreign map[fleet.Service]map[placement.Cell]int
 	drains  map[fleet.InstanceID]*drain
@@ -27,14 +27,14 @@
 
 // listing is what the cloud API last said.
 type listing struct {
-	asked       time.Time
+	requestedAt time.Time
 	outstanding bool
 	known       bool
 	instances   []provider.Instance
 }
 
-func newHolding(fence lease.Fence) holding {
-	return holding{
+func newGrantState(fence lease.Fence) grantState {
+	return grantState{
 		fence:   fence,
 		rollout: newRollout(),
 		drains:  make(map[fleet.InstanceID]*drain),
--- a/controller/holds_test.go
+++ b/controller/holds_test.go
@@ -30,10 +30,10 @@
 
 // fault is one fault of a schedule that is drawn before the region runs.
 type fault struct {
-	after  time.Duration
-	kind   int
-	target int
-	lasts  time.Duration
+	after    time.Duration
+	kind     int
+	target   int
+	duration time.Duration
 }
 
 func drawFaults(t *rapid.T) []fault {
@@ -41,50 +41,50 @@
 
 	for range rapid.IntRange(1, 12).Draw(t, "faults") {
 		faults = append(faults, fault{
-			after:  time.Duration(rapid.IntRange(0, 600).Draw(t, "after")) * time.Second,
-			kind:   rapid.IntRange(0, faultKinds-1).Draw(t, "kind"),
-			target: rapid.IntRange(0, len(domains)-1).Draw(t, "target"),
-			lasts:  time.Duration(rapid.IntRange(1, 900).Draw(t, "lasts")) * time.Second,
+			after:    time.Duration(rapid.IntRange(0, 600).Draw(t, "after")) * time.Second,
+			kind:     rapid.IntRange(0, faultKinds-1).Draw(t, "kind"),
+			target:   rapid.IntRange(0, len(domains)-1).Draw(t, "target"),
+			duration: time.Duration(rapid.IntRange(1, 900).Draw(t, "lasts")) * time.Second,
 		})
 	}
 
 	return faults
 }
 
-// ordeal is a region under a schedule of faults.
-type ordeal struct {
+// faultRun is a region under a schedule of faults.
+type faultRun struct {
 	*region
 
 	candidates []*candidate
-	violated   string
+	violation  string
 }
 
-func newOrdeal(t *testing.T) *ordeal {
+func newFaultRun(t *testing.T) *faultRun {
 	t.Helper()
 
-	o := &ordeal{region: newMarket(t)}
+	o := &faultRun{region: newMarket(t)}
 	o.cloud.Adopt(provider.Instance{ID: "given", Class: "gpu-large", Domain: domains[0], Market: provider.OnDemand})
-	o.boot(provider.Instance{ID: "given", Class: "gpu-large", Domain: domains[0]}, oldVersion)
+	o.startServer(provider.Instance{ID: "given", Class: "gpu-large", Domain: domains[0]}, oldVersion)
 
 	for i := range 3 {
-		o.candidates = append(o.candidates, o.start(fleet.InstanceID(fmt.Sprintf("entry-%d", i)), acting(load)))
+		o.candidates = append(o.candidates, o.start(fleet.InstanceID(fmt.Sprintf("entry-%d", i)), withPurchases(runnerLoad)))
 	}
 
 	return o
 }
 
-// lookEvery is the time between two looks at the region.
-const lookEvery = 5 * time.Second
+// checkInterval is the time between two looks at the region.
+const checkInterval = 5 * time.Second
 
 // watch looks at the region for a while.
-func (o *ordeal) watch(d time.Duration) {
-	for range int(d / lookEvery) {
-		time.Sleep(lookEvery)
-		o.look()
+func (o *faultRun) watch(d time.Duration) {
+	for range int(d / checkInterval) {
+		time.Sleep(checkInterval)
+		o.checkInvariants()
 	}
 }
 
-func (o *ordeal) look() {
+func (o *faultRun) checkInvariants() {
 	if n := len(holders(o.candidates...)); n > 1 {
 		o.violate("got %d holders, want one at most", n)
 	}
@@ -100,42 +100,42 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	if o.servers["given"] == nil || o.left["given"] {
+	if o.servers["given"] == nil || o.leaving["given"] {
 		o.violate("got the given instance released, want it left alone")
 	}
 }
 
-func (o *ordeal) violate(format string, args ...any) {
-	if o.violated == "" {
-		o.violated = fmt.Sprintf("at %s: ", time.Now().Format(time.TimeOnly)) + fmt.Sprintf(format, args...)
+func (o *faultRun) violate(format string, args ...any) {
+	if o.violation == "" {
+		o.violation = fmt.Sprintf("at %s: ", time.Now().Format(time.TimeOnly)) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (o *ordeal) strike(i int, f fault) {
+func (o *faultRun) inject(i int, f fault) {
 	which := f.target % len(o.candidates)
 
 	switch f.kind {
 	case pauseOne:
 		clock := o.candidates[which].clock
 		clock.pause()
-		o.group.Go(func() { time.Sleep(f.lasts); clock.resume() })
+		o.group.Go(func() { time.Sleep(f.duration); clock.resume() })
 	case restartOne:
 		o.candidates[which].clock.resume()
 		o.candidates[which].stop()
 		<-o.candidates[which].done
-		o.candidates[which] = o.start(fleet.InstanceID(fmt.Sprintf("entry-%d", which)), acting(load),
+		o.candidates[which] = o.start(fleet.InstanceID(fmt.Sprintf("entry-%d", which)), withPurchases(runnerLoad),
 			func(c *controller.Controller) { c.Incarnation = fleet.Incarnation(i + 2) })
 	case logDown:
-		_ = o.log.Faults.Apply(standin.FaultOrder{Kind: standin.Down, Duration: standin.Duration(f.lasts), Silent: f.target%2 == 0})
+		_ = o.log.Faults.Apply(standin.FaultOrder{Kind: standin.Down, Duration: standin.Duration(f.duration), Silent: f.target%2 == 0})
 	case cloudDown:
-		_ = o.cloud.Faults.Apply(standin.FaultOrder{Kind: standin.Down, Duration: standin.Duration(f.lasts), Silent: f.target%2 == 0})
+		_ = o.cloud.Faults.Apply(standin.FaultOrder{Kind: standin.Down, Duration: standin.Duration(f.duration), Silent: f.target%2 == 0})
 	case cloudLosesAnswers:
 		_ = o.cloud.Faults.Apply(standin.FaultOrder{Kind: standin.EffectWithoutAnswer, Probability: 0.5, Seed: uint64(i)})
 	case reclaimDomain:
 		domain := domains[f.target]
 		o.stock(domain, 0)
 		o.cloud.Reclaim(domain, 30*time.Second)
-		o.group.Go(func() { time.Sleep(f.lasts); o.stock(domain, 20) })
+		o.group.Go(func() { time.Sleep(f.duration); o.stock(domain, 20) })
 	}
 }
 
@@ -153,31 +153,31 @@
 		}
 
 		faults := drawFaults(rt)
-		violated := ""
+		violation := ""
 
 		synctest.Test(t, func(t *testing.T) {
-			o := newOrdeal(t)
+			o := newFaultRun(t)
 
 			for i, f := range faults {
 				o.watch(f.after)
-				o.strike(i, f)
+				o.inject(i, f)
 			}
 
 			o.watch(20 * time.Minute)
 			_ = o.cloud.Faults.Apply(standin.FaultOrder{Kind: standin.Clear})
 			o.watch(time.Hour)
 
-			if !o.filled() {
+			if !o.meetsMinimum() {
 				o.violate("got %d runners and %d plain servers in the end, want %d and %d",
-					o.staying(modelService), o.staying(plainService), minRunners, minPlain)
+					o.countServing(modelService), o.countServing(plainService), minRunners, minPlain)
 			}
 
-			violated = o.violated
-			o.end(o.candidates...)
+			violation = o.violation
+			o.stopAll(o.candidates...)
 		})
 
-		if violated != "" {
-			rt.Fatalf("%s; faults %+v", violated, faults)
+		if violation != "" {
+			rt.Fatalf("%s; faults %+v", violation, faults)
 		}
 	})
 }
--- a/controller/lease_test.go
+++ b/controller/lease_test.go
@@ -11,7 +11,7 @@
 	"monsoonlever/standin"
 )
 
-func TestLeaseMovesWhenItsHolderStops(t *testing.T) {
+func TestLeaseMovesWhenHolderStops(t *testing.T) {
 	tests := []struct {
 		desc string
 		end  func(*candidate)
@@ -26,7 +26,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := newRegion(t)
 				first := r.start("entry-1")
-				r.until("holder", 15*time.Second, func() bool { return first.Status().IsHolder })
+				r.waitFor("holder", 15*time.Second, func() bool { return first.Status().IsHolder })
 
 				second := r.start("entry-2")
 				time.Sleep(time.Minute)
@@ -37,7 +37,7 @@
 
 				fence := first.Status().Fence
 				tt.end(first)
-				took := r.until("second holder", tt.most, func() bool { return second.Status().IsHolder })
+				took := r.waitFor("second holder", tt.most, func() bool { return second.Status().IsHolder })
 
 				if first.Status().IsHolder {
 					t.Errorf("first holder after %s: got it still holding, want not", took)
@@ -47,31 +47,31 @@
 					t.Errorf("status: got %+v, want a greater fence than %d and a time", got, fence)
 				}
 
-				r.end(first, second)
+				r.stopAll(first, second)
 			})
 		})
 	}
 }
 
-func TestOneHolderAtAnyTimeAcrossAnOutage(t *testing.T) {
+func TestLogOutageNeverYieldsTwoHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion(t)
 		r.addEngines(true, time.Second, domains...)
 		all := []*candidate{r.start("entry-1"), r.start("entry-2"), r.start("entry-3")}
-		r.until("holder", 15*time.Second, func() bool { return len(holders(all...)) == 1 })
+		r.waitFor("holder", 15*time.Second, func() bool { return len(holders(all...)) == 1 })
 		time.Sleep(time.Minute)
 
 		before := r.log.Appends()
 		_ = r.log.Faults.Apply(standin.FaultOrder{Kind: standin.Down, Duration: standin.Duration(time.Hour)})
-		r.until("end of the term", 10*time.Second, func() bool { return len(holders(all...)) == 0 })
-		r.publish(oldVersion, newVersion)
+		r.waitFor("end of the term", 10*time.Second, func() bool { return len(holders(all...)) == 0 })
+		r.setManifest(oldVersion, newVersion)
 		time.Sleep(time.Hour - 10*time.Second)
 
-		if got := r.count(holds(newVersion)); got != 0 || r.log.Appends() != before {
+		if got := r.count(servesVersion(newVersion)); got != 0 || r.log.Appends() != before {
 			t.Errorf("in the outage: got %d engines ordered and %d appends, want none", got, r.log.Appends()-before)
 		}
 
-		r.until("holder after the outage", 30*time.Second, func() bool { return len(holders(all...)) == 1 })
+		r.waitFor("holder after the outage", 30*time.Second, func() bool { return len(holders(all...)) == 1 })
 
 		for range 600 {
 			if got := len(holders(all...)); got > 1 {
@@ -81,11 +81,11 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 
-		r.end(all...)
+		r.stopAll(all...)
 	})
 }
 
-func TestInstanceStartsFromACheckpoint(t *testing.T) {
+func TestInstanceStartsFromCheckpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion(t)
 		r.log.MaxRecords = 200
@@ -100,8 +100,8 @@
 		}
 
 		first.clock.pause()
-		r.until("late holder", 17*time.Second, func() bool { return late.Status().IsHolder })
-		r.end(first, late)
+		r.waitFor("late holder", 17*time.Second, func() bool { return late.Status().IsHolder })
+		r.stopAll(first, late)
 	})
 }
 
@@ -129,14 +129,14 @@
 
 		// The gap of a change of the holder is not counted; nothing is twice.
 		want := 92 + 97.5 + 84 + 88.5
-		if got := r.spent(modelService); got > want || math.Abs(got-want) > 0.01*want {
+		if got := r.cost(modelService); got > want || math.Abs(got-want) > 0.01*want {
 			t.Errorf("cost of an hour: got %.2f, want within 1%% below %.2f", got, want)
 		}
 
-		if got := r.spent(fleet.Service("")); got != 0 {
+		if got := r.cost(fleet.Service("")); got != 0 {
 			t.Errorf("cost of no service: got %.2f, want 0", got)
 		}
 
-		r.end(all...)
+		r.stopAll(all...)
 	})
 }
--- a/controller/listing.go
+++ b/controller/listing.go
@@ -8,23 +8,23 @@
 	"monsoonlever/provider"
 )
 
-// listEvery is the time between two listings where none is decided.
-const listEvery = 5 * time.Second
+// listInterval is the time between two listings where none is decided.
+const listInterval = 5 * time.Second
 
 // list asks the cloud API for its instances. A controller that acts lists by its
 // reconciler's commands instead.
 func (c *Controller) list(ctx context.Context, now time.Time) {
-	if c.Act || c.holding.listing.outstanding || !isDue(now, c.holding.listing.asked, listEvery) {
+	if c.Act || c.grant.listing.outstanding || !isDue(now, c.grant.listing.requestedAt, listInterval) {
 		return
 	}
 
-	c.holding.listing.asked = now
-	c.holding.listing.outstanding = true
-	c.callList(ctx, c.holding.fence, func([]provider.Instance) {})
+	c.grant.listing.requestedAt = now
+	c.grant.listing.outstanding = true
+	c.callList(ctx, c.grant.fence, func([]provider.Instance) {})
 }
 
 // callList lists the instances and tells then of them under the same grant.
-func (c *Controller) callList(ctx context.Context, fence lease.Fence, then func([]provider.Instance)) {
+func (c *Controller) callList(ctx context.Context, fence lease.Fence, onListed func([]provider.Instance)) {
 	c.calls.Go(func() {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
@@ -34,11 +34,11 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 
-		if c.holding.fence != fence {
+		if c.grant.fence != fence {
 			return
 		}
 
-		c.holding.listing.outstanding = false
+		c.grant.listing.outstanding = false
 
 		if err != nil {
 			c.counters.cloudErrors.Inc()
@@ -46,10 +46,10 @@
 			return
 		}
 
-		c.holding.listing.known = true
-		c.holding.listing.instances = instances
+		c.grant.listing.known = true
+		c.grant.listing.instances = instances
 
-		then(instances)
+		onListed(instances)
 	})
 }
 
--- a/controller/market_test.go
+++ b/controller/market_test.go
@@ -42,7 +42,7 @@
 
 	r := newRegion(t)
 	r.cloud.Start = func(i provider.Instance) (string, error) {
-		r.boot(i, "")
+		r.startServer(i, "")
 
 		return string(i.ID), nil
 	}
@@ -76,9 +76,9 @@
 	}
 }
 
-// boot starts the server of an instance, by its class. An engine without a
+// startServer starts the server of an instance, by its class. An engine without a
 // version holds nothing.
-func (r *region) boot(i provider.Instance, version fleet.ModelVersion) {
+func (r *region) startServer(i provider.Instance, version fleet.ModelVersion) {
 	if i.Class == "gpu-large" {
 		engine := standin.NewEngine(clock.System{})
 		weights := standin.NewWeights(clock.System{})
@@ -107,8 +107,8 @@
 	}
 }
 
-// acting lets a controller buy for a load of some runners.
-func acting(runners float64) func(*controller.Controller) {
+// withPurchases lets a controller buy for a load of some runners.
+func withPurchases(runners float64) func(*controller.Controller) {
 	return func(c *controller.Controller) {
 		c.Act = true
 		c.Demand = func(m *manifest.Manifest, s manifest.Service) placement.Load {
@@ -139,16 +139,16 @@
 	return n
 }
 
-// staying counts the servers of a service that serve and do not leave.
-func (r *region) staying(service fleet.Service) int {
+// countServing counts the servers of a service that serve and do not leave.
+func (r *region) countServing(service fleet.Service) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	n := 0
 
 	for id, s := range r.servers {
-		serving := s.engine == nil || holds(oldVersion)(s.engine.State())
-		if s.service == service && serving && !r.left[id] {
+		serving := s.engine == nil || servesVersion(oldVersion)(s.engine.State())
+		if s.service == service && serving && !r.leaving[id] {
 			n++
 		}
 	}
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -15,7 +15,7 @@
 		return
 	}
 
-	r := c.holding.rollout
+	r := c.grant.rollout
 	r.update(v)
 	r.lines = nil
 	clear(r.surge)
@@ -28,36 +28,36 @@
 		}
 	}
 
-	for _, one := range r.runners {
-		if !one.known && isDue(v.now, one.askedAt, readEvery) {
-			c.read(ctx, one)
+	for _, engine := range r.runners {
+		if !engine.known && isDue(v.now, engine.requestedAt, readInterval) {
+			c.read(ctx, engine)
 		}
 	}
 
-	for _, action := range r.corrector.Step(v.now, c.holding.fence) {
-		one, ok := r.runners[action.Target]
+	for _, action := range r.corrector.Step(v.now, c.grant.fence) {
+		engine, ok := r.runners[action.Target]
 
 		switch {
 		case !ok:
 		case action.Read:
-			c.read(ctx, one)
+			c.read(ctx, engine)
 		default:
-			c.order(ctx, one.server, action)
+			c.order(ctx, engine.server, action)
 		}
 	}
 }
 
 // read reads an engine and its load.
-func (c *Controller) read(ctx context.Context, one *runner) {
-	if one.reading {
+func (c *Controller) read(ctx context.Context, engine *runner) {
+	if engine.reading {
 		return
 	}
 
-	one.reading = true
-	one.askedAt = c.Clock.Now()
-	client := one.server.Client
-	id := one.server.ID
-	corrector := c.holding.rollout.corrector
+	engine.reading = true
+	engine.requestedAt = c.Clock.Now()
+	client := engine.server.Client
+	id := engine.server.ID
+	corrector := c.grant.rollout.corrector
 
 	c.calls.Go(func() {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -69,20 +69,20 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 
-		one.reading = false
+		engine.reading = false
 
 		if err != nil {
 			return
 		}
 
-		one.take(c.Clock.Now(), state, load, loadErr == nil)
+		engine.update(c.Clock.Now(), state, load, loadErr == nil)
 		corrector.Observe(id, placement.ReadbackOf(state))
 	})
 }
 
 // order gives one order, unless the lease is gone at that moment.
 func (c *Controller) order(ctx context.Context, s Server, a lease.Action[placement.Holding]) {
-	corrector := c.holding.rollout.corrector
+	corrector := c.grant.rollout.corrector
 
 	c.calls.Go(func() {
 		certain := true
--- a/controller/ownpart.go
+++ b/controller/own_plan.go
@@ -7,28 +7,28 @@
 	"monsoonlever/placement"
 )
 
-// ownPart returns the part of the plan that is this system's to carry out: what
+// ownPlan returns the part of the plan that is this system's to carry out: what
 // it did not buy it neither counts as its own nor gives up.
-func (c *Controller) ownPart(now time.Time) ([]placement.Target, []placement.Limit) {
+func (c *Controller) ownPlan(now time.Time) ([]placement.Target, []placement.Limit) {
 	var (
 		targets []placement.Target
 		limits  []placement.Limit
 	)
 
-	h := &c.holding
+	h := &c.grant
 
 	for _, limit := range h.decision.Limits {
 		foreign := h.foreign[limit.Service]
-		others := total(foreign)
+		foreignCount := total(foreign)
 
 		limits = append(limits, placement.Limit{
 			Service: limit.Service,
-			Max:     max(0, limit.Max-others),
-			Needed:  max(0, limit.Needed-others),
+			Max:     max(0, limit.Max-foreignCount),
+			Needed:  max(0, limit.Needed-foreignCount),
 		})
 
 		for _, target := range c.ownTargets(limit.Service, foreign) {
-			target.Count = c.probed(now, target)
+			target.Count = c.limitProbes(now, target)
 			targets = append(targets, target)
 		}
 	}
@@ -44,7 +44,7 @@
 func (c *Controller) ownTargets(service fleet.Service, foreign map[placement.Cell]int) []placement.Target {
 	var planned []placement.Target
 
-	for _, target := range c.holding.decision.Targets {
+	for _, target := range c.grant.decision.Targets {
 		if target.Service == service {
 			planned = append(planned, target)
 		}
@@ -55,7 +55,7 @@
 	}
 
 	have := c.reconciler.Have(service)
-	surplus := total(have) + total(foreign) - c.holding.decision.Count(service)
+	surplus := total(have) + total(foreign) - c.grant.decision.Count(service)
 	targets := make([]placement.Target, 0, len(planned))
 
 	for _, target := range planned {
@@ -73,25 +73,25 @@
 	return targets
 }
 
-// probed bounds the count of a cell that refused of late. The plan falls back on
+// limitProbes bounds the count of a cell that refused of late. The plan falls back on
 // such cells where nothing else is left; each is then asked for one instance at a
 // time until a purchase goes through.
-func (c *Controller) probed(now time.Time, target placement.Target) int {
-	at, refused := c.planner.refusals.Since(target.Cell)
-	if !refused || now.Sub(at) >= 2*c.planner.config.AvoidFor {
+func (c *Controller) limitProbes(now time.Time, target placement.Target) int {
+	refusedAt, refused := c.planner.refusals.Since(target.Cell)
+	if !refused || now.Sub(refusedAt) >= 2*c.planner.config.AvoidFor {
 		return target.Count
 	}
 
 	have := c.reconciler.Have(target.Service)[target.Cell]
-	if now.Sub(at) >= probeEvery && have <= c.boughtIn(target) {
+	if now.Sub(refusedAt) >= probeInterval && have <= c.countOwn(target) {
 		have++
 	}
 
 	return min(target.Count, have)
 }
 
-// boughtIn counts the own instances in the cell of a target, the leaving ones too.
-func (c *Controller) boughtIn(target placement.Target) int {
+// countOwn counts the own instances in the cell of a target, the leaving ones too.
+func (c *Controller) countOwn(target placement.Target) int {
 	n := 0
 
 	for _, o := range c.reconciler.Instances(target.Service) {
@@ -103,8 +103,8 @@
 	return n
 }
 
-// probeEvery is the time between two purchases in a cell that refuses.
-const probeEvery = time.Minute
+// probeInterval is the time between two purchases in a cell that refuses.
+const probeInterval = time.Minute
 
 func total(counts map[placement.Cell]int) int {
 	sum := 0
--- a/controller/planner.go
+++ b/controller/planner.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// measureEvery is the time between two measurements of the load.
-	measureEvery = 5 * time.Second
-	// planEvery is the time between two plans.
-	planEvery = 5 * time.Second
+	// measureInterval is the time between two measurements of the load.
+	measureInterval = 5 * time.Second
+	// planInterval is the time between two plans.
+	planInterval = 5 * time.Second
 )
 
 // planner remembers what plans are made from. Every candidate measures, so that
@@ -22,25 +22,25 @@
 	refusals    *placement.Memory
 	reclaims    *placement.Memory
 	measuredAt  time.Time
-	// reclaimed are the leaving instances that were noted.
-	reclaimed map[fleet.InstanceID]bool
+	// recordedReclaims are the leaving instances that were noted.
+	recordedReclaims map[fleet.InstanceID]bool
 }
 
 func newPlanner() *planner {
 	config := placement.DefaultConfig()
 
 	return &planner{
-		config:      config,
-		forecasters: make(map[fleet.Service]*placement.Forecaster),
-		refusals:    config.NewMemory(),
-		reclaims:    config.NewMemory(),
-		reclaimed:   make(map[fleet.InstanceID]bool),
+		config:           config,
+		forecasters:      make(map[fleet.Service]*placement.Forecaster),
+		refusals:         config.NewMemory(),
+		reclaims:         config.NewMemory(),
+		recordedReclaims: make(map[fleet.InstanceID]bool),
 	}
 }
 
 // measure takes in the load of every service.
 func (c *Controller) measure(v view) {
-	if !isDue(v.now, c.planner.measuredAt, measureEvery) {
+	if !isDue(v.now, c.planner.measuredAt, measureInterval) {
 		return
 	}
 
@@ -59,13 +59,13 @@
 
 // plan decides anew what each service should have.
 func (c *Controller) plan(v view) {
-	h := &c.holding
-	if !v.listed || !h.listing.known || !isDue(v.now, h.plannedAt, planEvery) {
+	h := &c.grant
+	if !v.listed || !h.listing.known || !isDue(v.now, h.plannedAt, planInterval) {
 		return
 	}
 
 	h.plannedAt = v.now
-	c.noteReclaims(v)
+	c.recordReclaims(v)
 
 	h.foreign = c.foreign(v)
 	state := placement.State{
@@ -108,7 +108,7 @@
 func (c *Controller) foreign(v view) map[fleet.Service]map[placement.Cell]int {
 	counts := make(map[fleet.Service]map[placement.Cell]int)
 
-	for _, instance := range c.holding.listing.instances {
+	for _, instance := range c.grant.listing.instances {
 		s, ok := v.server(instance.ID)
 		if _, own := placement.ParseToken(c.owner(), instance.Token); own || !ok || s.Leaving {
 			continue
@@ -124,11 +124,11 @@
 	return counts
 }
 
-// noteReclaims remembers where reclaimable instances are taken back.
-func (c *Controller) noteReclaims(v view) {
+// recordReclaims remembers where reclaimable instances are taken back.
+func (c *Controller) recordReclaims(v view) {
 	leaving := make(map[fleet.InstanceID]bool)
 
-	for _, instance := range c.holding.listing.instances {
+	for _, instance := range c.grant.listing.instances {
 		s, ok := v.server(instance.ID)
 		if intent, own := c.intentOf(instance); !ok || !s.Leaving || own && intent.Retired {
 			continue
@@ -136,10 +136,10 @@
 
 		leaving[instance.ID] = true
 
-		if !c.planner.reclaimed[instance.ID] {
+		if !c.planner.recordedReclaims[instance.ID] {
 			c.planner.reclaims.Note(v.now, cellOf(instance))
 		}
 	}
 
-	c.planner.reclaimed = leaving
+	c.planner.recordedReclaims = leaving
 }
--- a/controller/purchases.go
+++ b/controller/purchases.go
@@ -14,7 +14,7 @@
 // act makes the plan true by purchases and releases. Without a plan under this
 // grant what is under way is finished and nothing new is decided.
 func (c *Controller) act(ctx context.Context, v view) {
-	h := &c.holding
+	h := &c.grant
 	c.observeHealth(ctx, v)
 
 	var (
@@ -23,7 +23,7 @@
 	)
 
 	if c.reconciler.Synced(h.fence) && !h.plannedAt.IsZero() {
-		targets, limits = c.ownPart(v.now)
+		targets, limits = c.ownPlan(v.now)
 	}
 
 	c.actedFence = h.fence
@@ -38,15 +38,15 @@
 	case placement.AppendCommand:
 		c.append(kindIntent, command.Record)
 	case placement.ListCommand:
-		c.callList(ctx, c.holding.fence, func(instances []provider.Instance) {
+		c.callList(ctx, c.grant.fence, func(instances []provider.Instance) {
 			c.reconciler.Listed(command.Number, instances)
 		})
 	case placement.BuyCommand:
-		c.buy(ctx, c.holding.fence, command)
+		c.buy(ctx, c.grant.fence, command)
 	case placement.DrainCommand:
 		c.drain(v.now, command.Instance)
 	case placement.ReleaseCommand:
-		c.giveBack(ctx, c.holding.fence, command.Instance)
+		c.releaseInstance(ctx, c.grant.fence, command.Instance)
 	}
 }
 
@@ -73,7 +73,7 @@
 
 		if outcome == placement.OutcomeRefused {
 			// The plan was made without knowing of it.
-			c.holding.plannedAt = time.Time{}
+			c.grant.plannedAt = time.Time{}
 		}
 	})
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-// giveBack releases an instance. It is asked for again until it is gone.
-func (c *Controller) giveBack(ctx context.Context, fence lease.Fence, id fleet.InstanceID) {
+// releaseInstance releases an instance. It is asked for again until it is gone.
+func (c *Controller) releaseInstance(ctx context.Context, fence lease.Fence, id fleet.InstanceID) {
 	c.calls.Go(func() {
 		if !c.mayCall(fence) {
 			return
--- a/controller/act_test.go
+++ b/controller/purchases_test.go
@@ -11,27 +11,27 @@
 	"monsoonlever/standin"
 )
 
-// The bounds of the example's manifest, and the load of the tests in runners.
+// The bounds of the example's manifest, and the runnerLoad of the tests in runners.
 const (
 	minRunners = 8
 	maxRunners = 18
 	minPlain   = 4
 	maxPlain   = 8
-	load       = 5
+	runnerLoad = 5
 )
 
-// filled tells whether both services have what their manifest asks for at least.
-func (r *region) filled() bool {
-	return r.staying(modelService) >= minRunners && r.staying(plainService) >= minPlain
+// meetsMinimum tells whether both services have what their manifest asks for at least.
+func (r *region) meetsMinimum() bool {
+	return r.countServing(modelService) >= minRunners && r.countServing(plainService) >= minPlain
 }
 
-func TestReclaimedFailureDomainIsReplacedElsewhere(t *testing.T) {
+func TestReclaimedInstancesAreReplacedInOtherFailureDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newMarket(t)
 		_ = r.cloud.Faults.Apply(standin.FaultOrder{Kind: standin.EffectWithoutAnswer, Probability: 0.3, Seed: 7})
 
-		all := []*candidate{r.start("entry-1", acting(load)), r.start("entry-2", acting(load))}
-		first := r.until("capacity", 10*time.Minute, r.filled)
+		all := []*candidate{r.start("entry-1", withPurchases(runnerLoad)), r.start("entry-2", withPurchases(runnerLoad))}
+		first := r.waitFor("capacity", 10*time.Minute, r.meetsMinimum)
 		time.Sleep(10 * time.Minute)
 
 		before := r.instances(modelService, "")
@@ -39,24 +39,24 @@
 			t.Errorf("runners bought: got %d, want %d", before, minRunners)
 		}
 
-		struck := fullest(r)
-		lost := r.instances(modelService, struck)
-		r.stock(struck, 0)
-		r.cloud.Reclaim(struck, 30*time.Second)
+		reclaimed := fullest(r)
+		lost := r.instances(modelService, reclaimed)
+		r.stock(reclaimed, 0)
+		r.cloud.Reclaim(reclaimed, 30*time.Second)
 
-		replaced := r.until("replacement", 10*time.Minute, func() bool {
-			return r.filled() && r.instances(modelService, "")-r.instances(modelService, struck) >= before
+		replaced := r.waitFor("replacement", 10*time.Minute, func() bool {
+			return r.meetsMinimum() && r.instances(modelService, "")-r.instances(modelService, reclaimed) >= before
 		})
 		time.Sleep(time.Hour)
 
 		got := r.instances(modelService, "")
-		t.Logf("bought %d runners in %s; lost %d in %s, replaced in %s; %d after an hour", before, first, lost, struck, replaced, got)
+		t.Logf("bought %d runners in %s; lost %d in %s, replaced in %s; %d after an hour", before, first, lost, reclaimed, replaced, got)
 
 		if got > before+1 || lost == 0 {
 			t.Errorf("runners after an hour: got %d, want at most one more than %d; %d lost", got, before, lost)
 		}
 
-		r.end(all...)
+		r.stopAll(all...)
 	})
 }
 
@@ -72,14 +72,14 @@
 	return most
 }
 
-func TestRefusalsForATimeAreWaitedOut(t *testing.T) {
+func TestRefusedPurchasesAreRetriedAtBoundedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newMarket(t)
 		for _, domain := range domains {
 			r.stock(domain, 0)
 		}
 
-		c := r.start("entry-1", acting(load))
+		c := r.start("entry-1", withPurchases(runnerLoad))
 		time.Sleep(10 * time.Minute)
 
 		if lines := strings.Join(c.Status().Decisions, "\n"); !strings.Contains(lines, "refused") {
@@ -99,13 +99,13 @@
 			r.stock(domain, 20)
 		}
 
-		took := r.until("capacity", time.Hour, r.filled)
+		took := r.waitFor("capacity", time.Hour, r.meetsMinimum)
 		t.Logf("bought %s after the refusals ended", took)
-		r.end(c)
+		r.stopAll(c)
 	})
 }
 
-func TestOthersInstancesAreLeftAlone(t *testing.T) {
+func TestForeignInstancesAreNotReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newMarket(t)
 
@@ -119,21 +119,21 @@
 			}
 
 			r.cloud.Adopt(instance)
-			r.boot(instance, oldVersion)
+			r.startServer(instance, oldVersion)
 		}
 
-		c := r.start("entry-1", acting(1))
+		c := r.start("entry-1", withPurchases(1))
 		time.Sleep(90 * time.Minute)
 
 		if got, want := r.instances(modelService, "")+r.instances(plainService, ""), minRunners+minPlain; got != want {
 			t.Errorf("instances: got %d, want the %d given ones", got, want)
 		}
 
-		r.end(c)
+		r.stopAll(c)
 	})
 }
 
-func TestObserverBuysNothing(t *testing.T) {
+func TestObserveModeBuysNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newMarket(t)
 		c := r.start("entry-1")
@@ -147,15 +147,15 @@
 			t.Errorf("decisions: got %q, want one line a service", lines)
 		}
 
-		r.end(c)
+		r.stopAll(c)
 	})
 }
 
-func TestNothingIsBoughtOrReleasedWithoutTheLog(t *testing.T) {
+func TestLogOutageStopsPurchasesAndReleases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newMarket(t)
-		all := []*candidate{r.start("entry-1", acting(load)), r.start("entry-2", acting(load))}
-		r.until("capacity", 10*time.Minute, r.filled)
+		all := []*candidate{r.start("entry-1", withPurchases(runnerLoad)), r.start("entry-2", withPurchases(runnerLoad))}
+		r.waitFor("capacity", 10*time.Minute, r.meetsMinimum)
 		time.Sleep(10 * time.Minute)
 
 		before := r.instances(modelService, "")
@@ -171,8 +171,8 @@
 			t.Errorf("runners in the outage: got %d, want %d", got, kept)
 		}
 
-		took := r.until("replacement", 20*time.Minute, func() bool { return r.instances(modelService, "") >= before && r.filled() })
+		took := r.waitFor("replacement", 20*time.Minute, func() bool { return r.instances(modelService, "") >= before && r.meetsMinimum() })
 		t.Logf("replaced %d runners %s after a look ten minutes before the log came back", before-kept, took)
-		r.end(all...)
+		r.stopAll(all...)
 	})
 }
--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// readEvery is the time between two reads of an engine.
-	readEvery = 2 * time.Second
-	// orderRetry is the time between two orders of the same state.
-	orderRetry = 5 * time.Second
+	// readInterval is the time between two reads of an engine.
+	readInterval = 2 * time.Second
+	// orderRetryInterval is the time between two orders of the same state.
+	orderRetryInterval = 5 * time.Second
 	// drainTimeout is how long a runner may finish its work before it loads.
 	drainTimeout = 10 * time.Minute
-	// loadsAtOnce is how many runners take weights from the store at a time.
-	loadsAtOnce = 2
+	// maxConcurrentLoads is how many runners take weights from the store at a time.
+	maxConcurrentLoads = 2
 )
 
 // rollout is what the holder of one grant does with the runners.
 type rollout struct {
 	corrector *lease.Corrector[placement.Holding]
-	steps     map[modelKey]*placement.Rollout
+	rollouts  map[modelKey]*placement.Rollout
 	runners   map[fleet.InstanceID]*runner
 	surge     map[fleet.Service]int
 	lines     []string
@@ -40,20 +40,20 @@
 func newRollout() *rollout {
 	return &rollout{
 		corrector: &lease.Corrector[placement.Holding]{
-			ReadInterval: readEvery, RetryInterval: orderRetry, MaxOrderDelay: lease.DefaultConfig().MaxOrderDelay,
+			ReadInterval: readInterval, RetryInterval: orderRetryInterval, MaxOrderDelay: lease.DefaultConfig().MaxOrderDelay,
 		},
-		steps:   make(map[modelKey]*placement.Rollout),
-		runners: make(map[fleet.InstanceID]*runner),
-		surge:   make(map[fleet.Service]int),
+		rollouts: make(map[modelKey]*placement.Rollout),
+		runners:  make(map[fleet.InstanceID]*runner),
+		surge:    make(map[fleet.Service]int),
 	}
 }
 
-// step returns the roll-out of a model.
-func (r *rollout) step(key modelKey) *placement.Rollout {
-	s, ok := r.steps[key]
+// rolloutOf returns the roll-out of a model.
+func (r *rollout) rolloutOf(key modelKey) *placement.Rollout {
+	s, ok := r.rollouts[key]
 	if !ok {
 		s = &placement.Rollout{DrainTimeout: drainTimeout, MaxUnavailable: 1}
-		r.steps[key] = s
+		r.rollouts[key] = s
 	}
 
 	return s
@@ -92,16 +92,16 @@
 func (r *rollout) group(s manifest.Service, model fleet.Model) []*runner {
 	var group []*runner
 
-	for _, one := range r.runners {
-		if one.server.Service != s.Name() {
+	for _, engine := range r.runners {
+		if engine.server.Service != s.Name() {
 			continue
 		}
 
-		held := one.state.Model
-		one.stray = !slices.Contains(s.Models(), held)
+		loaded := engine.state.Model
+		engine.stray = !slices.Contains(s.Models(), loaded)
 
-		if !one.known || held == model || one.stray && model == s.Models()[0] {
-			group = append(group, one)
+		if !engine.known || loaded == model || engine.stray && model == s.Models()[0] {
+			group = append(group, engine)
 		}
 	}
 
@@ -117,26 +117,26 @@
 	service.Holding = holdingOf(model)
 
 	var states []placement.Runner
-	for _, one := range group {
-		states = append(states, one.placement(r.corrector))
+	for _, engine := range group {
+		states = append(states, engine.placement(r.corrector))
 	}
 
-	step := r.step(modelKey{service: s.Name(), model: model.Name()})
+	step := r.rolloutOf(modelKey{service: s.Name(), model: model.Name()})
 
 	if canSurge(group) {
 		r.surge[s.Name()] = max(r.surge[s.Name()], step.Surge(service, states))
 	}
 
-	allowed := placement.LoadQueue{AtOnce: loadsAtOnce}.Allowed(r.loads(service.Priority))
+	allowed := placement.LoadQueue{AtOnce: maxConcurrentLoads}.Allowed(r.loads(service.Priority))
 	mayLoad := func(id fleet.InstanceID) bool { return slices.Contains(allowed, id) }
 
 	moving := 0
 
 	for _, assignment := range step.Step(now, service, states, mayLoad) {
-		one := r.runners[assignment.Instance]
-		one.assign(assignment, r.corrector)
+		engine := r.runners[assignment.Instance]
+		engine.assign(assignment, r.corrector)
 
-		if one.known && one.holding() != service.Holding {
+		if engine.known && engine.holding() != service.Holding {
 			moving++
 			r.lines = append(r.lines, fmt.Sprintf("%s: %s %s", s.Name(), assignment.Instance, assignment.Reason))
 		}
@@ -151,7 +151,7 @@
 // canSurge tells whether a further runner would help a roll-out: one is ready, and
 // no other may turn out to be so once it is read.
 func canSurge(group []*runner) bool {
-	unread := func(one *runner) bool { return !one.known }
+	unread := func(engine *runner) bool { return !engine.known }
 
 	return !slices.ContainsFunc(group, unread) && slices.ContainsFunc(group, (*runner).isReady)
 }
@@ -160,13 +160,13 @@
 func (r *rollout) loads(priority fleet.Priority) []placement.LoadRequest {
 	var requests []placement.LoadRequest
 
-	for id, one := range r.runners {
-		if !one.known || one.server.Leaving || one.isReady() && !one.idle {
+	for id, engine := range r.runners {
+		if !engine.known || engine.server.Leaving || engine.isReady() && !engine.idle {
 			continue
 		}
 
 		requests = append(requests, placement.LoadRequest{
-			Instance: id, Service: one.server.Service, Priority: priority, Started: one.isLoading(),
+			Instance: id, Service: engine.server.Service, Priority: priority, Started: engine.isLoading(),
 		})
 	}
 
--- a/controller/rollout_test.go
+++ b/controller/rollout_test.go
@@ -11,12 +11,12 @@
 	"monsoonlever/fleet"
 )
 
-func holds(version fleet.ModelVersion) func(backend.EngineState) bool {
+func servesVersion(version fleet.ModelVersion) func(backend.EngineState) bool {
 	return func(s backend.EngineState) bool { return s.Version == version && s.Ready }
 }
 
-// serves tells whether requests are routed to an engine.
-func serves(s backend.EngineState) bool {
+// isRoutable tells whether requests are routed to an engine.
+func isRoutable(s backend.EngineState) bool {
 	return s.Ready && s.Role == ""
 }
 
@@ -28,17 +28,17 @@
 			all := []*candidate{r.start("entry-1"), r.start("entry-2")}
 			time.Sleep(time.Minute)
 
-			if got := r.count(holds(oldVersion)); got != len(domains) {
+			if got := r.count(servesVersion(oldVersion)); got != len(domains) {
 				t.Fatalf("before the roll-out: got %d runners, want %d", got, len(domains))
 			}
 
-			r.publish(oldVersion, newVersion)
+			r.setManifest(oldVersion, newVersion)
 
 			fewest := len(domains)
-			took := r.until("roll-out", 10*time.Minute, func() bool {
-				fewest = min(fewest, r.count(serves))
+			took := r.waitFor("roll-out", 10*time.Minute, func() bool {
+				fewest = min(fewest, r.count(isRoutable))
 
-				return r.count(holds(newVersion)) == len(domains)
+				return r.count(servesVersion(newVersion)) == len(domains)
 			})
 
 			time.Sleep(10 * time.Second)
@@ -48,11 +48,11 @@
 				t.Errorf("ready runners: got %d at worst, want %d", fewest, len(domains)-1)
 			}
 
-			if got := r.count(serves); got != len(domains) {
+			if got := r.count(isRoutable); got != len(domains) {
 				t.Errorf("runners after the roll-out: got %d, want %d", got, len(domains))
 			}
 
-			r.end(all...)
+			r.stopAll(all...)
 		})
 	}
 }
@@ -61,63 +61,63 @@
 type slowClient struct {
 	controller.Client
 
-	held    chan struct{}
-	holding chan struct{}
+	proceed chan struct{}
+	blocked chan struct{}
 }
 
 // Order waits as a paused process does, and then sends as if nothing had been.
 func (c *slowClient) Order(_ context.Context, o backend.Order) error {
 	select {
-	case c.holding <- struct{}{}:
-		<-c.held
+	case c.blocked <- struct{}{}:
+		<-c.proceed
 	default:
 	}
 
 	return c.Client.Order(context.Background(), o)
 }
 
-func TestOrderOfAPausedHolderChangesNothingForLong(t *testing.T) {
+func TestStaleOrderOfPausedHolderIsRefusedOrCorrected(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			r := newRegion(t)
 			r.addEngines(checks, time.Second, domains...)
 
-			slow := &slowClient{Client: r.servers["engine-0"].client, held: make(chan struct{}), holding: make(chan struct{}, 1)}
+			slow := &slowClient{Client: r.servers["engine-0"].client, proceed: make(chan struct{}), blocked: make(chan struct{}, 1)}
 			first := r.start("entry-1", func(c *controller.Controller) {
-				c.Servers = replaced{region: r, id: "engine-0", client: slow}
+				c.Servers = withClient{region: r, id: "engine-0", client: slow}
 			})
-			r.until("held order", time.Minute, func() bool { return len(slow.holding) == 1 })
+			r.waitFor("held order", time.Minute, func() bool { return len(slow.blocked) == 1 })
 			first.clock.pause()
 
 			second := r.start("entry-2")
-			r.publish(oldVersion, newVersion)
-			r.until("roll-out by the second", 5*time.Minute, func() bool {
-				return r.count(holds(newVersion)) == len(domains)
+			r.setManifest(oldVersion, newVersion)
+			r.waitFor("roll-out by the second", 5*time.Minute, func() bool {
+				return r.count(servesVersion(newVersion)) == len(domains)
 			})
 
-			close(slow.held)
+			close(slow.proceed)
 			time.Sleep(time.Second)
 
-			stale := r.count(holds(newVersion)) != len(domains)
+			stale := r.count(servesVersion(newVersion)) != len(domains)
 			if checks && stale {
 				t.Errorf("stale order at an engine that checks: got it taken, want refused")
 			}
 
-			r.until("convergence", time.Minute, func() bool { return r.count(holds(newVersion)) == len(domains) })
+			r.waitFor("convergence", time.Minute, func() bool { return r.count(servesVersion(newVersion)) == len(domains) })
 			first.clock.resume()
 			time.Sleep(time.Minute)
 
-			if got := r.count(holds(newVersion)); got != len(domains) || first.Status().IsHolder {
+			if got := r.count(servesVersion(newVersion)); got != len(domains) || first.Status().IsHolder {
 				t.Errorf("after the pause: got %d runners, want %d, and the first not to hold", got, len(domains))
 			}
 
-			r.end(first, second)
+			r.stopAll(first, second)
 		})
 	}
 }
 
-// replaced is a region with another client for one server.
-type replaced struct {
+// withClient is a region with another client for one server.
+type withClient struct {
 	*region
 
 	id     fleet.InstanceID
@@ -125,7 +125,7 @@
 }
 
 // All implements controller.Servers.
-func (r replaced) All() ([]controller.Server, bool) {
+func (r withClient) All() ([]controller.Server, bool) {
 	all, listed := r.region.All()
 
 	for i := range all {
--- a/controller/runner.go
+++ b/controller/runner.go
@@ -13,17 +13,17 @@
 	// drainRole is the role that a runner is ordered to while it finishes its
 	// work. No request is routed to an engine of that role.
 	drainRole = "drain"
-	// drainSettle is the time until every entry instance has read that role.
-	drainSettle = 3 * time.Second
+	// drainSettleTime is the time until every entry instance has read that role.
+	drainSettleTime = 3 * time.Second
 )
 
 // runner is one model engine as the holder last read it.
 type runner struct {
-	server  Server
-	known   bool
-	reading bool
-	askedAt time.Time
-	state   backend.EngineState
+	server      Server
+	known       bool
+	reading     bool
+	requestedAt time.Time
+	state       backend.EngineState
 	// role is what the engine had before it was drained.
 	role string
 	// drainedAt is when the engine was first read at the drain role.
@@ -31,8 +31,8 @@
 	idle      bool
 	// stray is set on an engine that holds no model of its service.
 	stray bool
-	// ordered is the version that was last asked for.
-	ordered placement.Holding
+	// orderedHolding is the version that was last asked for.
+	orderedHolding placement.Holding
 }
 
 // holding returns the model and version that the engine holds.
@@ -48,11 +48,11 @@
 // isLoading tells whether the engine was ordered to load and is not done. An order
 // that was not read back yet counts, so that its turn is not given to another.
 func (r *runner) isLoading() bool {
-	return r.ordered.Model != "" && (r.ordered != r.holding() || !r.state.Ready)
+	return r.orderedHolding.Model != "" && (r.orderedHolding != r.holding() || !r.state.Ready)
 }
 
-// take takes in what was read from the engine and of its load.
-func (r *runner) take(now time.Time, state backend.EngineState, load backend.LoadReport, loaded bool) {
+// update takes in what was read from the engine and of its load.
+func (r *runner) update(now time.Time, state backend.EngineState, load backend.LoadReport, loadKnown bool) {
 	r.known = true
 	r.state = state
 
@@ -68,8 +68,8 @@
 		r.drainedAt = now
 	}
 
-	settled := now.Sub(r.drainedAt) >= drainSettle && !load.At.Before(r.drainedAt.Add(drainSettle))
-	r.idle = loaded && settled && load.Running+load.Waiting == 0
+	settled := now.Sub(r.drainedAt) >= drainSettleTime && !load.At.Before(r.drainedAt.Add(drainSettleTime))
+	r.idle = loadKnown && settled && load.Running+load.Waiting == 0
 }
 
 // placement returns the runner as a roll-out needs it.
@@ -105,7 +105,7 @@
 		wanted.Role = drainRole
 	}
 
-	r.ordered = a.Holding
+	r.orderedHolding = a.Holding
 	c.SetDesired(r.server.ID, wanted)
 }
 
--- a/controller/services.go
+++ b/controller/services.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// startTime is from a purchase until an instance takes an order.
-	startTime = 2 * time.Minute
+	// instanceStartTime is from a purchase until an instance takes an order.
+	instanceStartTime = 2 * time.Minute
 	// storeBytesPerSecond is the rate of the weight store for one load.
 	storeBytesPerSecond = 1 << 30
 )
@@ -25,7 +25,7 @@
 		Capacity:  make(map[provider.Class]placement.Load),
 		Min:       s.Capacity().Min(),
 		Max:       s.Capacity().Max(),
-		StartTime: startTime,
+		StartTime: instanceStartTime,
 	}
 
 	// All of the load must go on after the loss of a failure domain.
@@ -69,11 +69,11 @@
 		return placement.Load{TokensPerSecond: model.DecodeTokensPerSecond()}
 	}
 
-	return placement.Load{RequestsPerSecond: float64(s.Concurrency()) / patience(s).Seconds()}
+	return placement.Load{RequestsPerSecond: float64(s.Concurrency()) / latencyTarget(s).Seconds()}
 }
 
-// patience is the longest latency target of a plain service's calls.
-func patience(s manifest.Service) time.Duration {
+// latencyTarget is the longest latency target of a plain service's calls.
+func latencyTarget(s manifest.Service) time.Duration {
 	longest := time.Duration(0)
 	for _, call := range s.Calls() {
 		longest = max(longest, call.LatencyTarget().Whole())
@@ -90,21 +90,21 @@
 		return c.Demand(v.manifest, s)
 	}
 
-	held := int64(0)
-	for _, server := range v.of(s.Name()) {
-		held += server.InFlight
+	inFlight := int64(0)
+	for _, server := range v.serversOf(s.Name()) {
+		inFlight += server.InFlight
 	}
 
-	atOnce := s.Concurrency()
+	concurrency := s.Concurrency()
 	if model, ok := modelOf(v.manifest, s); ok {
-		atOnce = model.Concurrency()
+		concurrency = model.Concurrency()
 	}
 
-	if atOnce <= 0 {
+	if concurrency <= 0 {
 		return placement.Load{}
 	}
 
-	return capacityOf(v.manifest, s).Scale(float64(held) / float64(atOnce))
+	return capacityOf(v.manifest, s).Scale(float64(inFlight) / float64(concurrency))
 }
 
 // offersOf returns the manifest's prices as offers, by cell.
--- a/controller/status.go
+++ b/controller/status.go
@@ -44,10 +44,10 @@
 
 	if snapshot.Last != 0 && !snapshot.Released {
 		s.Holder = snapshot.Holder.Instance
-		s.ExpiresAt = c.seenAt.Add(snapshot.Term)
+		s.ExpiresAt = c.leaseSeenAt.Add(snapshot.Term)
 	}
 
-	if s.IsHolder && fence == c.holding.fence {
+	if s.IsHolder && fence == c.grant.fence {
 		s.Decisions = c.decisions()
 	}
 
@@ -60,7 +60,7 @@
 		return "no manifest is in force here"
 	case !c.isReady():
 		return "the log was not read yet"
-	case !c.history.complete:
+	case !c.stream.stateKnown:
 		return "no checkpoint was found on the log"
 	case !c.journal.Healthy():
 		return "the log does not answer"
@@ -71,9 +71,9 @@
 
 func (c *Controller) decisions() []string {
 	var lines []string
-	for _, line := range c.holding.decision.Lines {
+	for _, line := range c.grant.decision.Lines {
 		lines = append(lines, line.String())
 	}
 
-	return append(lines, c.holding.rollout.lines...)
+	return append(lines, c.grant.rollout.lines...)
 }
--- a/controller/history.go
+++ b/controller/stream_state.go
@@ -20,18 +20,18 @@
 	kindCheckpoint
 )
 
-// history tells how much of the stream is known.
-type history struct {
-	// complete is set once the state of the role is known. Until then entries
+// streamState tells how much of the stream is known.
+type streamState struct {
+	// stateKnown is set once the state of the role is known. Until then entries
 	// are kept, because they come after the checkpoint that is waited for.
-	complete bool
-	since    time.Time
-	kept     []logstream.Entry
+	stateKnown bool
+	horizon    time.Time
+	buffered   []logstream.Entry
 	// asOf and asOfTime are the place of the last entry that was read.
 	asOf     provider.Offset
 	asOfTime time.Time
-	// checkpointed is when a checkpoint of the role was last read.
-	checkpointed time.Time
+	// checkpointReadAt is when a checkpoint of the role was last read.
+	checkpointReadAt time.Time
 }
 
 var _ logstream.Subscriber = (*Controller)(nil)
@@ -42,11 +42,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.history.since = since
-	c.history.kept = nil
-	c.history.complete = since.IsZero()
+	c.stream.horizon = since
+	c.stream.buffered = nil
+	c.stream.stateKnown = since.IsZero()
 
-	if !c.history.complete {
+	if !c.stream.stateKnown {
 		klog.InfoS("older records of control have aged out; waiting for a checkpoint", "since", since)
 	}
 }
@@ -59,16 +59,16 @@
 	now := c.Clock.Now()
 
 	for _, e := range entries {
-		c.history.asOf = e.Offset()
-		c.history.asOfTime = e.Time()
+		c.stream.asOf = e.Offset()
+		c.stream.asOfTime = e.Time()
 
-		if c.history.complete {
+		if c.stream.stateKnown {
 			c.apply(now, e)
 
 			continue
 		}
 
-		c.history.kept = append(c.history.kept, e)
+		c.stream.buffered = append(c.stream.buffered, e)
 		c.restore(now, e)
 	}
 }
@@ -89,7 +89,7 @@
 	case kindCheckpoint:
 		var checkpoint Checkpoint
 		if c.decode(e, &checkpoint) && checkpoint.Lease.Role == c.core.Role() {
-			c.history.checkpointed = now
+			c.stream.checkpointReadAt = now
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	after := c.core.Snapshot()
 
 	if after.Last != before.Last {
-		c.seenAt = now
+		c.leaseSeenAt = now
 	}
 
 	if after.Fence != before.Fence {
@@ -117,7 +117,7 @@
 		return
 	}
 
-	if checkpoint.Lease.Role != c.core.Role() || checkpoint.AsOfTime.Before(c.history.since) {
+	if checkpoint.Lease.Role != c.core.Role() || checkpoint.AsOfTime.Before(c.stream.horizon) {
 		return
 	}
 
@@ -127,10 +127,10 @@
 		c.reconciler.Ledger().Restore(checkpoint.Intents)
 	}
 
-	kept := c.history.kept
-	c.history.kept = nil
-	c.history.complete = true
-	c.seenAt = now
+	kept := c.stream.buffered
+	c.stream.buffered = nil
+	c.stream.stateKnown = true
+	c.leaseSeenAt = now
 
 	for _, k := range kept {
 		if k.Offset() > checkpoint.AsOf {
--- a/controller/view.go
+++ b/controller/view.go
@@ -16,8 +16,8 @@
 	listed bool
 }
 
-// of returns the servers of a service.
-func (v view) of(service fleet.Service) []Server {
+// serversOf returns the servers serversOf a service.
+func (v view) serversOf(service fleet.Service) []Server {
 	var servers []Server
 
 	for _, s := range v.servers {
