--- a/controller/checkpoint.go
+++ b/controller/checkpoint.go
@@ -8,8 +8,8 @@
 	"monsoonlever/provider"
 )
 
-// Checkpoint is the state of a role after the entry at an offset. The holder
-// writes it, so that an instance can start from the retained part of the log.
+// Checkpoint is the state of a role after the log entry at AsOf. The holder appends checkpoints, so
+// that an instance can start from the retained part of the log.
 type Checkpoint struct {
 	AsOf     provider.Offset    `msgpack:"asOf"`
 	AsOfTime time.Time          `msgpack:"asOfTime"`
@@ -18,16 +18,17 @@
 }
 
 const (
-	// checkpointInterval is the time between two checkpoints, and less where the
-	// log keeps records for less than checkpointsKept times that.
+	// checkpointInterval is the maximum time between two checkpoints. It is shortened to
+	// retention/checkpointsPerRetention if the log retains records for a shorter time.
 	checkpointInterval      = 5 * time.Minute
 	checkpointsPerRetention = 8
-	// checkpointRetryInterval is the time after which an unread checkpoint is written again.
+	// checkpointRetryInterval is the time after which a checkpoint is appended again if it was not
+	// read back from the log.
 	checkpointRetryInterval = 30 * time.Second
 )
 
-// checkpoint writes the state of the role: under each grant, and before the last
-// checkpoint ages out.
+// checkpoint appends the state of the role once after each grant, and then periodically, so that the
+// retained part of the log always contains a checkpoint.
 func (c *Controller) checkpoint(now time.Time, retention time.Duration) {
 	interval := checkpointInterval
 	if retention > 0 {
--- a/controller/clock_test.go
+++ b/controller/clock_test.go
@@ -7,7 +7,7 @@
 	"monsoonlever/clock"
 )
 
-// pausableClock pauses what waits on it, as a process that gets no processor.
+// pausableClock delays every wait while it is paused, like a process that is not scheduled.
 type pausableClock struct {
 	clock.System
 
@@ -19,7 +19,7 @@
 	return &pausableClock{}
 }
 
-// pause holds every wait that ends from now on until resume.
+// pause delays waits that expire before resume until resume is called.
 func (c *pausableClock) pause() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,17 +1,17 @@
-// Package controller runs the control of a region on any entry instance.
+// Package controller runs the controller of a region on any entry instance.
 //
 // The instance that holds the lease of the region's controller decides how many
-// instances each service should have and where, rolls out model versions, and
-// counts what the instances cost. The packages lease and placement decide; this
-// package brings them the log, the cloud API and the engines, and carries their
-// commands out.
+// instances each service should have and in which failure domains, rolls out model
+// versions, and records the cost of the instances. The decisions are made by the
+// packages lease and placement. This package supplies them with the log entries and
+// with the state of the cloud API and of the engines, and executes their commands.
 //
-// Right before each call that changes something the lease is checked. Without
-// the log the term of the holder ends and it does nothing more: what runs goes
-// on.
+// The lease is checked immediately before each call that changes an external system.
+// If the log is unavailable, the term of the holder expires and the controller makes
+// no more changes; running instances keep running.
 //
-// A controller that may not act decides and shows what it would do. It gives
-// engines the orders of a roll-out, but buys and releases nothing.
+// A controller without Act decides and reports what it would do. It sends engines the
+// orders of a roll-out, but neither buys nor releases instances.
 //
 // # Usage
 //
@@ -44,40 +44,41 @@
 )
 
 const (
-	// DefaultAppendsPerSecond is the share of the log's appends that control
-	// takes, many times what it needs.
+	// DefaultAppendsPerSecond is the default append rate limit of the controller, many times the
+	// rate that it needs.
 	DefaultAppendsPerSecond = 1
 	// tickInterval is the time between two steps.
 	tickInterval = 250 * time.Millisecond
-	// callTimeout bounds one call, so that an order ends within the lease's Flight.
+	// callTimeout bounds one call, so that an order takes effect within the lease's MaxOrderDelay.
 	callTimeout = 2 * time.Second
-	// releaseTimeout bounds the wait for the record that gives the lease up.
+	// releaseTimeout bounds the wait until the record that releases the lease is on the log.
 	releaseTimeout = time.Second
 )
 
-// Controller is the candidate of one entry instance for the control of its
-// region. The exported fields are set before Run.
+// Controller is the candidate of one entry instance for the controller role of its region. The
+// exported fields are set before Run.
 type Controller struct {
 	Instance    fleet.InstanceID
 	Incarnation fleet.Incarnation
 	Region      fleet.Region
-	// Deployment names the stream: the deployment's name and ".control".
+	// Deployment is the name of the deployment. The stream is named Deployment + ".control".
 	Deployment string
 	Log        provider.Log
 	Cloud      provider.Cloud
 	Clock      clock.Clock
-	// AppendsPerSecond is this instance's share; zero is the default.
+	// AppendsPerSecond is the append rate limit of this instance; zero selects
+	// DefaultAppendsPerSecond.
 	AppendsPerSecond float64
 	// Manifest returns the manifest in force, or nil.
 	Manifest func() *manifest.Manifest
 	Servers  Servers
-	// Demand returns the measured load of a service; nil estimates it from what
-	// the servers report.
+	// Demand returns the measured load of a service. If nil, the load is estimated from the
+	// requests in flight at the servers.
 	Demand func(m *manifest.Manifest, s manifest.Service) placement.Load
 	Costs  Costs
 	// Act lets the controller buy and release instances.
 	Act bool
-	// Lease holds the times of the lease; zero is the default.
+	// Lease is the configuration of the lease; the zero value selects lease.DefaultConfig.
 	Lease   lease.Config
 	Metrics *metrics.Set
 
@@ -95,7 +96,7 @@
 	reconciler  *placement.Reconciler
 	planner     *planner
 	grant       grantState
-	// actedFence is the grant under which the reconciler last took a step.
+	// actedFence is the fencing token of the last step of the reconciler.
 	actedFence lease.Fence
 }
 
@@ -129,23 +130,22 @@
 	return nil
 }
 
-// RoleOf returns the role of the controller of a region.
+// RoleOf returns the lease role of the controller of a region.
 func RoleOf(region fleet.Region) lease.Role {
 	return lease.Role("controller/" + string(region))
 }
 
-// StreamOf returns the stream on which the controllers of a deployment write.
+// StreamOf returns the stream to which the controllers of a deployment append.
 func StreamOf(deployment string) provider.Stream {
 	return provider.Stream(deployment + ".control")
 }
 
-// owner is the prefix of the purchase tokens. The stream keeps it apart for
-// each deployment, and the region within that.
+// owner returns the prefix of the purchase tokens. It is unique for each deployment and region.
 func (c *Controller) owner() string {
 	return c.Deployment + "/" + string(c.Region)
 }
 
-// Run takes part in control until ctx ends, and then gives the lease up.
+// Run takes part in the election of the controller until ctx ends, and then releases the lease.
 func (c *Controller) Run(ctx context.Context) error {
 	if err := c.init(); err != nil {
 		return err
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// release gives the lease up, so that a successor need not wait for its end.
+// release releases the lease, so that a successor need not wait for the end of the term.
 func (c *Controller) release() {
 	c.mu.Lock()
 
@@ -193,11 +193,11 @@
 	select {
 	case <-ticket.Done():
 	case <-c.Clock.After(releaseTimeout):
-		klog.InfoS("lease was not seen to be given up; a successor waits for its end", "role", c.core.Role())
+		klog.InfoS("release of the lease not confirmed; a successor waits for the end of the term", "role", c.core.Role())
 	}
 }
 
-// step does what is due now.
+// step runs every periodic task that is due.
 func (c *Controller) step(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -237,8 +237,8 @@
 	}
 }
 
-// stepLease appends what the lease asks for. One record is under way at a time,
-// so that an outage of the log leaves no heap of them.
+// stepLease appends the records that the lease core requests. At most one lease record is pending
+// at a time, so that none accumulate during an outage of the log.
 func (c *Controller) stepLease(now time.Time, eligible bool) {
 	c.core.SetCandidate(eligible && c.stream.stateKnown)
 
@@ -275,25 +275,26 @@
 	}
 }
 
-// startGrant starts anew under a grant: nothing that was read before it counts.
+// startGrant resets the state that belongs to one grant: readings from before the grant are not
+// used.
 func (c *Controller) startGrant(now time.Time, fence lease.Fence) {
 	c.grant = newGrantState(fence)
 	c.counters.holder.Set(1)
-	klog.InfoS("this instance controls the region", "role", c.core.Role(), "fence", fence, "act", c.Act, "at", now)
+	klog.InfoS("controller lease acquired", "role", c.core.Role(), "fence", fence, "act", c.Act, "at", now)
 }
 
-// endGrant stops what only the holder does.
+// endGrant discards the state of the grant after the lease was lost.
 func (c *Controller) endGrant() {
 	if c.grant.fence == 0 {
 		return
 	}
 
-	klog.InfoS("this instance no longer controls the region", "role", c.core.Role(), "fence", c.grant.fence)
+	klog.InfoS("controller lease lost", "role", c.core.Role(), "fence", c.grant.fence)
 	c.counters.holder.Set(0)
 	c.grant = grantState{}
 }
 
-// mayCall tells whether a call may be made under a grant at this moment.
+// mayCall reports whether a call under a grant is allowed now, and counts the calls that are not.
 func (c *Controller) mayCall(fence lease.Fence) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/cost.go
+++ b/controller/cost.go
@@ -9,20 +9,20 @@
 	"monsoonlever/provider"
 )
 
-// Costs counts what was spent on a service.
+// Costs records the cost of a service.
 type Costs interface {
 	AddCost(service fleet.Service, cost float64)
 }
 
 const (
-	// costInterval is the time between two counts of cost.
+	// costInterval is the time between two records of cost.
 	costInterval = time.Second
-	// maxCostPeriod bounds the time that one count covers. A holder that was paused
-	// for longer does not know whether another has counted meanwhile.
+	// maxCostPeriod bounds the time that one record covers. A holder that was paused for longer
+	// does not know whether another holder recorded that time.
 	maxCostPeriod = 5 * time.Second
 )
 
-// countCost adds the price of the instances since the last countCost under this grant.
+// countCost records the cost of the instances since the last record under this grant.
 func (c *Controller) countCost(v view) {
 	last := c.grant.costCountedAt
 	if !last.IsZero() && v.now.Sub(last) < costInterval {
@@ -42,7 +42,7 @@
 	}
 }
 
-// costPerHour returns the present price of each service's instances by the hour.
+// costPerHour returns the current price per hour of each service's instances.
 func (c *Controller) costPerHour(v view) map[fleet.Service]float64 {
 	prices := pricesOf(v.manifest, c.Region)
 	perHour := make(map[fleet.Service]float64)
@@ -56,8 +56,8 @@
 	return perHour
 }
 
-// serviceOf returns the service that an instance works for: as the instance list
-// says, or as it was bought.
+// serviceOf returns the service of an instance: from the instance list, or else from the purchase
+// intent.
 func (c *Controller) serviceOf(v view, instance provider.Instance) (fleet.Service, bool) {
 	if s, ok := v.server(instance.ID); ok {
 		return s.Service, true
@@ -87,7 +87,7 @@
 	return placement.Cell{Domain: i.Domain, Class: i.Class, Market: i.Market}
 }
 
-// pricesOf returns the manifest's price of every cell of a region.
+// pricesOf returns the price per hour of every cell of a region, from the manifest.
 func pricesOf(m *manifest.Manifest, region fleet.Region) map[placement.Cell]float64 {
 	prices := make(map[placement.Cell]float64)
 
--- a/controller/counters.go
+++ b/controller/counters.go
@@ -2,7 +2,8 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// counters are the metrics of a controller.
+// counters are the metrics of a controller. withheld counts the calls that were not made because the
+// lease was lost.
 type counters struct {
 	holder      *metrics.Gauge
 	grants      *metrics.Counter
--- a/controller/drain.go
+++ b/controller/drain.go
@@ -8,14 +8,15 @@
 	"monsoonlever/placement"
 )
 
-// drain is an instance that is given up and finishes its work.
+// drain is the state of an instance that finishes its requests before it is released.
 type drain struct {
 	since       time.Time
 	requestedAt time.Time
 	idle        bool
 }
 
-// drain stops new work on an instance; that cannot be taken back.
+// drain marks an instance as leaving, so that it receives no new requests. A drain cannot be
+// canceled.
 func (c *Controller) drain(now time.Time, id fleet.InstanceID) {
 	if c.grant.drains[id] != nil {
 		return
@@ -25,7 +26,7 @@
 	c.Servers.MarkLeaving(id, now.Add(c.reconciler.DrainTimeout))
 }
 
-// observeHealth tells the reconciler what is known of each server's work.
+// observeHealth reports the state of each server to the reconciler.
 func (c *Controller) observeHealth(ctx context.Context, v view) {
 	for _, s := range v.servers {
 		d := c.grant.drains[s.ID]
@@ -42,8 +43,8 @@
 	}
 }
 
-// checkIdle asks a server whether its work is done, once every entry instance
-// knows that it gets no more. Only a report made after that counts.
+// checkIdle requests the load of a draining server once every entry instance knows that the server
+// is leaving. Only a load report from after that time proves that the server is idle.
 func (c *Controller) checkIdle(ctx context.Context, now time.Time, s Server, d *drain) {
 	settled := d.since.Add(drainSettleTime)
 	if d.idle || now.Before(settled) || !isDue(now, d.requestedAt, readInterval) {
--- a/controller/fixture_test.go
+++ b/controller/fixture_test.go
@@ -34,8 +34,7 @@
 
 var domains = []fleet.FailureDomain{"ballerup-a", "ballerup-b", "taastrup-1", "taastrup-2"}
 
-// region is a region over the stand-ins in one process, under the fake time of
-// testing/synctest.
+// region is a region of stand-ins in one process, under the fake time of testing/synctest.
 type region struct {
 	t        *testing.T
 	log      *standin.Log
@@ -49,7 +48,7 @@
 	costs   map[fleet.Service]float64
 }
 
-// backendServer is a listed server with its engine, nil for a plain service.
+// backendServer is a listed server. Its engine is nil for a plain service.
 type backendServer struct {
 	service fleet.Service
 	domain  fleet.FailureDomain
@@ -71,7 +70,7 @@
 	return r
 }
 
-// setManifest puts the example manifest in force with texts replaced in pairs.
+// setManifest puts the example manifest in force after replacing old, new pairs of strings.
 func (r *region) setManifest(replace ...string) {
 	r.t.Helper()
 
@@ -88,7 +87,7 @@
 	r.manifest.Store(m)
 }
 
-// addEngines starts an engine in each of some failure domains.
+// addEngines starts one engine in each of the given failure domains.
 func (r *region) addEngines(checks bool, loadTime time.Duration, in ...fleet.FailureDomain) {
 	for i, domain := range in {
 		weights := standin.NewWeights(clock.System{})
@@ -113,7 +112,7 @@
 	}
 }
 
-// inProcess answers requests by a handler without a network.
+// inProcess is a transport that calls a handler without a network.
 type inProcess struct {
 	handler http.Handler
 }
@@ -228,7 +227,7 @@
 	return c
 }
 
-// stopAll stops every candidate.
+// stopAll stops the candidates and waits until every goroutine of the region has ended.
 func (r *region) stopAll(candidates ...*candidate) {
 	for _, c := range candidates {
 		c.clock.resume()
@@ -242,16 +241,16 @@
 		e.Wait()
 	}
 
-	// The waits that the clocks still hold end within this time.
+	// Timers that the clocks still hold expire within this time.
 	time.Sleep(time.Minute)
 }
 
-// holders returns the candidates that may act now.
+// holders returns the candidates that hold the lease now.
 func holders(candidates ...*candidate) []*candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c *candidate) bool { return !c.Status().IsHolder })
 }
 
-// waitFor waits in fake time waitFor a condition holds, and returns how long that took.
+// waitFor waits in fake time until a condition is true, and returns the time that this took.
 func (r *region) waitFor(what string, limit time.Duration, holds func() bool) time.Duration {
 	r.t.Helper()
 
--- a/controller/grant_state.go
+++ b/controller/grant_state.go
@@ -9,23 +9,23 @@
 	"monsoonlever/provider"
 )
 
-// grantState is what this instance knows as the holder of one grant.
+// grantState is the state of the controller under one grant of the lease.
 type grantState struct {
 	fence lease.Fence
 	// checkpointSent is when a checkpoint was last appended.
 	checkpointSent time.Time
 	listing        listing
-	// costCountedAt is until when cost was counted.
+	// costCountedAt is the time up to which cost is recorded.
 	costCountedAt time.Time
 	rollout       *rollout
 	plannedAt     time.Time
 	decision      placement.Decision
-	// foreign counts the instances that this system did not buy.
+	// foreign counts the instances that this controller did not buy.
 	foreign map[fleet.Service]map[placement.Cell]int
 	drains  map[fleet.InstanceID]*drain
 }
 
-// listing is what the cloud API last said.
+// listing is the last instance list of the cloud API.
 type listing struct {
 	requestedAt time.Time
 	outstanding bool
--- a/controller/holds_test.go
+++ b/controller/holds_test.go
@@ -14,7 +14,7 @@
 	"monsoonlever/standin"
 )
 
-// The kinds of faults of the property.
+// The kinds of injected faults.
 const (
 	pauseOne = iota
 	restartOne
@@ -25,10 +25,10 @@
 	faultKinds
 )
 
-// maxRegions bounds the regions of one run, whatever its number of checks.
+// maxRegions bounds the regions of one run for any number of rapid checks.
 const maxRegions = 500
 
-// fault is one fault of a schedule that is drawn before the region runs.
+// fault is one fault of a schedule, drawn before the region starts.
 type fault struct {
 	after    time.Duration
 	kind     int
@@ -73,10 +73,10 @@
 	return o
 }
 
-// checkInterval is the time between two looks at the region.
+// checkInterval is the time between two checks of the invariants.
 const checkInterval = 5 * time.Second
 
-// watch looks at the region for a while.
+// watch checks the invariants periodically for a duration.
 func (o *faultRun) watch(d time.Duration) {
 	for range int(d / checkInterval) {
 		time.Sleep(checkInterval)
@@ -139,11 +139,10 @@
 	}
 }
 
-// TestHoldsRegionUnderFaults runs candidates through pauses, restarts, outages of
-// the log and the cloud API, lost answers and reclaims. One holds the lease at a
-// time, no service is above its maximum, what the system did not buy stays, and in
-// the end both services have what they need. A check is hours of a region, so a
-// long run ends after maxRegions.
+// TestHoldsRegionUnderFaults runs candidates through pauses, restarts, outages of the log and the
+// cloud API, lost responses and reclaims. At most one candidate holds the lease at any time, no
+// service exceeds its maximum, a foreign instance is not released, and at the end both services have
+// their minimum. Each check simulates hours of a region, so a long run ends after maxRegions.
 func TestHoldsRegionUnderFaults(t *testing.T) {
 	regions := 0
 
--- a/controller/lease_test.go
+++ b/controller/lease_test.go
@@ -127,7 +127,7 @@
 
 		time.Sleep(30 * time.Minute)
 
-		// The gap of a change of the holder is not counted; nothing is twice.
+		// The gap between two holders is not recorded; no time is recorded twice.
 		want := 92 + 97.5 + 84 + 88.5
 		if got := r.cost(modelService); got > want || math.Abs(got-want) > 0.01*want {
 			t.Errorf("cost of an hour: got %.2f, want within 1%% below %.2f", got, want)
--- a/controller/listing.go
+++ b/controller/listing.go
@@ -8,11 +8,11 @@
 	"monsoonlever/provider"
 )
 
-// listInterval is the time between two listings where none is decided.
+// listInterval is the time between two listings of a controller that only observes.
 const listInterval = 5 * time.Second
 
-// list asks the cloud API for its instances. A controller that acts lists by its
-// reconciler's commands instead.
+// list lists the instances for a controller without Act. With Act, the list commands of the
+// reconciler are used instead.
 func (c *Controller) list(ctx context.Context, now time.Time) {
 	if c.Act || c.grant.listing.outstanding || !isDue(now, c.grant.listing.requestedAt, listInterval) {
 		return
@@ -23,7 +23,7 @@
 	c.callList(ctx, c.grant.fence, func([]provider.Instance) {})
 }
 
-// callList lists the instances and tells then of them under the same grant.
+// callList lists the instances and calls onListed if the list arrives under the same grant.
 func (c *Controller) callList(ctx context.Context, fence lease.Fence, onListed func([]provider.Instance)) {
 	c.calls.Go(func() {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/controller/market_test.go
+++ b/controller/market_test.go
@@ -17,10 +17,10 @@
 	"monsoonlever/standin"
 )
 
-// loadTime is how long a runner of the market takes for its weights.
+// loadTime is the time that an engine of the market takes to load weights.
 const loadTime = 20 * time.Second
 
-// plainClient asks a plain server for its load; it takes no orders.
+// plainClient reads the load of a plain server and rejects engine calls.
 type plainClient struct {
 	backend.PlainServer
 }
@@ -35,8 +35,8 @@
 	return backend.EngineState{}, errNoEngine
 }
 
-// newMarket returns a region whose cloud starts a server on what is bought, and
-// takes it from the list when it ends.
+// newMarket returns a region whose cloud starts a server on each bought instance, and removes the
+// server when the instance ends.
 func newMarket(t *testing.T) *region {
 	t.Helper()
 
@@ -67,7 +67,7 @@
 	return r
 }
 
-// stock sets how many instances of each class and market a failure domain has.
+// stock sets how many instances of each class and market a failure domain offers.
 func (r *region) stock(domain fleet.FailureDomain, n int) {
 	for _, class := range []provider.Class{"gpu-large", "cpu-medium"} {
 		for _, market := range []provider.Market{provider.Reclaimable, provider.OnDemand} {
@@ -76,8 +76,8 @@
 	}
 }
 
-// startServer starts the server of an instance, by its class. An engine without a
-// version holds nothing.
+// startServer starts the server of an instance according to its class. An engine without a version
+// holds no model.
 func (r *region) startServer(i provider.Instance, version fleet.ModelVersion) {
 	if i.Class == "gpu-large" {
 		engine := standin.NewEngine(clock.System{})
@@ -107,7 +107,7 @@
 	}
 }
 
-// withPurchases lets a controller buy for a load of some runners.
+// withPurchases lets a controller buy and release, for a demand given in runners.
 func withPurchases(runners float64) func(*controller.Controller) {
 	return func(c *controller.Controller) {
 		c.Act = true
@@ -123,7 +123,7 @@
 	}
 }
 
-// instances counts what runs in a failure domain, or in all for "".
+// instances counts the servers of a service in a failure domain, or in all domains for "".
 func (r *region) instances(service fleet.Service, domain fleet.FailureDomain) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +139,7 @@
 	return n
 }
 
-// countServing counts the servers of a service that serve and do not leave.
+// countServing counts the servers of a service that serve and are not leaving.
 func (r *region) countServing(service fleet.Service) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -9,7 +9,7 @@
 	"monsoonlever/placement"
 )
 
-// rollOut moves the runners to the versions of the manifest.
+// rollOut moves the runners to the model versions of the manifest.
 func (c *Controller) rollOut(ctx context.Context, v view) {
 	if !v.listed {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-// read reads an engine and its load.
+// read reads the state and the load of an engine.
 func (c *Controller) read(ctx context.Context, engine *runner) {
 	if engine.reading {
 		return
@@ -80,7 +80,7 @@
 	})
 }
 
-// order gives one order, unless the lease is gone at that moment.
+// order sends one order if the lease is still held.
 func (c *Controller) order(ctx context.Context, s Server, a lease.Action[placement.Holding]) {
 	corrector := c.grant.rollout.corrector
 
@@ -98,7 +98,8 @@
 	})
 }
 
-// send tells whether it is certain what became of the order.
+// send sends an order and reports whether its outcome is certain: it took effect, or it was not
+// sent or rejected and will never take effect.
 func (c *Controller) send(ctx context.Context, s Server, a lease.Action[placement.Holding]) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/controller/own_plan.go
+++ b/controller/own_plan.go
@@ -7,8 +7,8 @@
 	"monsoonlever/placement"
 )
 
-// ownPlan returns the part of the plan that is this system's to carry out: what
-// it did not buy it neither counts as its own nor gives up.
+// ownPlan returns the targets and limits of the plan for the instances that this controller bought.
+// Foreign instances reduce the limits, and are never released.
 func (c *Controller) ownPlan(now time.Time) ([]placement.Target, []placement.Limit) {
 	var (
 		targets []placement.Target
@@ -36,11 +36,11 @@
 	return targets, limits
 }
 
-// ownTargets returns the wanted counts of the own instances of a service.
+// ownTargets returns the target counts of the controller's own instances of a service.
 //
-// Where others' instances are part of what it has, a plan to move them would
-// only add to them. Then own ones are bought only if more are needed in all, and
-// given up only as many as are too many in all.
+// If the service has foreign instances, a plan that moves them to other cells would only add
+// instances, since the foreign ones stay. Own instances are then bought only if the total count is
+// below the plan, and released only as many as the total exceeds the plan.
 func (c *Controller) ownTargets(service fleet.Service, foreign map[placement.Cell]int) []placement.Target {
 	var planned []placement.Target
 
@@ -73,9 +73,8 @@
 	return targets
 }
 
-// limitProbes bounds the count of a cell that refused of late. The plan falls back on
-// such cells where nothing else is left; each is then asked for one instance at a
-// time until a purchase goes through.
+// limitProbes bounds the count of a cell that recently refused a purchase. The plan uses such a cell
+// only if no other is left. One instance at a time is then bought in it, until a purchase succeeds.
 func (c *Controller) limitProbes(now time.Time, target placement.Target) int {
 	refusedAt, refused := c.planner.refusals.Since(target.Cell)
 	if !refused || now.Sub(refusedAt) >= 2*c.planner.config.AvoidFor {
@@ -90,7 +89,7 @@
 	return min(target.Count, have)
 }
 
-// countOwn counts the own instances in the cell of a target, the leaving ones too.
+// countOwn counts the own instances in the cell of a target, including those that leave.
 func (c *Controller) countOwn(target placement.Target) int {
 	n := 0
 
@@ -103,7 +102,7 @@
 	return n
 }
 
-// probeInterval is the time between two purchases in a cell that refuses.
+// probeInterval is the time from a refusal in a cell to the next purchase there.
 const probeInterval = time.Minute
 
 func total(counts map[placement.Cell]int) int {
--- a/controller/planner.go
+++ b/controller/planner.go
@@ -14,15 +14,15 @@
 	planInterval = 5 * time.Second
 )
 
-// planner remembers what plans are made from. Every candidate measures, so that
-// a new holder knows the trend.
+// planner is the input of the plans that outlives a grant. Every candidate measures the load, so that
+// a new holder has a forecast.
 type planner struct {
 	config      placement.Config
 	forecasters map[fleet.Service]*placement.Forecaster
 	refusals    *placement.Memory
 	reclaims    *placement.Memory
 	measuredAt  time.Time
-	// recordedReclaims are the leaving instances that were noted.
+	// recordedReclaims are the leaving instances that are recorded in reclaims.
 	recordedReclaims map[fleet.InstanceID]bool
 }
 
@@ -38,7 +38,7 @@
 	}
 }
 
-// measure takes in the load of every service.
+// measure adds the current load of every service to its forecaster.
 func (c *Controller) measure(v view) {
 	if !isDue(v.now, c.planner.measuredAt, measureInterval) {
 		return
@@ -57,7 +57,7 @@
 	}
 }
 
-// plan decides anew what each service should have.
+// plan computes the target count of instances of each service.
 func (c *Controller) plan(v view) {
 	h := &c.grant
 	if !v.listed || !h.listing.known || !isDue(v.now, h.plannedAt, planInterval) {
@@ -80,7 +80,7 @@
 	for _, s := range v.manifest.Services() {
 		if s.Capacity().Max() == 0 {
 			unmanaged = append(unmanaged, placement.Line{
-				Service: s.Name(), Text: "left as it is: the manifest bounds no number of servers for it",
+				Service: s.Name(), Text: "not managed: the manifest sets no maximum number of servers",
 			})
 
 			continue
@@ -103,8 +103,8 @@
 	h.decision.Lines = append(h.decision.Lines, unmanaged...)
 }
 
-// foreign counts by service and cell the instances that are not this system's
-// to give up: those that no purchase of its own accounts for.
+// foreign counts by service and cell the instances that carry no purchase token of this controller.
+// Instances that leave are not counted.
 func (c *Controller) foreign(v view) map[fleet.Service]map[placement.Cell]int {
 	counts := make(map[fleet.Service]map[placement.Cell]int)
 
@@ -124,7 +124,8 @@
 	return counts
 }
 
-// recordReclaims remembers where reclaimable instances are taken back.
+// recordReclaims records the cells in which the provider reclaims instances, that is, of instances
+// that leave although this controller has not retired them.
 func (c *Controller) recordReclaims(v view) {
 	leaving := make(map[fleet.InstanceID]bool)
 
--- a/controller/purchases.go
+++ b/controller/purchases.go
@@ -11,8 +11,8 @@
 	"monsoonlever/provider"
 )
 
-// act makes the plan true by purchases and releases. Without a plan under this
-// grant what is under way is finished and nothing new is decided.
+// act buys and releases instances to reach the plan. Without a plan under this grant, pending
+// purchases and releases are completed and no new ones are started.
 func (c *Controller) act(ctx context.Context, v view) {
 	h := &c.grant
 	c.observeHealth(ctx, v)
@@ -50,8 +50,8 @@
 	}
 }
 
-// buy makes one purchase. Where the lease is gone the call is not made; it is
-// then told as unknown, which settles nothing.
+// buy makes one purchase. If the lease was lost, the call is not made and its outcome is reported as
+// unknown, which leaves the purchase open.
 func (c *Controller) buy(ctx context.Context, fence lease.Fence, command placement.BuyCommand) {
 	c.calls.Go(func() {
 		outcome := placement.OutcomeUnknown
@@ -64,7 +64,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 
-		// An answer to a call of an earlier grant says nothing of a later call.
+		// The response to a call under an earlier grant does not decide the outcome of a later call.
 		if c.actedFence != fence {
 			return
 		}
@@ -72,7 +72,7 @@
 		c.reconciler.Bought(c.Clock.Now(), command.Token, outcome, instance)
 
 		if outcome == placement.OutcomeRefused {
-			// The plan was made without knowing of it.
+			// The plan did not know of this refusal; plan again in the next step.
 			c.grant.plannedAt = time.Time{}
 		}
 	})
@@ -101,7 +101,8 @@
 	}
 }
 
-// releaseInstance releases an instance. It is asked for again until it is gone.
+// releaseInstance releases an instance. The reconciler repeats the release until the instance is
+// gone.
 func (c *Controller) releaseInstance(ctx context.Context, fence lease.Fence, id fleet.InstanceID) {
 	c.calls.Go(func() {
 		if !c.mayCall(fence) {
--- a/controller/purchases_test.go
+++ b/controller/purchases_test.go
@@ -11,7 +11,7 @@
 	"monsoonlever/standin"
 )
 
-// The bounds of the example's manifest, and the runnerLoad of the tests in runners.
+// The bounds of the example's manifest, and the load of the tests in runners.
 const (
 	minRunners = 8
 	maxRunners = 18
@@ -20,7 +20,7 @@
 	runnerLoad = 5
 )
 
-// meetsMinimum tells whether both services have what their manifest asks for at least.
+// meetsMinimum reports whether both services serve with the minimum of their manifest.
 func (r *region) meetsMinimum() bool {
 	return r.countServing(modelService) >= minRunners && r.countServing(plainService) >= minPlain
 }
@@ -172,7 +172,7 @@
 		}
 
 		took := r.waitFor("replacement", 20*time.Minute, func() bool { return r.instances(modelService, "") >= before && r.meetsMinimum() })
-		t.Logf("replaced %d runners %s after a look ten minutes before the log came back", before-kept, took)
+		t.Logf("replaced %d runners %s after the check nine minutes before the end of the outage", before-kept, took)
 		r.stopAll(all...)
 	})
 }
--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -16,13 +16,13 @@
 	readInterval = 2 * time.Second
 	// orderRetryInterval is the time between two orders of the same state.
 	orderRetryInterval = 5 * time.Second
-	// drainTimeout is how long a runner may finish its work before it loads.
+	// drainTimeout is how long a runner may finish its requests before it loads another version.
 	drainTimeout = 10 * time.Minute
-	// maxConcurrentLoads is how many runners take weights from the store at a time.
+	// maxConcurrentLoads is how many runners load weights from the store at the same time.
 	maxConcurrentLoads = 2
 )
 
-// rollout is what the holder of one grant does with the runners.
+// rollout is the state of the model roll-outs under one grant.
 type rollout struct {
 	corrector *lease.Corrector[placement.Holding]
 	rollouts  map[modelKey]*placement.Rollout
@@ -31,7 +31,7 @@
 	lines     []string
 }
 
-// modelKey names the runners that roll out together.
+// modelKey identifies the runners that roll out together.
 type modelKey struct {
 	service fleet.Service
 	model   fleet.Model
@@ -48,7 +48,7 @@
 	}
 }
 
-// rolloutOf returns the roll-out of a model.
+// rolloutOf returns the roll-out of a model, and creates it on first use.
 func (r *rollout) rolloutOf(key modelKey) *placement.Rollout {
 	s, ok := r.rollouts[key]
 	if !ok {
@@ -59,7 +59,7 @@
 	return s
 }
 
-// update makes the runners exactly those of the view.
+// update adds and removes runners to match the model engines of the view.
 func (r *rollout) update(v view) {
 	present := make(map[fleet.InstanceID]bool)
 
@@ -86,9 +86,9 @@
 	}
 }
 
-// group returns the runners of a model of a service, by instance. One that was
-// not read yet may hold any model. The first model also takes those that hold
-// none of the service's.
+// group returns the runners in the roll-out of a model of a service, ordered by instance: runners that
+// hold the model, and runners that were not read yet, since these may hold any model. Runners that
+// hold no model of the service belong to its first model.
 func (r *rollout) group(s manifest.Service, model fleet.Model) []*runner {
 	var group []*runner
 
@@ -110,7 +110,8 @@
 	return group
 }
 
-// decide says what each runner of a model should hold, and what that means.
+// decide computes the model version that each runner of a model should hold, and passes it to the
+// corrector.
 func (r *rollout) decide(now time.Time, m *manifest.Manifest, s manifest.Service, model manifest.Model) {
 	group := r.group(s, model.Name())
 	service := serviceOf(m, s)
@@ -148,15 +149,15 @@
 	}
 }
 
-// canSurge tells whether a further runner would help a roll-out: one is ready, and
-// no other may turn out to be so once it is read.
+// canSurge reports whether an additional runner would help a roll-out. At least one runner must be
+// ready, and every runner read, since an unread runner may be ready as well.
 func canSurge(group []*runner) bool {
 	unread := func(engine *runner) bool { return !engine.known }
 
 	return !slices.ContainsFunc(group, unread) && slices.ContainsFunc(group, (*runner).isReady)
 }
 
-// loads returns the runners that take or wait for weights.
+// loads returns the load requests of the runners that load weights or wait to load them.
 func (r *rollout) loads(priority fleet.Priority) []placement.LoadRequest {
 	var requests []placement.LoadRequest
 
--- a/controller/rollout_test.go
+++ b/controller/rollout_test.go
@@ -15,7 +15,7 @@
 	return func(s backend.EngineState) bool { return s.Version == version && s.Ready }
 }
 
-// isRoutable tells whether requests are routed to an engine.
+// isRoutable reports whether requests are routed to an engine.
 func isRoutable(s backend.EngineState) bool {
 	return s.Ready && s.Role == ""
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// slowClient holds orders between their check and their send.
+// slowClient blocks its first order after the lease check and before the send.
 type slowClient struct {
 	controller.Client
 
@@ -65,7 +65,7 @@
 	blocked chan struct{}
 }
 
-// Order waits as a paused process does, and then sends as if nothing had been.
+// Order sends with a fresh context after the block, like a process that was paused past its timeout.
 func (c *slowClient) Order(_ context.Context, o backend.Order) error {
 	select {
 	case c.blocked <- struct{}{}:
--- a/controller/runner.go
+++ b/controller/runner.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// drainRole is the role that a runner is ordered to while it finishes its
-	// work. No request is routed to an engine of that role.
+	// drainRole is the engine role that is ordered while a runner finishes its requests. No request
+	// is routed to an engine in this role.
 	drainRole = "drain"
 	// drainSettleTime is the time until every entry instance has read that role.
 	drainSettleTime = 3 * time.Second
@@ -24,14 +24,14 @@
 	reading     bool
 	requestedAt time.Time
 	state       backend.EngineState
-	// role is what the engine had before it was drained.
+	// role is the role of the engine before the drain.
 	role string
-	// drainedAt is when the engine was first read at the drain role.
+	// drainedAt is when the engine was first read in drainRole.
 	drainedAt time.Time
 	idle      bool
-	// stray is set on an engine that holds no model of its service.
+	// stray is set if the engine holds no model of its service.
 	stray bool
-	// orderedHolding is the version that was last asked for.
+	// orderedHolding is the model version that was last assigned.
 	orderedHolding placement.Holding
 }
 
@@ -40,18 +40,19 @@
 	return placement.Holding{Model: r.state.Model, Version: r.state.Version}
 }
 
-// isReady tells whether the engine serves a model of its service.
+// isReady reports whether the engine serves a model of its service.
 func (r *runner) isReady() bool {
 	return r.known && r.state.Ready && !r.stray
 }
 
-// isLoading tells whether the engine was ordered to load and is not done. An order
-// that was not read back yet counts, so that its turn is not given to another.
+// isLoading reports whether the engine was assigned a version that it does not serve yet. An order
+// that was not read back counts as well, so that its load slot is not given to another runner.
 func (r *runner) isLoading() bool {
 	return r.orderedHolding.Model != "" && (r.orderedHolding != r.holding() || !r.state.Ready)
 }
 
-// update takes in what was read from the engine and of its load.
+// update stores the state and load that were read from the engine. loadKnown is false if the load
+// could not be read.
 func (r *runner) update(now time.Time, state backend.EngineState, load backend.LoadReport, loadKnown bool) {
 	r.known = true
 	r.state = state
@@ -72,7 +73,7 @@
 	r.idle = loadKnown && settled && load.Running+load.Waiting == 0
 }
 
-// placement returns the runner as a roll-out needs it.
+// placement returns the state of the runner as input of a roll-out step.
 func (r *runner) placement(c *lease.Corrector[placement.Holding]) placement.Runner {
 	return placement.Runner{
 		Instance: r.server.ID,
@@ -84,9 +85,9 @@
 	}
 }
 
-// assign tells the corrector what the engine should hold. One that was not read
-// is left alone, since its adapter and role are not known, and so is one that
-// holds nothing and waits for its turn to load.
+// assign sets the desired state of the engine in the corrector. An engine that was not read gets none,
+// since its adapter and role are unknown, and neither does an engine that leaves or that holds no
+// model and waits for its turn to load.
 func (r *runner) assign(a placement.Assignment, c *lease.Corrector[placement.Holding]) {
 	if !r.known || r.server.Leaving || a.Holding.Model == "" {
 		c.Remove(r.server.ID)
--- a/controller/servers.go
+++ b/controller/servers.go
@@ -10,35 +10,35 @@
 	"monsoonlever/manifest"
 )
 
-// Servers knows the backend servers.
+// Servers gives access to the backend servers.
 type Servers interface {
-	// All returns every server, and whether the instance list was read at all.
+	// All returns every server, and whether the instance list has been read.
 	All() ([]Server, bool)
-	// MarkLeaving tells every entry instance that a server gets no new work.
+	// MarkLeaving announces to every entry instance that a server leaves at the given time and gets no
+	// new requests.
 	MarkLeaving(id fleet.InstanceID, at time.Time)
 }
 
-// Server is one backend server as control sees it.
+// Server is the state of one backend server.
 type Server struct {
 	ID      fleet.InstanceID
 	Service fleet.Service
 	Domain  fleet.FailureDomain
 	Client  Client
-	// InFlight is the estimate of the requests that the server holds.
+	// InFlight is the estimated number of requests in flight at the server.
 	InFlight int64
 	Ready    bool
 	Leaving  bool
 }
 
-// Client is what control asks of a backend server. Order and State are asked
-// of model engines alone.
+// Client calls a backend server. Order and State are called only for model engines.
 type Client interface {
 	Load(ctx context.Context) (backend.LoadReport, error)
 	Order(ctx context.Context, o backend.Order) error
 	State(ctx context.Context) (backend.EngineState, error)
 }
 
-// inRegion returns the servers that stand in a region.
+// inRegion returns the servers in the failure domains of a region.
 func inRegion(m *manifest.Manifest, region fleet.Region, servers []Server) []Server {
 	domains := domainsOf(m, region)
 
--- a/controller/services.go
+++ b/controller/services.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// instanceStartTime is from a purchase until an instance takes an order.
+	// instanceStartTime is the time from a purchase until the instance accepts an order.
 	instanceStartTime = 2 * time.Minute
-	// storeBytesPerSecond is the rate of the weight store for one load.
+	// storeBytesPerSecond is the throughput of the weight store for a single load.
 	storeBytesPerSecond = 1 << 30
 )
 
-// serviceOf returns a service of the manifest as the planner needs it.
+// serviceOf converts a service of the manifest to the input of the planner.
 func serviceOf(m *manifest.Manifest, s manifest.Service) placement.Service {
 	out := placement.Service{
 		Name:      s.Name(),
@@ -28,7 +28,7 @@
 		StartTime: instanceStartTime,
 	}
 
-	// All of the load must go on after the loss of a failure domain.
+	// After the loss of a failure domain, all of the load must still be served.
 	if m.SpareFailureDomains() > 0 {
 		out.UrgentShare = 1
 	}
@@ -63,7 +63,7 @@
 	return placement.Holding{Model: model.Name(), Version: model.Version()}
 }
 
-// capacityOf returns what one server carries at the latency target.
+// capacityOf returns the load that one server serves within the latency target.
 func capacityOf(m *manifest.Manifest, s manifest.Service) placement.Load {
 	if model, ok := modelOf(m, s); ok {
 		return placement.Load{TokensPerSecond: model.DecodeTokensPerSecond()}
@@ -72,7 +72,8 @@
 	return placement.Load{RequestsPerSecond: float64(s.Concurrency()) / latencyTarget(s).Seconds()}
 }
 
-// latencyTarget is the longest latency target of a plain service's calls.
+// latencyTarget returns the longest latency target of a plain service's calls, or one second if none
+// is set.
 func latencyTarget(s manifest.Service) time.Duration {
 	longest := time.Duration(0)
 	for _, call := range s.Calls() {
@@ -82,9 +83,9 @@
 	return cmp.Or(longest, time.Second)
 }
 
-// demand returns the measured load of a service. Without another source it is
-// what the servers hold: a server that holds as many requests as it serves at
-// once at the target carries its whole capacity.
+// demand returns the measured load of a service. Without Demand it is estimated from the requests in
+// flight: a server with as many requests in flight as it can serve concurrently within the latency
+// target is at full capacity.
 func (c *Controller) demand(v view, s manifest.Service) placement.Load {
 	if c.Demand != nil {
 		return c.Demand(v.manifest, s)
@@ -107,7 +108,7 @@
 	return capacityOf(v.manifest, s).Scale(float64(inFlight) / float64(concurrency))
 }
 
-// offersOf returns the manifest's prices as offers, by cell.
+// offersOf returns the manifest's prices as offers, ordered by cell.
 func offersOf(m *manifest.Manifest, region fleet.Region) []provider.Offer {
 	var offers []provider.Offer
 
--- a/controller/size_bench_test.go
+++ b/controller/size_bench_test.go
@@ -14,8 +14,8 @@
 
 var sizeStart = time.Date(2026, time.December, 1, 8, 0, 0, 0, time.UTC)
 
-// BenchmarkRecordSize tells what the records of control take on the log, without
-// the journal's own bytes.
+// BenchmarkRecordSize reports the encoded size of controller records, without the framing of the log
+// client.
 func BenchmarkRecordSize(b *testing.B) {
 	holder := lease.Holder{Instance: "entry-410", Incarnation: 1_764_576_000_000_000_000}
 	cell := placement.Cell{Domain: "ballerup-a", Class: "gpu-large", Market: provider.Reclaimable}
--- a/controller/status.go
+++ b/controller/status.go
@@ -7,25 +7,25 @@
 	"monsoonlever/lease"
 )
 
-// Status is what a controller says of itself and of its role.
+// Status is the state of a controller and of its role.
 type Status struct {
 	// Mode is "observe" or "act".
 	Mode   string           `json:"mode"`
 	Role   lease.Role       `json:"role"`
 	Holder fleet.InstanceID `json:"holder,omitempty"`
 	Fence  lease.Fence      `json:"fence,omitempty"`
-	// ExpiresAt is when the lease ends unless it is renewed, as read here.
+	// ExpiresAt is when the lease expires unless it is renewed, by the clock of this instance.
 	ExpiresAt time.Time `json:"until,omitzero"`
-	// IsHolder tells whether this instance may act for the role now.
+	// IsHolder reports whether this instance may act for the role now.
 	IsHolder bool `json:"holds"`
-	// Note says why this instance could not hold the lease.
+	// Note is the reason why this instance cannot hold the lease.
 	Note string `json:"note,omitempty"`
-	// Decisions say why each service has what it has, one line each. Only the
-	// holder decides.
+	// Decisions explain the planned instances of each service and the roll-outs, one per line. Only
+	// the holder has decisions.
 	Decisions []string `json:"decisions,omitempty"`
 }
 
-// Status returns what operators are shown.
+// Status returns the status for operators.
 func (c *Controller) Status() Status {
 	if c.init() != nil {
 		return Status{}
@@ -59,11 +59,11 @@
 	case c.Manifest() == nil:
 		return "no manifest is in force here"
 	case !c.isReady():
-		return "the log was not read yet"
+		return "the log has not been read yet"
 	case !c.stream.stateKnown:
-		return "no checkpoint was found on the log"
+		return "no checkpoint found on the log"
 	case !c.journal.Healthy():
-		return "the log does not answer"
+		return "the log does not respond"
 	default:
 		return ""
 	}
--- a/controller/stream_state.go
+++ b/controller/stream_state.go
@@ -20,14 +20,15 @@
 	kindCheckpoint
 )
 
-// streamState tells how much of the stream is known.
+// streamState is the position on the stream and whether the state of the role is known.
 type streamState struct {
-	// stateKnown is set once the state of the role is known. Until then entries
-	// are kept, because they come after the checkpoint that is waited for.
+	// stateKnown is set once the state of the role is known. Until then entries are buffered,
+	// because they may follow the checkpoint from which the state is restored.
 	stateKnown bool
-	horizon    time.Time
-	buffered   []logstream.Entry
-	// asOf and asOfTime are the place of the last entry that was read.
+	// horizon is the start of the retained part of the stream, zero if all of it is retained.
+	horizon  time.Time
+	buffered []logstream.Entry
+	// asOf and asOfTime are the offset and time of the last entry that was read.
 	asOf     provider.Offset
 	asOfTime time.Time
 	// checkpointReadAt is when a checkpoint of the role was last read.
@@ -36,8 +37,8 @@
 
 var _ logstream.Subscriber = (*Controller)(nil)
 
-// Horizon implements logstream.Subscriber. What is older than since is not known,
-// and a checkpoint is waited for.
+// Horizon implements logstream.Subscriber. If entries before since are missing, the controller waits
+// for a checkpoint.
 func (c *Controller) Horizon(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +48,7 @@
 	c.stream.stateKnown = since.IsZero()
 
 	if !c.stream.stateKnown {
-		klog.InfoS("older records of control have aged out; waiting for a checkpoint", "since", since)
+		klog.InfoS("older controller records expired; waiting for a checkpoint", "since", since)
 	}
 }
 
@@ -73,9 +74,9 @@
 	}
 }
 
-// apply takes in one entry under a known state.
+// apply applies one entry to the known state.
 func (c *Controller) apply(now time.Time, e logstream.Entry) {
-	switch e.Kind() { //nolint:exhaustive // fences are no entries
+	switch e.Kind() { //nolint:exhaustive // fences are not delivered as entries
 	case kindLease:
 		var record lease.Record
 		if c.decode(e, &record) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// observe passes a record of the lease on, and a grant to the intents.
+// observe applies a lease record, and reports a new grant to the reconciler.
 func (c *Controller) observe(now time.Time, offset provider.Offset, record lease.Record) {
 	before := c.core.Snapshot()
 	c.core.Observe(now, offset, record)
@@ -110,7 +111,8 @@
 	}
 }
 
-// restore starts from a checkpoint if every entry after it was kept.
+// restore restores the state from the checkpoint in e if every entry after that checkpoint was
+// buffered, and then applies those entries.
 func (c *Controller) restore(now time.Time, e logstream.Entry) {
 	var checkpoint Checkpoint
 	if e.Kind() != kindCheckpoint || !c.decode(e, &checkpoint) {
--- a/controller/view.go
+++ b/controller/view.go
@@ -7,16 +7,16 @@
 	"monsoonlever/manifest"
 )
 
-// view is what one step sees.
+// view is the input of one step.
 type view struct {
 	now      time.Time
 	manifest *manifest.Manifest
 	servers  []Server
-	// listed tells whether the instance list was read.
+	// listed reports whether the instance list was read.
 	listed bool
 }
 
-// serversOf returns the servers serversOf a service.
+// serversOf returns the servers of a service.
 func (v view) serversOf(service fleet.Service) []Server {
 	var servers []Server
 
@@ -29,7 +29,7 @@
 	return servers
 }
 
-// server returns the server of an instance.
+// server returns the server that runs on an instance.
 func (v view) server(id fleet.InstanceID) (Server, bool) {
 	for _, s := range v.servers {
 		if s.ID == id {
