--- a/claim/outcome.go
+++ b/claim/outcome.go
@@ -1,30 +1,32 @@
 package claim
 
-// outcome is how the call of a key ended.
+// outcome is the result of the call of a key. broken means that it is unknown whether the
+// call ran.
 type outcome struct {
-	broken bool
-	kept   bool
-	result Result
+	broken     bool
+	bodyStored bool
+	result     Result
 }
 
 func newOutcome(o outcomeRecord) *outcome {
 	return &outcome{
-		broken: o.Broken,
-		kept:   o.Kept,
-		result: Result{status: o.Status, header: o.Header, body: o.Body},
+		broken:     o.Broken,
+		bodyStored: o.Kept,
+		result:     Result{status: o.Status, header: o.Header, body: o.Body},
 	}
 }
 
 func (o *outcome) verdict() Verdict {
 	if o.broken {
-		return refusal(Unknown, ReasonBroken, 0)
+		return verdictWithoutResult(Unknown, ReasonBroken, 0)
 	}
 
-	return Verdict{run: Ran, result: o.result, kept: o.kept}
+	return Verdict{run: Ran, result: o.result, bodyStored: o.bodyStored}
 }
 
-// record returns the record of an outcome, without a body larger than keep.
-func (o *outcome) record(a *attempt, keep int) outcomeRecord {
+// record returns the record of an outcome, without the body if it is larger than maxBody
+// bytes.
+func (o *outcome) record(a *attempt, maxBody int) outcomeRecord {
 	r := outcomeRecord{
 		Key:        a.key,
 		Generation: a.generation,
@@ -33,7 +35,7 @@
 		Broken:     o.broken,
 		Status:     o.result.status,
 		Header:     o.result.header,
-		Kept:       len(o.result.body) <= keep,
+		Kept:       len(o.result.body) <= maxBody,
 	}
 	if r.Kept {
 		r.Body = o.result.body
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -76,12 +76,12 @@
 		}
 
 		engine.update(c.Clock.Now(), state, load, loadErr == nil)
-		corrector.Observe(id, placement.ReadbackOf(state))
+		corrector.Observe(id, placement.EngineReadback(state))
 	})
 }
 
 // order sends one order if the lease is still held.
-func (c *Controller) order(ctx context.Context, s Server, a lease.Action[placement.Holding]) {
+func (c *Controller) order(ctx context.Context, s Server, a lease.Action[placement.EngineSpec]) {
 	corrector := c.grant.rollout.corrector
 
 	c.calls.Go(func() {
@@ -100,7 +100,7 @@
 
 // send sends an order and reports whether its outcome is certain: it took effect, or it was not
 // sent or rejected and will never take effect.
-func (c *Controller) send(ctx context.Context, s Server, a lease.Action[placement.Holding]) bool {
+func (c *Controller) send(ctx context.Context, s Server, a lease.Action[placement.EngineSpec]) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
--- a/controller/own_plan.go
+++ b/controller/own_plan.go
@@ -54,7 +54,7 @@
 		return planned
 	}
 
-	have := c.reconciler.Have(service)
+	have := c.reconciler.InstanceCounts(service)
 	surplus := total(have) + total(foreign) - c.grant.decision.Count(service)
 	targets := make([]placement.Target, 0, len(planned))
 
@@ -76,12 +76,12 @@
 // limitProbes bounds the count of a cell that recently refused a purchase. The plan uses such a cell
 // only if no other is left. One instance at a time is then bought in it, until a purchase succeeds.
 func (c *Controller) limitProbes(now time.Time, target placement.Target) int {
-	refusedAt, refused := c.planner.refusals.Since(target.Cell)
-	if !refused || now.Sub(refusedAt) >= 2*c.planner.config.AvoidFor {
+	refusedAt, refused := c.planner.refusals.LastAdded(target.Cell)
+	if !refused || now.Sub(refusedAt) >= 2*c.planner.config.AvoidDuration {
 		return target.Count
 	}
 
-	have := c.reconciler.Have(target.Service)[target.Cell]
+	have := c.reconciler.InstanceCounts(target.Service)[target.Cell]
 	if now.Sub(refusedAt) >= probeInterval && have <= c.countOwn(target) {
 		have++
 	}
--- a/controller/planner.go
+++ b/controller/planner.go
@@ -19,8 +19,8 @@
 type planner struct {
 	config      placement.Config
 	forecasters map[fleet.Service]*placement.Forecaster
-	refusals    *placement.Memory
-	reclaims    *placement.Memory
+	refusals    *placement.CellPenalties
+	reclaims    *placement.CellPenalties
 	measuredAt  time.Time
 	// recordedReclaims are the leaving instances that are recorded in reclaims.
 	recordedReclaims map[fleet.InstanceID]bool
@@ -32,8 +32,8 @@
 	return &planner{
 		config:           config,
 		forecasters:      make(map[fleet.Service]*placement.Forecaster),
-		refusals:         config.NewMemory(),
-		reclaims:         config.NewMemory(),
+		refusals:         config.NewCellPenalties(),
+		reclaims:         config.NewCellPenalties(),
 		recordedReclaims: make(map[fleet.InstanceID]bool),
 	}
 }
@@ -49,7 +49,7 @@
 	for _, s := range v.manifest.Services() {
 		f, ok := c.planner.forecasters[s.Name()]
 		if !ok {
-			f = placement.NewForecaster(serviceOf(v.manifest, s).Lead())
+			f = placement.NewForecaster(serviceOf(v.manifest, s).LeadTime())
 			c.planner.forecasters[s.Name()] = f
 		}
 
@@ -75,32 +75,32 @@
 		Reclaims: c.planner.reclaims,
 	}
 
-	var unmanaged []placement.Line
+	var unmanaged []placement.Explanation
 
 	for _, s := range v.manifest.Services() {
 		if s.Capacity().Max() == 0 {
-			unmanaged = append(unmanaged, placement.Line{
+			unmanaged = append(unmanaged, placement.Explanation{
 				Service: s.Name(), Text: "not managed: the manifest sets no maximum number of servers",
 			})
 
 			continue
 		}
 
-		have := c.reconciler.Have(s.Name())
+		have := c.reconciler.InstanceCounts(s.Name())
 		for cell, n := range h.foreign[s.Name()] {
 			have[cell] += n
 		}
 
 		state.Services = append(state.Services, placement.ServiceState{
-			Service:  serviceOf(v.manifest, s),
-			Forecast: c.planner.forecasters[s.Name()].Forecast(),
-			Have:     have,
-			Surge:    h.rollout.surge[s.Name()],
+			Service:        serviceOf(v.manifest, s),
+			Forecast:       c.planner.forecasters[s.Name()].Forecast(),
+			InstanceCounts: have,
+			Surge:          h.rollout.surge[s.Name()],
 		})
 	}
 
 	h.decision = placement.Plan(v.now, state)
-	h.decision.Lines = append(h.decision.Lines, unmanaged...)
+	h.decision.Explanations = append(h.decision.Explanations, unmanaged...)
 }
 
 // foreign counts by service and cell the instances that carry no purchase token of this controller.
@@ -138,7 +138,7 @@
 		leaving[instance.ID] = true
 
 		if !c.planner.recordedReclaims[instance.ID] {
-			c.planner.reclaims.Note(v.now, cellOf(instance))
+			c.planner.reclaims.Add(v.now, cellOf(instance))
 		}
 	}
 
--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -24,7 +24,7 @@
 
 // rollout is the state of the model roll-outs under one grant.
 type rollout struct {
-	corrector *lease.Corrector[placement.Holding]
+	corrector *lease.Corrector[placement.EngineSpec]
 	rollouts  map[modelKey]*placement.Rollout
 	runners   map[fleet.InstanceID]*runner
 	surge     map[fleet.Service]int
@@ -39,7 +39,7 @@
 
 func newRollout() *rollout {
 	return &rollout{
-		corrector: &lease.Corrector[placement.Holding]{
+		corrector: &lease.Corrector[placement.EngineSpec]{
 			ReadInterval: readInterval, RetryInterval: orderRetryInterval, MaxOrderDelay: lease.DefaultConfig().MaxOrderDelay,
 		},
 		rollouts: make(map[modelKey]*placement.Rollout),
@@ -115,7 +115,7 @@
 func (r *rollout) decide(now time.Time, m *manifest.Manifest, s manifest.Service, model manifest.Model) {
 	group := r.group(s, model.Name())
 	service := serviceOf(m, s)
-	service.Holding = holdingOf(model)
+	service.Spec = holdingOf(model)
 
 	var states []placement.Runner
 	for _, engine := range group {
@@ -128,7 +128,7 @@
 		r.surge[s.Name()] = max(r.surge[s.Name()], step.Surge(service, states))
 	}
 
-	allowed := placement.LoadQueue{AtOnce: maxConcurrentLoads}.Allowed(r.loads(service.Priority))
+	allowed := placement.LoadQueue{MaxConcurrent: maxConcurrentLoads}.Allowed(r.loads(service.Priority))
 	mayLoad := func(id fleet.InstanceID) bool { return slices.Contains(allowed, id) }
 
 	moving := 0
@@ -137,7 +137,7 @@
 		engine := r.runners[assignment.Instance]
 		engine.assign(assignment, r.corrector)
 
-		if engine.known && engine.holding() != service.Holding {
+		if engine.known && engine.holding() != service.Spec {
 			moving++
 			r.lines = append(r.lines, fmt.Sprintf("%s: %s %s", s.Name(), assignment.Instance, assignment.Reason))
 		}
--- a/controller/runner.go
+++ b/controller/runner.go
@@ -32,12 +32,12 @@
 	// stray is set if the engine holds no model of its service.
 	stray bool
 	// orderedHolding is the model version that was last assigned.
-	orderedHolding placement.Holding
+	orderedHolding placement.EngineSpec
 }
 
 // holding returns the model and version that the engine holds.
-func (r *runner) holding() placement.Holding {
-	return placement.Holding{Model: r.state.Model, Version: r.state.Version}
+func (r *runner) holding() placement.EngineSpec {
+	return placement.EngineSpec{Model: r.state.Model, Version: r.state.Version}
 }
 
 // isReady reports whether the engine serves a model of its service.
@@ -74,10 +74,10 @@
 }
 
 // placement returns the state of the runner as input of a roll-out step.
-func (r *runner) placement(c *lease.Corrector[placement.Holding]) placement.Runner {
+func (r *runner) placement(c *lease.Corrector[placement.EngineSpec]) placement.Runner {
 	return placement.Runner{
 		Instance: r.server.ID,
-		Holding:  r.holding(),
+		Spec:     r.holding(),
 		Ready:    r.isReady(),
 		Idle:     r.idle,
 		Leaving:  r.server.Leaving,
@@ -88,25 +88,25 @@
 // assign sets the desired state of the engine in the corrector. An engine that was not read gets none,
 // since its adapter and role are unknown, and neither does an engine that leaves or that holds no
 // model and waits for its turn to load.
-func (r *runner) assign(a placement.Assignment, c *lease.Corrector[placement.Holding]) {
-	if !r.known || r.server.Leaving || a.Holding.Model == "" {
+func (r *runner) assign(a placement.Assignment, c *lease.Corrector[placement.EngineSpec]) {
+	if !r.known || r.server.Leaving || a.Spec.Model == "" {
 		c.Remove(r.server.ID)
 
 		return
 	}
 
-	wanted := a.Holding
+	wanted := a.Spec
 	wanted.Role = r.role
 
 	if wanted.Model == r.state.Model {
 		wanted.Adapter = r.state.Adapter
 	}
 
-	if a.Drain && a.Holding == r.holding() {
+	if a.Drain && a.Spec == r.holding() {
 		wanted.Role = drainRole
 	}
 
-	r.orderedHolding = a.Holding
+	r.orderedHolding = a.Spec
 	c.SetDesired(r.server.ID, wanted)
 }
 
--- a/costing/policy.go
+++ b/costing/policy.go
@@ -47,7 +47,7 @@
 // Plan implements Planner.
 func (p *Policy) Plan(v View) placement.Decision {
 	if p.forecaster == nil {
-		p.forecaster = placement.NewForecaster(v.Day.Service.Lead())
+		p.forecaster = placement.NewForecaster(v.Day.Service.LeadTime())
 	}
 
 	p.forecaster.Observe(v.Now, v.Load)
@@ -64,9 +64,9 @@
 		Refusals: v.Refusals,
 		Reclaims: v.Reclaims,
 		Services: []placement.ServiceState{{
-			Service:  service,
-			Forecast: p.forecaster.Forecast(),
-			Have:     v.Have,
+			Service:        service,
+			Forecast:       p.forecaster.Forecast(),
+			InstanceCounts: v.Have,
 		}},
 	})
 }
--- a/peer/flush.go
+++ b/peer/flush.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// flushInterval is the time between looks at the queues.
-const flushInterval = 10 * time.Millisecond
+// flushPollInterval is the interval at which Flush checks the queues.
+const flushPollInterval = 10 * time.Millisecond
 
-// Flush waits until what is queued has been written or dropped, or ctx ends.
+// Flush waits until all queued messages have been written or dropped, or ctx
+// ends.
 func (n *Node) Flush(ctx context.Context) {
 	for !n.drained() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.Clock.After(flushInterval):
+		case <-n.Clock.After(flushPollInterval):
 		}
 	}
 }
@@ -32,10 +33,10 @@
 	return true
 }
 
-// pending reports whether a message is queued or being written.
+// pending reports whether the link has a message queued or being written.
 func (l *link) pending() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	return l.writing || len(l.must.frames)+len(l.droppable.frames) > 0
+	return l.writing || len(l.undroppable.frames)+len(l.droppable.frames) > 0
 }
--- a/routing/leaving_test.go
+++ b/routing/leaving_test.go
@@ -12,23 +12,24 @@
 	"monsoonlever/provider"
 )
 
-// leavingModel is a world in which servers leave, and news of it comes from
-// four sources that lag each on its own.
+// leavingModel simulates servers that leave while the updates about it arrive from four
+// sources, each with its own lag.
 type leavingModel struct {
 	table  *Table
 	random *rand.PCG
 	now    time.Time
 	size   int
-	// firstNews holds when the table was first told that a server is leaving.
-	firstNews map[fleet.InstanceID]time.Time
+	// firstReported holds the time at which the table first received an update that a
+	// server is leaving.
+	firstReported map[fleet.InstanceID]time.Time
 }
 
 func newLeavingModel(t *rapid.T) *leavingModel {
 	m := &leavingModel{
-		random:    rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0),
-		now:       testStart,
-		size:      rapid.IntRange(1, 9).Draw(t, "size"),
-		firstNews: make(map[fleet.InstanceID]time.Time),
+		random:        rand.NewPCG(rapid.Uint64().Draw(t, "random"), 0),
+		now:           testStart,
+		size:          rapid.IntRange(1, 9).Draw(t, "size"),
+		firstReported: make(map[fleet.InstanceID]time.Time),
 	}
 	m.table = newTestTable(m.size, 4)
 
@@ -39,9 +40,9 @@
 	return testID(rapid.IntRange(0, m.size-1).Draw(t, "server"))
 }
 
-func (m *leavingModel) learn(id fleet.InstanceID) {
-	if _, ok := m.firstNews[id]; !ok {
-		m.firstNews[id] = m.now
+func (m *leavingModel) recordLeaving(id fleet.InstanceID) {
+	if _, ok := m.firstReported[id]; !ok {
+		m.firstReported[id] = m.now
 	}
 }
 
@@ -50,7 +51,8 @@
 	m.table.Tick(m.now, m.random)
 }
 
-// list shows any mix of live, leaving and missing, as a list that lags does.
+// list updates the table with a list in which each server is live, leaving or missing
+// at random, like a list that lags.
 func (m *leavingModel) list(t *rapid.T) {
 	var listings []provider.Listing
 
@@ -62,7 +64,7 @@
 			continue
 		case "leaving":
 			l.State = provider.Leaving
-			m.learn(l.ID)
+			m.recordLeaving(l.ID)
 		}
 
 		listings = append(listings, l)
@@ -77,7 +79,7 @@
 	r := backend.LoadReport{At: m.now.Add(-age), Capacity: 4, Leaving: rapid.Bool().Draw(t, "leaving")}
 
 	if r.Leaving {
-		m.learn(id)
+		m.recordLeaving(id)
 	}
 
 	m.table.Report(m.now, id, r)
@@ -87,18 +89,18 @@
 	id := m.drawID(t)
 	source := rapid.SampledFrom([]Source{SourceNotice, SourcePeer}).Draw(t, "source")
 
-	m.learn(id)
-	m.table.Leave(m.now, id, source)
+	m.recordLeaving(id)
+	m.table.MarkLeaving(m.now, id, source)
 }
 
 func (m *leavingModel) pick(t *rapid.T) {
-	choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithRepeatable().WithPrefix(7))
-	if err != nil || !choice.Sent(m.now) {
+	choice, err := m.table.Pick(m.now, m.random, NewRequest(testKey).WithIdempotent().WithPrefix(7))
+	if err != nil || !choice.Begin(m.now) {
 		return
 	}
 
-	if news, ok := m.firstNews[choice.ID()]; ok {
-		t.Fatalf("%s got a request %v after the first news that it leaves", choice.ID(), m.now.Sub(news))
+	if reported, ok := m.firstReported[choice.ID()]; ok {
+		t.Fatalf("server %s: got a request %v after the first update that it is leaving, want none", choice.ID(), m.now.Sub(reported))
 	}
 
 	if rapid.Bool().Draw(t, "fails") {
@@ -122,8 +124,8 @@
 	})
 }
 
-// TestLeavingServerGetsNoRequestWhileListLags measures the time from the first
-// news, a reclaim notice, to the last new request.
+// TestLeavingServerGetsNoRequestWhileListLags checks that a server gets no request
+// after a reclaim notice, although the list shows it as live for 30 s more.
 func TestLeavingServerGetsNoRequestWhileListLags(t *testing.T) {
 	const (
 		servers = 9
@@ -136,7 +138,7 @@
 	leaving := testID(3)
 	last := time.Duration(-1)
 
-	table.Leave(testStart, leaving, SourceNotice)
+	table.MarkLeaving(testStart, leaving, SourceNotice)
 
 	for at := time.Duration(0); at < 2*lag; at += step {
 		now := testStart.Add(at)
@@ -151,8 +153,8 @@
 		}
 
 		choice, err := table.Pick(now, random, NewRequest(testKey))
-		if err != nil || !choice.Sent(now) {
-			t.Fatalf("no server at %v: %v", at, err)
+		if err != nil || !choice.Begin(now) {
+			t.Fatalf("pick or begin at %v failed: error %v", at, err)
 		}
 
 		if choice.ID() == leaving {
@@ -163,6 +165,6 @@
 	}
 
 	if last >= 0 {
-		t.Errorf("last new request: got %v after the news, want none", last)
+		t.Errorf("last new request: got %v after the reclaim notice, want none", last)
 	}
 }
--- a/routing/preferred_test.go
+++ b/routing/preferred_test.go
@@ -9,7 +9,7 @@
 	"monsoonlever/provider"
 )
 
-func TestPreferredServerIsTakenIfItCanBe(t *testing.T) {
+func TestPickReturnsUsablePreferredServer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	key := NewKey("payrun-api", "", "", "")
 
@@ -20,7 +20,7 @@
 		leaving bool
 		want    bool
 	}{
-		{desc: "taken", prefer: "b", want: true},
+		{desc: "usable", prefer: "b", want: true},
 		{desc: "excluded", prefer: "b", exclude: []fleet.InstanceID{"b"}},
 		{desc: "leaving", prefer: "b", leaving: true},
 		{desc: "unknown", prefer: "z"},
@@ -36,11 +36,11 @@
 			})
 
 			if tt.leaving {
-				table.Leave(now, "b", SourceNotice)
+				table.MarkLeaving(now, "b", SourceNotice)
 			}
 
 			random := rand.New(rand.NewPCG(1, 1))
-			hits := 0
+			preferredPicks := 0
 
 			for range 30 {
 				choice, err := table.Pick(now, random, NewRequest(key).Preferring(tt.prefer).Excluding(tt.exclude))
@@ -49,12 +49,12 @@
 				}
 
 				if choice.ID() == tt.prefer {
-					hits++
+					preferredPicks++
 				}
 			}
 
-			if got := hits == 30; got != tt.want {
-				t.Errorf("always preferred: got %v (%d of 30), want %v", got, hits, tt.want)
+			if got := preferredPicks == 30; got != tt.want {
+				t.Errorf("preferred server always picked: got %v (%d of 30), want %v", got, preferredPicks, tt.want)
 			}
 		})
 	}
--- a/routing/update.go
+++ b/routing/update.go
@@ -9,16 +9,17 @@
 	"monsoonlever/provider"
 )
 
-// maxPeers bounds how far the sends of this entry instance are extrapolated to
-// others; more than this has not been measured.
-const maxPeers = 39
+// maxOtherEntries caps the number of other entry instances to which the sends of this
+// one are extrapolated. The extrapolation is verified for up to 40 entry instances
+// (TestComparison with -large).
+const maxOtherEntries = 39
 
-// UpdateList takes the platform's list of instances in. A server that the list
-// lacks is kept while it reports itself, for the list lags.
+// UpdateList applies the platform's list of instances. The list lags, so a server that
+// is missing from it still gets requests while it reports.
 func (t *Table) UpdateList(now time.Time, listings []provider.Listing) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
 	listed := make(map[fleet.InstanceID]bool, len(listings))
 
@@ -30,8 +31,8 @@
 	}
 
 	for id, s := range t.servers {
-		changed = changed || s.absent == listed[id]
-		s.absent = !listed[id]
+		changed = changed || s.unlisted == listed[id]
+		s.unlisted = !listed[id]
 	}
 
 	if changed {
@@ -39,10 +40,10 @@
 	}
 }
 
-// updateListing tells whether the entry changed anything.
+// updateListing applies one entry of the list and reports whether it changed anything.
 func (t *Table) updateListing(now time.Time, l provider.Listing) bool {
-	s := t.server(now, l.ID)
-	s.listed = now
+	s := t.getOrAddServer(now, l.ID)
+	s.lastListed = now
 
 	next := s.spec
 	next.key.service = l.Service
@@ -53,22 +54,22 @@
 	changed := next != s.spec
 	s.spec = next
 
-	if l.State == provider.Leaving && t.leave(s, SourceList) {
+	if l.State == provider.Leaving && t.markLeaving(s, SourceList) {
 		return true
 	}
 
 	return changed
 }
 
-// UpdateState takes in what an engine holds. A server whose engine isn't ready
-// gets no request.
-func (t *Table) UpdateState(now time.Time, id fleet.InstanceID, state backend.EngineState) {
+// UpdateEngineState applies the state of a server's engine. A server whose engine isn't
+// ready gets no requests.
+func (t *Table) UpdateEngineState(now time.Time, id fleet.InstanceID, state backend.EngineState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	s := t.server(now, id)
-	s.heard = now
+	s := t.getOrAddServer(now, id)
+	s.lastSeen = now
 
 	next := s.spec
 	next.key.model = state.Model
@@ -82,11 +83,12 @@
 	}
 }
 
-// UpdateOffers takes the present prices in; the lower price of a class counts.
+// UpdateOffers applies the current prices. Of several offers for the same class and
+// failure domain, the lowest price counts.
 func (t *Table) UpdateOffers(now time.Time, offers []provider.Offer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
 	prices := make(map[offerKey]float64, len(offers))
 
@@ -103,62 +105,63 @@
 	}
 }
 
-// UpdateEntries takes in how many entry instances send requests, this one
-// included.
-func (t *Table) UpdateEntries(now time.Time, n int) {
+// UpdateEntryCount sets the number of entry instances that send requests, including
+// this one.
+func (t *Table) UpdateEntryCount(now time.Time, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	peers := min(max(0, n-1), maxPeers)
-	if peers != t.peers {
-		t.peers = peers
+	otherEntries := min(max(0, n-1), maxOtherEntries)
+	if otherEntries != t.otherEntries {
+		t.otherEntries = otherEntries
 		t.rebuild(now)
 	}
 }
 
-// Report takes in what a server says of its load. An older report than the
-// last changes no load, but is still believed that the server is leaving.
+// Report applies a load report of a server. A report that isn't newer than the last one
+// doesn't change the load, but still marks the server as leaving if it says so.
 func (t *Table) Report(now time.Time, id fleet.InstanceID, r backend.LoadReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	s := t.server(now, id)
-	s.heard = now
+	s := t.getOrAddServer(now, id)
+	s.lastSeen = now
 
-	if r.Leaving && t.leave(s, SourceServer) {
+	if r.Leaving && t.markLeaving(s, SourceServer) {
 		t.rebuild(now)
 	}
 
-	if !r.At.After(s.reported) {
+	if !r.At.After(s.reportedAt) {
 		return
 	}
 
-	s.reported = r.At
+	s.reportedAt = r.At
 	s.applyLoad(now, r.At, int64(r.Running+r.Waiting))
 
-	// The next tick makes the snapshot, once for all reports until then.
+	// The next tick rebuilds the snapshot once for all reports since the last one.
 	if r.Capacity != s.spec.capacity {
 		s.spec.capacity = r.Capacity
-		t.stale = true
+		t.snapshotStale = true
 	}
 }
 
-// Leave takes in the news that a server is leaving, whether it is known yet or not.
-func (t *Table) Leave(now time.Time, id fleet.InstanceID, source Source) {
+// MarkLeaving marks a server as leaving. The server need not be known yet.
+func (t *Table) MarkLeaving(now time.Time, id fleet.InstanceID, source Source) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	if t.leave(t.server(now, id), source) {
+	if t.markLeaving(t.getOrAddServer(now, id), source) {
 		t.rebuild(now)
 	}
 }
 
-// leave marks a server and tells whether that is news. Nothing takes the mark
-// away: what says "live" later may be older, and a replacement has another id.
-func (t *Table) leave(s *server, source Source) bool {
+// markLeaving marks a server as leaving and reports whether it wasn't marked before.
+// The mark is never cleared: a later update that shows the server as live may be
+// outdated, and a replacement has a different id.
+func (t *Table) markLeaving(s *server, source Source) bool {
 	if s.leaving.Swap(true) {
 		return false
 	}
@@ -168,40 +171,41 @@
 	return true
 }
 
-// CacheEvents takes in what entered or left the prefix cache of an engine.
+// CacheEvents applies insertions into and evictions from the prefix cache of an engine.
+// It skips events that aren't newer than the last one.
 func (t *Table) CacheEvents(now time.Time, id fleet.InstanceID, events []backend.CacheEvent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.prepare()
+	t.initialize()
 
-	s := t.server(now, id)
+	s := t.getOrAddServer(now, id)
 
 	for _, e := range events {
-		if e.Sequence <= s.cacheEvent {
+		if e.Sequence <= s.lastCacheEvent {
 			continue
 		}
 
-		if e.Sequence != s.cacheEvent+1 {
+		if e.Sequence != s.lastCacheEvent+1 {
 			t.counters.eventGaps.Inc()
 		}
 
-		s.cacheEvent = e.Sequence
+		s.lastCacheEvent = e.Sequence
 
 		if e.Evicted {
-			t.prefixes.drop(e.Prefix, s)
+			t.prefixes.remove(e.Prefix, s)
 		} else {
-			t.prefixes.hold(now, e.Prefix, s)
+			t.prefixes.add(now, e.Prefix, s)
 		}
 	}
 }
 
-// server returns the server with an id, made if it is new.
-func (t *Table) server(now time.Time, id fleet.InstanceID) *server {
+// getOrAddServer returns the server with an id, and adds it if it isn't known.
+func (t *Table) getOrAddServer(now time.Time, id fleet.InstanceID) *server {
 	s, ok := t.servers[id]
 	if !ok {
 		s = newServer(id, rank(t.Self, id))
-		s.listed = now
-		s.absent = true
+		s.lastListed = now
+		s.unlisted = true
 		t.servers[id] = s
 	}
 
