--- a/entry/duties.go
+++ b/entry/duties.go
@@ -247,13 +247,13 @@
 	}
 
 	for ctx.Err() == nil {
-		if d.settings.Has(settings.ReportUsage) {
+		if d.settings.HasDuty(settings.ReportUsage) {
 			for _, report := range d.dueReports() {
 				d.sendReport(ctx, report)
 			}
 		}
 
-		if d.settings.Has(settings.OrderServers) {
+		if d.settings.HasDuty(settings.OrderServers) {
 			d.placeOrders(ctx)
 		}
 
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Has tells whether this deployment has a duty.
-func (s Entry) Has(d Duty) bool {
+// HasDuty tells whether this deployment has a duty.
+func (s Entry) HasDuty(d Duty) bool {
 	for _, one := range s.Duties {
 		if one == d {
 			return true
--- a/settings/entry_test.go
+++ b/settings/entry_test.go
@@ -53,7 +53,7 @@
 		t.Errorf("revocation: got %v, want %v", got, want)
 	}
 
-	if !s.Has(OrderServers) || !s.Has(ReportUsage) {
+	if !s.HasDuty(OrderServers) || !s.HasDuty(ReportUsage) {
 		t.Errorf("duties: got %v, want both", s.Duties)
 	}
 }
