--- a/entry/directory_test.go
+++ b/entry/directory_test.go
@@ -31,7 +31,7 @@
 
 	e := &Entry{Clock: clock.NewSteady(), Settings: settings.Entry{
 		Instance: "entry-1", FailureDomain: "a", Store: store.Listener.Addr().String(),
-		Listen: settings.EntryListen{Peers: "127.0.0.1:7600"}, Limits: settings.Machine{ProcessorCores: 1},
+		Listen: settings.EntryListen{Peers: "127.0.0.1:7600"}, Limits: settings.MachineLimits{ProcessorCores: 1},
 		Bounds: settings.Bounds{
 			Lease: time.Second, UsageWindow: time.Second, UsageLate: time.Second, RetryWindow: time.Second,
 			LimitWindow: time.Second, Drain: time.Second, Stop: time.Second,
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -22,7 +22,7 @@
 	StoreKeeps time.Duration `json:"storeKeeps"`
 	// Duties are the calls to the cloud API that one instance makes for all.
 	Duties []Duty  `json:"duties"`
-	Limits Machine `json:"limits"`
+	Limits MachineLimits `json:"limits"`
 	Bounds Bounds  `json:"bounds"`
 }
 
@@ -49,8 +49,8 @@
 	Operators string `json:"operators"`
 }
 
-// Machine is what an instance may use.
-type Machine struct {
+// MachineLimits is what an instance may use.
+type MachineLimits struct {
 	MemoryMegabytes float64 `json:"memoryMegabytes"`
 	// ProcessorCores may be a part of one. Larger instances relay and lead first.
 	ProcessorCores  float64 `json:"processorCores"`
@@ -58,7 +58,7 @@
 }
 
 // MemoryBytes returns the memory that an instance may use.
-func (m Machine) MemoryBytes() int64 { return int64(m.MemoryMegabytes * (1 << 20)) }
+func (m MachineLimits) MemoryBytes() int64 { return int64(m.MemoryMegabytes * (1 << 20)) }
 
 // Bounds are what operators demand of all instances together.
 type Bounds struct {
@@ -120,7 +120,7 @@
 func defaultEntry() Entry {
 	return Entry{
 		StoreKeeps: defaultStoreKeeps,
-		Limits: Machine{
+		Limits: MachineLimits{
 			MemoryMegabytes: defaultMemory, ProcessorCores: defaultCores, FileDescriptors: defaultDescriptors,
 		},
 		Bounds: Bounds{
