--- a/settings/entry.go
+++ b/settings/entry.go
@@ -18,12 +18,12 @@
 	// Store is the host:port of the platform's store, Cloud that of its API.
 	Store string `json:"store"`
 	Cloud string `json:"cloud"`
-	// StoreKeeps is how long the store keeps records.
-	StoreKeeps time.Duration `json:"storeKeeps"`
+	// StoreRetention is how long the store keeps records.
+	StoreRetention time.Duration `json:"storeKeeps"`
 	// Duties are the calls to the cloud API that one instance makes for all.
-	Duties []Duty  `json:"duties"`
+	Duties []Duty        `json:"duties"`
 	Limits MachineLimits `json:"limits"`
-	Bounds Bounds  `json:"bounds"`
+	Bounds Bounds        `json:"bounds"`
 }
 
 // Duty is a kind of call that one instance makes for all.
@@ -119,7 +119,7 @@
 
 func defaultEntry() Entry {
 	return Entry{
-		StoreKeeps: defaultStoreKeeps,
+		StoreRetention: defaultStoreKeeps,
 		Limits: MachineLimits{
 			MemoryMegabytes: defaultMemory, ProcessorCores: defaultCores, FileDescriptors: defaultDescriptors,
 		},
@@ -157,7 +157,7 @@
 		c.dialAddress("cloud", s.Cloud)
 	}
 
-	c.positive("storeKeeps", s.StoreKeeps)
+	c.positive("storeKeeps", s.StoreRetention)
 
 	if s.Limits.MemoryMegabytes <= 0 {
 		c.report("limits.memoryMegabytes", "must be above 0")
