--- a/settings/entry.go
+++ b/settings/entry.go
@@ -107,7 +107,7 @@
 	defaultLease       = 3 * time.Second
 	defaultUsageWindow = 5 * time.Second
 	defaultUsageLate   = 10 * time.Second
-	defaultStoreKeeps  = 20 * time.Second
+	defaultStoreRetention  = 20 * time.Second
 	defaultTrialShare  = 0.05
 	defaultTrialStop   = 5 * time.Second
 	defaultMemory      = 256
@@ -119,7 +119,7 @@
 
 func defaultEntry() Entry {
 	return Entry{
-		StoreRetention: defaultStoreKeeps,
+		StoreRetention: defaultStoreRetention,
 		Limits: MachineLimits{
 			MemoryMegabytes: defaultMemory, ProcessorCores: defaultCores, FileDescriptors: defaultDescriptors,
 		},
@@ -135,8 +135,8 @@
 
 // HasDuty tells whether this deployment has a duty.
 func (s Entry) HasDuty(d Duty) bool {
-	for _, one := range s.Duties {
-		if one == d {
+	for _, duty := range s.Duties {
+		if duty == d {
 			return true
 		}
 	}
--- a/settings/entry_test.go
+++ b/settings/entry_test.go
@@ -15,7 +15,7 @@
 
 // Operators state bounds and what a machine may use as fractions too: those of a part of a
 // deployment are a share of the whole.
-func TestFiguresMayBeFractions(t *testing.T) {
+func TestLoadEntryAcceptsFractionalLimits(t *testing.T) {
 	text := `{
 		"instance": "entry-1", "failureDomain": "a", "region": "r",
 		"listen": {"callers": "127.0.0.1:1", "readiness": "127.0.0.1:2", "peers": "127.0.0.1:3"},
--- a/settings/parse_test.go
+++ b/settings/parse_test.go
@@ -9,7 +9,7 @@
 	"monsoonlever/finding"
 )
 
-func TestParseReportsEachFindingOfTheSettings(t *testing.T) {
+func TestParseReportsEachFinding(t *testing.T) {
 	data, err := os.ReadFile("../examples/kronvig.daemon.jsonc")
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestLoadNamesAMissingFile(t *testing.T) {
+func TestLoadReportsMissingFile(t *testing.T) {
 	if _, err := Load("testdata/none.jsonc"); err == nil || !strings.Contains(err.Error(), "read settings") {
 		t.Errorf("error: got %v, want one of reading settings", err)
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -53,28 +53,28 @@
 	return parse(file, data, defaultEntry())
 }
 
-// checked is a struct of settings with the checks beside it.
-type checked interface {
+// checkable is a struct of settings with the checks beside it.
+type checkable interface {
 	check(c *checker)
 }
 
-func parse[T checked](file string, data []byte, s T) (T, error) {
+func parse[T checkable](file string, data []byte, s T) (T, error) {
 	var (
 		l    finding.List
-		none T
+		zero T
 	)
 
 	d := document.Decode(file, data, &s, &l)
 
 	// Without a readable document every missing field would be a finding too.
 	if !d.Has("") {
-		return none, l.Err()
+		return zero, l.Err()
 	}
 
 	s.check(&checker{document: d, findings: &l})
 
 	if err := l.Err(); err != nil {
-		return none, err
+		return zero, err
 	}
 
 	return s, nil
