--- a/settings/entry.go
+++ b/settings/entry.go
@@ -99,20 +99,20 @@
 
 // Defaults of bounds that a deployment does not name.
 const (
-	defaultDrain       = 2 * time.Second
-	defaultStop        = 8 * time.Second
-	defaultRetryShare  = 0.1
-	defaultRetryWindow = 10 * time.Second
-	defaultLimitWindow = 8 * time.Second
-	defaultLease       = 3 * time.Second
-	defaultUsageWindow = 5 * time.Second
-	defaultUsageLate   = 10 * time.Second
-	defaultStoreRetention  = 20 * time.Second
-	defaultTrialShare  = 0.05
-	defaultTrialStop   = 5 * time.Second
-	defaultMemory      = 256
-	defaultCores       = 1
-	defaultDescriptors = 1024
+	defaultDrain          = 2 * time.Second
+	defaultStop           = 8 * time.Second
+	defaultRetryShare     = 0.1
+	defaultRetryWindow    = 10 * time.Second
+	defaultLimitWindow    = 8 * time.Second
+	defaultLease          = 3 * time.Second
+	defaultUsageWindow    = 5 * time.Second
+	defaultUsageLate      = 10 * time.Second
+	defaultStoreRetention = 20 * time.Second
+	defaultTrialShare     = 0.05
+	defaultTrialStop      = 5 * time.Second
+	defaultMemory         = 256
+	defaultCores          = 1
+	defaultDescriptors    = 1024
 	// minDescriptors leaves room for the store, the listeners and a few callers.
 	minDescriptors = 64
 )
@@ -175,7 +175,7 @@
 }
 
 func (b Bounds) check(c *checker) {
-	for _, one := range []struct {
+	for _, bound := range []struct {
 		field string
 		value time.Duration
 	}{
@@ -188,14 +188,14 @@
 		{"bounds.usageLate", b.UsageLate},
 		{"bounds.trialStop", b.TrialStop},
 	} {
-		c.positive(one.field, one.value)
+		c.positive(bound.field, bound.value)
 	}
 
 	if b.Revocation < 0 {
 		c.report("bounds.revocation", "must not be below 0")
 	}
 
-	for _, one := range []struct {
+	for _, bound := range []struct {
 		field string
 		value float64
 	}{
@@ -206,8 +206,8 @@
 		{"bounds.trialShare", b.TrialShare},
 		{"bounds.trialSlack", b.TrialSlack},
 	} {
-		if one.value < 0 {
-			c.report(one.field, "must not be below 0")
+		if bound.value < 0 {
+			c.report(bound.field, "must not be below 0")
 		}
 	}
 }
