--- a/daemon/build_peers.go
+++ b/daemon/build_peers.go
@@ -20,7 +20,7 @@
 
 	files := keys.Files{CA: p.settings.TLS.CAFile, Certificate: p.settings.TLS.CertFile, Key: p.settings.TLS.KeyFile}
 
-	config, err := files.TLSOf(string(p.settings.Instance), p.clock)
+	config, err := files.InstanceTLS(string(p.settings.Instance), p.clock)
 	if err != nil {
 		return merry.Prepend(err, "load keys of this instance")
 	}
--- a/keys/own.go
+++ b/keys/own.go
@@ -9,9 +9,9 @@
 	"monsoonlever/clock"
 )
 
-// TLSOf is TLS for the instance of an ID. It returns an error for a certificate
+// InstanceTLS is TLS for the instance of an ID. It returns an error for a certificate
 // that remotes with the same CA would not take from that instance.
-func (f Files) TLSOf(id string, c clock.Clock) (*tls.Config, error) {
+func (f Files) InstanceTLS(id string, c clock.Clock) (*tls.Config, error) {
 	config, err := f.TLS(c)
 	if err != nil {
 		return nil, err
