--- a/document/decode_test.go
+++ b/document/decode_test.go
@@ -34,7 +34,7 @@
 	return out, findings
 }
 
-func TestDecodeReportsEachFindingWithItsPlace(t *testing.T) {
+func TestDecodeReportsEveryFindingWithLineAndPath(t *testing.T) {
 	tests := []struct {
 		desc string
 		text string
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestDecodeSetsWhatHasNoFinding(t *testing.T) {
+func TestDecodeSetsFieldsWithoutFindings(t *testing.T) {
 	got, _ := decodeSample(`{"text": "a", "count": "x", "share": 0.5, "wait": "1m30s", "on": false, "items": [{"count": 3}]}`)
 
 	if got.Text != "a" || got.Count != 0 || got.Share != 0.5 || got.Wait != 90*time.Second {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestDecodeRefusesWhatIsTooLargeOrTooDeep(t *testing.T) {
+func TestDecodeRejectsOversizedDeepAndMalformedInput(t *testing.T) {
 	tests := []struct {
 		desc string
 		text string
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestReportGivesTheLineOfTheNearestFieldThatIsWritten(t *testing.T) {
+func TestReportUsesLineOfNearestPresentAncestor(t *testing.T) {
 	var (
 		l   finding.List
 		out sample
--- a/document/document.go
+++ b/document/document.go
@@ -26,10 +26,10 @@
 
 // Document is a decoded file that knows the line of each of its fields.
 type Document struct {
-	file   string
-	starts []int
-	lines  map[string]int
-	faulty map[string]bool
+	file        string
+	lineStarts  []int
+	fieldLines  map[string]int
+	undecodable map[string]bool
 }
 
 // File returns the name under which the document reports findings.
@@ -41,7 +41,7 @@
 // written in the document. It is 0 where there is none.
 func (d *Document) Line(field string) int {
 	for {
-		if line, ok := d.lines[field]; ok {
+		if line, ok := d.fieldLines[field]; ok {
 			return line
 		}
 
@@ -56,7 +56,7 @@
 // Report adds a finding about a field with its file and line. It adds none to a
 // field that could not be decoded: its value was never seen.
 func (d *Document) Report(l *finding.List, field, message string, args ...any) {
-	if d.faulty[field] {
+	if d.undecodable[field] {
 		return
 	}
 
@@ -65,7 +65,7 @@
 
 // Has tells whether the document writes the field.
 func (d *Document) Has(field string) bool {
-	_, ok := d.lines[field]
+	_, ok := d.fieldLines[field]
 
 	return ok
 }
@@ -79,12 +79,12 @@
 		}
 	}
 
-	return &Document{file: file, starts: starts, lines: map[string]int{}, faulty: map[string]bool{}}
+	return &Document{file: file, lineStarts: starts, fieldLines: map[string]int{}, undecodable: map[string]bool{}}
 }
 
 // lineAt returns the line of a byte offset, counted from 1.
 func (d *Document) lineAt(offset int) int {
-	return sort.SearchInts(d.starts, offset+1)
+	return sort.SearchInts(d.lineStarts, offset+1)
 }
 
 // parent returns the path without its last field or index.
--- a/document/syntax.go
+++ b/document/syntax.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// syntaxPlace finds the line in the parser's text; its errors have no fields.
-var syntaxPlace = regexp.MustCompile(`line (\d+)`)
+// syntaxLinePattern finds the line in the parser's text; its errors have no fields.
+var syntaxLinePattern = regexp.MustCompile(`line (\d+)`)
 
 func syntaxLine(err error) int {
-	match := syntaxPlace.FindStringSubmatch(err.Error())
+	match := syntaxLinePattern.FindStringSubmatch(err.Error())
 	if match == nil {
 		return 0
 	}
@@ -25,7 +25,7 @@
 // tooDeep returns the offset of the first bracket beyond MaxDepth. The parser
 // recurses without a bound of its own.
 func tooDeep(data []byte) (int, bool) {
-	s := scanner{data: data}
+	s := firstTooDeep{data: data}
 
 	return s.deepest()
 }
--- a/document/walker.go
+++ b/document/walker.go
@@ -19,7 +19,7 @@
 }
 
 func (w *walker) decode(path string, v hujson.Value, out reflect.Value) {
-	w.document.lines[path] = w.document.lineAt(v.StartOffset)
+	w.document.fieldLines[path] = w.document.lineAt(v.StartOffset)
 
 	if out.Kind() == reflect.Pointer {
 		out.Set(reflect.New(out.Type().Elem()))
@@ -45,7 +45,7 @@
 		return
 	}
 
-	fields := fieldsOf(out.Type())
+	fields := fieldIndexes(out.Type())
 	seen := map[string]bool{}
 
 	for _, m := range o.Members {
@@ -85,7 +85,7 @@
 
 func (w *walker) report(path, message string, args ...any) {
 	w.document.Report(w.findings, path, message, args...)
-	w.document.faulty[path] = true
+	w.document.undecodable[path] = true
 }
 
 func memberName(m hujson.ObjectMember) string {
@@ -97,8 +97,8 @@
 	return name.String()
 }
 
-// fieldsOf maps the JSON names of a struct's exported fields to their index.
-func fieldsOf(t reflect.Type) map[string]int {
+// fieldIndexes maps the JSON names of a struct's exported fields to their index.
+func fieldIndexes(t reflect.Type) map[string]int {
 	fields := map[string]int{}
 
 	for i := range t.NumField() {
--- a/keys/deployment.go
+++ b/keys/deployment.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	validity = 30 * 24 * time.Hour
-	// startSkew lets an instance with a clock that is behind use a new key.
-	startSkew     = time.Hour
-	serialBits    = 128
-	privateMode   = 0o600
-	publicMode    = 0o644
-	directoryMode = 0o700
+	certificateValidity = 30 * 24 * time.Hour
+	// clockSkewAllowance lets an instance with a clock that is behind use a new key.
+	clockSkewAllowance = time.Hour
+	serialBits         = 128
+	privateMode        = 0o600
+	publicMode         = 0o644
+	directoryMode      = 0o700
 )
 
-// authority is a CA that lives as long as one WriteDeployment.
-type authority struct {
+// certificateAuthority is a CA that lives as long as one WriteDeployment.
+type certificateAuthority struct {
 	certificate *x509.Certificate
 	key         ed25519.PrivateKey
 }
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func newAuthority(now time.Time) (*authority, error) {
+func newAuthority(now time.Time) (*certificateAuthority, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, merry.Prepend(err, "make CA key")
@@ -81,7 +81,7 @@
 		return nil, merry.Prepend(err, "parse CA")
 	}
 
-	return &authority{certificate: certificate, key: private}, nil
+	return &certificateAuthority{certificate: certificate, key: private}, nil
 }
 
 func newTemplate(name string, now time.Time) (*x509.Certificate, error) {
@@ -93,13 +93,13 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    now.Add(-startSkew),
-		NotAfter:     now.Add(validity),
+		NotBefore:    now.Add(-clockSkewAllowance),
+		NotAfter:     now.Add(certificateValidity),
 	}, nil
 }
 
 // writeInstance signs and writes the key of one instance.
-func (a *authority) writeInstance(dir, name string, now time.Time) error {
+func (a *certificateAuthority) writeInstance(dir, name string, now time.Time) error {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return err
--- a/keys/deployment_test.go
+++ b/keys/deployment_test.go
@@ -11,7 +11,7 @@
 	"monsoonlever/clock"
 )
 
-func TestWriteDeploymentMakesKeysThatVerify(t *testing.T) {
+func TestWriteDeploymentCreatesVerifiableCertificates(t *testing.T) {
 	now := time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 	dir, other := t.TempDir(), t.TempDir()
 
@@ -38,8 +38,8 @@
 	}{
 		{desc: "own CA", ca: dir, at: now, want: true},
 		{desc: "another CA", ca: other, at: now, want: false},
-		{desc: "expired", ca: dir, at: now.Add(validity + time.Second), want: false},
-		{desc: "not yet valid", ca: dir, at: now.Add(-2 * startSkew), want: false},
+		{desc: "expired", ca: dir, at: now.Add(certificateValidity + time.Second), want: false},
+		{desc: "not yet valid", ca: dir, at: now.Add(-2 * clockSkewAllowance), want: false},
 	}
 
 	for _, tt := range tests {
