--- a/document/depth.go
+++ b/document/depth.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// firstTooDeep counts the nesting of brackets outside strings and comments.
-type firstTooDeep struct {
+// depthScanner counts the nesting of brackets outside strings and comments.
+type depthScanner struct {
 	data  []byte
 	pos   int
 	depth int
 }
 
-func (s *firstTooDeep) deepest() (int, bool) {
+func (s *depthScanner) firstTooDeep() (int, bool) {
 	for s.pos < len(s.data) {
 		switch s.data[s.pos] {
 		case '"':
@@ -32,7 +32,7 @@
 }
 
 // skipString leaves the position at the closing quote.
-func (s *firstTooDeep) skipString() {
+func (s *depthScanner) skipString() {
 	for s.pos++; s.pos < len(s.data); s.pos++ {
 		switch s.data[s.pos] {
 		case '\\':
@@ -44,7 +44,7 @@
 }
 
 // skipComment leaves the position at the comment's last byte.
-func (s *firstTooDeep) skipComment() {
+func (s *depthScanner) skipComment() {
 	rest := s.data[s.pos:]
 
 	switch {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *firstTooDeep) skipPast(rest []byte, end string) {
+func (s *depthScanner) skipPast(rest []byte, end string) {
 	i := bytes.Index(rest[2:], []byte(end))
 	if i < 0 {
 		s.pos = len(s.data)
--- a/document/syntax.go
+++ b/document/syntax.go
@@ -25,7 +25,7 @@
 // tooDeep returns the offset of the first bracket beyond MaxDepth. The parser
 // recurses without a bound of its own.
 func tooDeep(data []byte) (int, bool) {
-	s := firstTooDeep{data: data}
+	s := depthScanner{data: data}
 
-	return s.deepest()
+	return s.firstTooDeep()
 }
