--- a/document/decode.go
+++ b/document/decode.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// MaxBytes is the size beyond which a document is not read.
+	// MaxBytes is the largest document, in bytes, that Decode parses.
 	MaxBytes = 4 << 20
-	// MaxDepth is the nesting beyond which a document is not read.
+	// MaxDepth is the deepest nesting of objects and arrays that Decode parses.
 	MaxDepth = 32
 )
 
-// Decode reads data into out and adds what is wrong with it to l. Fields without
-// a fault are set even where others have one.
+// Decode parses data, sets the fields of the struct that out points to and adds
+// every error it finds to l. Valid fields are set even if other fields are not.
+// Of a document that is too large, too deep or syntactically wrong, Decode sets
+// no field. file is the name of the document in findings.
 func Decode[T any](file string, data []byte, out *T, l *finding.List) *Document {
 	d := newDocument(file, data)
 
--- a/document/depth.go
+++ b/document/depth.go
@@ -2,13 +2,15 @@
 
 import "bytes"
 
-// depthScanner counts the nesting of brackets outside strings and comments.
+// depthScanner tracks the nesting depth of brackets outside strings and comments.
 type depthScanner struct {
 	data  []byte
 	pos   int
 	depth int
 }
 
+// firstTooDeep returns the offset of the first bracket beyond MaxDepth and whether
+// there is one.
 func (s *depthScanner) firstTooDeep() (int, bool) {
 	for s.pos < len(s.data) {
 		switch s.data[s.pos] {
@@ -31,7 +33,7 @@
 	return 0, false
 }
 
-// skipString leaves the position at the closing quote.
+// skipString advances the position to the closing quote.
 func (s *depthScanner) skipString() {
 	for s.pos++; s.pos < len(s.data); s.pos++ {
 		switch s.data[s.pos] {
@@ -43,7 +45,8 @@
 	}
 }
 
-// skipComment leaves the position at the comment's last byte.
+// skipComment advances the position to the last byte of a comment. A slash that
+// begins no comment is left to the parser, which rejects it.
 func (s *depthScanner) skipComment() {
 	rest := s.data[s.pos:]
 
--- a/document/document.go
+++ b/document/document.go
@@ -1,10 +1,11 @@
-// Package document decodes JSON with comments into structs and says where each
-// value stood.
+// Package document decodes JSON with comments into structs and records the line
+// of each field.
 //
 // Decoding is strict: an unknown or repeated field, a value of the wrong type, a
-// number out of range and a duration that does not parse are findings. It does
-// not stop at the first one. Durations are strings such as "250ms". A field
-// that is left out keeps the value that the struct had before.
+// number out of range and a duration that does not parse are findings. Decoding
+// continues after a finding, so that one run reports all of them. Durations are
+// strings such as "250ms". A field that the document omits keeps its previous
+// value in the struct, so defaults can be set before decoding.
 //
 // # Usage
 //
@@ -24,7 +25,7 @@
 	"monsoonlever/finding"
 )
 
-// Document is a decoded file that knows the line of each of its fields.
+// Document holds the file name of a decoded document and the line of each field.
 type Document struct {
 	file        string
 	lineStarts  []int
@@ -32,13 +33,14 @@
 	undecodable map[string]bool
 }
 
-// File returns the name under which the document reports findings.
+// File returns the file name that findings of the document carry.
 func (d *Document) File() string {
 	return d.file
 }
 
-// Line returns the line of a field, or that of its nearest ancestor that is
-// written in the document. It is 0 where there is none.
+// Line returns the line of the field with the given path, counted from 1. If the
+// document omits the field, it returns the line of the nearest ancestor that is
+// present, or 0 if nothing was decoded.
 func (d *Document) Line(field string) int {
 	for {
 		if line, ok := d.fieldLines[field]; ok {
@@ -53,8 +55,9 @@
 	}
 }
 
-// Report adds a finding about a field with its file and line. It adds none to a
-// field that could not be decoded: its value was never seen.
+// Report adds a finding about a field to l, with the document's file name and the
+// field's line. It adds nothing for a field whose value could not be decoded:
+// that field already has a finding, and the struct does not hold its value.
 func (d *Document) Report(l *finding.List, field, message string, args ...any) {
 	if d.undecodable[field] {
 		return
@@ -63,7 +66,7 @@
 	l.Add(d.file, d.Line(field), field, message, args...)
 }
 
-// Has tells whether the document writes the field.
+// Has reports whether the field with the given path is present in the document.
 func (d *Document) Has(field string) bool {
 	_, ok := d.fieldLines[field]
 
@@ -82,12 +85,12 @@
 	return &Document{file: file, lineStarts: starts, fieldLines: map[string]int{}, undecodable: map[string]bool{}}
 }
 
-// lineAt returns the line of a byte offset, counted from 1.
+// lineAt returns the line that contains a byte offset, counted from 1.
 func (d *Document) lineAt(offset int) int {
 	return sort.SearchInts(d.lineStarts, offset+1)
 }
 
-// parent returns the path without its last field or index.
+// parent returns a field's path without its last name or index.
 func parent(field string) string {
 	i := strings.LastIndexAny(field, ".[")
 	if i < 0 {
--- a/document/literal.go
+++ b/document/literal.go
@@ -112,7 +112,7 @@
 	w.report(path, "must be %s, not %s", expected(out.Type()), string(lit))
 }
 
-// expected names a type as the writer of a document knows it.
+// expected describes the JSON value that t requires, for use in a finding.
 func expected(t reflect.Type) string {
 	if t == durationType {
 		return `a duration such as "250ms"`
--- a/document/name.go
+++ b/document/name.go
@@ -1,11 +1,12 @@
 package document
 
-// NameRule says which names IsName accepts.
+// NameRule describes the names that IsName accepts, for use in findings.
 const NameRule = "1 to 63 letters, digits, dots, dashes or underscores that start with a letter or digit"
 
 const maxNameLength = 63
 
-// IsName tells whether a name is fit for metrics, paths and logs.
+// IsName reports whether s satisfies NameRule, which makes it safe to use in
+// metrics, paths and logs.
 func IsName(s string) bool {
 	if s == "" || len(s) > maxNameLength || !isAlphanumeric(s[0]) {
 		return false
--- a/document/path.go
+++ b/document/path.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Child returns the path of a field of the object at path.
+// Child returns the path of the named field of the object at path.
 func Child(path, name string) string {
 	if path == "" {
 		return name
--- a/document/syntax.go
+++ b/document/syntax.go
@@ -5,9 +5,11 @@
 	"strconv"
 )
 
-// syntaxLinePattern finds the line in the parser's text; its errors have no fields.
+// syntaxLinePattern matches the line number in the text of a parser error, which
+// has no field for it.
 var syntaxLinePattern = regexp.MustCompile(`line (\d+)`)
 
+// syntaxLine returns the line that a parser error names, or 0 if it names none.
 func syntaxLine(err error) int {
 	match := syntaxLinePattern.FindStringSubmatch(err.Error())
 	if match == nil {
@@ -22,8 +24,8 @@
 	return line
 }
 
-// tooDeep returns the offset of the first bracket beyond MaxDepth. The parser
-// recurses without a bound of its own.
+// tooDeep returns the offset of the first bracket beyond MaxDepth and whether there
+// is one. It runs before the parser, which recurses without a depth limit.
 func tooDeep(data []byte) (int, bool) {
 	s := depthScanner{data: data}
 
--- a/document/walker.go
+++ b/document/walker.go
@@ -12,7 +12,7 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// walker sets Go values from a parsed document.
+// walker decodes a parsed document into Go values by reflection.
 type walker struct {
 	document *Document
 	findings *finding.List
@@ -83,6 +83,8 @@
 	out.Set(items)
 }
 
+// report adds a finding about a value that could not be decoded and suppresses
+// later findings about the same field.
 func (w *walker) report(path, message string, args ...any) {
 	w.document.Report(w.findings, path, message, args...)
 	w.document.undecodable[path] = true
@@ -97,7 +99,8 @@
 	return name.String()
 }
 
-// fieldIndexes maps the JSON names of a struct's exported fields to their index.
+// fieldIndexes maps the JSON names of a struct's exported fields to their indexes.
+// Fields without a JSON name are omitted.
 func fieldIndexes(t reflect.Type) map[string]int {
 	fields := map[string]int{}
 
--- a/keys/deployment.go
+++ b/keys/deployment.go
@@ -16,7 +16,8 @@
 
 const (
 	certificateValidity = 30 * 24 * time.Hour
-	// clockSkewAllowance lets an instance with a clock that is behind use a new key.
+	// clockSkewAllowance predates a certificate, so that an instance whose clock is
+	// behind accepts a new one.
 	clockSkewAllowance = time.Hour
 	serialBits         = 128
 	privateMode        = 0o600
@@ -24,18 +25,19 @@
 	directoryMode      = 0o700
 )
 
-// certificateAuthority is a CA that lives as long as one WriteDeployment.
+// certificateAuthority is a CA that exists only during one call of WriteDeployment.
 type certificateAuthority struct {
 	certificate *x509.Certificate
 	key         ed25519.PrivateKey
 }
 
-// WriteDeployment makes a CA and one key for each name, and writes ca.pem,
-// NAME.pem and NAME.key to dir. The names are instance IDs. The CA's private
-// key is not kept: another run makes a whole new set.
+// WriteDeployment creates a CA and, for each name, a certificate with its private
+// key, and writes ca.pem, NAME.pem and NAME.key to dir. The names are instance
+// IDs. The CA's private key is not stored, so another call replaces the CA and
+// every certificate; none can be added later under the same CA.
 func WriteDeployment(dir string, names []string, now time.Time) error {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
-		return merry.Prepend(err, "make directory of keys")
+		return merry.Prepend(err, "create key directory")
 	}
 
 	ca, err := newAuthority(now)
@@ -49,7 +51,7 @@
 
 	for _, name := range names {
 		if err := ca.writeInstance(dir, name, now); err != nil {
-			return merry.Prependf(err, "key of %s", name)
+			return merry.Prependf(err, "create certificate of instance %s", name)
 		}
 	}
 
@@ -59,7 +61,7 @@
 func newAuthority(now time.Time) (*certificateAuthority, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, merry.Prepend(err, "make CA key")
+		return nil, merry.Prepend(err, "generate CA key")
 	}
 
 	template, err := newTemplate("monsoonlever demo CA", now)
@@ -73,12 +75,12 @@
 
 	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	if err != nil {
-		return nil, merry.Prepend(err, "sign CA")
+		return nil, merry.Prepend(err, "sign CA certificate")
 	}
 
 	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, merry.Prepend(err, "parse CA")
+		return nil, merry.Prepend(err, "parse CA certificate")
 	}
 
 	return &certificateAuthority{certificate: certificate, key: private}, nil
@@ -87,7 +89,7 @@
 func newTemplate(name string, now time.Time) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, merry.Prepend(err, "make serial number")
+		return nil, merry.Prepend(err, "generate serial number")
 	}
 
 	return &x509.Certificate{
@@ -98,7 +100,8 @@
 	}, nil
 }
 
-// writeInstance signs and writes the key of one instance.
+// writeInstance creates the certificate and private key of one instance and writes
+// both.
 func (a *certificateAuthority) writeInstance(dir, name string, now time.Time) error {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -135,7 +138,7 @@
 func writePEM(path, block string, der []byte, mode os.FileMode) error {
 	data := pem.EncodeToMemory(&pem.Block{Type: block, Bytes: der})
 	if err := os.WriteFile(path, data, mode); err != nil {
-		return merry.Prepend(err, "write key file")
+		return merry.Prepend(err, "write PEM file")
 	}
 
 	return nil
--- a/keys/doc.go
+++ b/keys/doc.go
@@ -1,9 +1,10 @@
-// Package keys makes and loads the keys with which entry instances prove to
-// each other who they are.
+// Package keys creates and loads the TLS certificates and private keys with which
+// entry instances authenticate each other.
 //
 // Each instance has a certificate, signed by the deployment's own CA, whose
-// DNS name is the instance ID. The ID and not the IP address is bound: it is
-// what every decision uses, and an address may be taken over by a replacement.
+// DNS name is the instance ID. The certificate names the ID, not the IP address,
+// because every decision uses the ID, and a replacement instance may reuse an
+// address.
 //
 // # Usage
 //
--- a/keys/files.go
+++ b/keys/files.go
@@ -13,29 +13,29 @@
 // ErrNoCertificate is returned for a CA file without a certificate.
 var ErrNoCertificate = merry.Sentinel("no certificate in file")
 
-// Files names the PEM files of one instance's keys.
+// Files holds the paths of the PEM files with which one instance authenticates.
 type Files struct {
-	// CA holds the certificates of the CAs that are trusted; while a CA is
-	// being replaced it holds both.
+	// CA is the path of the trusted CA certificates. While a CA is being
+	// replaced, the file contains the old and the new one.
 	CA string `json:"ca"`
-	// Certificate holds the instance's certificate.
+	// Certificate is the path of the instance's certificate.
 	Certificate string `json:"certificate"`
-	// Key holds the instance's private key.
+	// Key is the path of the instance's private key.
 	Key string `json:"key"`
 }
 
-// TLS loads the files into a configuration for both ends of a connection. It
-// verifies the remote's certificate against the CA; the caller checks the
-// instance ID in it.
+// TLS loads the files into a configuration for clients and servers. The
+// configuration verifies the remote certificate against the CA; the caller must
+// check the instance ID in that certificate.
 func (f Files) TLS(c clock.Clock) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
-		return nil, merry.Prepend(err, "load instance key")
+		return nil, merry.Prepend(err, "load instance certificate and key")
 	}
 
 	pem, err := os.ReadFile(f.CA)
 	if err != nil {
-		return nil, merry.Prepend(err, "load CA")
+		return nil, merry.Prepend(err, "read CA file")
 	}
 
 	roots := x509.NewCertPool()
@@ -51,15 +51,16 @@
 		ClientAuth:       tls.RequireAnyClientCert,
 		VerifyConnection: v.verify,
 		Time:             c.Now,
-		// The remote's name is unknown before its hello, so VerifyConnection
-		// verifies the chain and the receiver of the hello checks the name.
+		// The remote's ID is unknown before its hello message, so
+		// VerifyConnection verifies only the chain, and the receiver of the
+		// hello checks the ID.
 		InsecureSkipVerify: true,
 		// A resumed session would skip a changed CA.
 		SessionTicketsDisabled: true,
 	}, nil
 }
 
-// verifier verifies a remote's certificate on both ends of a connection.
+// verifier verifies the remote certificate, for clients and servers alike.
 type verifier struct {
 	roots *x509.CertPool
 	clock clock.Clock
--- a/keys/instance_tls.go
+++ b/keys/instance_tls.go
@@ -9,8 +9,10 @@
 	"monsoonlever/clock"
 )
 
-// InstanceTLS is TLS for the instance of an ID. It returns an error for a certificate
-// that remotes with the same CA would not take from that instance.
+// InstanceTLS calls TLS and checks that the certificate is that of the instance
+// with the given ID. It returns an error if remote instances that trust the same
+// CA would reject the certificate: it names another ID, has expired, is not yet
+// valid or was signed by another CA.
 func (f Files) InstanceTLS(id string, c clock.Clock) (*tls.Config, error) {
 	config, err := f.TLS(c)
 	if err != nil {
