--- a/membership/broadcast.go
+++ b/membership/broadcast.go
@@ -7,24 +7,24 @@
 	"monsoonlever/fleet"
 )
 
-// extraSends is how often more than a payload an update is sent on.
-const extraSends = 6
+// extraStateSends is how often more than a payload an update is sent on.
+const extraStateSends = 6
 
 // broadcast is an update that is still being sent on.
 type broadcast struct {
 	id    fleet.InstanceID
 	parts parts
 	sent  int
-	class class
+	class broadcastClass
 }
 
-// class orders updates: of a higher class all go first.
-type class uint8
+// broadcastClass orders updates: of a higher broadcastClass all go first.
+type broadcastClass uint8
 
 const (
 	// classPayload updates carry a payload; an anti-entropy round may bring
 	// what was missed.
-	classPayload class = iota
+	classPayload broadcastClass = iota
 	// classJoin updates introduce a member.
 	classJoin
 	// classState updates tell of leaving, suspicion, death and refutation, or
@@ -39,7 +39,7 @@
 }
 
 // add queues news of a member, merged with what is still queued of it.
-func (b *broadcasts) add(id fleet.InstanceID, p parts, of class) {
+func (b *broadcasts) add(id fleet.InstanceID, p parts, of broadcastClass) {
 	if b.byID == nil {
 		b.byID = make(map[fleet.InstanceID]*broadcast)
 	}
@@ -72,7 +72,7 @@
 // they are not of a payload: every member must have those within seconds.
 func (b *broadcasts) trim(limit int) {
 	b.queue = slices.DeleteFunc(b.queue, func(x *broadcast) bool {
-		if x.sent < limit || (x.class > classPayload && x.sent < limit+extraSends) {
+		if x.sent < limit || (x.class > classPayload && x.sent < limit+extraStateSends) {
 			return false
 		}
 
--- a/membership/bucket.go
+++ b/membership/bucket.go
@@ -5,18 +5,18 @@
 // tokenBucket bounds a rate; tokens are bytes or changes.
 type tokenBucket struct {
 	tokens float64
-	last   time.Time
+	refilledAt   time.Time
 }
 
 // refill adds what has accrued since the last call, up to burst.
 func (b *tokenBucket) refill(now time.Time, rate, burst float64) {
-	if b.last.IsZero() {
+	if b.refilledAt.IsZero() {
 		b.tokens = burst
-	} else if passed := now.Sub(b.last); passed > 0 {
+	} else if passed := now.Sub(b.refilledAt); passed > 0 {
 		b.tokens = min(burst, b.tokens+rate*passed.Seconds())
 	}
 
-	b.last = now
+	b.refilledAt = now
 }
 
 // take spends n tokens if there are as many.
--- a/membership/config.go
+++ b/membership/config.go
@@ -17,15 +17,15 @@
 	// TickInterval is how often the shell calls Tick.
 	TickInterval = 100 * time.Millisecond
 
-	maxHealth    = 4
-	maxRelays    = 64
+	maxHealthPenalty    = 4
+	maxRelayedProbes    = 64
 	bucketCount  = 64
 	digestSize   = 4
 	leaveFanout  = 4
 	gossipFanout = 2
-	// freezeGap is a time without a Tick after which the node itself was
+	// pauseThreshold is a time without a Tick after which the node itself was
 	// paused, so that it cannot blame others for what it did not hear.
-	freezeGap = 10 * TickInterval
+	pauseThreshold = 10 * TickInterval
 )
 
 // Config holds the timing of a Core; zero fields take their default.
--- a/membership/core.go
+++ b/membership/core.go
@@ -30,37 +30,37 @@
 
 	table      table
 	broadcasts broadcasts
-	bytes      tokenBucket
+	gossipBytes      tokenBucket
 	syncBytes  tokenBucket
-	groups     groups
-	regrouping bool
+	live     liveMembers
+	liveOutdated bool
 
-	number      uint32
+	lastProbeNumber      uint32
 	probe       *probe
 	probeAt     time.Time
-	probeTurns  turns
-	gossipTurns turns
-	relays      []relay
+	probeRotation  rotation
+	gossipRotation rotation
+	relayedProbes      []relayedProbe
 	suspects    []fleet.InstanceID
-	health      int
+	healthPenalty      int
 	gossipAt    time.Time
 	syncAt      time.Time
 	seedAt      time.Time
-	seedTurn    int
-	goneAt      time.Time
-	goneTurn    int
-	hurry       int
+	seedIndex    int
+	deadContactAt      time.Time
+	deadIndex    int
+	fastSyncRounds       int
 	seeds       []string
 	regions     []*regionState
-	bridgeAt    time.Time
-	bridgeTurn  int
-	crossSyncAt time.Time
-	reapAt      time.Time
+	bridgeProbeAt    time.Time
+	bridgeIndex  int
+	bridgeSyncAt time.Time
+	evictAt      time.Time
 	pending     pendingPayload
 }
 
-// begin opens a step at now.
-func (c *Core) begin(now time.Time) {
+// beginStep opens a step at now.
+func (c *Core) beginStep(now time.Time) {
 	c.now = now
 	c.step = Step{}
 
@@ -72,60 +72,60 @@
 	c.config = c.Config.withDefaults()
 	c.table.put(&Member{identity: c.Self})
 	c.broadcasts.add(c.Self.ID, partsAll, classJoin)
-	c.regrouping = true
+	c.liveOutdated = true
 	c.probeAt = now.Add(c.jitter(c.config.ProbeInterval))
 	c.gossipAt = now.Add(c.jitter(c.config.GossipInterval))
 	c.syncAt = now
 	c.seedAt = now
-	c.goneAt = now.Add(c.jitter(c.config.SeedInterval))
-	c.hurry = maxHurry
-	c.seedTurn = c.Random.IntN(math.MaxInt32)
-	c.goneTurn = c.Random.IntN(math.MaxInt32)
-	c.bridgeAt = now.Add(c.jitter(c.config.BridgeInterval))
-	c.crossSyncAt = now.Add(c.jitter(c.config.SyncInterval))
-	c.reapAt = now.Add(time.Minute)
+	c.deadContactAt = now.Add(c.jitter(c.config.SeedInterval))
+	c.fastSyncRounds = maxFastSyncRounds
+	c.seedIndex = c.Random.IntN(math.MaxInt32)
+	c.deadIndex = c.Random.IntN(math.MaxInt32)
+	c.bridgeProbeAt = now.Add(c.jitter(c.config.BridgeInterval))
+	c.bridgeSyncAt = now.Add(c.jitter(c.config.SyncInterval))
+	c.evictAt = now.Add(time.Minute)
 }
 
 // Tick lets time pass. The shell calls it every TickInterval.
 func (c *Core) Tick(now time.Time) Step {
-	c.begin(now)
+	c.beginStep(now)
 
 	if c.stopped {
 		return c.step
 	}
 
-	c.noteFreeze()
+	c.handlePause()
 	c.lastTick = now
 	c.expireProbe()
 	c.expireSuspicions()
 	c.expireRegions()
-	c.regroup()
-	c.releasePayload()
-	c.probeNext()
-	c.bridgeNext()
-	c.syncNext()
-	c.gossipNext()
-	c.reap()
+	c.refreshLiveMembers()
+	c.publishPendingPayload()
+	c.startProbe()
+	c.probeBridge()
+	c.startSyncs()
+	c.sendGossip()
+	c.evictExpired()
 
 	return c.step
 }
 
 // Receive takes a message from a verified source.
 func (c *Core) Receive(now time.Time, from Source, message Message) Step {
-	c.begin(now)
+	c.beginStep(now)
 
 	if c.stopped || from.ID == c.Self.ID {
 		return c.step
 	}
 
-	c.noteFreeze()
+	c.handlePause()
 
-	if c.outdated(from) {
+	if c.rejectOutdated(from) {
 		return c.step
 	}
 
 	c.mergeAll(message)
-	c.regroup()
+	c.refreshLiveMembers()
 	c.handle(from, message)
 
 	return c.step
@@ -136,20 +136,20 @@
 	case *Probe:
 		c.answerProbe(from, m)
 	case *Ack:
-		c.noteAck(from, m)
+		c.handleAck(from, m)
 	case *IndirectProbe:
 		c.relayProbe(from, m)
 	case *SyncRequest:
-		c.answerSync(from, m)
+		c.handleSyncRequest(from, m)
 	case *SyncResponse:
-		c.finishSync(from, m)
+		c.handleSyncResponse(from, m)
 	}
 }
 
 // Discover replaces the addresses to join through: seeds of the settings and
 // the platform's list.
 func (c *Core) Discover(now time.Time, addresses []string) {
-	c.begin(now)
+	c.beginStep(now)
 	c.seeds = slices.Clone(addresses)
 }
 
@@ -168,7 +168,7 @@
 
 // announce moves the node's own phase on and tells some members at once.
 func (c *Core) announce(now time.Time, phase Phase) Step {
-	c.begin(now)
+	c.beginStep(now)
 
 	self := c.self()
 	if c.stopped || self.phase >= phase {
@@ -178,11 +178,11 @@
 	changed := *self
 	changed.phase = phase
 	changed.revision++
-	c.replace(&changed, 0, classState)
-	c.regroup()
+	c.store(&changed, 0, classState)
+	c.refreshLiveMembers()
 
-	told := append(c.pick(c.groups.locals, leaveFanout, ""), c.pick(c.groups.bridges, leaveFanout/2, "")...)
-	for _, m := range told {
+	receivers := append(c.pickRandom(c.live.locals, leaveFanout, ""), c.pickRandom(c.live.bridges, leaveFanout/2, "")...)
+	for _, m := range receivers {
 		c.send(m, &Gossip{Updates: c.piggyback(m)})
 	}
 
@@ -208,8 +208,8 @@
 	return time.Duration(c.Random.Int64N(int64(d)))
 }
 
-// spread returns d give or take a tenth.
-func (c *Core) spread(d time.Duration) time.Duration {
+// withJitter returns d give or take a tenth.
+func (c *Core) withJitter(d time.Duration) time.Duration {
 	return d*9/10 + c.jitter(d/5)
 }
 
@@ -225,11 +225,11 @@
 	c.sendTo(Destination{id: to.ID, address: to.Address}, message)
 }
 
-// pick returns up to n random members of list other than except.
-func (c *Core) pick(list []*Member, n int, except fleet.InstanceID) []*Member {
+// pickRandom returns up to n random members of list other than except.
+func (c *Core) pickRandom(list []*Member, n int, except fleet.InstanceID) []*Member {
 	var picked []*Member
 
-	draws := c.draws(len(list), n)
+	draws := c.drawIndexes(len(list), n)
 	for _, at := range draws {
 		if len(picked) == n {
 			break
@@ -244,9 +244,9 @@
 	return picked
 }
 
-// draws returns places in a list of some size: every one where the list is
+// drawIndexes returns places in a list of some size: every one where the list is
 // short, and otherwise a few with repeats, which cost less than a shuffle.
-func (c *Core) draws(size, n int) []int {
+func (c *Core) drawIndexes(size, n int) []int {
 	if size <= 4*n {
 		return c.Random.Perm(size)
 	}
@@ -259,7 +259,7 @@
 	return draws
 }
 
-// logSize is the natural logarithm of the number of live members of the region.
-func (c *Core) logSize() float64 {
-	return math.Log(float64(len(c.groups.locals) + 2))
+// logRegionSize is the natural logarithm of the number of live members of the region.
+func (c *Core) logRegionSize() float64 {
+	return math.Log(float64(len(c.live.locals) + 2))
 }
--- a/membership/counters.go
+++ b/membership/counters.go
@@ -14,8 +14,8 @@
 	suspicions      = metrics.GetOrCreateCounter("monsoonlever_membership_suspicions_total")
 )
 
-// note counts a change, and logs it where a member's state is another.
-func note(c Change) {
+// recordChange counts a change, and logs it where a member's state is another.
+func recordChange(c Change) {
 	changes.Inc()
 
 	if c.after == nil || (c.before != nil && c.before.version() == c.after.version()) {
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -6,12 +6,12 @@
 	"monsoonlever/fleet"
 )
 
-// burstSeconds is how much of the rate may be saved up for a burst of news.
-const burstSeconds = 4
+// gossipBurstSeconds is how much of the rate may be saved up for a burst of news.
+const gossipBurstSeconds = 4
 
-// gossipNext sends queued updates to a few members, and a bridge sends them
+// sendGossip sends queued updates to a few members, and a bridge sends them
 // to a bridge of each other region.
-func (c *Core) gossipNext() {
+func (c *Core) sendGossip() {
 	if c.now.Before(c.gossipAt) {
 		return
 	}
@@ -24,12 +24,12 @@
 
 	var targets []*Member
 
-	for range min(gossipFanout, len(c.groups.locals)) {
-		targets = append(targets, c.nextTurn(&c.gossipTurns))
+	for range min(gossipFanout, len(c.live.locals)) {
+		targets = append(targets, c.nextInRotation(&c.gossipRotation))
 	}
 
-	if c.groups.bridge {
-		targets = append(targets, c.pick(c.groups.bridges, 1, "")...)
+	if c.live.isBridge {
+		targets = append(targets, c.pickRandom(c.live.bridges, 1, "")...)
 	}
 
 	for _, m := range targets {
@@ -42,7 +42,7 @@
 // piggyback returns queued updates for a member, within the bounds of a
 // message and of the node's rate.
 func (c *Core) piggyback(to *Member) []Update {
-	return c.collect(to.identity.ID, to.identity.Region)
+	return c.collectUpdates(to.identity.ID, to.identity.Region)
 }
 
 func (c *Core) piggybackTo(id fleet.InstanceID) []Update {
@@ -50,13 +50,13 @@
 		return c.piggyback(e.member)
 	}
 
-	return c.collect(id, "")
+	return c.collectUpdates(id, "")
 }
 
-func (c *Core) collect(to fleet.InstanceID, region fleet.Region) []Update {
-	updates, room := c.accusation(to)
+func (c *Core) collectUpdates(to fleet.InstanceID, region fleet.Region) []Update {
+	updates, room := c.suspicionUpdate(to)
 	rate := float64(c.config.GossipRate)
-	c.bytes.refill(c.now, rate, burstSeconds*rate)
+	c.gossipBytes.refill(c.now, rate, gossipBurstSeconds*rate)
 
 	if c.broadcasts.empty() {
 		return updates
@@ -80,7 +80,7 @@
 		u := newUpdate(e.member, b.parts)
 
 		size := u.size()
-		if size > room || !c.bytes.take(float64(size)) {
+		if size > room || !c.gossipBytes.take(float64(size)) {
 			break
 		}
 
@@ -89,14 +89,14 @@
 		updates = append(updates, u)
 	}
 
-	c.broadcasts.trim(int(math.Ceil(c.config.RetransmitFactor * c.logSize())))
+	c.broadcasts.trim(int(math.Ceil(c.config.RetransmitFactor * c.logRegionSize())))
 
 	return updates
 }
 
-// accusation returns what the node holds against the receiver, which can
+// suspicionUpdate returns what the node holds against the receiver, which can
 // refute it at once, and the room left in the message.
-func (c *Core) accusation(to fleet.InstanceID) ([]Update, int) {
+func (c *Core) suspicionUpdate(to fleet.InstanceID) ([]Update, int) {
 	e := c.table.get(to)
 	if e == nil || e.member.status == Alive {
 		return nil, MaxPiggyback
--- a/membership/group.go
+++ b/membership/group.go
@@ -23,8 +23,8 @@
 	batchLength = 64
 	// defaultListInterval is the time between looks at the platform's list.
 	defaultListInterval = 30 * time.Second
-	// departTimeout bounds the time in which the last messages are written.
-	departTimeout = time.Second
+	// flushTimeout bounds the time in which the last messages are written.
+	flushTimeout = time.Second
 )
 
 var (
@@ -58,21 +58,21 @@
 
 	core   *Core
 	send   func(Outgoing) error
-	inbox  chan arrival
+	inbox  chan receivedMessage
 	wake   chan struct{}
 	view   atomic.Pointer[View]
 	joined atomic.Bool
 
-	// stale says that the view misses a change.
-	stale bool
+	// viewStale says that the view misses a change.
+	viewStale bool
 
 	mu     sync.Mutex
-	orders orders
-	listed []string
+	commands ownerCommands
+	listedAddresses []string
 }
 
-// arrival is a message that was received.
-type arrival struct {
+// receivedMessage is a message that was received.
+type receivedMessage struct {
 	from    Source
 	message Message
 }
@@ -99,7 +99,7 @@
 	defer cancel()
 
 	if g.List != nil {
-		tasks.Go(func() { g.followList(ctx) })
+		tasks.Go(func() { g.pollInstanceList(ctx) })
 	}
 
 	tick := g.Clock.After(0)
@@ -107,17 +107,17 @@
 	for {
 		select {
 		case <-ctx.Done():
-			g.depart()
+			g.announceLeft()
 
 			return nil
 		case a := <-g.inbox:
 			g.handleBatch(a)
 		case <-g.wake:
-			g.handleOrders()
+			g.handleCommands()
 		case <-tick:
 			tick = g.Clock.After(TickInterval)
-			g.take(g.core.Tick(g.Clock.Now()))
-			g.publish()
+			g.execute(g.core.Tick(g.Clock.Now()))
+			g.publishView()
 		}
 
 		if incarnation, superseded := g.core.Superseded(); superseded {
@@ -129,9 +129,9 @@
 }
 
 // handleBatch handles what waits, up to a bound, and publishes one view.
-func (g *Group) handleBatch(a arrival) {
+func (g *Group) handleBatch(a receivedMessage) {
 	for range batchLength {
-		g.take(g.core.Receive(g.Clock.Now(), a.from, a.message))
+		g.execute(g.core.Receive(g.Clock.Now(), a.from, a.message))
 
 		select {
 		case a = <-g.inbox:
@@ -142,25 +142,25 @@
 		break
 	}
 
-	g.publish()
+	g.publishView()
 }
 
-// depart announces the end and gives the messages time to be written.
-func (g *Group) depart() {
-	g.take(g.core.Depart(g.Clock.Now()))
-	g.publish()
+// announceLeft announces the end and gives the messages time to be written.
+func (g *Group) announceLeft() {
+	g.execute(g.core.Depart(g.Clock.Now()))
+	g.publishView()
 
-	ctx, cancel := context.WithTimeout(context.Background(), departTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 
 	g.Node.Flush(ctx)
 }
 
-// take carries out a step.
-func (g *Group) take(step Step) {
+// execute carries out a step.
+func (g *Group) execute(step Step) {
 	for _, c := range step.changes {
-		g.stale = true
-		note(c)
+		g.viewStale = true
+		recordChange(c)
 	}
 
 	for _, o := range step.messages {
@@ -170,15 +170,15 @@
 	}
 }
 
-// publish replaces the view when something has changed.
-func (g *Group) publish() {
+// publishView replaces the view when something has changed.
+func (g *Group) publishView() {
 	g.joined.Store(g.core.Joined())
 
-	if !g.stale {
+	if !g.viewStale {
 		return
 	}
 
-	g.stale = false
+	g.viewStale = false
 	old := g.view.Swap(g.core.View())
 	close(old.changed)
 }
--- a/membership/group_test.go
+++ b/membership/group_test.go
@@ -24,11 +24,11 @@
 	return l, nil
 }
 
-// exchange carries messages between groups in one process, by address.
-type exchange map[string]*Group
+// messageExchange carries messages between groups in one process, by address.
+type messageExchange map[string]*Group
 
 // newGroup adds a group whose messages go through the exchange.
-func (x exchange) newGroup(id fleet.InstanceID, i int, incarnation fleet.Incarnation) *Group {
+func (x messageExchange) newGroup(id fleet.InstanceID, i int, incarnation fleet.Incarnation) *Group {
 	address := fmt.Sprintf("10.0.0.%d:1", i)
 	g := &Group{
 		Node: &peer.Node{
@@ -48,7 +48,7 @@
 			return peer.ErrUnreachable
 		}
 
-		to.receive(source, o.message)
+		to.enqueue(source, o.message)
 
 		return nil
 	}
@@ -77,11 +77,11 @@
 	}
 }
 
-func TestGroupSpreadsWhatMembersSay(t *testing.T) {
+func TestGroupSpreadsMemberChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 5
 
-		x := make(exchange)
+		x := make(messageExchange)
 		list := fakeList{{Service: "entry", Address: "10.0.0.0:1"}, {Service: "llm", Address: "10.9.9.9:1"}}
 		ctx, cancel := context.WithCancel(t.Context())
 		leaving, leave := context.WithCancel(ctx)
@@ -133,9 +133,9 @@
 	})
 }
 
-func TestGroupEndsWhenALaterIncarnationRuns(t *testing.T) {
+func TestGroupStopsWhenSuperseded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := make(exchange)
+		x := make(messageExchange)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 
--- a/membership/groups.go
+++ b/membership/groups.go
@@ -8,17 +8,17 @@
 	"monsoonlever/fleet"
 )
 
-// groups are the live members other than the node, sorted by what they are
+// liveMembers are the live members other than the node, sorted by what they are
 // asked for.
-type groups struct {
+type liveMembers struct {
 	// locals are those of the node's region.
 	locals []*Member
 	// bridges are the bridges of every other region.
 	bridges []*Member
-	// bridge says whether the node is a bridge of its own region.
-	bridge bool
-	// size counts all live members, the node included.
-	size int
+	// isBridge says whether the node is a isBridge of its own region.
+	isBridge bool
+	// count counts all live members, the node included.
+	count int
 }
 
 // bridgeKey names a failure domain of a region.
@@ -27,14 +27,14 @@
 	domain fleet.FailureDomain
 }
 
-// regroup sorts the members anew after one has come, gone or moved on.
-func (c *Core) regroup() {
-	if !c.regrouping {
+// refreshLiveMembers sorts the members anew after one has come, gone or moved on.
+func (c *Core) refreshLiveMembers() {
+	if !c.liveOutdated {
 		return
 	}
 
-	c.regrouping = false
-	g := groups{}
+	c.liveOutdated = false
+	g := liveMembers{}
 	elected := make(map[bridgeKey]*Member)
 
 	for _, e := range c.table.order {
@@ -43,7 +43,7 @@
 			continue
 		}
 
-		g.size++
+		g.count++
 
 		if m.identity.Region == c.Self.Region && m.identity.ID != c.Self.ID {
 			g.locals = append(g.locals, m)
@@ -55,16 +55,16 @@
 	for _, m := range elected {
 		switch {
 		case m.identity.ID == c.Self.ID:
-			g.bridge = true
+			g.isBridge = true
 		case m.identity.Region != c.Self.Region:
 			g.bridges = append(g.bridges, m)
 		}
 	}
 
 	slices.SortFunc(g.bridges, compareRank)
-	c.notePromotion(g.bridge)
-	c.groups = g
-	c.noteRegions()
+	c.handlePromotion(g.isBridge)
+	c.live = g
+	c.trackNewRegions()
 }
 
 // elect keeps one bridge for each failure domain: of the usable members the
--- a/membership/holds_test.go
+++ b/membership/holds_test.go
@@ -20,10 +20,10 @@
 	rateWindow = 10 * time.Second
 )
 
-// drawModel boots a few nodes in one or two regions and lets them join.
-func drawModel(t *rapid.T, most int) *model {
-	m := newModel(rapid.Uint64().Draw(t, "seed"))
-	size := rapid.IntRange(3, most).Draw(t, "nodes")
+// drawSimulation boots a few nodes in one or two regions and lets them join.
+func drawSimulation(t *rapid.T, maxNodes int) *simulation {
+	m := newSimulation(rapid.Uint64().Draw(t, "seed"))
+	size := rapid.IntRange(3, maxNodes).Draw(t, "nodes")
 	regions := rapid.IntRange(1, 2).Draw(t, "regions")
 
 	for i := range size {
@@ -78,11 +78,11 @@
 	}), 0, 8).Draw(t, "faults")
 }
 
-// play runs the faults to the end of the last and heals what they left.
-func (m *model) play(faults []fault) {
+// runFaults runs the faults to the end of the last and heals what they left.
+func (m *simulation) runFaults(faults []fault) {
 	var cuts []fault
 
-	m.blocked = func(from, to *modelNode) bool {
+	m.blocked = func(from, to *simulatedNode) bool {
 		for _, f := range cuts {
 			if f.kind == faultIsolation && (m.nodes[f.node] == from || m.nodes[f.node] == to) {
 				return true
@@ -102,7 +102,7 @@
 		for _, f := range faults {
 			m.apply(f, time.Duration(second)*time.Second)
 
-			if inForce(f, time.Duration(second)*time.Second) {
+			if cutInForce(f, time.Duration(second)*time.Second) {
 				cuts = append(cuts, f)
 			}
 		}
@@ -110,38 +110,38 @@
 		m.run(time.Second)
 	}
 
-	m.blocked = func(_, _ *modelNode) bool { return false }
+	m.blocked = func(_, _ *simulatedNode) bool { return false }
 }
 
-func inForce(f fault, at time.Duration) bool {
+func cutInForce(f fault, at time.Duration) bool {
 	return f.from <= at && at < f.until && (f.kind == faultCut || f.kind == faultIsolation)
 }
 
 // apply starts or ends a fault of a process.
-func (m *model) apply(f fault, at time.Duration) {
+func (m *simulation) apply(f fault, at time.Duration) {
 	n := m.nodes[f.node]
 
 	switch {
 	case f.kind == faultFreeze && at == f.from && n.running:
 		n.frozen = true
 	case f.kind == faultFreeze && at == f.until:
-		m.thaw(n)
+		m.resume(n)
 	case f.kind == faultRestart && at == f.from, f.kind == faultCrash && at == f.from:
 		m.crash(n)
 	case f.kind == faultRestart && at == f.until && !n.running:
 		m.boot(n)
 	case f.kind == faultLeave && at == f.from && n.running && !n.frozen:
-		m.take(n, n.core.Leave(m.now()))
+		m.execute(n, n.core.Leave(m.now()))
 	case f.kind == faultLeave && at == f.until && n.running && !n.frozen:
-		m.take(n, n.core.Depart(m.now()))
+		m.execute(n, n.core.Depart(m.now()))
 		m.crash(n)
 	}
 }
 
-// list gives the running nodes the platform's list, which still holds the
+// discoverAllAddresses gives the running nodes the platform's discoverAllAddresses, which still holds the
 // instances that are gone. Without it, nodes that all restarted while every seed
 // ended for good have nothing left by which to find each other.
-func (m *model) list() {
+func (m *simulation) discoverAllAddresses() {
 	var addresses []string
 	for _, n := range m.nodes {
 		addresses = append(addresses, n.identity.Address)
@@ -157,9 +157,9 @@
 // platform's list is late until then.
 func TestHoldsMembershipAgreesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 8)
-		m.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
-		m.repeat = rapid.Float64Range(0, 0.2).Draw(t, "repeat")
+		m := drawSimulation(t, 8)
+		m.lossRate = rapid.Float64Range(0, 0.3).Draw(t, "loss")
+		m.repeatRate = rapid.Float64Range(0, 0.2).Draw(t, "repeat")
 		m.maxDelay = rapid.IntRange(1, 60).Draw(t, "delay")
 		faults := drawFaults(t, len(m.nodes))
 
@@ -169,13 +169,13 @@
 				t.Fatal(err)
 			}
 
-			m.take(n, step)
+			m.execute(n, step)
 		}
 
-		m.play(faults)
-		m.loss = 0
+		m.runFaults(faults)
+		m.lossRate = 0
 		m.maxDelay = 2
-		m.list()
+		m.discoverAllAddresses()
 
 		if _, d := m.settle(settleBound); d != "" {
 			t.Fatalf("not agreed after %v: %s", settleBound, d)
@@ -188,11 +188,11 @@
 // or twice.
 func TestHoldsMembershipOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 6)
-		m.loss = 0.1
-		m.repeat = 0.3
+		m := drawSimulation(t, 6)
+		m.lossRate = 0.1
+		m.repeatRate = 0.3
 		m.maxDelay = 100
-		m.changed = func(n *modelNode, c Change) {
+		m.onChange = func(n *simulatedNode, c Change) {
 			if c.Before() == nil || c.After() == nil {
 				return
 			}
@@ -207,7 +207,7 @@
 			}
 		}
 
-		m.play(drawFaults(t, len(m.nodes)))
+		m.runFaults(drawFaults(t, len(m.nodes)))
 	})
 }
 
@@ -215,13 +215,13 @@
 // known to all others within seconds, over a lossy network.
 func TestHoldsMembershipLeavingIsKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 24)
-		m.loss = rapid.Float64Range(0, 0.2).Draw(t, "loss")
+		m := drawSimulation(t, 24)
+		m.lossRate = rapid.Float64Range(0, 0.2).Draw(t, "loss")
 		m.maxDelay = rapid.IntRange(1, 20).Draw(t, "delay")
 		m.run(time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond)
 
 		leaver := m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(t, "leaver")]
-		m.take(leaver, leaver.core.Leave(m.now()))
+		m.execute(leaver, leaver.core.Leave(m.now()))
 		m.run(leavingBound)
 
 		for _, n := range m.nodes {
@@ -236,10 +236,10 @@
 // minutes, gets none of the others declared dead when it goes on.
 func TestHoldsMembershipFrozenBlamesNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 10)
+		m := drawSimulation(t, 10)
 		frozen := m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(t, "frozen")]
 		keep := rapid.Bool().Draw(t, "inbox is kept")
-		m.changed = func(n *modelNode, c Change) {
+		m.onChange = func(n *simulatedNode, c Change) {
 			if c.After() != nil && c.After().Status() == Dead && c.After().ID() != frozen.identity.ID {
 				t.Fatalf("%s declared %s dead", n.identity.ID, c.After().ID())
 			}
@@ -253,7 +253,7 @@
 				frozen.inbox = nil
 			}
 
-			m.thaw(frozen)
+			m.resume(frozen)
 			m.run(30 * time.Second)
 		}
 
@@ -267,11 +267,11 @@
 // members stays cut, nobody is declared dead, as others reach both.
 func TestHoldsMembershipOneWayCutKillsNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 10)
+		m := drawSimulation(t, 10)
 		from := rapid.IntRange(0, len(m.nodes)-1).Draw(t, "from")
 		to := rapid.IntRange(0, len(m.nodes)-1).Draw(t, "to")
-		m.blocked = func(a, b *modelNode) bool { return a == m.nodes[from] && b == m.nodes[to] }
-		m.changed = func(n *modelNode, c Change) {
+		m.blocked = func(a, b *simulatedNode) bool { return a == m.nodes[from] && b == m.nodes[to] }
+		m.onChange = func(n *simulatedNode, c Change) {
 			if c.After() != nil && c.After().Status() == Dead {
 				t.Fatalf("%s declared %s dead", n.identity.ID, c.After().ID())
 			}
@@ -285,11 +285,11 @@
 // node sends more than its rate over any window, under all faults.
 func TestHoldsMembershipIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 8)
+		m := drawSimulation(t, 8)
 		faults := drawFaults(t, len(m.nodes))
 		before := make([]int64, len(m.nodes))
 		until := m.now()
-		m.changed = func(*modelNode, Change) {
+		m.onChange = func(*simulatedNode, Change) {
 			if m.now().Before(until) {
 				return
 			}
@@ -305,10 +305,10 @@
 			}
 		}
 
-		m.play(faults)
+		m.runFaults(faults)
 
 		for _, n := range m.nodes {
-			if got, want := n.worst, MaxMessage+bucketCount*digestSize+2*messageOverhead; got > want {
+			if got, want := n.largestMessage, MaxMessage+bucketCount*digestSize+2*messageOverhead; got > want {
 				t.Fatalf("%s: largest message: got %d bytes, want at most %d", n.identity.ID, got, want)
 			}
 		}
--- a/membership/list.go
+++ b/membership/list.go
@@ -5,10 +5,10 @@
 	"context"
 )
 
-// followList looks at the platform's list from time to time.
-func (g *Group) followList(ctx context.Context) {
+// pollInstanceList looks at the platform's list from time to time.
+func (g *Group) pollInstanceList(ctx context.Context) {
 	for {
-		g.readList(ctx)
+		g.readInstanceList(ctx)
 
 		select {
 		case <-ctx.Done():
@@ -18,9 +18,9 @@
 	}
 }
 
-// readList takes over the addresses of the list. While the list is down the
+// readInstanceList takes over the addresses of the list. While the list is down the
 // last ones stay.
-func (g *Group) readList(ctx context.Context) {
+func (g *Group) readInstanceList(ctx context.Context) {
 	listings, err := g.List.Listings(ctx)
 	if err != nil {
 		failedListings.Inc()
@@ -37,7 +37,7 @@
 	}
 
 	g.mu.Lock()
-	g.listed = addresses
+	g.listedAddresses = addresses
 	g.mu.Unlock()
-	g.order(func(o *orders) { o.discover = true })
+	g.queueCommand(func(o *ownerCommands) { o.discover = true })
 }
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -7,7 +7,7 @@
 
 // mergeAll takes over the updates of a message.
 func (c *Core) mergeAll(message Message) {
-	updates := message.news()
+	updates := message.updates()
 	for i := range updates {
 		if updates[i].valid() {
 			c.merge(&updates[i])
@@ -25,7 +25,7 @@
 
 	e := c.table.get(u.ID)
 	if e == nil {
-		c.mergeUnknown(u)
+		c.mergeNewMember(u)
 
 		return
 	}
@@ -39,11 +39,11 @@
 	p := mergeState(&changed, u) | mergePayload(&changed, u)
 
 	if changed != *old {
-		c.replace(&changed, p, classOf(old, &changed))
+		c.store(&changed, p, classifyChange(old, &changed))
 	}
 }
 
-func classOf(before, after *Member) class {
+func classifyChange(before, after *Member) broadcastClass {
 	switch {
 	case after.identity.Incarnation != before.identity.Incarnation:
 		return classJoin
@@ -54,9 +54,9 @@
 	}
 }
 
-// mergeUnknown adds a member. One that is gone is not added, or nodes that
+// mergeNewMember adds a member. One that is gone is not added, or nodes that
 // forget it at different times would remind each other for ever.
-func (c *Core) mergeUnknown(u *Update) {
+func (c *Core) mergeNewMember(u *Update) {
 	if u.Place == nil || u.Status == Dead || u.Phase == Left {
 		return
 	}
@@ -64,7 +64,7 @@
 	m := &Member{identity: Identity{ID: u.ID}}
 	mergeState(m, u)
 	mergePayload(m, u)
-	c.replace(m, partsAll, classJoin)
+	c.store(m, partsAll, classJoin)
 }
 
 // mergeState takes over a newer state and returns what must be sent on.
@@ -122,19 +122,19 @@
 
 	changed := *self
 	changed.revision = u.Revision + 1
-	c.worsenHealth(1)
-	c.replace(&changed, 0, classState)
+	c.raiseHealthPenalty(1)
+	c.store(&changed, 0, classState)
 }
 
-// replace stores a member, reports the change and sends it on.
-func (c *Core) replace(m *Member, p parts, of class) {
+// store stores a member, reports the change and sends it on.
+func (c *Core) store(m *Member, p parts, of broadcastClass) {
 	var before *Member
 	if e := c.table.get(m.identity.ID); e != nil {
 		before = e.member
 	}
 
 	e := c.table.put(m)
-	c.track(e, before)
+	c.updateTimers(e, before)
 	c.step.changes = append(c.step.changes, Change{before: before, after: m})
 
 	// A node that joins hears of members that all others know.
@@ -143,17 +143,17 @@
 	}
 
 	if before == nil || before.version() != m.version() {
-		c.regrouping = true
+		c.liveOutdated = true
 	}
 }
 
-// track starts and ends the timers of a member whose status changed.
-func (c *Core) track(e *entry, before *Member) {
+// updateTimers starts and ends the timers of a member whose status changed.
+func (c *Core) updateTimers(e *entry, before *Member) {
 	m := e.member
 	if m.Live() {
-		e.since = time.Time{}
+		e.endedAt = time.Time{}
 	} else if before == nil || before.Live() {
-		e.since = c.now
+		e.endedAt = c.now
 	}
 
 	suspect := m.status == Suspect && m.Live() && m.identity.Region == c.Self.Region
@@ -161,19 +161,19 @@
 
 	switch {
 	case suspect && !watched:
-		e.deadline = c.now.Add(c.suspicion())
+		e.deadline = c.now.Add(c.suspicionTimeout())
 		c.suspects = append(c.suspects, m.identity.ID)
 	case suspect && before.version() != m.version():
-		e.deadline = c.now.Add(c.suspicion())
+		e.deadline = c.now.Add(c.suspicionTimeout())
 	case !suspect && watched:
 		e.deadline = time.Time{}
 		c.suspects = slices.DeleteFunc(c.suspects, isID(m.identity.ID))
 	}
 }
 
-// outdated reports a source that an incarnation after it has replaced, and
+// rejectOutdated reports a source that an incarnation after it has replaced, and
 // tells it so.
-func (c *Core) outdated(from Source) bool {
+func (c *Core) rejectOutdated(from Source) bool {
 	e := c.table.get(from.ID)
 	if e == nil {
 		return false
@@ -188,16 +188,16 @@
 	return false
 }
 
-// reap forgets members that have been gone for long.
-func (c *Core) reap() {
-	if c.now.Before(c.reapAt) {
+// evictExpired forgets members that have been gone for long.
+func (c *Core) evictExpired() {
+	if c.now.Before(c.evictAt) {
 		return
 	}
 
-	c.reapAt = c.now.Add(time.Minute)
+	c.evictAt = c.now.Add(time.Minute)
 
 	for _, e := range slices.Clone(c.table.order) {
-		if !e.since.IsZero() && c.now.Sub(e.since) > c.config.Retention {
+		if !e.endedAt.IsZero() && c.now.Sub(e.endedAt) > c.config.Retention {
 			c.table.remove(e.member.identity.ID)
 			c.step.changes = append(c.step.changes, Change{before: e.member})
 		}
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -22,7 +22,7 @@
 	return &Gossip{Updates: updates}
 }
 
-func TestCoreMergesNewsOfAMember(t *testing.T) {
+func TestCoreMergesNewerUpdates(t *testing.T) {
 	place := &Place{Region: "r", Domain: "d", Address: "10.0.0.2:1"}
 	known := Update{
 		ID: "b", Incarnation: 5, Revision: 2, Status: Suspect, Place: place,
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestCoreAnswersNewsOfItself(t *testing.T) {
+func TestCoreRefutesUpdatesAboutItself(t *testing.T) {
 	tests := []struct {
 		desc           string
 		update         Update
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestCoreBoundsItsPayloads(t *testing.T) {
+func TestCoreLimitsPayloadRate(t *testing.T) {
 	c := newCore()
 
 	if _, err := c.SetPayload(testStart, make([]byte, MaxPayload+1), Routine); err == nil {
@@ -143,8 +143,8 @@
 	routine := c.self().PayloadVersion()
 	u := newUpdate(c.self(), partPayload)
 
-	if got, most := int(routine)*u.size(), payloadBurst; got > most || routine == 0 {
-		t.Errorf("routine payloads at once: got %d bytes, want at most %d", got, most)
+	if got, limit := int(routine)*u.size(), payloadBurstBytes; got > limit || routine == 0 {
+		t.Errorf("routine payloads at once: got %d bytes, want at most %d", got, limit)
 	}
 
 	c.Tick(testStart.Add(time.Second))
@@ -162,7 +162,7 @@
 		}
 	}
 
-	if got, want := c.self().PayloadVersion()-before, uint32(urgentBurst); got != want {
+	if got, want := c.self().PayloadVersion()-before, uint32(urgentBurstChanges); got != want {
 		t.Errorf("urgent payloads at once: got %d, want %d", got, want)
 	}
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -11,7 +11,7 @@
 type Message interface {
 	// Size returns an upper bound of the encoded size in bytes.
 	Size() int
-	news() []Update
+	updates() []Update
 }
 
 // Probe asks the target to answer with an Ack of the same number.
@@ -83,12 +83,12 @@
 	return messageOverhead + len(m.Buckets) + updatesSize(m.Updates)
 }
 
-func (m *Probe) news() []Update         { return m.Updates }
-func (m *Ack) news() []Update           { return m.Updates }
-func (m *IndirectProbe) news() []Update { return m.Updates }
-func (m *Gossip) news() []Update        { return m.Updates }
-func (m *SyncRequest) news() []Update   { return m.Updates }
-func (m *SyncResponse) news() []Update  { return m.Updates }
+func (m *Probe) updates() []Update         { return m.Updates }
+func (m *Ack) updates() []Update           { return m.Updates }
+func (m *IndirectProbe) updates() []Update { return m.Updates }
+func (m *Gossip) updates() []Update        { return m.Updates }
+func (m *SyncRequest) updates() []Update   { return m.Updates }
+func (m *SyncResponse) updates() []Update  { return m.Updates }
 
 func updatesSize(updates []Update) int {
 	size := 0
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -10,26 +10,26 @@
 )
 
 // The model network moves in slots; a tick of each node comes once in
-// ticksEvery slots.
+// slotsPerTick slots.
 const (
-	slot       = 5 * time.Millisecond
-	ticksEvery = int(TickInterval / slot)
+	slotDuration       = 5 * time.Millisecond
+	slotsPerTick = int(TickInterval / slotDuration)
 	wheelSize  = 128
 )
 
-// frameCost is what TLS, TCP and IP add to a message, with the frame's header
+// frameOverheadBytes is what TLS, TCP and IP add to a message, with the frame's header
 // and a bare acknowledgement the other way: 12 + 22 + 52 + 52 bytes.
-const frameCost = 138
+const frameOverheadBytes = 138
 
 type delivery struct {
 	from Source
-	to   *modelNode
+	to   *simulatedNode
 	id   fleet.InstanceID
 	msg  Message
 }
 
-// modelNode is an instance with at most one running process.
-type modelNode struct {
+// simulatedNode is an instance with at most one running process.
+type simulatedNode struct {
 	identity Identity
 	core     *Core
 	running  bool
@@ -38,46 +38,46 @@
 	sent     int64
 	received int64
 	messages int64
-	worst    int
+	largestMessage    int
 }
 
-// model is a network of cores on a clock of its own.
-type model struct {
+// simulation is a network of cores on a clock of its own.
+type simulation struct {
 	random   *rand.Rand
-	nodes    []*modelNode
-	byAddr   map[string]*modelNode
+	nodes    []*simulatedNode
+	byAddr   map[string]*simulatedNode
 	wheel    [wheelSize][]delivery
-	at       int
+	currentSlot       int
 	start    time.Time
-	loss     float64
-	repeat   float64
+	lossRate     float64
+	repeatRate   float64
 	maxDelay int
-	blocked  func(from, to *modelNode) bool
-	changed  func(n *modelNode, c Change)
+	blocked  func(from, to *simulatedNode) bool
+	onChange  func(n *simulatedNode, c Change)
 	seeds    []string
 	config   Config
 	// ignorePayload leaves payloads out of what nodes must agree on.
 	ignorePayload bool
 }
 
-func newModel(seed uint64) *model {
-	return &model{
+func newSimulation(seed uint64) *simulation {
+	return &simulation{
 		random:   rand.New(rand.NewPCG(seed, 1)),
-		byAddr:   make(map[string]*modelNode),
+		byAddr:   make(map[string]*simulatedNode),
 		start:    time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
 		maxDelay: 1,
-		blocked:  func(_, _ *modelNode) bool { return false },
-		changed:  func(*modelNode, Change) {},
+		blocked:  func(_, _ *simulatedNode) bool { return false },
+		onChange:  func(*simulatedNode, Change) {},
 	}
 }
 
-func (m *model) now() time.Time {
-	return m.start.Add(time.Duration(m.at) * slot)
+func (m *simulation) now() time.Time {
+	return m.start.Add(time.Duration(m.currentSlot) * slotDuration)
 }
 
-func (m *model) add(region fleet.Region, domain fleet.FailureDomain) {
+func (m *simulation) add(region fleet.Region, domain fleet.FailureDomain) {
 	i := len(m.nodes)
-	n := &modelNode{identity: Identity{
+	n := &simulatedNode{identity: Identity{
 		ID:      fleet.InstanceID(fmt.Sprintf("entry-%03d", i)),
 		Region:  region,
 		Domain:  domain,
@@ -88,7 +88,7 @@
 }
 
 // boot starts a process with the next incarnation.
-func (m *model) boot(n *modelNode) {
+func (m *simulation) boot(n *simulatedNode) {
 	n.identity.Incarnation++
 	n.core = &Core{
 		Self:   n.identity,
@@ -101,13 +101,13 @@
 	n.core.Discover(m.now(), m.seeds)
 }
 
-func (m *model) crash(n *modelNode) {
+func (m *simulation) crash(n *simulatedNode) {
 	n.running = false
 	n.inbox = nil
 }
 
-// thaw lets a frozen process go on; what waited in its sockets comes first.
-func (m *model) thaw(n *modelNode) {
+// resume lets a frozen process go on; what waited in its sockets comes first.
+func (m *simulation) resume(n *simulatedNode) {
 	if !n.frozen {
 		return
 	}
@@ -121,58 +121,58 @@
 	}
 }
 
-func (m *model) run(d time.Duration) {
-	for end := m.at + int(d/slot); m.at < end; {
+func (m *simulation) run(d time.Duration) {
+	for end := m.currentSlot + int(d/slotDuration); m.currentSlot < end; {
 		m.advance()
 	}
 }
 
-func (m *model) advance() {
-	m.at++
-	due := m.wheel[m.at%wheelSize]
-	m.wheel[m.at%wheelSize] = nil
+func (m *simulation) advance() {
+	m.currentSlot++
+	due := m.wheel[m.currentSlot%wheelSize]
+	m.wheel[m.currentSlot%wheelSize] = nil
 
 	for _, d := range due {
 		m.deliver(d)
 	}
 
 	for i, n := range m.nodes {
-		if n.running && !n.frozen && (m.at+i)%ticksEvery == 0 {
-			m.take(n, n.core.Tick(m.now()))
+		if n.running && !n.frozen && (m.currentSlot+i)%slotsPerTick == 0 {
+			m.execute(n, n.core.Tick(m.now()))
 		}
 	}
 }
 
-func (m *model) deliver(d delivery) {
+func (m *simulation) deliver(d delivery) {
 	switch n := d.to; {
 	case !n.running || (d.id != "" && d.id != n.identity.ID):
 	case n.frozen:
 		n.inbox = append(n.inbox, d)
 	default:
-		n.received += int64(d.msg.Size() + frameCost)
-		m.take(n, n.core.Receive(m.now(), d.from, d.msg))
+		n.received += int64(d.msg.Size() + frameOverheadBytes)
+		m.execute(n, n.core.Receive(m.now(), d.from, d.msg))
 	}
 }
 
-// take carries out a step.
-func (m *model) take(n *modelNode, step Step) {
+// execute carries out a step.
+func (m *simulation) execute(n *simulatedNode, step Step) {
 	for _, c := range step.Changes() {
-		m.changed(n, c)
+		m.onChange(n, c)
 	}
 
 	for _, o := range step.Messages() {
-		m.post(n, o)
+		m.send(n, o)
 	}
 }
 
-func (m *model) post(n *modelNode, o Outgoing) {
+func (m *simulation) send(n *simulatedNode, o Outgoing) {
 	size := o.Message().Size()
-	n.sent += int64(size + frameCost)
+	n.sent += int64(size + frameOverheadBytes)
 	n.messages++
-	n.worst = max(n.worst, size)
+	n.largestMessage = max(n.largestMessage, size)
 
 	to := m.byAddr[o.To().Address()]
-	if to == nil || m.blocked(n, to) || m.random.Float64() < m.loss {
+	if to == nil || m.blocked(n, to) || m.random.Float64() < m.lossRate {
 		return
 	}
 
@@ -184,19 +184,19 @@
 	}
 	m.schedule(d)
 
-	if m.random.Float64() < m.repeat {
+	if m.random.Float64() < m.repeatRate {
 		m.schedule(d)
 	}
 }
 
-func (m *model) schedule(d delivery) {
-	at := (m.at + 1 + m.random.IntN(m.maxDelay)) % wheelSize
+func (m *simulation) schedule(d delivery) {
+	at := (m.currentSlot + 1 + m.random.IntN(m.maxDelay)) % wheelSize
 	m.wheel[at] = append(m.wheel[at], d)
 }
 
 // running returns the nodes with a process.
-func (m *model) running() []*modelNode {
-	var nodes []*modelNode
+func (m *simulation) running() []*simulatedNode {
+	var nodes []*simulatedNode
 
 	for _, n := range m.nodes {
 		if n.running {
@@ -210,9 +210,9 @@
 // disagreement describes the first difference between what a running node
 // holds and what runs; empty when there is none. Of a region that a node
 // cannot reach it keeps what it knew last.
-func (m *model) disagreement() string {
+func (m *simulation) disagreement() string {
 	for _, n := range m.running() {
-		if d := m.differs(n); d != "" {
+		if d := m.disagreementOf(n); d != "" {
 			return d
 		}
 	}
@@ -220,7 +220,7 @@
 	return ""
 }
 
-func (m *model) differs(n *modelNode) string {
+func (m *simulation) disagreementOf(n *simulatedNode) string {
 	for _, other := range m.nodes {
 		got := n.core.table.get(other.identity.ID)
 		live := got != nil && got.member.Live()
@@ -245,22 +245,22 @@
 	return ""
 }
 
-// calm is how long all must agree before they count as settled; a list that
+// stableWindow is how long all must agree before they count as settled; a list that
 // flaps agrees for moments only.
-const calm = 5 * time.Second
+const stableWindow = 5 * time.Second
 
 // settle runs until all agree and stay so, at most for d, and returns how long
 // it took until they did.
-func (m *model) settle(d time.Duration) (time.Duration, string) {
+func (m *simulation) settle(d time.Duration) (time.Duration, string) {
 	begun := m.now()
 	agreed := begun
 
-	for m.now().Sub(begun) < d+calm {
+	for m.now().Sub(begun) < d+stableWindow {
 		m.run(500 * time.Millisecond)
 
 		if m.disagreement() != "" {
 			agreed = m.now()
-		} else if m.now().Sub(agreed) >= calm {
+		} else if m.now().Sub(agreed) >= stableWindow {
 			return agreed.Sub(begun), ""
 		}
 	}
--- a/membership/orders.go
+++ b/membership/orders.go
@@ -2,10 +2,10 @@
 
 import "k8s.io/klog/v2"
 
-// orders is what the node's owner asked for since the last step.
-type orders struct {
+// ownerCommands is what the node's owner asked for since the last step.
+type ownerCommands struct {
 	payload  []byte
-	set      bool
+	setPayload      bool
 	urgency  Urgency
 	leave    bool
 	discover bool
@@ -17,9 +17,9 @@
 		return ErrPayloadTooLarge
 	}
 
-	g.order(func(o *orders) {
+	g.queueCommand(func(o *ownerCommands) {
 		o.payload = append([]byte(nil), data...)
-		o.set = true
+		o.setPayload = true
 		o.urgency = max(o.urgency, urgency)
 	})
 
@@ -29,12 +29,12 @@
 // Leave announces that the node drains and takes nothing new. The end of Run
 // announces that it has left.
 func (g *Group) Leave() {
-	g.order(func(o *orders) { o.leave = true })
+	g.queueCommand(func(o *ownerCommands) { o.leave = true })
 }
 
-func (g *Group) order(change func(*orders)) {
+func (g *Group) queueCommand(change func(*ownerCommands)) {
 	g.mu.Lock()
-	change(&g.orders)
+	change(&g.commands)
 	g.mu.Unlock()
 
 	select {
@@ -43,11 +43,11 @@
 	}
 }
 
-func (g *Group) handleOrders() {
+func (g *Group) handleCommands() {
 	g.mu.Lock()
-	o := g.orders
-	listed := g.listed
-	g.orders = orders{}
+	o := g.commands
+	listed := g.listedAddresses
+	g.commands = ownerCommands{}
 	g.mu.Unlock()
 
 	now := g.Clock.Now()
@@ -57,17 +57,17 @@
 	}
 
 	if o.leave {
-		g.take(g.core.Leave(now))
+		g.execute(g.core.Leave(now))
 	}
 
-	if o.set {
+	if o.setPayload {
 		step, err := g.core.SetPayload(now, o.payload, o.urgency)
 		if err != nil {
 			klog.ErrorS(err, "payload refused")
 		}
 
-		g.take(step)
+		g.execute(step)
 	}
 
-	g.publish()
+	g.publishView()
 }
--- a/membership/payload.go
+++ b/membership/payload.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// maxPayloadShare bounds a member's share of the rate in a small fleet.
-	maxPayloadShare = 200
-	// payloadBurst is how many bytes of routine updates may be saved up.
-	payloadBurst = 2 * (MaxPayload + MaxName)
-	// urgentRate is how many urgent changes accrue to a member in a second; in
+	// maxMemberPayloadRate bounds a member's share of the rate in a small fleet.
+	maxMemberPayloadRate = 200
+	// payloadBurstBytes is how many bytes of routine updates may be saved up.
+	payloadBurstBytes = 2 * (MaxPayload + MaxName)
+	// urgentChangesPerSecond is how many urgent changes accrue to a member in a second; in
 	// a large fleet it is one for all members together.
-	urgentRate  = 1.0 / 6
-	urgentBurst = 10
+	urgentChangesPerSecond  = 1.0 / 6
+	urgentBurstChanges = 10
 )
 
 // pendingPayload is the node's own payload that waits for its turn.
@@ -38,13 +38,13 @@
 	waiting bool
 	urgent  bool
 	data    string
-	routine tokenBucket
-	hurried tokenBucket
+	routineBytes tokenBucket
+	urgentChanges tokenBucket
 }
 
 // SetPayload replaces the node's payload.
 func (c *Core) SetPayload(now time.Time, data []byte, urgency Urgency) (Step, error) {
-	c.begin(now)
+	c.beginStep(now)
 
 	if len(data) > MaxPayload {
 		return c.step, ErrPayloadTooLarge
@@ -53,13 +53,13 @@
 	c.pending.waiting = true
 	c.pending.urgent = c.pending.urgent || urgency == Urgent
 	c.pending.data = string(data)
-	c.releasePayload()
+	c.publishPendingPayload()
 
 	return c.step, nil
 }
 
-// releasePayload spreads the waiting payload when the rate allows it.
-func (c *Core) releasePayload() {
+// publishPendingPayload spreads the waiting payload when the rate allows it.
+func (c *Core) publishPendingPayload() {
 	p := &c.pending
 	if !p.waiting || c.stopped {
 		return
@@ -71,15 +71,15 @@
 	changed.urgent = p.urgent
 
 	u := newUpdate(&changed, partPayload)
-	share := min(maxPayloadShare, c.config.PayloadRate/float64(max(1, c.groups.size)))
-	p.routine.refill(c.now, share, payloadBurst)
-	p.hurried.refill(c.now, min(urgentRate, 1/float64(max(1, c.groups.size))), urgentBurst)
+	share := min(maxMemberPayloadRate, c.config.PayloadRate/float64(max(1, c.live.count)))
+	p.routineBytes.refill(c.now, share, payloadBurstBytes)
+	p.urgentChanges.refill(c.now, min(urgentChangesPerSecond, 1/float64(max(1, c.live.count))), urgentBurstChanges)
 
-	if !p.routine.take(float64(u.size())) && (!p.urgent || !p.hurried.take(1)) {
+	if !p.routineBytes.take(float64(u.size())) && (!p.urgent || !p.urgentChanges.take(1)) {
 		return
 	}
 
-	c.replace(&changed, partPayload, classOf(c.self(), &changed))
+	c.store(&changed, partPayload, classifyChange(c.self(), &changed))
 	p.waiting = false
 	p.urgent = false
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -17,76 +17,76 @@
 	indirect   bool
 }
 
-// relay is a probe made for another member.
-type relay struct {
+// relayedProbe is a probe made for another member.
+type relayedProbe struct {
 	number   uint32
 	origin   Source
-	asked    uint32
+	originNumber    uint32
 	deadline time.Time
 }
 
-// noteFreeze forgives others for the time in which the node itself stood.
-func (c *Core) noteFreeze() {
+// handlePause forgives others for the time in which the node itself stood.
+func (c *Core) handlePause() {
 	gap := c.now.Sub(c.lastTick)
-	if c.lastTick.IsZero() || gap < freezeGap {
+	if c.lastTick.IsZero() || gap < pauseThreshold {
 		return
 	}
 
 	c.lastTick = c.now
 	c.probe = nil
-	c.health = maxHealth
+	c.healthPenalty = maxHealthPenalty
 
 	for _, id := range c.suspects {
 		e := c.table.get(id)
-		e.deadline = c.now.Add(c.suspicion())
+		e.deadline = c.now.Add(c.suspicionTimeout())
 	}
 
 	for _, r := range c.regions {
-		r.heard = r.heard.Add(gap)
+		r.lastRoundTrip = r.lastRoundTrip.Add(gap)
 	}
 
 	// What the others have agreed on meanwhile comes by the next round.
 	c.syncAt = c.now
-	c.hurry = maxHurry
+	c.fastSyncRounds = maxFastSyncRounds
 }
 
-func (c *Core) worsenHealth(by int) {
-	c.health = min(maxHealth, c.health+by)
+func (c *Core) raiseHealthPenalty(by int) {
+	c.healthPenalty = min(maxHealthPenalty, c.healthPenalty+by)
 }
 
-// slowed stretches a timeout while the node has reason to doubt itself.
-func (c *Core) slowed(d time.Duration) time.Duration {
-	return d * time.Duration(1+c.health)
+// scaleTimeout stretches a timeout while the node has reason to doubt itself.
+func (c *Core) scaleTimeout(d time.Duration) time.Duration {
+	return d * time.Duration(1+c.healthPenalty)
 }
 
-// suspicion is how long a suspect may refute.
-func (c *Core) suspicion() time.Duration {
-	scale := max(1, math.Log10(float64(len(c.groups.locals)+1)))
+// suspicionTimeout is how long a suspect may refute.
+func (c *Core) suspicionTimeout() time.Duration {
+	scale := max(1, math.Log10(float64(len(c.live.locals)+1)))
 	base := time.Duration(float64(c.config.ProbeInterval) * float64(c.config.SuspicionFactor) * scale)
 
-	return c.slowed(base)
+	return c.scaleTimeout(base)
 }
 
-// probeNext probes the next member of the region.
-func (c *Core) probeNext() {
+// startProbe probes the next member of the region.
+func (c *Core) startProbe() {
 	if c.probe != nil || c.now.Before(c.probeAt) {
 		return
 	}
 
-	target := c.nextTurn(&c.probeTurns)
+	target := c.nextInRotation(&c.probeRotation)
 	if target == nil {
 		return
 	}
 
 	c.probeAt = c.now.Add(c.config.ProbeInterval)
-	c.number++
+	c.lastProbeNumber++
 	c.probe = &probe{
-		number:     c.number,
+		number:     c.lastProbeNumber,
 		target:     target.identity.ID,
-		indirectAt: c.now.Add(c.slowed(c.config.AckTimeout)),
-		deadline:   c.now.Add(c.slowed(c.config.ProbeInterval)),
+		indirectAt: c.now.Add(c.scaleTimeout(c.config.AckTimeout)),
+		deadline:   c.now.Add(c.scaleTimeout(c.config.ProbeInterval)),
 	}
-	c.send(target, &Probe{Number: c.number, Target: target.identity.ID, Updates: c.piggyback(target)})
+	c.send(target, &Probe{Number: c.lastProbeNumber, Target: target.identity.ID, Updates: c.piggyback(target)})
 }
 
 // expireProbe asks others when the target is silent, and suspects it when
@@ -106,7 +106,7 @@
 
 	if !c.now.Before(p.deadline) {
 		c.probe = nil
-		c.worsenHealth(1)
+		c.raiseHealthPenalty(1)
 		c.suspect(e.member)
 
 		return
@@ -115,18 +115,18 @@
 	if !p.indirect && !c.now.Before(p.indirectAt) {
 		p.indirect = true
 
-		for _, m := range c.helpers(p.target) {
+		for _, m := range c.pickIndirectProbers(p.target) {
 			c.send(m, &IndirectProbe{Number: p.number, Target: p.target, Updates: c.piggyback(m)})
 		}
 	}
 }
 
-// helpers picks who probes a silent member: of the region, and of others where
+// pickIndirectProbers picks who probes a silent member: of the region, and of others where
 // the region is too small to go round a cut.
-func (c *Core) helpers(target fleet.InstanceID) []*Member {
-	helpers := c.pick(c.groups.locals, c.config.IndirectProbes, target)
-	if len(c.groups.locals) <= c.config.IndirectProbes {
-		helpers = append(helpers, c.pick(c.groups.bridges, c.config.IndirectProbes, target)...)
+func (c *Core) pickIndirectProbers(target fleet.InstanceID) []*Member {
+	helpers := c.pickRandom(c.live.locals, c.config.IndirectProbes, target)
+	if len(c.live.locals) <= c.config.IndirectProbes {
+		helpers = append(helpers, c.pickRandom(c.live.bridges, c.config.IndirectProbes, target)...)
 	}
 
 	return helpers
@@ -139,7 +139,7 @@
 
 	changed := *m
 	changed.status = Suspect
-	c.replace(&changed, 0, classState)
+	c.store(&changed, 0, classState)
 }
 
 // expireSuspicions declares the suspects dead that have not refuted in time.
@@ -152,7 +152,7 @@
 
 		changed := *e.member
 		changed.status = Dead
-		c.replace(&changed, 0, classState)
+		c.store(&changed, 0, classState)
 	}
 }
 
@@ -167,34 +167,34 @@
 // relayProbe probes the target for another member.
 func (c *Core) relayProbe(from Source, m *IndirectProbe) {
 	e := c.table.get(m.Target)
-	if e == nil || len(c.relays) >= maxRelays {
+	if e == nil || len(c.relayedProbes) >= maxRelayedProbes {
 		return
 	}
 
-	c.number++
-	c.relays = append(c.relays, relay{
-		number:   c.number,
+	c.lastProbeNumber++
+	c.relayedProbes = append(c.relayedProbes, relayedProbe{
+		number:   c.lastProbeNumber,
 		origin:   from,
-		asked:    m.Number,
-		deadline: c.now.Add((1 + maxHealth) * c.config.ProbeInterval),
+		originNumber:    m.Number,
+		deadline: c.now.Add((1 + maxHealthPenalty) * c.config.ProbeInterval),
 	})
-	c.send(e.member, &Probe{Number: c.number, Target: m.Target, Updates: c.piggyback(e.member)})
+	c.send(e.member, &Probe{Number: c.lastProbeNumber, Target: m.Target, Updates: c.piggyback(e.member)})
 }
 
-// noteAck ends the probe or relay that the answer belongs to.
-func (c *Core) noteAck(from Source, m *Ack) {
-	c.noteRoundTrip(from)
+// handleAck ends the probe or relay that the answer belongs to.
+func (c *Core) handleAck(from Source, m *Ack) {
+	c.recordRoundTrip(from)
 
 	if c.probe != nil && c.probe.number == m.Number {
 		c.probe = nil
-		c.health = max(0, c.health-1)
+		c.healthPenalty = max(0, c.healthPenalty-1)
 
 		return
 	}
 
-	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool {
+	c.relayedProbes = slices.DeleteFunc(c.relayedProbes, func(r relayedProbe) bool {
 		if r.number == m.Number {
-			c.reply(r.origin, &Ack{Number: r.asked})
+			c.reply(r.origin, &Ack{Number: r.originNumber})
 		}
 
 		return r.number == m.Number || c.now.After(r.deadline)
--- a/membership/region.go
+++ b/membership/region.go
@@ -7,37 +7,37 @@
 	"monsoonlever/fleet"
 )
 
-// bridgeMisses is after how many intervals without an answer a bridge holds a
+// bridgeTimeoutIntervals is after how many intervals without an answer a bridge holds a
 // region to be unreachable.
-const bridgeMisses = 10
+const bridgeTimeoutIntervals = 10
 
 // regionState is what a node knows of its way to another region.
 type regionState struct {
 	region      fleet.Region
-	heard       time.Time
+	lastRoundTrip       time.Time
 	unreachable bool
 }
 
-// noteRegions starts to watch a region when its first member is heard of.
-func (c *Core) noteRegions() {
-	for _, m := range c.groups.bridges {
+// trackNewRegions starts to watch a region when its first member is heard of.
+func (c *Core) trackNewRegions() {
+	for _, m := range c.live.bridges {
 		if c.region(m.identity.Region) == nil {
-			c.regions = append(c.regions, &regionState{region: m.identity.Region, heard: c.now})
+			c.regions = append(c.regions, &regionState{region: m.identity.Region, lastRoundTrip: c.now})
 		}
 	}
 }
 
-// notePromotion gives a member that becomes a bridge, whose timeout is shorter,
+// handlePromotion gives a member that becomes a bridge, whose timeout is shorter,
 // the time to make its first round trips.
-func (c *Core) notePromotion(bridge bool) {
-	if !bridge || c.groups.bridge {
+func (c *Core) handlePromotion(bridge bool) {
+	if !bridge || c.live.isBridge {
 		return
 	}
 
-	c.bridgeAt = c.now
+	c.bridgeProbeAt = c.now
 
 	for _, r := range c.regions {
-		r.heard = c.now
+		r.lastRoundTrip = c.now
 	}
 }
 
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// noteRoundTrip marks the answerer's region as reachable.
-func (c *Core) noteRoundTrip(from Source) {
+// recordRoundTrip marks the answerer's region as reachable.
+func (c *Core) recordRoundTrip(from Source) {
 	e := c.table.get(from.ID)
 	if e == nil {
 		return
@@ -63,54 +63,54 @@
 		return
 	}
 
-	r.heard = c.now
+	r.lastRoundTrip = c.now
 
 	if r.unreachable {
 		r.unreachable = false
-		c.noteRegionChange()
+		c.recordRegionChange()
 		// Both sides have an hour of news for each other.
-		c.crossSyncAt = c.now
-		c.hurry = maxHurry
+		c.bridgeSyncAt = c.now
+		c.fastSyncRounds = maxFastSyncRounds
 	}
 }
 
 // expireRegions marks the regions as unreachable from which no answer came.
 func (c *Core) expireRegions() {
 	timeout := c.config.RegionTimeout
-	if c.groups.bridge {
-		timeout = bridgeMisses * c.config.BridgeInterval
+	if c.live.isBridge {
+		timeout = bridgeTimeoutIntervals * c.config.BridgeInterval
 	}
 
 	for _, r := range c.regions {
-		if !r.unreachable && c.now.Sub(r.heard) > timeout {
+		if !r.unreachable && c.now.Sub(r.lastRoundTrip) > timeout {
 			r.unreachable = true
-			c.noteRegionChange()
+			c.recordRegionChange()
 		}
 	}
 }
 
-// noteRegionChange makes the shell publish a new view.
-func (c *Core) noteRegionChange() {
+// recordRegionChange makes the shell publish a new view.
+func (c *Core) recordRegionChange() {
 	self := c.self()
 	c.step.changes = append(c.step.changes, Change{before: self, after: self})
 }
 
-// bridgeNext probes a bridge of another region: bridges often, others seldom.
-func (c *Core) bridgeNext() {
-	if c.now.Before(c.bridgeAt) || len(c.groups.bridges) == 0 {
+// probeBridge probes a bridge of another region: bridges often, others seldom.
+func (c *Core) probeBridge() {
+	if c.now.Before(c.bridgeProbeAt) || len(c.live.bridges) == 0 {
 		return
 	}
 
 	interval := c.config.RegionInterval
-	if c.groups.bridge {
+	if c.live.isBridge {
 		interval = c.config.BridgeInterval
 	}
 
-	c.bridgeAt = c.now.Add(c.spread(interval))
-	c.bridgeTurn++
-	target := c.groups.bridges[c.bridgeTurn%len(c.groups.bridges)]
-	c.number++
-	c.send(target, &Probe{Number: c.number, Target: target.identity.ID, Updates: c.piggyback(target)})
+	c.bridgeProbeAt = c.now.Add(c.withJitter(interval))
+	c.bridgeIndex++
+	target := c.live.bridges[c.bridgeIndex%len(c.live.bridges)]
+	c.lastProbeNumber++
+	c.send(target, &Probe{Number: c.lastProbeNumber, Target: target.identity.ID, Updates: c.piggyback(target)})
 }
 
 // unreachable returns the regions without a way to them, in order.
--- a/membership/register.go
+++ b/membership/register.go
@@ -37,13 +37,13 @@
 func register[T any, P messagePointer[T]](g *Group, kind peer.Kind) {
 	peer.Handle(g.Node, kind, func(from peer.Sender, message T) {
 		source := Source{ID: from.ID(), Incarnation: from.Incarnation(), Address: from.Address()}
-		g.receive(source, P(&message))
+		g.enqueue(source, P(&message))
 	})
 }
 
 // prepare makes the core and the first view, which holds the node alone.
 func (g *Group) prepare() {
-	g.inbox = make(chan arrival, inboxLength)
+	g.inbox = make(chan receivedMessage, inboxLength)
 	g.wake = make(chan struct{}, 1)
 	g.core = &Core{
 		Self: Identity{
@@ -60,10 +60,10 @@
 	g.view.Store(g.core.View())
 }
 
-// receive queues a message. It is dropped when too many wait already.
-func (g *Group) receive(from Source, message Message) {
+// enqueue queues a message. It is dropped when too many wait already.
+func (g *Group) enqueue(from Source, message Message) {
 	select {
-	case g.inbox <- arrival{from: from, message: message}:
+	case g.inbox <- receivedMessage{from: from, message: message}:
 	default:
 		droppedMessages.Inc()
 	}
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -13,17 +13,17 @@
 	"monsoonlever/fleet"
 )
 
-var splitTime = flag.Duration("membership.split", 5*time.Minute, "how long TestScale keeps the regions apart")
+var partitionTime = flag.Duration("membership.split", 5*time.Minute, "how long TestScale keeps the regions apart")
 
 const (
 	scaleDomains = 5
 	// The bounds that TestScale asserts for every size, for each node.
-	bytesBound    = 8 << 10
+	byteRateBound    = 8 << 10
 	cpuShareBound = 0.01
 	heapBound     = 4 << 20
-	newsBound     = 5 * time.Second
+	updateBound     = 5 * time.Second
 	lossBound     = 90 * time.Second
-	healBound     = 90 * time.Second
+	healingBound     = 90 * time.Second
 	steadyTime    = 2 * time.Minute
 	// payloadPeriod is how often each node asks for another payload.
 	payloadPeriod = 10 * time.Second
@@ -34,24 +34,24 @@
 	nodes    int
 	phase    string
 	sent     float64
-	worst    float64
+	worstSent    float64
 	received float64
 	messages float64
 	cpu      time.Duration
 	heap     float64
-	spread   []time.Duration
+	delays   []time.Duration
 	note     string
 }
 
 func (r scaleRow) String() string {
 	spread := "-"
-	if len(r.spread) > 0 {
-		slices.Sort(r.spread)
-		spread = fmt.Sprintf("%.2f/%.2f/%.2f", percentile(r.spread, 50).Seconds(), percentile(r.spread, 99).Seconds(), r.spread[len(r.spread)-1].Seconds())
+	if len(r.delays) > 0 {
+		slices.Sort(r.delays)
+		spread = fmt.Sprintf("%.2f/%.2f/%.2f", percentile(r.delays, 50).Seconds(), percentile(r.delays, 99).Seconds(), r.delays[len(r.delays)-1].Seconds())
 	}
 
 	return fmt.Sprintf("| %d | %s | %.0f | %.0f | %.0f | %.1f | %.3f | %.0f | %s | %s |",
-		r.nodes, r.phase, r.sent, r.worst, r.received, r.messages, float64(r.cpu.Microseconds())/1e4, r.heap/1024, spread, r.note)
+		r.nodes, r.phase, r.sent, r.worstSent, r.received, r.messages, float64(r.cpu.Microseconds())/1e4, r.heap/1024, spread, r.note)
 }
 
 func percentile(sorted []time.Duration, p int) time.Duration {
@@ -61,9 +61,9 @@
 const scaleHeader = `| nodes | phase | sent B/s | worst node B/s | received B/s | messages/s | CPU, % of a core | heap KiB | seconds to all p50/p99/max | note |
 | ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: | --- | --- |`
 
-// meter measures a phase of a model.
-type meter struct {
-	m        *model
+// phaseMeter measures a phase of a model.
+type phaseMeter struct {
+	m        *simulation
 	sent     []int64
 	received []int64
 	messages []int64
@@ -71,8 +71,8 @@
 	at       time.Time
 }
 
-func newMeter(m *model) *meter {
-	p := &meter{m: m, cpu: processorTime(), at: m.now()}
+func newMeter(m *simulation) *phaseMeter {
+	p := &phaseMeter{m: m, cpu: processorTime(), at: m.now()}
 	for _, n := range m.nodes {
 		p.sent = append(p.sent, n.sent)
 		p.received = append(p.received, n.received)
@@ -83,7 +83,7 @@
 }
 
 // row returns the rates since the meter was made, for a node.
-func (p *meter) row(phase string) scaleRow {
+func (p *phaseMeter) row(phase string) scaleRow {
 	row := scaleRow{nodes: len(p.m.nodes), phase: phase}
 	seconds := p.m.now().Sub(p.at).Seconds()
 	cpu := processorTime() - p.cpu
@@ -91,7 +91,7 @@
 
 	for i, n := range p.m.nodes {
 		sent := float64(n.sent-p.sent[i]) / seconds
-		row.worst = max(row.worst, sent)
+		row.worstSent = max(row.worstSent, sent)
 		row.sent += sent / size
 		row.received += float64(n.received-p.received[i]) / seconds / size
 		row.messages += float64(n.messages-p.messages[i]) / seconds / size
@@ -125,8 +125,8 @@
 
 // newFleet returns a model of size nodes, not booted yet: one region of four
 // failure domains for small ones, else two regions with five.
-func newFleet(size int) *model {
-	m := newModel(1)
+func newFleet(size int) *simulation {
+	m := newSimulation(1)
 	m.maxDelay = 2
 
 	for i := range size {
@@ -173,13 +173,13 @@
 	rows := []scaleRow{measureBoot(t, m), measureQuiet(t, m), measureSteady(t, m), measureLeaving(t, m), measurePayload(t, m), measureJoin(t, m), measureDomainLoss(t, m)}
 
 	if size >= 10 {
-		rows = append(rows, measureSplit(t, m)...)
+		rows = append(rows, measurePartition(t, m)...)
 	}
 
 	return rows
 }
 
-func measureBoot(t *testing.T, m *model) scaleRow {
+func measureBoot(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 
 	p := newMeter(m)
@@ -198,7 +198,7 @@
 	return row
 }
 
-func measureQuiet(t *testing.T, m *model) scaleRow {
+func measureQuiet(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 	// What the boot has queued goes first.
 	m.run(3 * time.Minute)
@@ -211,14 +211,14 @@
 
 // measureSteady lets every node ask for a payload each payloadPeriod, and one
 // node fail and one restart, which is about a day's share of two minutes.
-func measureSteady(t *testing.T, m *model) scaleRow {
+func measureSteady(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 	m.crash(m.nodes[len(m.nodes)-1])
 
 	p := newMeter(m)
 
 	for second := range int(steadyTime / time.Second) {
-		m.askPayloads(t, second)
+		m.setDuePayloads(t, second)
 
 		if second == 30 {
 			m.boot(m.nodes[len(m.nodes)-1])
@@ -230,8 +230,8 @@
 	return checkRow(t, p.row("payloads change, one restart"))
 }
 
-// askPayloads sets the payload of the nodes whose second it is.
-func (m *model) askPayloads(t *testing.T, second int, except ...*modelNode) {
+// setDuePayloads sets the payload of the nodes whose second it is.
+func (m *simulation) setDuePayloads(t *testing.T, second int, except ...*simulatedNode) {
 	t.Helper()
 
 	period := int(payloadPeriod / time.Second)
@@ -245,7 +245,7 @@
 			t.Fatal(err)
 		}
 
-		m.take(n, step)
+		m.execute(n, step)
 	}
 }
 
@@ -253,8 +253,8 @@
 func checkRow(t *testing.T, row scaleRow) scaleRow {
 	t.Helper()
 
-	if row.worst > bytesBound || row.received > bytesBound {
-		t.Errorf("%d nodes, %s: got %.0f sent and %.0f received bytes a second, want at most %d", row.nodes, row.phase, row.worst, row.received, bytesBound)
+	if row.worstSent > byteRateBound || row.received > byteRateBound {
+		t.Errorf("%d nodes, %s: got %.0f sent and %.0f received bytes a second, want at most %d", row.nodes, row.phase, row.worstSent, row.received, byteRateBound)
 	}
 
 	if got := row.cpu.Seconds(); got > cpuShareBound && !raceEnabled {
@@ -270,7 +270,7 @@
 
 // measureLeaving takes the time until each node knows of a leaving one, for
 // ten that leave one after the other while payloads change.
-func measureLeaving(t *testing.T, m *model) scaleRow {
+func measureLeaving(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 
 	var spread []time.Duration
@@ -280,15 +280,15 @@
 	for i := range min(10, len(m.nodes)/3) {
 		leaver := m.nodes[3*i]
 		begun := m.now()
-		m.changed = func(_ *modelNode, c Change) {
+		m.onChange = func(_ *simulatedNode, c Change) {
 			if c.After() != nil && c.After().ID() == leaver.identity.ID && c.After().Phase() == Leaving && c.Before().Phase() != Leaving {
 				spread = append(spread, m.now().Sub(begun))
 			}
 		}
-		m.take(leaver, leaver.core.Leave(m.now()))
+		m.execute(leaver, leaver.core.Leave(m.now()))
 
 		for second := range 10 {
-			m.askPayloads(t, second)
+			m.setDuePayloads(t, second)
 			m.run(time.Second)
 		}
 
@@ -297,12 +297,12 @@
 		}
 	}
 
-	m.changed = func(*modelNode, Change) {}
+	m.onChange = func(*simulatedNode, Change) {}
 	row := p.row("news that a node leaves")
-	row.spread = spread
+	row.delays = spread
 
-	if got := slices.Max(spread); got > newsBound {
-		t.Errorf("%d nodes: news took %v, want at most %v", len(m.nodes), got, newsBound)
+	if got := slices.Max(spread); got > updateBound {
+		t.Errorf("%d nodes: news took %v, want at most %v", len(m.nodes), got, updateBound)
 	}
 
 	return row
@@ -310,7 +310,7 @@
 
 // measurePayload takes the time until each node has an urgent payload, for ten
 // of them, while routine payloads change.
-func measurePayload(t *testing.T, m *model) scaleRow {
+func measurePayload(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 
 	var spread []time.Duration
@@ -320,29 +320,29 @@
 	for i := range 10 {
 		sender := m.nodes[(7*i+1)%len(m.nodes)]
 		begun := m.now()
-		news := fmt.Sprintf("reclaim %d", i)
-		m.changed = func(_ *modelNode, c Change) {
-			if c.After() != nil && c.After().payload == news && c.Before().payload != news {
+		payload := fmt.Sprintf("reclaim %d", i)
+		m.onChange = func(_ *simulatedNode, c Change) {
+			if c.After() != nil && c.After().payload == payload && c.Before().payload != payload {
 				spread = append(spread, m.now().Sub(begun))
 			}
 		}
 
-		step, err := sender.core.SetPayload(m.now(), []byte(news), Urgent)
+		step, err := sender.core.SetPayload(m.now(), []byte(payload), Urgent)
 		if err != nil {
 			t.Fatal(err)
 		}
 
-		m.take(sender, step)
+		m.execute(sender, step)
 
 		for second := range 10 {
-			m.askPayloads(t, second, sender)
+			m.setDuePayloads(t, second, sender)
 			m.run(time.Second)
 		}
 	}
 
-	m.changed = func(*modelNode, Change) {}
+	m.onChange = func(*simulatedNode, Change) {}
 	row := p.row("an urgent payload")
-	row.spread = spread
+	row.delays = spread
 	row.note = fmt.Sprintf("%d of %d within 10 s", len(spread), 10*len(m.nodes))
 
 	if got, want := float64(len(spread)), 0.999*float64(10*len(m.nodes)); got < want {
@@ -353,7 +353,7 @@
 }
 
 // measureJoin restarts a node and takes the time until each other knows it.
-func measureJoin(t *testing.T, m *model) scaleRow {
+func measureJoin(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 
 	joiner := m.nodes[len(m.nodes)-1]
@@ -361,39 +361,39 @@
 
 	var (
 		spread []time.Duration
-		whole  time.Duration
+		completeAfter  time.Duration
 	)
 
 	p := newMeter(m)
 	begun := m.now()
 	m.boot(joiner)
-	m.changed = func(n *modelNode, c Change) {
+	m.onChange = func(n *simulatedNode, c Change) {
 		if c.After() != nil && c.After().ID() == joiner.identity.ID && c.After().Incarnation() != c.Before().Incarnation() {
 			spread = append(spread, m.now().Sub(begun))
 		}
 
-		if n == joiner && len(n.core.table.order) == len(m.nodes) && whole == 0 {
-			whole = m.now().Sub(begun)
+		if n == joiner && len(n.core.table.order) == len(m.nodes) && completeAfter == 0 {
+			completeAfter = m.now().Sub(begun)
 		}
 	}
 
 	m.run(time.Minute)
-	m.changed = func(*modelNode, Change) {}
+	m.onChange = func(*simulatedNode, Change) {}
 
-	if got, want := len(spread), len(m.nodes)-1; got != want || whole == 0 {
-		t.Errorf("%d nodes: %d know a node that joined, want %d; its list was whole after %v", len(m.nodes), got, want, whole)
+	if got, want := len(spread), len(m.nodes)-1; got != want || completeAfter == 0 {
+		t.Errorf("%d nodes: %d know a node that joined, want %d; its list was whole after %v", len(m.nodes), got, want, completeAfter)
 	}
 
 	row := p.row("a node restarts")
-	row.spread = spread
-	row.note = fmt.Sprintf("its list is whole after %v", whole)
+	row.delays = spread
+	row.note = fmt.Sprintf("its list is whole after %v", completeAfter)
 
 	return row
 }
 
 // measureDomainLoss crashes a failure domain and takes the time until each
 // node holds each of its members dead.
-func measureDomainLoss(t *testing.T, m *model) scaleRow {
+func measureDomainLoss(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 
 	domain := m.nodes[1].identity.Domain
@@ -412,7 +412,7 @@
 	)
 
 	begun := m.now()
-	m.changed = func(_ *modelNode, c Change) {
+	m.onChange = func(_ *simulatedNode, c Change) {
 		switch {
 		case c.After() == nil || c.After().Status() != Dead:
 		case lost[c.After().ID()]:
@@ -425,14 +425,14 @@
 	p := newMeter(m)
 	m.ignorePayload = true
 	took, d := m.settle(lossBound)
-	m.changed = func(*modelNode, Change) {}
+	m.onChange = func(*simulatedNode, Change) {}
 
 	if d != "" || wrong > 0 {
 		t.Errorf("%d nodes after a domain was lost: %s, %d wrongly dead", len(m.nodes), d, wrong)
 	}
 
 	row := checkRow(t, p.row("a failure domain is lost"))
-	row.spread = spread
+	row.delays = spread
 	row.note = fmt.Sprintf("%d lost, agreed after %v", len(lost), took)
 
 	for _, n := range m.nodes {
@@ -448,15 +448,15 @@
 	return row
 }
 
-// measureSplit parts the regions, restarts nodes at a day's rate meanwhile, and
+// measurePartition parts the regions, restarts nodes at a day's rate meanwhile, and
 // lets them meet again.
-func measureSplit(t *testing.T, m *model) []scaleRow {
+func measurePartition(t *testing.T, m *simulation) []scaleRow {
 	t.Helper()
 
 	var dead, restarted int
 
-	m.blocked = func(from, to *modelNode) bool { return from.identity.Region != to.identity.Region }
-	m.changed = func(n *modelNode, c Change) {
+	m.blocked = func(from, to *simulatedNode) bool { return from.identity.Region != to.identity.Region }
+	m.onChange = func(n *simulatedNode, c Change) {
 		if c.After() != nil && c.After().Status() == Dead && n.identity.Region != c.After().Region() {
 			dead++
 		}
@@ -464,7 +464,7 @@
 
 	p := newMeter(m)
 
-	for second := range int(*splitTime / time.Second) {
+	for second := range int(*partitionTime / time.Second) {
 		if second%120 == 60 {
 			m.boot(m.nodes[(second/120*7)%len(m.nodes)])
 
@@ -474,18 +474,18 @@
 		m.run(time.Second)
 	}
 
-	apart := checkRow(t, p.row("the regions are apart"))
-	apart.note = fmt.Sprintf("%v, %d restarts, %d declared dead across", *splitTime, restarted, dead)
+	partitioned := checkRow(t, p.row("the regions are apart"))
+	partitioned.note = fmt.Sprintf("%v, %d restarts, %d declared dead across", *partitionTime, restarted, dead)
 
 	if dead > 0 {
 		t.Errorf("%d nodes: %d declared dead across regions, want 0", len(m.nodes), dead)
 	}
 
-	m.blocked = func(_, _ *modelNode) bool { return false }
-	m.changed = func(*modelNode, Change) {}
+	m.blocked = func(_, _ *simulatedNode) bool { return false }
+	m.onChange = func(*simulatedNode, Change) {}
 	p = newMeter(m)
 
-	took, d := m.settle(healBound)
+	took, d := m.settle(healingBound)
 	if d != "" {
 		t.Errorf("%d nodes after the regions met: %s", len(m.nodes), d)
 	}
@@ -493,5 +493,5 @@
 	healed := checkRow(t, p.row("the regions meet again"))
 	healed.note = fmt.Sprintf("agreed after %v", took)
 
-	return []scaleRow{apart, healed}
+	return []scaleRow{partitioned, healed}
 }
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// maxHurry is how many rounds follow each other at short intervals after a
+	// maxFastSyncRounds is how many rounds follow each other at short intervals after a
 	// join, a freeze or a split, as long as lists differ.
-	maxHurry = 60
-	// hurriedSync is the time between such rounds.
-	hurriedSync = 250 * time.Millisecond
+	maxFastSyncRounds = 60
+	// fastSyncInterval is the time between such rounds.
+	fastSyncInterval = 250 * time.Millisecond
 	// syncBurstSeconds is how much of the rate of sync may be saved up.
 	syncBurstSeconds = 16
 )
 
-// syncNext opens the anti-entropy rounds that are due: with a member of the
+// startSyncs opens the anti-entropy rounds that are due: with a member of the
 // region, between bridges, and with seeds and dead members in the hope that
 // they are back.
-func (c *Core) syncNext() {
+func (c *Core) startSyncs() {
 	if !c.now.Before(c.syncAt) {
-		c.syncAt = c.now.Add(c.spread(c.soon(c.config.SyncInterval)))
-		c.requestSync(c.pick(c.partners(), 1, ""))
+		c.syncAt = c.now.Add(c.withJitter(c.intervalUntilJoined(c.config.SyncInterval)))
+		c.requestSync(c.pickRandom(c.syncCandidates(), 1, ""))
 	}
 
-	if c.groups.bridge && !c.now.Before(c.crossSyncAt) {
-		c.crossSyncAt = c.now.Add(c.spread(c.config.SyncInterval / 3))
-		c.requestSync(c.pick(c.groups.bridges, 1, ""))
+	if c.live.isBridge && !c.now.Before(c.bridgeSyncAt) {
+		c.bridgeSyncAt = c.now.Add(c.withJitter(c.config.SyncInterval / 3))
+		c.requestSync(c.pickRandom(c.live.bridges, 1, ""))
 	}
 
 	if !c.now.Before(c.seedAt) {
-		c.seedAt = c.now.Add(c.spread(c.soon(c.config.SeedInterval)))
-		c.trySeed()
+		c.seedAt = c.now.Add(c.withJitter(c.intervalUntilJoined(c.config.SeedInterval)))
+		c.contactSeed()
 	}
 
-	if !c.now.Before(c.goneAt) {
-		c.goneAt = c.now.Add(c.spread(c.config.SeedInterval / 3))
-		c.tryGone()
+	if !c.now.Before(c.deadContactAt) {
+		c.deadContactAt = c.now.Add(c.withJitter(c.config.SeedInterval / 3))
+		c.contactDeadMember()
 	}
 }
 
-// soon shortens an interval until the node has joined.
-func (c *Core) soon(interval time.Duration) time.Duration {
+// intervalUntilJoined shortens an interval until the node has joined.
+func (c *Core) intervalUntilJoined(interval time.Duration) time.Duration {
 	if c.joined {
 		return interval
 	}
@@ -49,14 +49,14 @@
 	return min(interval, c.config.ProbeInterval)
 }
 
-// partners are the members of the region, or the bridges of others for a node
+// syncCandidates are the members of the region, or the bridges of others for a node
 // that is the first of its region.
-func (c *Core) partners() []*Member {
-	if len(c.groups.locals) > 0 {
-		return c.groups.locals
+func (c *Core) syncCandidates() []*Member {
+	if len(c.live.locals) > 0 {
+		return c.live.locals
 	}
 
-	return c.groups.bridges
+	return c.live.bridges
 }
 
 func (c *Core) requestSync(members []*Member) {
@@ -72,58 +72,58 @@
 	}
 }
 
-// trySeed contacts the next seed at whose address no live member is known.
-func (c *Core) trySeed() {
+// contactSeed contacts the next seed at whose address no live member is known.
+func (c *Core) contactSeed() {
 	var unknown []string
 
 	for _, address := range c.seeds {
-		if address != c.Self.Address && !c.knows(address) {
+		if address != c.Self.Address && !c.knowsAddress(address) {
 			unknown = append(unknown, address)
 		}
 	}
 
 	if len(unknown) > 0 {
-		c.seedTurn++
-		c.sendTo(Destination{address: unknown[c.seedTurn%len(unknown)]}, c.syncRequest())
+		c.seedIndex++
+		c.sendTo(Destination{address: unknown[c.seedIndex%len(unknown)]}, c.syncRequest())
 	}
 }
 
-func (c *Core) knows(address string) bool {
+func (c *Core) knowsAddress(address string) bool {
 	return slices.ContainsFunc(c.table.order, func(e *entry) bool {
 		return e.member.identity.Address == address && e.member.Live()
 	})
 }
 
-// tryGone contacts the next dead member, which heals a partition in which both
+// contactDeadMember contacts the next dead member, which heals a partition in which both
 // sides declared each other dead. Those of other regions are left to bridges.
-func (c *Core) tryGone() {
-	var gone []*Member
+func (c *Core) contactDeadMember() {
+	var dead []*Member
 
 	for _, e := range c.table.order {
 		m := e.member
-		near := c.groups.bridge || m.identity.Region == c.Self.Region
+		near := c.live.isBridge || m.identity.Region == c.Self.Region
 		if near && m.status == Dead && m.phase != Left {
-			gone = append(gone, m)
+			dead = append(dead, m)
 		}
 	}
 
-	if len(gone) > 0 {
-		c.goneTurn++
-		c.send(gone[c.goneTurn%len(gone)], c.syncRequest())
+	if len(dead) > 0 {
+		c.deadIndex++
+		c.send(dead[c.deadIndex%len(dead)], c.syncRequest())
 	}
 }
 
-// answerSync returns members of the buckets that differ.
-func (c *Core) answerSync(from Source, m *SyncRequest) {
-	differing := c.table.differing(m.Digests)
-	response := &SyncResponse{Updates: c.accused(from)}
+// handleSyncRequest returns members of the buckets that differ.
+func (c *Core) handleSyncRequest(from Source, m *SyncRequest) {
+	differing := c.table.differingBuckets(m.Digests)
+	response := &SyncResponse{Updates: c.suspicionUpdates(from)}
 
 	if len(response.Updates) > 0 {
 		// The digests differ by what the sender is about to refute.
 		response.More = len(differing) > 0
 	}
 
-	room := c.syncRoom()
+	room := c.syncBudget()
 	start := 0
 
 	if len(differing) > 0 {
@@ -133,7 +133,7 @@
 	for i := range differing {
 		bucket := differing[(start+i)%len(differing)]
 
-		if !c.fill(response, bucket, &room) {
+		if !c.addBucket(response, bucket, &room) {
 			response.More = true
 
 			break
@@ -146,23 +146,23 @@
 	c.reply(from, response)
 }
 
-// syncRoom is how many bytes of members the next sync message may carry.
-func (c *Core) syncRoom() int {
+// syncBudget is how many bytes of members the next sync message may carry.
+func (c *Core) syncBudget() int {
 	rate := float64(c.config.SyncRate)
 	c.syncBytes.refill(c.now, rate, syncBurstSeconds*rate)
 
 	return min(MaxMessage, int(c.syncBytes.tokens))
 }
 
-func (c *Core) accused(from Source) []Update {
-	updates, _ := c.accusation(from.ID)
+func (c *Core) suspicionUpdates(from Source) []Update {
+	updates, _ := c.suspicionUpdate(from.ID)
 
 	return updates
 }
 
-// fill adds the members of a bucket and reports whether all fitted.
-func (c *Core) fill(response *SyncResponse, bucket byte, room *int) bool {
-	for _, e := range c.table.inBucket(int(bucket)) {
+// addBucket adds the members of a bucket and reports whether all fitted.
+func (c *Core) addBucket(response *SyncResponse, bucket byte, room *int) bool {
+	for _, e := range c.table.bucketEntries(int(bucket)) {
 		u := newUpdate(e.member, partsAll)
 		if u.size() > *room {
 			return false
@@ -175,21 +175,21 @@
 	return true
 }
 
-// finishSync sends back what the other side lacks, and opens the next round at
+// handleSyncResponse sends back what the other side lacks, and opens the next round at
 // once when there is much to catch up with.
-func (c *Core) finishSync(from Source, m *SyncResponse) {
-	c.hurry--
+func (c *Core) handleSyncResponse(from Source, m *SyncResponse) {
+	c.fastSyncRounds--
 
 	switch {
 	case !m.More:
 		c.joined = true
-		c.hurry = 0
-	case c.hurry > 0:
-		c.syncAt = c.now.Add(hurriedSync)
+		c.fastSyncRounds = 0
+	case c.fastSyncRounds > 0:
+		c.syncAt = c.now.Add(fastSyncInterval)
 	default:
 		// Under steady change no round finds the lists equal.
 		c.joined = true
-		c.hurry = 0
+		c.fastSyncRounds = 0
 	}
 
 	theirs := make(map[string]*Update, len(m.Updates))
@@ -199,12 +199,12 @@
 
 	var updates []Update
 
-	room := c.syncRoom()
+	room := c.syncBudget()
 
 	for _, bucket := range m.Buckets {
-		for _, e := range c.table.inBucket(int(bucket)) {
+		for _, e := range c.table.bucketEntries(int(bucket)) {
 			u := newUpdate(e.member, partsAll)
-			if !lacks(theirs[string(u.ID)], &u) || u.size() > room {
+			if !needsUpdate(theirs[string(u.ID)], &u) || u.size() > room {
 				continue
 			}
 
@@ -219,8 +219,8 @@
 	}
 }
 
-// lacks reports whether the other side's update is older than ours.
-func lacks(theirs, ours *Update) bool {
+// needsUpdate reports whether the other side's update is older than ours.
+func needsUpdate(theirs, ours *Update) bool {
 	if theirs == nil {
 		return ours.Status != Dead && ours.Phase != Left
 	}
--- a/membership/table.go
+++ b/membership/table.go
@@ -15,8 +15,8 @@
 type entry struct {
 	member *Member
 	bucket int
-	// since is when the member became dead or left.
-	since time.Time
+	// endedAt is when the member became dead or left.
+	endedAt time.Time
 	// deadline is when a suspect is declared dead; zero for none.
 	deadline time.Time
 }
@@ -40,9 +40,9 @@
 		e = t.insert(m.identity.ID)
 	}
 
-	t.toggle(e)
+	t.toggleDigest(e)
 	e.member = m
-	t.toggle(e)
+	t.toggleDigest(e)
 
 	return e
 }
@@ -73,7 +73,7 @@
 		return
 	}
 
-	t.toggle(e)
+	t.toggleDigest(e)
 	delete(t.byID, id)
 
 	if at, found := t.search(id); found {
@@ -81,9 +81,9 @@
 	}
 }
 
-// toggle adds a live member to its bucket's digest, or takes it out again.
+// toggleDigest adds a live member to its bucket's digest, or takes it out again.
 // Gone members are left out, as nodes forget them at different times.
-func (t *table) toggle(e *entry) {
+func (t *table) toggleDigest(e *entry) {
 	if e.member != nil && e.member.Live() {
 		t.digests[e.bucket] ^= e.member.digest()
 	}
@@ -99,8 +99,8 @@
 	return b
 }
 
-// differing returns the buckets whose digest is another than in encoded.
-func (t *table) differing(encoded []byte) []byte {
+// differingBuckets returns the buckets whose digest is another than in encoded.
+func (t *table) differingBuckets(encoded []byte) []byte {
 	if len(encoded) != bucketCount*digestSize {
 		return nil
 	}
@@ -116,8 +116,8 @@
 	return buckets
 }
 
-// inBucket returns the entries of one bucket in order.
-func (t *table) inBucket(bucket int) []*entry {
+// bucketEntries returns the entries of one bucket in order.
+func (t *table) bucketEntries(bucket int) []*entry {
 	var entries []*entry
 
 	for _, e := range t.order {
--- a/membership/turns.go
+++ b/membership/turns.go
@@ -2,15 +2,15 @@
 
 import "monsoonlever/fleet"
 
-// turns goes through the region's members in a random order that is drawn
+// rotation goes through the region's members in a random order that is drawn
 // anew each time all have had their turn. So a member waits for its turn for
 // two rounds at most, which random draws would not promise.
-type turns struct {
+type rotation struct {
 	order []fleet.InstanceID
 }
 
-// nextTurn returns the next live member, or nil when there is none.
-func (c *Core) nextTurn(t *turns) *Member {
+// nextInRotation returns the next live member, or nil when there is none.
+func (c *Core) nextInRotation(t *rotation) *Member {
 	for range 2 {
 		for len(t.order) > 0 {
 			id := t.order[0]
@@ -22,7 +22,7 @@
 		}
 
 		t.order = t.order[:0]
-		for _, m := range c.groups.locals {
+		for _, m := range c.live.locals {
 			t.order = append(t.order, m.identity.ID)
 		}
 
