--- a/membership/broadcast.go
+++ b/membership/broadcast.go
@@ -7,10 +7,11 @@
 	"monsoonlever/fleet"
 )
 
-// extraStateSends is how often more than a payload an update is sent on.
+// extraStateSends is the number of additional transmissions of an update that is
+// not a routine payload.
 const extraStateSends = 6
 
-// broadcast is an update that is still being sent on.
+// broadcast is an update that the node still has to send to other members.
 type broadcast struct {
 	id    fleet.InstanceID
 	parts parts
@@ -18,27 +19,29 @@
 	class broadcastClass
 }
 
-// broadcastClass orders updates: of a higher broadcastClass all go first.
+// broadcastClass is the priority of an update: all updates of a higher class are
+// sent before those of a lower one.
 type broadcastClass uint8
 
 const (
-	// classPayload updates carry a payload; an anti-entropy round may bring
-	// what was missed.
+	// classPayload updates carry a routine payload; anti-entropy rounds deliver
+	// those that gossip missed.
 	classPayload broadcastClass = iota
 	// classJoin updates introduce a member.
 	classJoin
-	// classState updates tell of leaving, suspicion, death and refutation, or
-	// of an urgent payload.
+	// classState updates announce a phase, a suspicion, a death, a refutation or
+	// an urgent payload.
 	classState
 )
 
-// broadcasts holds at most one update for each member; a newer one replaces it.
+// broadcasts is the queue of updates to send, with at most one for each member.
 type broadcasts struct {
 	queue []*broadcast
 	byID  map[fleet.InstanceID]*broadcast
 }
 
-// add queues news of a member, merged with what is still queued of it.
+// add queues an update of a member. It merges the update with one still queued
+// for the member, and restarts the count of transmissions.
 func (b *broadcasts) add(id fleet.InstanceID, p parts, of broadcastClass) {
 	if b.byID == nil {
 		b.byID = make(map[fleet.InstanceID]*broadcast)
@@ -57,7 +60,8 @@
 	b.queue = append(b.queue, added)
 }
 
-// sort puts higher classes and seldom sent updates first.
+// sort orders the queue by descending class, then by ascending number of
+// transmissions.
 func (b *broadcasts) sort() {
 	slices.SortStableFunc(b.queue, func(x, y *broadcast) int {
 		if x.class != y.class {
@@ -68,8 +72,9 @@
 	})
 }
 
-// trim removes the updates that were sent limit times, and a few times more where
-// they are not of a payload: every member must have those within seconds.
+// trim removes updates sent limit times. Updates of a higher class than
+// classPayload are sent extraStateSends times more, since they must reach every
+// member within seconds.
 func (b *broadcasts) trim(limit int) {
 	b.queue = slices.DeleteFunc(b.queue, func(x *broadcast) bool {
 		if x.sent < limit || (x.class > classPayload && x.sent < limit+extraStateSends) {
--- a/membership/config.go
+++ b/membership/config.go
@@ -6,25 +6,28 @@
 )
 
 const (
-	// MaxPayload bounds a member's payload in bytes.
+	// MaxPayload is the maximum size of a member's payload in bytes.
 	MaxPayload = 256
-	// MaxName bounds an instance ID, region, failure domain or address in bytes.
+	// MaxName is the maximum size of an instance ID, region, failure domain or
+	// address in bytes.
 	MaxName = 128
-	// MaxMessage bounds the updates of a sync message in bytes.
+	// MaxMessage is the maximum size of the updates of a sync message in bytes.
 	MaxMessage = 8 << 10
-	// MaxPiggyback bounds the updates of every other message in bytes.
+	// MaxPiggyback is the maximum size of the updates of any other message in
+	// bytes.
 	MaxPiggyback = 1200
-	// TickInterval is how often the shell calls Tick.
+	// TickInterval is the time between calls of Core.Tick.
 	TickInterval = 100 * time.Millisecond
 
-	maxHealthPenalty    = 4
-	maxRelayedProbes    = 64
-	bucketCount  = 64
-	digestSize   = 4
-	leaveFanout  = 4
-	gossipFanout = 2
-	// pauseThreshold is a time without a Tick after which the node itself was
-	// paused, so that it cannot blame others for what it did not hear.
+	maxHealthPenalty = 4
+	maxRelayedProbes = 64
+	bucketCount      = 64
+	digestSize       = 4
+	leaveFanout      = 4
+	gossipFanout     = 2
+	// pauseThreshold is the time without a Tick after which the node assumes that
+	// its own process was paused, so that missing messages are no evidence against
+	// other members.
 	pauseThreshold = 10 * TickInterval
 )
 
@@ -32,41 +35,46 @@
 type Config struct {
 	// ProbeInterval is the time between probes; default 1 s.
 	ProbeInterval time.Duration `json:"probeInterval"`
-	// AckTimeout is the wait before indirect probes; default 300 ms.
+	// AckTimeout is the time to wait for an ack before indirect probes are
+	// requested; default 300 ms.
 	AckTimeout time.Duration `json:"ackTimeout"`
-	// IndirectProbes is how many members probe a silent one; default 3.
+	// IndirectProbes is the number of members that probe a silent member
+	// indirectly; default 3.
 	IndirectProbes int `json:"indirectProbes"`
-	// SuspicionFactor times the probe interval and the logarithm of the
-	// region's size is how long a suspect may refute; default 4.
+	// SuspicionFactor, multiplied by the probe interval and the decimal logarithm
+	// of the region's size (at least 1), is the time in which a suspect can refute;
+	// default 4.
 	SuspicionFactor int `json:"suspicionFactor"`
 	// GossipInterval is the time between gossip rounds; default 250 ms.
 	GossipInterval time.Duration `json:"gossipInterval"`
-	// GossipRate bounds the bytes of updates sent in a second; default 3000.
+	// GossipRate is the maximum rate of updates in gossip and probes, in bytes per
+	// second; default 3000.
 	GossipRate int `json:"gossipRate"`
-	// RetransmitFactor times the natural logarithm of the region's size is how
-	// often an update is sent on; default 1.5.
+	// RetransmitFactor, multiplied by the natural logarithm of the region's size,
+	// is the number of times that a node sends an update; default 1.5.
 	RetransmitFactor float64 `json:"retransmitFactor"`
 	// SyncInterval is the time between anti-entropy rounds; default 30 s.
 	SyncInterval time.Duration `json:"syncInterval"`
-	// SyncRate bounds the bytes of members sent in anti-entropy rounds in a
-	// second; a burst of sixteen seconds' worth may be saved up; default 2000.
+	// SyncRate is the maximum rate of updates in anti-entropy rounds, in bytes per
+	// second, with a burst of sixteen seconds of the rate; default 2000.
 	SyncRate int `json:"syncRate"`
-	// SeedInterval is the time between contacts to a seed that is no member;
-	// dead members are contacted three times as often; default 30 s.
+	// SeedInterval is the time between sync requests to seeds that are no live
+	// members; dead members are contacted three times as often; default 30 s.
 	SeedInterval time.Duration `json:"seedInterval"`
-	// Retention is how long a dead or left member is remembered; default 2 h.
+	// Retention is the time after which a dead or left member is evicted;
+	// default 2 h.
 	Retention time.Duration `json:"retention"`
-	// PayloadRate is how many bytes of updates with payloads the fleet as a
-	// whole may originate in a second; a member's share shrinks as the fleet
-	// grows; default 250.
+	// PayloadRate is the rate at which all members together originate routine
+	// payload updates, in bytes per second, divided equally among the live members;
+	// default 250.
 	PayloadRate float64 `json:"payloadRate"`
-	// BridgeInterval is the time between probes of a bridge to each other
-	// region; default 1 s.
+	// BridgeInterval is the time between a bridge's probes of bridges of other
+	// regions; default 1 s.
 	BridgeInterval time.Duration `json:"bridgeInterval"`
-	// RegionInterval is the same for members that are no bridge; default 20 s.
+	// RegionInterval is the same for members that are not bridges; default 20 s.
 	RegionInterval time.Duration `json:"regionInterval"`
 	// RegionTimeout is the time without a round trip after which a region is
-	// unreachable; default 75 s. A bridge takes ten of its intervals.
+	// unreachable; default 75 s. For a bridge it is ten times BridgeInterval.
 	RegionTimeout time.Duration `json:"regionTimeout"`
 }
 
--- a/membership/core.go
+++ b/membership/core.go
@@ -9,8 +9,8 @@
 	"monsoonlever/fleet"
 )
 
-// Core decides for one node. The exported fields are set before the first
-// step. It is not safe for concurrent use.
+// Core is the membership state machine of one node. The exported fields must be
+// set before the first step. It is not safe for concurrent use.
 type Core struct {
 	// Self is the node's own identity.
 	Self Identity
@@ -28,38 +28,38 @@
 	step       Step
 	config     Config
 
-	table      table
-	broadcasts broadcasts
-	gossipBytes      tokenBucket
-	syncBytes  tokenBucket
-	live     liveMembers
+	table        table
+	broadcasts   broadcasts
+	gossipBytes  tokenBucket
+	syncBytes    tokenBucket
+	live         liveMembers
 	liveOutdated bool
 
-	lastProbeNumber      uint32
-	probe       *probe
-	probeAt     time.Time
-	probeRotation  rotation
-	gossipRotation rotation
-	relayedProbes      []relayedProbe
-	suspects    []fleet.InstanceID
-	healthPenalty      int
-	gossipAt    time.Time
-	syncAt      time.Time
-	seedAt      time.Time
-	seedIndex    int
-	deadContactAt      time.Time
-	deadIndex    int
-	fastSyncRounds       int
-	seeds       []string
-	regions     []*regionState
-	bridgeProbeAt    time.Time
-	bridgeIndex  int
-	bridgeSyncAt time.Time
-	evictAt      time.Time
-	pending     pendingPayload
+	lastProbeNumber uint32
+	probe           *probe
+	probeAt         time.Time
+	probeRotation   rotation
+	gossipRotation  rotation
+	relayedProbes   []relayedProbe
+	suspects        []fleet.InstanceID
+	healthPenalty   int
+	gossipAt        time.Time
+	syncAt          time.Time
+	seedAt          time.Time
+	seedIndex       int
+	deadContactAt   time.Time
+	deadIndex       int
+	fastSyncRounds  int
+	seeds           []string
+	regions         []*regionState
+	bridgeProbeAt   time.Time
+	bridgeIndex     int
+	bridgeSyncAt    time.Time
+	evictAt         time.Time
+	pending         pendingPayload
 }
 
-// beginStep opens a step at now.
+// beginStep starts a step at now. The first call initializes the core.
 func (c *Core) beginStep(now time.Time) {
 	c.now = now
 	c.step = Step{}
@@ -86,7 +86,8 @@
 	c.evictAt = now.Add(time.Minute)
 }
 
-// Tick lets time pass. The shell calls it every TickInterval.
+// Tick expires timeouts and sends the probes, gossip and sync requests that are
+// due. Group calls it every TickInterval.
 func (c *Core) Tick(now time.Time) Step {
 	c.beginStep(now)
 
@@ -110,7 +111,7 @@
 	return c.step
 }
 
-// Receive takes a message from a verified source.
+// Receive handles a message from a verified source.
 func (c *Core) Receive(now time.Time, from Source, message Message) Step {
 	c.beginStep(now)
 
@@ -146,19 +147,19 @@
 	}
 }
 
-// Discover replaces the addresses to join through: seeds of the settings and
-// the platform's list.
+// Discover replaces the addresses to join through: the configured seeds and the
+// addresses of the platform's instance list.
 func (c *Core) Discover(now time.Time, addresses []string) {
 	c.beginStep(now)
 	c.seeds = slices.Clone(addresses)
 }
 
-// Leave announces that the node drains. It cannot be taken back.
+// Leave announces that the node drains. It cannot be undone.
 func (c *Core) Leave(now time.Time) Step {
 	return c.announce(now, Leaving)
 }
 
-// Depart announces that the node ends now.
+// Depart announces that the node has left, and stops the core.
 func (c *Core) Depart(now time.Time) Step {
 	step := c.announce(now, Left)
 	c.stopped = true
@@ -166,7 +167,8 @@
 	return step
 }
 
-// announce moves the node's own phase on and tells some members at once.
+// announce advances the node's own phase and sends the update to some members
+// immediately.
 func (c *Core) announce(now time.Time, phase Phase) Step {
 	c.beginStep(now)
 
@@ -189,13 +191,14 @@
 	return c.step
 }
 
-// Superseded returns the incarnation of a newer process with the node's ID,
-// and whether there is one. Such a core has stopped for good.
+// Superseded returns the later incarnation of the node's instance, and whether
+// there is one. A superseded core has stopped permanently.
 func (c *Core) Superseded() (fleet.Incarnation, bool) {
 	return c.superseded, c.superseded != 0
 }
 
-// Joined reports whether the core has taken over another member's whole list.
+// Joined reports whether the core has synced the member list with another
+// member.
 func (c *Core) Joined() bool {
 	return c.joined
 }
@@ -208,7 +211,7 @@
 	return time.Duration(c.Random.Int64N(int64(d)))
 }
 
-// withJitter returns d give or take a tenth.
+// withJitter returns a random duration within a tenth of d.
 func (c *Core) withJitter(d time.Duration) time.Duration {
 	return d*9/10 + c.jitter(d/5)
 }
@@ -225,7 +228,8 @@
 	c.sendTo(Destination{id: to.ID, address: to.Address}, message)
 }
 
-// pickRandom returns up to n random members of list other than except.
+// pickRandom returns up to n distinct random members of list, without the
+// member except.
 func (c *Core) pickRandom(list []*Member, n int, except fleet.InstanceID) []*Member {
 	var picked []*Member
 
@@ -244,8 +248,9 @@
 	return picked
 }
 
-// drawIndexes returns places in a list of some size: every one where the list is
-// short, and otherwise a few with repeats, which cost less than a shuffle.
+// drawIndexes returns random indexes into a list of the given size: a permutation
+// of all indexes for a short list, else 2n indexes that may repeat, which cost less
+// than a shuffle.
 func (c *Core) drawIndexes(size, n int) []int {
 	if size <= 4*n {
 		return c.Random.Perm(size)
@@ -259,7 +264,8 @@
 	return draws
 }
 
-// logRegionSize is the natural logarithm of the number of live members of the region.
+// logRegionSize returns the natural logarithm of n+1 for the n live members of the
+// node's region.
 func (c *Core) logRegionSize() float64 {
 	return math.Log(float64(len(c.live.locals) + 2))
 }
--- a/membership/counters.go
+++ b/membership/counters.go
@@ -14,7 +14,8 @@
 	suspicions      = metrics.GetOrCreateCounter("monsoonlever_membership_suspicions_total")
 )
 
-// recordChange counts a change, and logs it where a member's state is another.
+// recordChange counts a change, and logs it when the member's incarnation,
+// revision or status differs.
 func recordChange(c Change) {
 	changes.Inc()
 
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,20 +1,21 @@
-// Package membership keeps a list of the entry instances that every one of
-// them holds alike within seconds, without a coordination service.
+// Package membership maintains a replicated list of the entry instances that
+// converges on every instance within seconds, without a coordination service.
 //
-// Core is the decision: a deterministic step machine that takes the time and
-// what arrived, and returns messages and changes. It has no socket, clock,
-// goroutine or global random source. Group is the shell that drives a Core
-// over a peer.Node.
+// Core makes the decisions: it is a deterministic state machine that takes the
+// current time and a received message, and returns messages to send and changes
+// of the list. It has no socket, clock, goroutine or global random source.
+// Group drives a Core over a peer.Node.
 //
-// A member says of itself its place, its phase (active, leaving, left) and a
-// small payload. Others only add a status: alive, suspect or dead. Everything
-// about one member is ordered by incarnation, then by revision, then by status,
-// so that copies merge the same way in any order, and only the member itself
-// can raise its revision to refute a suspicion.
+// A member publishes its own place, phase (active, leaving, left) and a small
+// payload. Other members only set its status: alive, suspect or dead. The state
+// of a member is ordered by incarnation, then by revision, then by status, so
+// that updates merge to the same result in any order. Only the member itself
+// raises its revision, which refutes a suspicion.
 //
-// Members are probed inside their region only. A region whose round trips all
-// fail is unreachable as a whole; none of its members is declared dead from
-// outside. docs/membership.md gives the design and what was measured.
+// Members are probed only by members of their own region. A region to which all
+// round trips fail is marked unreachable as a whole; none of its members is
+// declared dead by members of other regions. docs/membership.md describes the
+// design and the measurements.
 //
 // # Usage
 //
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -6,11 +6,12 @@
 	"monsoonlever/fleet"
 )
 
-// gossipBurstSeconds is how much of the rate may be saved up for a burst of news.
+// gossipBurstSeconds is the burst of the gossip rate limit, in seconds of the
+// rate.
 const gossipBurstSeconds = 4
 
-// sendGossip sends queued updates to a few members, and a bridge sends them
-// to a bridge of each other region.
+// sendGossip sends queued updates to gossipFanout members of the region. A
+// bridge also sends them to a random bridge of another region.
 func (c *Core) sendGossip() {
 	if c.now.Before(c.gossipAt) {
 		return
@@ -39,8 +40,8 @@
 	}
 }
 
-// piggyback returns queued updates for a member, within the bounds of a
-// message and of the node's rate.
+// piggyback returns queued updates for a member, within the size of a message
+// and the node's gossip rate.
 func (c *Core) piggyback(to *Member) []Update {
 	return c.collectUpdates(to.identity.ID, to.identity.Region)
 }
@@ -71,7 +72,7 @@
 			continue
 		}
 
-		// A region knows its own members first.
+		// The receiver's region is the first to have updates about its own members.
 		foreign := region != c.Self.Region && e.member.identity.Region == region
 		if b.id == to || foreign {
 			continue
@@ -94,8 +95,8 @@
 	return updates
 }
 
-// suspicionUpdate returns what the node holds against the receiver, which can
-// refute it at once, and the room left in the message.
+// suspicionUpdate returns the update by which the receiver is suspect or dead, so
+// that it can refute it immediately, and the bytes left in the message.
 func (c *Core) suspicionUpdate(to fleet.InstanceID) ([]Update, int) {
 	e := c.table.get(to)
 	if e == nil || e.member.status == Alive {
--- a/membership/group.go
+++ b/membership/group.go
@@ -17,41 +17,45 @@
 )
 
 const (
-	// inboxLength bounds what was received and not yet handled.
+	// inboxLength is the maximum number of received messages that wait to be
+	// handled.
 	inboxLength = 1024
-	// batchLength bounds how many messages are handled before a new view.
+	// batchLength is the maximum number of messages handled before a new view is
+	// published.
 	batchLength = 64
-	// defaultListInterval is the time between looks at the platform's list.
+	// defaultListInterval is the time between reads of the instance list.
 	defaultListInterval = 30 * time.Second
-	// flushTimeout bounds the time in which the last messages are written.
+	// flushTimeout bounds the time to write the last messages on shutdown.
 	flushTimeout = time.Second
 )
 
 var (
-	// ErrSuperseded is returned by Run when a process with the same instance
-	// ID and a later incarnation runs.
+	// ErrSuperseded is returned by Run when a later incarnation of the instance
+	// exists.
 	ErrSuperseded = merry.Sentinel("a later incarnation of this instance runs")
-	// ErrNoNode is returned by Register for a group without a node.
+	// ErrNoNode is returned by Register for a group without a node or clock.
 	ErrNoNode = merry.Sentinel("group has no node or clock")
 )
 
-// Group drives a Core over a peer.Node. The exported fields are set before
-// Register, which comes before the node's Run.
+// Group drives a Core over a peer.Node. The exported fields must be set before
+// Register, and Register must be called before the node's Run.
 type Group struct {
-	// Node carries the messages; its identity is the member's.
+	// Node sends and receives the messages; the member has its ID, incarnation,
+	// failure domain and address.
 	Node *peer.Node
-	// Clock tells the time.
+	// Clock is the source of the current time and of timers.
 	Clock clock.Clock
 	// Region is the node's region.
 	Region fleet.Region
-	// Seeds are addresses to join through.
+	// Seeds are the configured peer addresses to join through.
 	Seeds []string
-	// List is the platform's list, to join through as well; nil for none.
+	// List is the platform's instance list, whose addresses are used like Seeds;
+	// nil for none.
 	List provider.InstanceList
 	// Locate returns the peer address of a listed entry instance, and false
-	// for other instances. It is needed with a List.
+	// for other instances. It is required with a List.
 	Locate func(provider.Listing) (string, bool)
-	// ListInterval is the time between looks at the list; 0 means 30 s.
+	// ListInterval is the time between reads of List; 0 means 30 s.
 	ListInterval time.Duration
 	// Config holds the timing.
 	Config Config
@@ -63,34 +67,34 @@
 	view   atomic.Pointer[View]
 	joined atomic.Bool
 
-	// viewStale says that the view misses a change.
+	// viewStale reports whether the core has changes that the view lacks.
 	viewStale bool
 
-	mu     sync.Mutex
-	commands ownerCommands
+	mu              sync.Mutex
+	commands        ownerCommands
 	listedAddresses []string
 }
 
-// receivedMessage is a message that was received.
+// receivedMessage is a message with its verified sender.
 type receivedMessage struct {
 	from    Source
 	message Message
 }
 
-// View returns the present member list. It never blocks.
+// View returns the current member list. It never blocks.
 func (g *Group) View() *View {
 	return g.view.Load()
 }
 
-// Joined reports whether the node has taken over another member's whole list.
-// It stays false for a node that is alone.
+// Joined reports whether the node has synced the member list with another
+// member. It stays false for a node without other members.
 func (g *Group) Joined() bool {
 	return g.joined.Load()
 }
 
-// Run takes part in the group until ctx ends, and then announces that the node
+// Run participates in the group until ctx ends, and then announces that the node
 // has left; the node must run until Run has returned. It returns ErrSuperseded
-// when a later process has taken the node's place.
+// when a later incarnation of the instance exists.
 func (g *Group) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	tasks := conc.NewWaitGroup()
@@ -121,14 +125,15 @@
 		}
 
 		if incarnation, superseded := g.core.Superseded(); superseded {
-			klog.InfoS("later incarnation of this instance found", "incarnation", incarnation)
+			klog.InfoS("superseded by a later incarnation of this instance", "incarnation", incarnation)
 
 			return ErrSuperseded
 		}
 	}
 }
 
-// handleBatch handles what waits, up to a bound, and publishes one view.
+// handleBatch handles a message and those waiting in the inbox, at most
+// batchLength in all, and publishes one view for them.
 func (g *Group) handleBatch(a receivedMessage) {
 	for range batchLength {
 		g.execute(g.core.Receive(g.Clock.Now(), a.from, a.message))
@@ -145,7 +150,8 @@
 	g.publishView()
 }
 
-// announceLeft announces the end and gives the messages time to be written.
+// announceLeft announces that the node has left and waits up to flushTimeout
+// for the messages to be written.
 func (g *Group) announceLeft() {
 	g.execute(g.core.Depart(g.Clock.Now()))
 	g.publishView()
@@ -156,7 +162,7 @@
 	g.Node.Flush(ctx)
 }
 
-// execute carries out a step.
+// execute sends the messages of a step and records its changes.
 func (g *Group) execute(step Step) {
 	for _, c := range step.changes {
 		g.viewStale = true
@@ -170,7 +176,7 @@
 	}
 }
 
-// publishView replaces the view when something has changed.
+// publishView replaces the view if the member list has changed.
 func (g *Group) publishView() {
 	g.joined.Store(g.core.Joined())
 
--- a/membership/group_test.go
+++ b/membership/group_test.go
@@ -17,17 +17,18 @@
 	"monsoonlever/provider"
 )
 
-// fakeList is a platform's list that lists what it is given.
+// fakeList is an instance list with fixed listings.
 type fakeList []provider.Listing
 
 func (l fakeList) Listings(context.Context) ([]provider.Listing, error) {
 	return l, nil
 }
 
-// messageExchange carries messages between groups in one process, by address.
+// messageExchange delivers messages between groups in one process, by
+// address.
 type messageExchange map[string]*Group
 
-// newGroup adds a group whose messages go through the exchange.
+// newGroup creates a group that sends and receives through the exchange.
 func (x messageExchange) newGroup(id fleet.InstanceID, i int, incarnation fleet.Incarnation) *Group {
 	address := fmt.Sprintf("10.0.0.%d:1", i)
 	g := &Group{
@@ -57,7 +58,7 @@
 	return g
 }
 
-// await waits until the view is as wanted.
+// await waits until wanted accepts the group's view, for at most a minute.
 func await(t *testing.T, g *Group, desc string, wanted func(*View) bool) {
 	t.Helper()
 
@@ -72,7 +73,7 @@
 		select {
 		case <-v.Changed():
 		case <-timeout:
-			t.Fatalf("%s of %s: not within a minute", desc, g.Node.ID)
+			t.Fatalf("%s in the view of %s: condition not met within a minute", desc, g.Node.ID)
 		}
 	}
 }
--- a/membership/holds_test.go
+++ b/membership/holds_test.go
@@ -11,16 +11,20 @@
 )
 
 const (
-	// settleBound is the time after the last fault in which all must agree.
+	// settleBound is the time after the last fault within which all running nodes
+	// must agree.
 	settleBound = 120 * time.Second
-	// leavingBound is the time in which all must know of a leaving member.
+	// leavingBound is the time within which all nodes must list a member as
+	// leaving.
 	leavingBound = 5 * time.Second
-	// rateBound is the most a node may send in a second, over a window.
+	// rateBound is the maximum rate at which a node may send, in bytes per second,
+	// averaged over rateWindow.
 	rateBound  = 8 << 10
 	rateWindow = 10 * time.Second
 )
 
-// drawSimulation boots a few nodes in one or two regions and lets them join.
+// drawSimulation boots a few nodes in one or two regions and runs until they have
+// joined.
 func drawSimulation(t *rapid.T, maxNodes int) *simulation {
 	m := newSimulation(rapid.Uint64().Draw(t, "seed"))
 	size := rapid.IntRange(3, maxNodes).Draw(t, "nodes")
@@ -37,13 +41,13 @@
 	}
 
 	if _, d := m.settle(settleBound); d != "" {
-		t.Fatalf("joining: %s", d)
+		t.Fatalf("nodes do not agree after joining: %s", d)
 	}
 
 	return m
 }
 
-// fault is one thing that goes wrong, from a time on and for a time.
+// fault is a fault of a node or a link during an interval.
 type fault struct {
 	kind  faultKind
 	node  int
@@ -78,7 +82,8 @@
 	}), 0, 8).Draw(t, "faults")
 }
 
-// runFaults runs the faults to the end of the last and heals what they left.
+// runFaults simulates 101 s with the faults, which all end in that time, and then
+// removes all cuts.
 func (m *simulation) runFaults(faults []fault) {
 	var cuts []fault
 
@@ -117,7 +122,7 @@
 	return f.from <= at && at < f.until && (f.kind == faultCut || f.kind == faultIsolation)
 }
 
-// apply starts or ends a fault of a process.
+// apply starts or ends a fault that affects a process rather than a link.
 func (m *simulation) apply(f fault, at time.Duration) {
 	n := m.nodes[f.node]
 
@@ -138,9 +143,10 @@
 	}
 }
 
-// discoverAllAddresses gives the running nodes the platform's discoverAllAddresses, which still holds the
-// instances that are gone. Without it, nodes that all restarted while every seed
-// ended for good have nothing left by which to find each other.
+// discoverAllAddresses gives the running nodes the addresses of all instances,
+// including terminated ones, as the platform's instance list does. Without it,
+// nodes that have all restarted cannot find each other once every seed has crashed
+// permanently.
 func (m *simulation) discoverAllAddresses() {
 	var addresses []string
 	for _, n := range m.nodes {
@@ -152,9 +158,10 @@
 	}
 }
 
-// TestHoldsMembershipAgreesAfterFaults: once the faults end, all that run agree
-// on who runs, and on all that each says of itself, within a bounded time. The
-// platform's list is late until then.
+// TestHoldsMembershipAgreesAfterFaults checks that, within settleBound after the
+// faults end, all running nodes agree on the live members and on the state and
+// payload of each. The nodes read the platform's instance list only after the
+// faults.
 func TestHoldsMembershipAgreesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 8)
@@ -178,14 +185,13 @@
 		m.discoverAllAddresses()
 
 		if _, d := m.settle(settleBound); d != "" {
-			t.Fatalf("not agreed after %v: %s", settleBound, d)
+			t.Fatalf("nodes do not agree after %v: %s", settleBound, d)
 		}
 	})
 }
 
-// TestHoldsMembershipOrder: no node ever goes back to an older incarnation,
-// revision or status of a member, or to an older payload, whatever arrives late
-// or twice.
+// TestHoldsMembershipOrder checks that delayed and repeated messages never make a
+// node return to an older incarnation, revision, status or payload of a member.
 func TestHoldsMembershipOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 6)
@@ -199,11 +205,11 @@
 
 			before, after := c.Before(), c.After()
 			if before.version().newer(after.version()) {
-				t.Fatalf("%s of %s: went back from %+v to %+v", n.identity.ID, after.ID(), before.version(), after.version())
+				t.Fatalf("%s: state of %s went back from %+v to %+v", n.identity.ID, after.ID(), before.version(), after.version())
 			}
 
 			if before.Incarnation() == after.Incarnation() && before.payloadVersion > after.payloadVersion {
-				t.Fatalf("%s of %s: payload went back from %d to %d", n.identity.ID, after.ID(), before.payloadVersion, after.payloadVersion)
+				t.Fatalf("%s: payload version of %s went back from %d to %d", n.identity.ID, after.ID(), before.payloadVersion, after.payloadVersion)
 			}
 		}
 
@@ -211,8 +217,8 @@
 	})
 }
 
-// TestHoldsMembershipLeavingIsKnown: what a member announces of its leaving is
-// known to all others within seconds, over a lossy network.
+// TestHoldsMembershipLeavingIsKnown checks that the announcement of a leaving
+// member reaches all other nodes within leavingBound over a lossy network.
 func TestHoldsMembershipLeavingIsKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 24)
@@ -232,8 +238,8 @@
 	})
 }
 
-// TestHoldsMembershipFrozenBlamesNobody: a node that was paused, for seconds or
-// minutes, gets none of the others declared dead when it goes on.
+// TestHoldsMembershipFrozenBlamesNobody checks that a node that was paused for
+// seconds or minutes causes no other node to be declared dead when it resumes.
 func TestHoldsMembershipFrozenBlamesNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 10)
@@ -263,8 +269,9 @@
 	})
 }
 
-// TestHoldsMembershipOneWayCutKillsNobody: while one direction between two
-// members stays cut, nobody is declared dead, as others reach both.
+// TestHoldsMembershipOneWayCutKillsNobody checks that no member is declared dead
+// while one direction of the link between two members is cut, since other members
+// still reach both.
 func TestHoldsMembershipOneWayCutKillsNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 10)
@@ -281,8 +288,8 @@
 	})
 }
 
-// TestHoldsMembershipIsBounded: no message is larger than its bound, and no
-// node sends more than its rate over any window, under all faults.
+// TestHoldsMembershipIsBounded checks that under faults no message exceeds its
+// maximum size and no node exceeds rateBound over a window.
 func TestHoldsMembershipIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 8)
--- a/membership/identity.go
+++ b/membership/identity.go
@@ -2,16 +2,17 @@
 
 import "monsoonlever/fleet"
 
-// Identity says who and where the node of a Core is.
+// Identity holds the ID and the location of a node.
 type Identity struct {
-	// ID names the instance.
+	// ID is the instance ID.
 	ID fleet.InstanceID
-	// Incarnation is greater at each start of a process with this ID.
+	// Incarnation identifies the process; each process started with the same ID
+	// has a greater one than the process before.
 	Incarnation fleet.Incarnation
 	// Region is the instance's region.
 	Region fleet.Region
 	// Domain is the instance's failure domain.
 	Domain fleet.FailureDomain
-	// Address is where other members reach the instance.
+	// Address is the peer address that other members send to.
 	Address string
 }
--- a/membership/instance_list.go
+++ b/membership/instance_list.go
@@ -5,7 +5,7 @@
 	"context"
 )
 
-// pollInstanceList looks at the platform's list from time to time.
+// pollInstanceList reads the platform's instance list at every ListInterval.
 func (g *Group) pollInstanceList(ctx context.Context) {
 	for {
 		g.readInstanceList(ctx)
@@ -18,8 +18,8 @@
 	}
 }
 
-// readInstanceList takes over the addresses of the list. While the list is down the
-// last ones stay.
+// readInstanceList replaces the listed addresses by those of the instance list.
+// When the read fails, the addresses of the last successful read stay in use.
 func (g *Group) readInstanceList(ctx context.Context) {
 	listings, err := g.List.Listings(ctx)
 	if err != nil {
--- a/membership/kind.go
+++ b/membership/kind.go
@@ -2,7 +2,7 @@
 
 import "monsoonlever/peer"
 
-// The kinds of the package's messages; the range up to 47 is reserved for it.
+// The message kinds of this package. The range from 32 to 47 is reserved for it.
 const (
 	kindProbe peer.Kind = iota + 32
 	kindAck
@@ -12,7 +12,8 @@
 	kindSyncResponse
 )
 
-// kinds lists them. All may be dropped: each is repaired by a later one.
+// kinds lists the message kinds. The node may drop any of these messages under
+// load, since later messages compensate for a lost one.
 var kinds = []peer.Kind{kindProbe, kindAck, kindIndirectProbe, kindGossip, kindSyncRequest, kindSyncResponse}
 
 func kindOf(message Message) peer.Kind {
--- a/membership/live_members.go
+++ b/membership/live_members.go
@@ -8,26 +8,27 @@
 	"monsoonlever/fleet"
 )
 
-// liveMembers are the live members other than the node, sorted by what they are
-// asked for.
+// liveMembers holds the live members of the table by their role in probes,
+// gossip and sync.
 type liveMembers struct {
-	// locals are those of the node's region.
+	// locals are the other live members of the node's region.
 	locals []*Member
-	// bridges are the bridges of every other region.
+	// bridges are the elected bridges of all other regions.
 	bridges []*Member
-	// isBridge says whether the node is a isBridge of its own region.
+	// isBridge reports whether the node is an elected bridge of its own region.
 	isBridge bool
-	// count counts all live members, the node included.
+	// count is the number of live members, including the node.
 	count int
 }
 
-// bridgeKey names a failure domain of a region.
+// bridgeKey identifies a failure domain of a region, which has one bridge.
 type bridgeKey struct {
 	region fleet.Region
 	domain fleet.FailureDomain
 }
 
-// refreshLiveMembers sorts the members anew after one has come, gone or moved on.
+// refreshLiveMembers rebuilds the live members when a member was added or its
+// phase or status changed.
 func (c *Core) refreshLiveMembers() {
 	if !c.liveOutdated {
 		return
@@ -67,9 +68,9 @@
 	c.trackNewRegions()
 }
 
-// elect keeps one bridge for each failure domain: of the usable members the
-// one with the lowest hash, so that every member elects the same without a
-// message, and the loss of a domain takes one bridge at most.
+// elect elects one bridge for each failure domain, so that the loss of a domain
+// removes at most one bridge. It prefers usable members and then the lowest hash
+// of the ID: all members elect the same bridges without exchanging messages.
 func elect(elected map[bridgeKey]*Member, m *Member) {
 	key := bridgeKey{region: m.identity.Region, domain: m.identity.Domain}
 
--- a/membership/member.go
+++ b/membership/member.go
@@ -8,8 +8,8 @@
 	"monsoonlever/fleet"
 )
 
-// Member is what is known of one instance at one time. It never changes; a
-// change makes another Member.
+// Member is an immutable snapshot of the state of one instance. A change creates
+// a new Member.
 type Member struct {
 	identity       Identity
 	revision       uint32
@@ -25,7 +25,7 @@
 	return m.identity.ID
 }
 
-// Incarnation returns the process's incarnation.
+// Incarnation returns the incarnation of the member's process.
 func (m *Member) Incarnation() fleet.Incarnation {
 	return m.identity.Incarnation
 }
@@ -40,17 +40,17 @@
 	return m.identity.Domain
 }
 
-// Address returns where the member is reached.
+// Address returns the member's peer address.
 func (m *Member) Address() string {
 	return m.identity.Address
 }
 
-// Phase returns what the member said of itself last.
+// Phase returns the phase that the member announced last.
 func (m *Member) Phase() Phase {
 	return m.phase
 }
 
-// Status returns what others think of the member.
+// Status returns the member's liveness as other members judge it.
 func (m *Member) Status() Status {
 	return m.status
 }
@@ -60,17 +60,19 @@
 	return []byte(m.payload)
 }
 
-// PayloadVersion counts the payloads of the member's incarnation.
+// PayloadVersion returns the number of payloads that the member's incarnation
+// has published.
 func (m *Member) PayloadVersion() uint32 {
 	return m.payloadVersion
 }
 
-// Live reports whether the member runs as far as is known, leaving or not.
+// Live reports whether the member is neither dead nor left. Suspect and leaving
+// members are live.
 func (m *Member) Live() bool {
 	return m.status != Dead && m.phase != Left
 }
 
-// Usable reports whether the member takes new work: it is live, unsuspected
+// Usable reports whether the member accepts new work: it is alive, not suspect
 // and not leaving.
 func (m *Member) Usable() bool {
 	return m.status == Alive && m.phase == Active
@@ -80,7 +82,7 @@
 	return version{incarnation: m.identity.Incarnation, revision: m.revision, status: m.status}
 }
 
-// digest hashes all that copies of a live member must agree on.
+// digest hashes the fields of a live member on which all nodes must agree.
 func (m *Member) digest() uint32 {
 	var b [17]byte
 
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// mergeAll takes over the updates of a message.
+// mergeAll merges all valid updates of a message into the table.
 func (c *Core) mergeAll(message Message) {
 	updates := message.updates()
 	for i := range updates {
@@ -15,7 +15,7 @@
 	}
 }
 
-// merge takes over what an update says that is newer than what is known.
+// merge applies the parts of an update that are newer than the table's.
 func (c *Core) merge(u *Update) {
 	if u.ID == c.Self.ID {
 		c.mergeSelf(u)
@@ -54,8 +54,9 @@
 	}
 }
 
-// mergeNewMember adds a member. One that is gone is not added, or nodes that
-// forget it at different times would remind each other for ever.
+// mergeNewMember adds an unknown member. It ignores dead and left members:
+// nodes evict them at different times, and would otherwise reintroduce them to
+// each other forever.
 func (c *Core) mergeNewMember(u *Update) {
 	if u.Place == nil || u.Status == Dead || u.Phase == Left {
 		return
@@ -67,7 +68,8 @@
 	c.store(m, partsAll, classJoin)
 }
 
-// mergeState takes over a newer state and returns what must be sent on.
+// mergeState applies a newer state to m and returns the parts that must be
+// rebroadcast with it.
 func mergeState(m *Member, u *Update) parts {
 	fresh := u.Place != nil && (u.Incarnation > m.identity.Incarnation || m.identity.Address == "")
 	if !fresh && !u.version().newer(m.version()) {
@@ -105,7 +107,9 @@
 	return partPayload
 }
 
-// mergeSelf refutes what others wrongly think of the node.
+// mergeSelf handles an update about the node itself. It refutes a suspicion or
+// a death by raising the revision, and stops the core when a later incarnation of
+// the instance exists.
 func (c *Core) mergeSelf(u *Update) {
 	self := c.self()
 
@@ -126,7 +130,8 @@
 	c.store(&changed, 0, classState)
 }
 
-// store stores a member, reports the change and sends it on.
+// store writes a member to the table, reports the change and queues it for
+// broadcast.
 func (c *Core) store(m *Member, p parts, of broadcastClass) {
 	var before *Member
 	if e := c.table.get(m.identity.ID); e != nil {
@@ -137,7 +142,8 @@
 	c.updateTimers(e, before)
 	c.step.changes = append(c.step.changes, Change{before: before, after: m})
 
-	// A node that joins hears of members that all others know.
+	// While the node joins, the other members already know the members that it
+	// learns of, so that it rebroadcasts only state changes and its own updates.
 	if c.joined || of == classState || m.identity.ID == c.Self.ID {
 		c.broadcasts.add(m.identity.ID, p, of)
 	}
@@ -147,7 +153,8 @@
 	}
 }
 
-// updateTimers starts and ends the timers of a member whose status changed.
+// updateTimers sets the retention time of a member that died or left, and starts,
+// restarts or clears the suspicion deadline.
 func (c *Core) updateTimers(e *entry, before *Member) {
 	m := e.member
 	if m.Live() {
@@ -171,8 +178,8 @@
 	}
 }
 
-// rejectOutdated reports a source that an incarnation after it has replaced, and
-// tells it so.
+// rejectOutdated reports whether a later incarnation of the source is known, and
+// sends that incarnation to the source.
 func (c *Core) rejectOutdated(from Source) bool {
 	e := c.table.get(from.ID)
 	if e == nil {
@@ -188,7 +195,7 @@
 	return false
 }
 
-// evictExpired forgets members that have been gone for long.
+// evictExpired removes the dead and left members whose retention has expired.
 func (c *Core) evictExpired() {
 	if c.now.Before(c.evictAt) {
 		return
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -46,12 +46,12 @@
 			wantVersion: known.version(), wantPayload: "three",
 		},
 		{
-			desc:        "milder status",
+			desc:        "lower status",
 			update:      Update{ID: "b", Incarnation: 5, Revision: 2, Status: Alive},
 			wantVersion: known.version(), wantPayload: "three",
 		},
 		{
-			desc:        "graver status",
+			desc:        "higher status",
 			update:      Update{ID: "b", Incarnation: 5, Revision: 2, Status: Dead},
 			wantVersion: version{incarnation: 5, revision: 2, status: Dead}, wantPayload: "three",
 		},
@@ -66,7 +66,7 @@
 			wantVersion: known.version(), wantPayload: "four",
 		},
 		{
-			desc:        "newer incarnation without its place",
+			desc:        "newer incarnation without place",
 			update:      Update{ID: "b", Incarnation: 6},
 			wantVersion: known.version(), wantPayload: "three",
 		},
@@ -107,8 +107,8 @@
 		{desc: "alive", update: Update{ID: "self", Incarnation: 3}, wantRevision: 0},
 		{desc: "suspect", update: Update{ID: "self", Incarnation: 3, Status: Suspect}, wantRevision: 1},
 		{desc: "dead at a later revision", update: Update{ID: "self", Incarnation: 3, Revision: 4, Status: Dead}, wantRevision: 5},
-		{desc: "an earlier process is dead", update: Update{ID: "self", Incarnation: 2, Revision: 4, Status: Dead}, wantRevision: 0},
-		{desc: "a later process runs", update: Update{ID: "self", Incarnation: 4}, wantSuperseded: true},
+		{desc: "earlier incarnation is dead", update: Update{ID: "self", Incarnation: 2, Revision: 4, Status: Dead}, wantRevision: 0},
+		{desc: "later incarnation runs", update: Update{ID: "self", Incarnation: 4}, wantSuperseded: true},
 	}
 
 	for _, tt := range tests {
@@ -144,13 +144,13 @@
 	u := newUpdate(c.self(), partPayload)
 
 	if got, limit := int(routine)*u.size(), payloadBurstBytes; got > limit || routine == 0 {
-		t.Errorf("routine payloads at once: got %d bytes, want at most %d", got, limit)
+		t.Errorf("burst of routine payloads: got %d bytes, want at most %d", got, limit)
 	}
 
 	c.Tick(testStart.Add(time.Second))
 
 	if got, want := c.self().Payload(), byte(199); len(got) != 1 || got[0] != want {
-		t.Errorf("payload once its turn has come: got %v, want [%d]", got, want)
+		t.Errorf("payload after the rate limit refilled: got %v, want [%d]", got, want)
 	}
 
 	before := c.self().PayloadVersion()
@@ -163,6 +163,6 @@
 	}
 
 	if got, want := c.self().PayloadVersion()-before, uint32(urgentBurstChanges); got != want {
-		t.Errorf("urgent payloads at once: got %d, want %d", got, want)
+		t.Errorf("burst of urgent payloads: got %d, want %d", got, want)
 	}
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -2,8 +2,8 @@
 
 import "monsoonlever/fleet"
 
-// messageOverhead is above what msgpack needs for a message without updates
-// and digests.
+// messageOverhead is an upper bound, in bytes, of the encoded size of a message
+// without its target, updates, digests and buckets.
 const messageOverhead = 24
 
 // Message is one of Probe, Ack, IndirectProbe, Gossip, SyncRequest and
@@ -14,39 +14,41 @@
 	updates() []Update
 }
 
-// Probe asks the target to answer with an Ack of the same number.
+// Probe requests an Ack with the same number from the target.
 type Probe struct {
 	Number  uint32
 	Target  fleet.InstanceID
 	Updates []Update
 }
 
-// Ack answers a Probe, or an IndirectProbe whose target answered.
+// Ack is the response to a Probe, or to an IndirectProbe whose target has sent
+// an Ack.
 type Ack struct {
 	Number  uint32
 	Updates []Update
 }
 
-// IndirectProbe asks the receiver to probe the target for the sender.
+// IndirectProbe requests that the receiver probes the target for the sender.
 type IndirectProbe struct {
 	Number  uint32
 	Target  fleet.InstanceID
 	Updates []Update
 }
 
-// Gossip carries updates only.
+// Gossip carries updates and expects no response.
 type Gossip struct {
 	Updates []Update
 }
 
-// SyncRequest opens an anti-entropy round with a digest of each bucket of the
-// sender's table; its update is the sender itself.
+// SyncRequest starts an anti-entropy round with the digest of each bucket of the
+// sender's table. Its single update describes the sender.
 type SyncRequest struct {
 	Digests []byte
 	Updates []Update
 }
 
-// SyncResponse carries the receiver's members of buckets that differ.
+// SyncResponse carries the responder's members of the buckets whose digests
+// differ. More means that further buckets may differ.
 type SyncResponse struct {
 	Buckets []byte
 	More    bool
--- a/membership/owner_commands.go
+++ b/membership/owner_commands.go
@@ -2,16 +2,18 @@
 
 import "k8s.io/klog/v2"
 
-// ownerCommands is what the node's owner asked for since the last step.
+// ownerCommands holds the calls of SetPayload and Leave, and the reads of the
+// instance list, that the core has not processed yet.
 type ownerCommands struct {
-	payload  []byte
-	setPayload      bool
-	urgency  Urgency
-	leave    bool
-	discover bool
+	payload    []byte
+	setPayload bool
+	urgency    Urgency
+	leave      bool
+	discover   bool
 }
 
-// SetPayload replaces the node's payload and returns at once.
+// SetPayload replaces the node's payload. It returns without waiting for the
+// payload to be sent.
 func (g *Group) SetPayload(data []byte, urgency Urgency) error {
 	if len(data) > MaxPayload {
 		return ErrPayloadTooLarge
@@ -26,8 +28,8 @@
 	return nil
 }
 
-// Leave announces that the node drains and takes nothing new. The end of Run
-// announces that it has left.
+// Leave announces that the node drains and accepts no new work. Run announces
+// that the node has left when its context ends.
 func (g *Group) Leave() {
 	g.queueCommand(func(o *ownerCommands) { o.leave = true })
 }
@@ -63,7 +65,7 @@
 	if o.setPayload {
 		step, err := g.core.SetPayload(now, o.payload, o.urgency)
 		if err != nil {
-			klog.ErrorS(err, "payload refused")
+			klog.ErrorS(err, "payload rejected")
 		}
 
 		g.execute(step)
--- a/membership/payload.go
+++ b/membership/payload.go
@@ -9,40 +9,42 @@
 // ErrPayloadTooLarge is returned for a payload above MaxPayload.
 var ErrPayloadTooLarge = merry.Sentinel("payload is too large")
 
-// Urgency says how soon a payload is spread.
+// Urgency is the priority of a payload.
 type Urgency uint8
 
 const (
-	// Routine payloads wait for the member's share of the fleet's rate; of
-	// several that wait only the last is spread.
+	// Routine payloads wait for the member's share of Config.PayloadRate. Only the
+	// latest of several waiting payloads is published.
 	Routine Urgency = iota
-	// Urgent payloads, such as news of a reclaim, go at once while the member
-	// has urgent changes left: ten, and another one each six seconds, or each
-	// as many seconds as there are members.
+	// Urgent payloads, such as the notice of a reclaim, are published immediately
+	// within a limit: a burst of ten, and another one every six seconds, or every
+	// n seconds with n live members if that is longer.
 	Urgent
 )
 
 const (
-	// maxMemberPayloadRate bounds a member's share of the rate in a small fleet.
+	// maxMemberPayloadRate is the maximum share of Config.PayloadRate for one
+	// member, in bytes per second; it applies in a small fleet.
 	maxMemberPayloadRate = 200
-	// payloadBurstBytes is how many bytes of routine updates may be saved up.
+	// payloadBurstBytes is the burst of routine updates in bytes.
 	payloadBurstBytes = 2 * (MaxPayload + MaxName)
-	// urgentChangesPerSecond is how many urgent changes accrue to a member in a second; in
-	// a large fleet it is one for all members together.
-	urgentChangesPerSecond  = 1.0 / 6
-	urgentBurstChanges = 10
+	// urgentChangesPerSecond is the rate of urgent changes of one member. In a large
+	// fleet all members together are limited to one per second.
+	urgentChangesPerSecond = 1.0 / 6
+	urgentBurstChanges     = 10
 )
 
-// pendingPayload is the node's own payload that waits for its turn.
+// pendingPayload is the node's own payload that waits for the rate limit.
 type pendingPayload struct {
-	waiting bool
-	urgent  bool
-	data    string
-	routineBytes tokenBucket
+	waiting       bool
+	urgent        bool
+	data          string
+	routineBytes  tokenBucket
 	urgentChanges tokenBucket
 }
 
-// SetPayload replaces the node's payload.
+// SetPayload replaces the node's payload and publishes it when the rate limit
+// allows.
 func (c *Core) SetPayload(now time.Time, data []byte, urgency Urgency) (Step, error) {
 	c.beginStep(now)
 
@@ -58,7 +60,7 @@
 	return c.step, nil
 }
 
-// publishPendingPayload spreads the waiting payload when the rate allows it.
+// publishPendingPayload publishes the waiting payload if the rate limit allows it.
 func (c *Core) publishPendingPayload() {
 	p := &c.pending
 	if !p.waiting || c.stopped {
--- a/membership/phase.go
+++ b/membership/phase.go
@@ -1,15 +1,15 @@
 package membership
 
-// Phase is what a member says of itself.
+// Phase is the lifecycle state that a member announces of itself.
 type Phase uint8
 
-// The phases, in the order of a member's life.
+// The phases in the order in which a member passes through them.
 const (
-	// Active members take part in everything.
+	// Active members accept new work.
 	Active Phase = iota
-	// Leaving members are draining and take nothing new.
+	// Leaving members drain and accept no new work.
 	Leaving
-	// Left members have ended as planned.
+	// Left members have shut down as planned.
 	Left
 )
 
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -8,7 +8,7 @@
 	"monsoonlever/fleet"
 )
 
-// probe is the probe under way.
+// probe is the node's outstanding direct probe.
 type probe struct {
 	number     uint32
 	target     fleet.InstanceID
@@ -17,15 +17,16 @@
 	indirect   bool
 }
 
-// relayedProbe is a probe made for another member.
+// relayedProbe is a probe sent at the request of another member.
 type relayedProbe struct {
-	number   uint32
-	origin   Source
-	originNumber    uint32
-	deadline time.Time
+	number       uint32
+	origin       Source
+	originNumber uint32
+	deadline     time.Time
 }
 
-// handlePause forgives others for the time in which the node itself stood.
+// handlePause detects that the node itself was paused, and extends the deadlines of
+// suspects and regions by the pause, since messages could not be received in it.
 func (c *Core) handlePause() {
 	gap := c.now.Sub(c.lastTick)
 	if c.lastTick.IsZero() || gap < pauseThreshold {
@@ -45,7 +46,7 @@
 		r.lastRoundTrip = r.lastRoundTrip.Add(gap)
 	}
 
-	// What the others have agreed on meanwhile comes by the next round.
+	// A sync round fetches the updates missed during the pause.
 	c.syncAt = c.now
 	c.fastSyncRounds = maxFastSyncRounds
 }
@@ -54,12 +55,13 @@
 	c.healthPenalty = min(maxHealthPenalty, c.healthPenalty+by)
 }
 
-// scaleTimeout stretches a timeout while the node has reason to doubt itself.
+// scaleTimeout extends a timeout by the health penalty: recent failed probes, a refuted
+// suspicion or a pause make it likely that the node itself is slow.
 func (c *Core) scaleTimeout(d time.Duration) time.Duration {
 	return d * time.Duration(1+c.healthPenalty)
 }
 
-// suspicionTimeout is how long a suspect may refute.
+// suspicionTimeout is the time within which a suspect must refute the suspicion.
 func (c *Core) suspicionTimeout() time.Duration {
 	scale := max(1, math.Log10(float64(len(c.live.locals)+1)))
 	base := time.Duration(float64(c.config.ProbeInterval) * float64(c.config.SuspicionFactor) * scale)
@@ -67,7 +69,7 @@
 	return c.scaleTimeout(base)
 }
 
-// startProbe probes the next member of the region.
+// startProbe probes the next member of the region's rotation.
 func (c *Core) startProbe() {
 	if c.probe != nil || c.now.Before(c.probeAt) {
 		return
@@ -89,8 +91,8 @@
 	c.send(target, &Probe{Number: c.lastProbeNumber, Target: target.identity.ID, Updates: c.piggyback(target)})
 }
 
-// expireProbe asks others when the target is silent, and suspects it when
-// they get no answer either.
+// expireProbe requests indirect probes when the target has not sent an ack in
+// time, and suspects the target when no ack arrives before the deadline.
 func (c *Core) expireProbe() {
 	p := c.probe
 	if p == nil {
@@ -121,8 +123,9 @@
 	}
 }
 
-// pickIndirectProbers picks who probes a silent member: of the region, and of others where
-// the region is too small to go round a cut.
+// pickIndirectProbers selects the members that probe a target indirectly. A region with
+// too few members to route around a broken link also uses bridges of other
+// regions.
 func (c *Core) pickIndirectProbers(target fleet.InstanceID) []*Member {
 	helpers := c.pickRandom(c.live.locals, c.config.IndirectProbes, target)
 	if len(c.live.locals) <= c.config.IndirectProbes {
@@ -142,7 +145,7 @@
 	c.store(&changed, 0, classState)
 }
 
-// expireSuspicions declares the suspects dead that have not refuted in time.
+// expireSuspicions declares the suspects dead whose deadline has passed.
 func (c *Core) expireSuspicions() {
 	for _, id := range slices.Clone(c.suspects) {
 		e := c.table.get(id)
@@ -164,7 +167,8 @@
 	c.reply(from, &Ack{Number: m.Number, Updates: c.piggybackTo(from.ID)})
 }
 
-// relayProbe probes the target for another member.
+// relayProbe probes the target for another member, whose ack follows in
+// handleAck.
 func (c *Core) relayProbe(from Source, m *IndirectProbe) {
 	e := c.table.get(m.Target)
 	if e == nil || len(c.relayedProbes) >= maxRelayedProbes {
@@ -173,15 +177,15 @@
 
 	c.lastProbeNumber++
 	c.relayedProbes = append(c.relayedProbes, relayedProbe{
-		number:   c.lastProbeNumber,
-		origin:   from,
-		originNumber:    m.Number,
-		deadline: c.now.Add((1 + maxHealthPenalty) * c.config.ProbeInterval),
+		number:       c.lastProbeNumber,
+		origin:       from,
+		originNumber: m.Number,
+		deadline:     c.now.Add((1 + maxHealthPenalty) * c.config.ProbeInterval),
 	})
 	c.send(e.member, &Probe{Number: c.lastProbeNumber, Target: m.Target, Updates: c.piggyback(e.member)})
 }
 
-// handleAck ends the probe or relay that the answer belongs to.
+// handleAck completes the direct or relayed probe that the ack belongs to.
 func (c *Core) handleAck(from Source, m *Ack) {
 	c.recordRoundTrip(from)
 
--- a/membership/race_on_test.go
+++ b/membership/race_on_test.go
@@ -2,6 +2,7 @@
 
 package membership
 
-// raceEnabled says whether the test runs under the race detector, which costs
-// time by a factor and no concurrency is there to be checked in a Core.
+// raceEnabled reports whether the race detector is on. TestScale then runs only
+// small fleets and skips the CPU bound: the detector slows it down many times, and
+// a Core has no concurrency to check.
 const raceEnabled = true
--- a/membership/region.go
+++ b/membership/region.go
@@ -7,18 +7,19 @@
 	"monsoonlever/fleet"
 )
 
-// bridgeTimeoutIntervals is after how many intervals without an answer a bridge holds a
-// region to be unreachable.
+// bridgeTimeoutIntervals is the number of bridge intervals without a round trip
+// after which a bridge marks a region unreachable.
 const bridgeTimeoutIntervals = 10
 
-// regionState is what a node knows of its way to another region.
+// regionState is the reachability of another region from this node.
 type regionState struct {
-	region      fleet.Region
-	lastRoundTrip       time.Time
-	unreachable bool
+	region        fleet.Region
+	lastRoundTrip time.Time
+	unreachable   bool
 }
 
-// trackNewRegions starts to watch a region when its first member is heard of.
+// trackNewRegions adds the state of each region that has a bridge for the first
+// time.
 func (c *Core) trackNewRegions() {
 	for _, m := range c.live.bridges {
 		if c.region(m.identity.Region) == nil {
@@ -27,8 +28,9 @@
 	}
 }
 
-// handlePromotion gives a member that becomes a bridge, whose timeout is shorter,
-// the time to make its first round trips.
+// handlePromotion restarts the timeouts of all regions when the node becomes a
+// bridge: a bridge has a shorter timeout, and has not made its first round trips
+// yet.
 func (c *Core) handlePromotion(bridge bool) {
 	if !bridge || c.live.isBridge {
 		return
@@ -51,7 +53,7 @@
 	return nil
 }
 
-// recordRoundTrip marks the answerer's region as reachable.
+// recordRoundTrip marks the region of the member that sent an ack as reachable.
 func (c *Core) recordRoundTrip(from Source) {
 	e := c.table.get(from.ID)
 	if e == nil {
@@ -68,13 +70,14 @@
 	if r.unreachable {
 		r.unreachable = false
 		c.recordRegionChange()
-		// Both sides have an hour of news for each other.
+		// After a long partition both regions lack many updates: sync
+		// immediately and repeatedly.
 		c.bridgeSyncAt = c.now
 		c.fastSyncRounds = maxFastSyncRounds
 	}
 }
 
-// expireRegions marks the regions as unreachable from which no answer came.
+// expireRegions marks the regions without a recent round trip as unreachable.
 func (c *Core) expireRegions() {
 	timeout := c.config.RegionTimeout
 	if c.live.isBridge {
@@ -89,13 +92,15 @@
 	}
 }
 
-// recordRegionChange makes the shell publish a new view.
+// recordRegionChange adds a change without a difference, which makes the Group
+// publish a new view.
 func (c *Core) recordRegionChange() {
 	self := c.self()
 	c.step.changes = append(c.step.changes, Change{before: self, after: self})
 }
 
-// probeBridge probes a bridge of another region: bridges often, others seldom.
+// probeBridge probes the next bridge of another region. A bridge does so every
+// BridgeInterval, other members every RegionInterval.
 func (c *Core) probeBridge() {
 	if c.now.Before(c.bridgeProbeAt) || len(c.live.bridges) == 0 {
 		return
@@ -113,7 +118,7 @@
 	c.send(target, &Probe{Number: c.lastProbeNumber, Target: target.identity.ID, Updates: c.piggyback(target)})
 }
 
-// unreachable returns the regions without a way to them, in order.
+// unreachable returns the unreachable regions in alphabetical order.
 func (c *Core) unreachable() []fleet.Region {
 	var regions []fleet.Region
 
--- a/membership/register.go
+++ b/membership/register.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// prepare makes the core and the first view, which holds the node alone.
+// prepare creates the core and the first view, which contains only the node.
 func (g *Group) prepare() {
 	g.inbox = make(chan receivedMessage, inboxLength)
 	g.wake = make(chan struct{}, 1)
@@ -60,7 +60,7 @@
 	g.view.Store(g.core.View())
 }
 
-// enqueue queues a message. It is dropped when too many wait already.
+// enqueue queues a received message, and drops it when the inbox is full.
 func (g *Group) enqueue(from Source, message Message) {
 	select {
 	case g.inbox <- receivedMessage{from: from, message: message}:
--- a/membership/rotation.go
+++ b/membership/rotation.go
@@ -2,14 +2,15 @@
 
 import "monsoonlever/fleet"
 
-// rotation goes through the region's members in a random order that is drawn
-// anew each time all have had their turn. So a member waits for its turn for
-// two rounds at most, which random draws would not promise.
+// rotation is a round robin over the members of the node's region, reshuffled
+// after each round. It bounds the wait between two selections of a member by two
+// rounds; independent random selection has no such bound.
 type rotation struct {
 	order []fleet.InstanceID
 }
 
-// nextInRotation returns the next live member, or nil when there is none.
+// nextInRotation returns the next live member of the rotation, or nil when the
+// region has no other live member.
 func (c *Core) nextInRotation(t *rotation) *Member {
 	for range 2 {
 		for len(t.order) > 0 {
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -13,34 +13,34 @@
 	"monsoonlever/fleet"
 )
 
-var partitionTime = flag.Duration("membership.split", 5*time.Minute, "how long TestScale keeps the regions apart")
+var partitionTime = flag.Duration("membership.split", 5*time.Minute, "how long TestScale partitions the regions")
 
 const (
 	scaleDomains = 5
-	// The bounds that TestScale asserts for every size, for each node.
-	byteRateBound    = 8 << 10
+	// The limits that TestScale asserts for each node in a fleet of any size.
+	byteRateBound = 8 << 10
 	cpuShareBound = 0.01
 	heapBound     = 4 << 20
-	updateBound     = 5 * time.Second
+	updateBound   = 5 * time.Second
 	lossBound     = 90 * time.Second
-	healingBound     = 90 * time.Second
+	healingBound  = 90 * time.Second
 	steadyTime    = 2 * time.Minute
-	// payloadPeriod is how often each node asks for another payload.
+	// payloadPeriod is the time between payload changes of a node.
 	payloadPeriod = 10 * time.Second
 )
 
-// scaleRow is one line of the table.
+// scaleRow is one row of the result table.
 type scaleRow struct {
-	nodes    int
-	phase    string
-	sent     float64
-	worstSent    float64
-	received float64
-	messages float64
-	cpu      time.Duration
-	heap     float64
-	delays   []time.Duration
-	note     string
+	nodes     int
+	phase     string
+	sent      float64
+	worstSent float64
+	received  float64
+	messages  float64
+	cpu       time.Duration
+	heap      float64
+	delays    []time.Duration
+	note      string
 }
 
 func (r scaleRow) String() string {
@@ -61,7 +61,7 @@
 const scaleHeader = `| nodes | phase | sent B/s | worst node B/s | received B/s | messages/s | CPU, % of a core | heap KiB | seconds to all p50/p99/max | note |
 | ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: | --- | --- |`
 
-// phaseMeter measures a phase of a model.
+// phaseMeter measures the traffic, CPU time and heap of a phase of a simulation.
 type phaseMeter struct {
 	m        *simulation
 	sent     []int64
@@ -82,7 +82,7 @@
 	return p
 }
 
-// row returns the rates since the meter was made, for a node.
+// row returns the rates per node since newMeter.
 func (p *phaseMeter) row(phase string) scaleRow {
 	row := scaleRow{nodes: len(p.m.nodes), phase: phase}
 	seconds := p.m.now().Sub(p.at).Seconds()
@@ -99,7 +99,8 @@
 
 	row.cpu = time.Duration(float64(cpu) / seconds / size)
 	row.heap = heapInUse() / size
-	// The model must not be collected before its heap is measured.
+	// The garbage collector must not free the simulation before its heap is
+	// measured.
 	runtime.KeepAlive(p)
 
 	return row
@@ -123,8 +124,9 @@
 	return float64(stats.HeapAlloc)
 }
 
-// newFleet returns a model of size nodes, not booted yet: one region of four
-// failure domains for small ones, else two regions with five.
+// newFleet returns a simulation of size nodes that are not booted yet. A fleet of
+// fewer than ten nodes has one region with four failure domains, a larger one two
+// regions with five.
 func newFleet(size int) *simulation {
 	m := newSimulation(1)
 	m.maxDelay = 2
@@ -147,8 +149,8 @@
 	return m
 }
 
-// TestScale measures what a node spends and how long news takes, for fleets of
-// today's size to the one designed for, and asserts the bounds.
+// TestScale measures the resource usage of a node and the propagation time of
+// updates in fleets of 9 to 410 nodes, and asserts their limits.
 func TestScale(t *testing.T) {
 	sizes := []int{9, 50, 100, 200, 410}
 	if raceEnabled || testing.Short() {
@@ -163,7 +165,7 @@
 		}
 	}
 
-	t.Logf("bytes count 138 a message for frame, TLS, TCP, IP and its acknowledgement; CPU and heap include the model network\n%s\n%s", scaleHeader, table.String())
+	t.Logf("bytes count 138 a message for frame, TLS, TCP, IP and its acknowledgement; CPU and heap include the simulated network\n%s\n%s", scaleHeader, table.String())
 }
 
 func measureFleet(t *testing.T, size int) []scaleRow {
@@ -192,7 +194,7 @@
 		t.Errorf("%d nodes do not agree after all booted: %s", len(m.nodes), d)
 	}
 
-	row := p.row("all boot at once")
+	row := p.row("all boot at the same time")
 	row.note = fmt.Sprintf("agreed after %v", took)
 
 	return row
@@ -200,7 +202,7 @@
 
 func measureQuiet(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
-	// What the boot has queued goes first.
+	// Let the updates queued by the boot drain first.
 	m.run(3 * time.Minute)
 
 	p := newMeter(m)
@@ -209,8 +211,8 @@
 	return checkRow(t, p.row("quiet"))
 }
 
-// measureSteady lets every node ask for a payload each payloadPeriod, and one
-// node fail and one restart, which is about a day's share of two minutes.
+// measureSteady changes every node's payload each payloadPeriod, and crashes and
+// restarts one node, which is about the daily restart rate scaled to two minutes.
 func measureSteady(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 	m.crash(m.nodes[len(m.nodes)-1])
@@ -230,7 +232,7 @@
 	return checkRow(t, p.row("payloads change, one restart"))
 }
 
-// setDuePayloads sets the payload of the nodes whose second it is.
+// setDuePayloads sets the payload of the nodes that are due in the given second.
 func (m *simulation) setDuePayloads(t *testing.T, second int, except ...*simulatedNode) {
 	t.Helper()
 
@@ -249,7 +251,7 @@
 	}
 }
 
-// checkRow asserts the bounds of a steady phase.
+// checkRow asserts the limits on traffic, CPU and heap.
 func checkRow(t *testing.T, row scaleRow) scaleRow {
 	t.Helper()
 
@@ -268,8 +270,8 @@
 	return row
 }
 
-// measureLeaving takes the time until each node knows of a leaving one, for
-// ten that leave one after the other while payloads change.
+// measureLeaving measures the time until each node lists a member as leaving, for
+// up to ten members that leave in sequence while payloads change.
 func measureLeaving(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 
@@ -293,23 +295,23 @@
 		}
 
 		if got, want := len(spread), (i+1)*len(m.nodes); got != want {
-			t.Errorf("%d nodes: %d know of leaving members after 10 s, want %d", len(m.nodes), got, want)
+			t.Errorf("%d nodes: %d updates of leaving members received after 10 s, want %d", len(m.nodes), got, want)
 		}
 	}
 
 	m.onChange = func(*simulatedNode, Change) {}
-	row := p.row("news that a node leaves")
+	row := p.row("a node announces that it leaves")
 	row.delays = spread
 
 	if got := slices.Max(spread); got > updateBound {
-		t.Errorf("%d nodes: news took %v, want at most %v", len(m.nodes), got, updateBound)
+		t.Errorf("%d nodes: updates of leaving members took %v, want at most %v", len(m.nodes), got, updateBound)
 	}
 
 	return row
 }
 
-// measurePayload takes the time until each node has an urgent payload, for ten
-// of them, while routine payloads change.
+// measurePayload measures the time until each node has received an urgent payload,
+// for ten of them, while routine payloads change.
 func measurePayload(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 
@@ -346,13 +348,14 @@
 	row.note = fmt.Sprintf("%d of %d within 10 s", len(spread), 10*len(m.nodes))
 
 	if got, want := float64(len(spread)), 0.999*float64(10*len(m.nodes)); got < want {
-		t.Errorf("%d nodes: %.0f have urgent payloads after 10 s, want %.0f", len(m.nodes), got, want)
+		t.Errorf("%d nodes: %.0f urgent payloads received after 10 s, want %.0f", len(m.nodes), got, want)
 	}
 
 	return row
 }
 
-// measureJoin restarts a node and takes the time until each other knows it.
+// measureJoin restarts a node and measures the time until every other node has its
+// new incarnation.
 func measureJoin(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 
@@ -360,8 +363,8 @@
 	m.crash(joiner)
 
 	var (
-		spread []time.Duration
-		completeAfter  time.Duration
+		spread        []time.Duration
+		completeAfter time.Duration
 	)
 
 	p := newMeter(m)
@@ -381,18 +384,18 @@
 	m.onChange = func(*simulatedNode, Change) {}
 
 	if got, want := len(spread), len(m.nodes)-1; got != want || completeAfter == 0 {
-		t.Errorf("%d nodes: %d know a node that joined, want %d; its list was whole after %v", len(m.nodes), got, want, completeAfter)
+		t.Errorf("%d nodes: %d list the node that joined, want %d; its own list was complete after %v", len(m.nodes), got, want, completeAfter)
 	}
 
 	row := p.row("a node restarts")
 	row.delays = spread
-	row.note = fmt.Sprintf("its list is whole after %v", completeAfter)
+	row.note = fmt.Sprintf("its list is complete after %v", completeAfter)
 
 	return row
 }
 
-// measureDomainLoss crashes a failure domain and takes the time until each
-// node holds each of its members dead.
+// measureDomainLoss crashes all nodes of a failure domain and measures the time
+// until every other node has them as dead.
 func measureDomainLoss(t *testing.T, m *simulation) scaleRow {
 	t.Helper()
 
@@ -428,7 +431,7 @@
 	m.onChange = func(*simulatedNode, Change) {}
 
 	if d != "" || wrong > 0 {
-		t.Errorf("%d nodes after a domain was lost: %s, %d wrongly dead", len(m.nodes), d, wrong)
+		t.Errorf("%d nodes after the loss of a domain: %s, %d wrongly declared dead", len(m.nodes), d, wrong)
 	}
 
 	row := checkRow(t, p.row("a failure domain is lost"))
@@ -442,14 +445,14 @@
 	}
 
 	if _, d := m.settle(3 * time.Minute); d != "" {
-		t.Errorf("%d nodes after a domain came back: %s", len(m.nodes), d)
+		t.Errorf("%d nodes after the domain restarted: %s", len(m.nodes), d)
 	}
 
 	return row
 }
 
-// measurePartition parts the regions, restarts nodes at a day's rate meanwhile, and
-// lets them meet again.
+// measurePartition partitions the regions, restarts a node every two minutes during
+// the partition, and then heals it.
 func measurePartition(t *testing.T, m *simulation) []scaleRow {
 	t.Helper()
 
@@ -474,11 +477,11 @@
 		m.run(time.Second)
 	}
 
-	partitioned := checkRow(t, p.row("the regions are apart"))
-	partitioned.note = fmt.Sprintf("%v, %d restarts, %d declared dead across", *partitionTime, restarted, dead)
+	partitioned := checkRow(t, p.row("the regions are partitioned"))
+	partitioned.note = fmt.Sprintf("%v, %d restarts, %d declared dead from another region", *partitionTime, restarted, dead)
 
 	if dead > 0 {
-		t.Errorf("%d nodes: %d declared dead across regions, want 0", len(m.nodes), dead)
+		t.Errorf("%d nodes: %d members declared dead from another region, want 0", len(m.nodes), dead)
 	}
 
 	m.blocked = func(_, _ *simulatedNode) bool { return false }
@@ -487,10 +490,10 @@
 
 	took, d := m.settle(healingBound)
 	if d != "" {
-		t.Errorf("%d nodes after the regions met: %s", len(m.nodes), d)
+		t.Errorf("%d nodes after the partition healed: %s", len(m.nodes), d)
 	}
 
-	healed := checkRow(t, p.row("the regions meet again"))
+	healed := checkRow(t, p.row("the partition is healed"))
 	healed.note = fmt.Sprintf("agreed after %v", took)
 
 	return []scaleRow{partitioned, healed}
--- a/membership/simulation_test.go
+++ b/membership/simulation_test.go
@@ -9,16 +9,17 @@
 	"monsoonlever/fleet"
 )
 
-// The model network moves in slots; a tick of each node comes once in
+// The simulated network advances in slots. Each node ticks once every
 // slotsPerTick slots.
 const (
-	slotDuration       = 5 * time.Millisecond
+	slotDuration = 5 * time.Millisecond
 	slotsPerTick = int(TickInterval / slotDuration)
-	wheelSize  = 128
+	wheelSize    = 128
 )
 
-// frameOverheadBytes is what TLS, TCP and IP add to a message, with the frame's header
-// and a bare acknowledgement the other way: 12 + 22 + 52 + 52 bytes.
+// frameOverheadBytes is the overhead of a message in bytes: 12 for the frame header,
+// 22 for TLS, 52 for TCP and IP, and 52 for a TCP acknowledgement in the other
+// direction.
 const frameOverheadBytes = 138
 
 type delivery struct {
@@ -30,33 +31,33 @@
 
 // simulatedNode is an instance with at most one running process.
 type simulatedNode struct {
-	identity Identity
-	core     *Core
-	running  bool
-	frozen   bool
-	inbox    []delivery
-	sent     int64
-	received int64
-	messages int64
-	largestMessage    int
+	identity       Identity
+	core           *Core
+	running        bool
+	frozen         bool
+	inbox          []delivery
+	sent           int64
+	received       int64
+	messages       int64
+	largestMessage int
 }
 
-// simulation is a network of cores on a clock of its own.
+// simulation is a network of cores with a simulated clock.
 type simulation struct {
-	random   *rand.Rand
-	nodes    []*simulatedNode
-	byAddr   map[string]*simulatedNode
-	wheel    [wheelSize][]delivery
-	currentSlot       int
-	start    time.Time
-	lossRate     float64
-	repeatRate   float64
-	maxDelay int
-	blocked  func(from, to *simulatedNode) bool
-	onChange  func(n *simulatedNode, c Change)
-	seeds    []string
-	config   Config
-	// ignorePayload leaves payloads out of what nodes must agree on.
+	random      *rand.Rand
+	nodes       []*simulatedNode
+	byAddr      map[string]*simulatedNode
+	wheel       [wheelSize][]delivery
+	currentSlot int
+	start       time.Time
+	lossRate    float64
+	repeatRate  float64
+	maxDelay    int
+	blocked     func(from, to *simulatedNode) bool
+	onChange    func(n *simulatedNode, c Change)
+	seeds       []string
+	config      Config
+	// ignorePayload excludes payloads from the comparison of the nodes.
 	ignorePayload bool
 }
 
@@ -67,7 +68,7 @@
 		start:    time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
 		maxDelay: 1,
 		blocked:  func(_, _ *simulatedNode) bool { return false },
-		onChange:  func(*simulatedNode, Change) {},
+		onChange: func(*simulatedNode, Change) {},
 	}
 }
 
@@ -87,7 +88,7 @@
 	m.byAddr[n.identity.Address] = n
 }
 
-// boot starts a process with the next incarnation.
+// boot starts a process with the node's next incarnation.
 func (m *simulation) boot(n *simulatedNode) {
 	n.identity.Incarnation++
 	n.core = &Core{
@@ -106,7 +107,8 @@
 	n.inbox = nil
 }
 
-// resume lets a frozen process go on; what waited in its sockets comes first.
+// resume resumes a frozen process. It first receives the messages that waited in its
+// sockets.
 func (m *simulation) resume(n *simulatedNode) {
 	if !n.frozen {
 		return
@@ -154,7 +156,7 @@
 	}
 }
 
-// execute carries out a step.
+// execute delivers the messages of a step and reports its changes.
 func (m *simulation) execute(n *simulatedNode, step Step) {
 	for _, c := range step.Changes() {
 		m.onChange(n, c)
@@ -194,7 +196,7 @@
 	m.wheel[at] = append(m.wheel[at], d)
 }
 
-// running returns the nodes with a process.
+// running returns the nodes whose process runs.
 func (m *simulation) running() []*simulatedNode {
 	var nodes []*simulatedNode
 
@@ -207,9 +209,9 @@
 	return nodes
 }
 
-// disagreement describes the first difference between what a running node
-// holds and what runs; empty when there is none. Of a region that a node
-// cannot reach it keeps what it knew last.
+// disagreement describes the first difference between the table of a running node
+// and the processes that run; empty when there is none. A node may still list
+// terminated members of a region that it holds unreachable.
 func (m *simulation) disagreement() string {
 	for _, n := range m.running() {
 		if d := m.disagreementOf(n); d != "" {
@@ -230,7 +232,7 @@
 		}
 
 		if live != other.running {
-			return fmt.Sprintf("%s holds %s live: got %v, want %v", n.identity.ID, other.identity.ID, live, other.running)
+			return fmt.Sprintf("%s lists %s as live: got %v, want %v", n.identity.ID, other.identity.ID, live, other.running)
 		}
 
 		if !live {
@@ -238,19 +240,20 @@
 		}
 
 		if want := other.core.self(); *got.member != *want && (!m.ignorePayload || got.member.version() != want.version()) {
-			return fmt.Sprintf("%s of %s: got %+v, want %+v", n.identity.ID, other.identity.ID, *got.member, *want)
+			return fmt.Sprintf("%s: state of %s: got %+v, want %+v", n.identity.ID, other.identity.ID, *got.member, *want)
 		}
 	}
 
 	return ""
 }
 
-// stableWindow is how long all must agree before they count as settled; a list that
-// flaps agrees for moments only.
+// stableWindow is the time for which all nodes must agree to count as settled, since
+// lists that flap can agree for a moment.
 const stableWindow = 5 * time.Second
 
-// settle runs until all agree and stay so, at most for d, and returns how long
-// it took until they did.
+// settle runs until all nodes have agreed for stableWindow, and returns the time
+// until they agreed. If they do not agree within d, it also returns the
+// difference.
 func (m *simulation) settle(d time.Duration) (time.Duration, string) {
 	begun := m.now()
 	agreed := begun
--- a/membership/status.go
+++ b/membership/status.go
@@ -1,9 +1,10 @@
 package membership
 
-// Status is what the other members think of a member.
+// Status is the liveness of a member as other members judge it.
 type Status uint8
 
-// The statuses, from the mildest to the gravest.
+// The statuses in ascending precedence: at an equal revision the higher status
+// replaces the lower.
 const (
 	Alive Status = iota
 	Suspect
--- a/membership/step.go
+++ b/membership/step.go
@@ -2,18 +2,19 @@
 
 import "monsoonlever/fleet"
 
-// Destination says where a message goes.
+// Destination is the receiver of a message.
 type Destination struct {
 	id      fleet.InstanceID
 	address string
 }
 
-// ID returns the instance that must receive the message; empty for a seed.
+// ID returns the ID of the receiving instance; empty for a seed, whose ID is not
+// known.
 func (d Destination) ID() fleet.InstanceID {
 	return d.id
 }
 
-// Address returns the address to send to.
+// Address returns the peer address of the receiver.
 func (d Destination) Address() string {
 	return d.address
 }
@@ -24,7 +25,7 @@
 	message Message
 }
 
-// To returns where the message goes.
+// To returns the receiver of the message.
 func (o Outgoing) To() Destination {
 	return o.to
 }
@@ -34,23 +35,23 @@
 	return o.message
 }
 
-// Change is a difference in what is known of one member.
+// Change is a change of one member in the table.
 type Change struct {
 	before *Member
 	after  *Member
 }
 
-// Before returns the member before the change; nil for one that was unknown.
+// Before returns the member before the change; nil if it was added.
 func (c Change) Before() *Member {
 	return c.before
 }
 
-// After returns the member after the change; nil for one that was forgotten.
+// After returns the member after the change; nil if it was evicted.
 func (c Change) After() *Member {
 	return c.after
 }
 
-// Step is what one event led to.
+// Step holds the messages and changes that result from one event.
 type Step struct {
 	messages []Outgoing
 	changes  []Change
@@ -61,17 +62,17 @@
 	return s.messages
 }
 
-// Changes returns the changes of the member list, in order.
+// Changes returns the changes of the member list in order.
 func (s Step) Changes() []Change {
 	return s.changes
 }
 
-// Source says who sent a message; the transport has verified it.
+// Source identifies the sender of a message, as verified by the transport.
 type Source struct {
 	// ID is the sender's instance ID.
 	ID fleet.InstanceID
 	// Incarnation is the sender's incarnation.
 	Incarnation fleet.Incarnation
-	// Address is where the sender is reached.
+	// Address is the sender's peer address.
 	Address string
 }
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// maxFastSyncRounds is how many rounds follow each other at short intervals after a
-	// join, a freeze or a split, as long as lists differ.
+	// maxFastSyncRounds is the maximum number of rounds at fastSyncInterval after
+	// a join, a pause of the node or a partition, while the lists differ.
 	maxFastSyncRounds = 60
-	// fastSyncInterval is the time between such rounds.
+	// fastSyncInterval is the time between rounds that catch up.
 	fastSyncInterval = 250 * time.Millisecond
-	// syncBurstSeconds is how much of the rate of sync may be saved up.
+	// syncBurstSeconds is the burst of the sync rate limit, in seconds of the
+	// rate.
 	syncBurstSeconds = 16
 )
 
-// startSyncs opens the anti-entropy rounds that are due: with a member of the
-// region, between bridges, and with seeds and dead members in the hope that
-// they are back.
+// startSyncs starts the anti-entropy rounds that are due: with a member of the
+// region, between bridges, and with seeds and dead members, which may be reachable
+// again.
 func (c *Core) startSyncs() {
 	if !c.now.Before(c.syncAt) {
 		c.syncAt = c.now.Add(c.withJitter(c.intervalUntilJoined(c.config.SyncInterval)))
@@ -40,7 +41,8 @@
 	}
 }
 
-// intervalUntilJoined shortens an interval until the node has joined.
+// intervalUntilJoined shortens an interval to at most the probe interval until
+// the node has joined.
 func (c *Core) intervalUntilJoined(interval time.Duration) time.Duration {
 	if c.joined {
 		return interval
@@ -49,8 +51,8 @@
 	return min(interval, c.config.ProbeInterval)
 }
 
-// syncCandidates are the members of the region, or the bridges of others for a node
-// that is the first of its region.
+// syncCandidates returns the other members of the region, or the bridges of other
+// regions for a node that is alone in its region.
 func (c *Core) syncCandidates() []*Member {
 	if len(c.live.locals) > 0 {
 		return c.live.locals
@@ -72,7 +74,8 @@
 	}
 }
 
-// contactSeed contacts the next seed at whose address no live member is known.
+// contactSeed sends a sync request to the next seed whose address belongs to no
+// live member.
 func (c *Core) contactSeed() {
 	var unknown []string
 
@@ -94,8 +97,9 @@
 	})
 }
 
-// contactDeadMember contacts the next dead member, which heals a partition in which both
-// sides declared each other dead. Those of other regions are left to bridges.
+// contactDeadMember sends a sync request to the next dead member, which heals a
+// partition in which both sides declared each other dead. Only bridges contact dead
+// members of other regions.
 func (c *Core) contactDeadMember() {
 	var dead []*Member
 
@@ -113,13 +117,15 @@
 	}
 }
 
-// handleSyncRequest returns members of the buckets that differ.
+// handleSyncRequest responds with the members of the buckets whose digests
+// differ, as far as the sync rate allows.
 func (c *Core) handleSyncRequest(from Source, m *SyncRequest) {
 	differing := c.table.differingBuckets(m.Digests)
 	response := &SyncResponse{Updates: c.suspicionUpdates(from)}
 
 	if len(response.Updates) > 0 {
-		// The digests differ by what the sender is about to refute.
+		// The sender is going to refute its suspicion or death, which alone makes the
+		// digests differ.
 		response.More = len(differing) > 0
 	}
 
@@ -146,7 +152,8 @@
 	c.reply(from, response)
 }
 
-// syncBudget is how many bytes of members the next sync message may carry.
+// syncBudget returns the number of bytes of updates that the next sync message
+// may carry.
 func (c *Core) syncBudget() int {
 	rate := float64(c.config.SyncRate)
 	c.syncBytes.refill(c.now, rate, syncBurstSeconds*rate)
@@ -160,7 +167,8 @@
 	return updates
 }
 
-// addBucket adds the members of a bucket and reports whether all fitted.
+// addBucket adds the members of a bucket to the response and reports whether all
+// of them fit.
 func (c *Core) addBucket(response *SyncResponse, bucket byte, room *int) bool {
 	for _, e := range c.table.bucketEntries(int(bucket)) {
 		u := newUpdate(e.member, partsAll)
@@ -175,8 +183,8 @@
 	return true
 }
 
-// handleSyncResponse sends back what the other side lacks, and opens the next round at
-// once when there is much to catch up with.
+// handleSyncResponse sends the responder the updates that it lacks, and schedules
+// the next round after fastSyncInterval while the lists still differ.
 func (c *Core) handleSyncResponse(from Source, m *SyncResponse) {
 	c.fastSyncRounds--
 
@@ -187,7 +195,8 @@
 	case c.fastSyncRounds > 0:
 		c.syncAt = c.now.Add(fastSyncInterval)
 	default:
-		// Under steady change no round finds the lists equal.
+		// Under continuous changes no round finds the lists equal, so that the node
+		// counts as joined after the last fast round.
 		c.joined = true
 		c.fastSyncRounds = 0
 	}
@@ -219,7 +228,8 @@
 	}
 }
 
-// needsUpdate reports whether the other side's update is older than ours.
+// needsUpdate reports whether the other side lacks the update or has an older one.
+// A dead or left member that it does not know isn't sent to it.
 func needsUpdate(theirs, ours *Update) bool {
 	if theirs == nil {
 		return ours.Status != Dead && ours.Phase != Left
--- a/membership/table.go
+++ b/membership/table.go
@@ -11,18 +11,18 @@
 	"monsoonlever/fleet"
 )
 
-// entry is a member with what only this node knows of it.
+// entry is a member with the state that is local to this node.
 type entry struct {
 	member *Member
 	bucket int
-	// endedAt is when the member became dead or left.
+	// endedAt is when this node saw the member dead or left; zero for a live one.
 	endedAt time.Time
-	// deadline is when a suspect is declared dead; zero for none.
+	// deadline is when a suspect is declared dead; zero without a suspicion.
 	deadline time.Time
 }
 
-// table holds the members in the order of their IDs, with a digest for each
-// bucket of live ones.
+// table holds the members in the order of their IDs. The members are hashed into
+// buckets, and each bucket has a digest of its live members.
 type table struct {
 	byID    map[fleet.InstanceID]*entry
 	order   []*entry
@@ -33,7 +33,7 @@
 	return t.byID[id]
 }
 
-// put replaces or adds a member and returns its entry.
+// put adds or replaces a member and returns its entry.
 func (t *table) put(m *Member) *entry {
 	e, ok := t.byID[m.identity.ID]
 	if !ok {
@@ -60,7 +60,8 @@
 	return e
 }
 
-// search finds the place of id in order; a new entry has no member yet.
+// search returns the index of id in order, or the index at which to insert it,
+// and whether it was found.
 func (t *table) search(id fleet.InstanceID) (int, bool) {
 	return slices.BinarySearchFunc(t.order, id, func(e *entry, id fleet.InstanceID) int {
 		return strings.Compare(string(e.member.identity.ID), string(id))
@@ -81,15 +82,16 @@
 	}
 }
 
-// toggleDigest adds a live member to its bucket's digest, or takes it out again.
-// Gone members are left out, as nodes forget them at different times.
+// toggleDigest adds a live member to its bucket's digest, or removes it when it
+// was added before. Dead and left members are excluded, since nodes evict them at
+// different times.
 func (t *table) toggleDigest(e *entry) {
 	if e.member != nil && e.member.Live() {
 		t.digests[e.bucket] ^= e.member.digest()
 	}
 }
 
-// encodeDigests returns the digests for a SyncRequest.
+// encodeDigests encodes the digests of all buckets for a SyncRequest.
 func (t *table) encodeDigests() []byte {
 	b := make([]byte, 0, bucketCount*digestSize)
 	for _, d := range t.digests {
@@ -99,7 +101,7 @@
 	return b
 }
 
-// differingBuckets returns the buckets whose digest is another than in encoded.
+// differingBuckets returns the buckets whose digest differs from the encoded one.
 func (t *table) differingBuckets(encoded []byte) []byte {
 	if len(encoded) != bucketCount*digestSize {
 		return nil
@@ -116,7 +118,7 @@
 	return buckets
 }
 
-// bucketEntries returns the entries of one bucket in order.
+// bucketEntries returns the entries of a bucket in the order of IDs.
 func (t *table) bucketEntries(bucket int) []*entry {
 	var entries []*entry
 
--- a/membership/token_bucket.go
+++ b/membership/token_bucket.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// tokenBucket bounds a rate; tokens are bytes or changes.
+// tokenBucket limits a rate. Its tokens are bytes or changes.
 type tokenBucket struct {
-	tokens float64
-	refilledAt   time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
-// refill adds what has accrued since the last call, up to burst.
+// refill adds the tokens accrued since the last call, up to burst. The first
+// call fills the bucket.
 func (b *tokenBucket) refill(now time.Time, rate, burst float64) {
 	if b.refilledAt.IsZero() {
 		b.tokens = burst
@@ -19,7 +20,7 @@
 	b.refilledAt = now
 }
 
-// take spends n tokens if there are as many.
+// take removes n tokens and reports whether the bucket held that many.
 func (b *tokenBucket) take(n float64) bool {
 	if b.tokens < n {
 		return false
--- a/membership/update.go
+++ b/membership/update.go
@@ -6,22 +6,22 @@
 	"monsoonlever/fleet"
 )
 
-// Place is the part of an Update that never changes in an incarnation.
+// Place is the part of an Update that is constant during an incarnation.
 type Place struct {
 	Region  fleet.Region
 	Domain  fleet.FailureDomain
 	Address string
 }
 
-// Payload is the part of an Update with a member's own data.
+// Payload is the part of an Update with the member's own data.
 type Payload struct {
 	Version uint32
 	Data    string
 	Urgent  bool
 }
 
-// Update is news of one member on the wire. Place and Payload are left out
-// where the receiver most likely has them.
+// Update is the encoded state of one member. Place and Payload are omitted when
+// the receiver most likely has them.
 type Update struct {
 	ID          fleet.InstanceID
 	Incarnation fleet.Incarnation
@@ -32,7 +32,7 @@
 	Payload     *Payload
 }
 
-// parts says what an Update carries beside the state.
+// parts is the set of optional parts in an Update.
 type parts uint8
 
 const (
@@ -65,8 +65,8 @@
 	return version{incarnation: u.Incarnation, revision: u.Revision, status: u.Status}
 }
 
-// size is an upper bound of the encoded size: one byte each for the array, the
-// phase, the status and what is left out, beside the fields.
+// size returns an upper bound of the encoded size in bytes: the fields, and one
+// byte each for the array header, phase, status and the two optional parts.
 func (u *Update) size() int {
 	size := 5 + textSize(len(u.ID)) + intSize(uint64(u.Incarnation)) + intSize(uint64(u.Revision))
 
@@ -81,7 +81,7 @@
 	return size
 }
 
-// intSize is the encoded size of an integer.
+// intSize returns the encoded size of an integer in bytes.
 func intSize(v uint64) int {
 	switch {
 	case v < 1<<7:
@@ -97,7 +97,7 @@
 	}
 }
 
-// textSize is the encoded size of a string.
+// textSize returns the encoded size of a string in bytes.
 func textSize(length int) int {
 	switch {
 	case length < 1<<5:
--- a/membership/update_test.go
+++ b/membership/update_test.go
@@ -10,7 +10,7 @@
 	"monsoonlever/fleet"
 )
 
-// drawUpdate draws an update with fields of any size that a member may have.
+// drawUpdate draws an update whose fields have any valid size.
 func drawUpdate(t *rapid.T) Update {
 	text := rapid.StringN(0, 40, 60)
 	u := Update{
@@ -39,7 +39,7 @@
 	return u
 }
 
-// encodedSize is the size as the peer package encodes it.
+// encodedSize returns the size of the message as the peer package encodes it.
 func encodedSize(t *rapid.T, message Message) int {
 	var buffer bytes.Buffer
 
@@ -54,8 +54,8 @@
 	return buffer.Len()
 }
 
-// TestHoldsMembershipSizesAreBounds: the sizes by which messages are packed
-// and rates are kept are never below what is sent.
+// TestHoldsMembershipSizesAreBounds checks that Size, by which messages are
+// filled and rates are limited, is never below the encoded size of a message.
 func TestHoldsMembershipSizesAreBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(drawUpdate), 0, 20).Draw(t, "updates")
--- a/membership/version.go
+++ b/membership/version.go
@@ -2,7 +2,7 @@
 
 import "monsoonlever/fleet"
 
-// version orders what is known of one member.
+// version orders the states of one member.
 type version struct {
 	incarnation fleet.Incarnation
 	revision    uint32
--- a/membership/view.go
+++ b/membership/view.go
@@ -7,7 +7,7 @@
 	"monsoonlever/fleet"
 )
 
-// View is the member list at one time. It never changes.
+// View is an immutable snapshot of the member list.
 type View struct {
 	self        fleet.InstanceID
 	members     []*Member
@@ -15,7 +15,7 @@
 	changed     chan struct{}
 }
 
-// View returns the core's present list.
+// View returns a snapshot of the core's current member list.
 func (c *Core) View() *View {
 	v := &View{self: c.Self.ID, unreachable: c.unreachable(), changed: make(chan struct{})}
 
@@ -38,20 +38,20 @@
 	return v.changed
 }
 
-// Members returns every known member in the order of IDs, with those that are
-// dead or left and not yet forgotten.
+// Members returns every known member in the order of IDs, including dead and
+// left members whose retention has not expired.
 func (v *View) Members() []*Member {
 	return slices.Clone(v.members)
 }
 
-// Live returns the members that run as far as is known, leaving ones included,
-// in the order of IDs.
+// Live returns the members that are neither dead nor left, in the order of IDs.
+// Leaving and suspect members are included.
 func (v *View) Live() []*Member {
 	return v.filter((*Member).Live)
 }
 
-// Usable returns the live members that take new work, in the order of IDs,
-// without those of a region that cannot be reached.
+// Usable returns the members of reachable regions that accept new work, in the
+// order of IDs.
 func (v *View) Usable() []*Member {
 	return v.filter(func(m *Member) bool { return m.Usable() && v.Reachable(m.Region()) })
 }
@@ -80,7 +80,7 @@
 	return v.members[at]
 }
 
-// Reachable reports whether round trips to the region succeed.
+// Reachable reports whether round trips to the region currently succeed.
 func (v *View) Reachable(region fleet.Region) bool {
 	return !slices.Contains(v.unreachable, region)
 }
