--- a/admission/account.go
+++ b/admission/account.go
@@ -12,81 +12,84 @@
 	name fleet.Account
 	hash uint64
 
-	limits   atomic.Pointer[limits]
-	requests pacer
-	tokens   pacer
-	// running counts requests that are queued or run.
+	limits      atomic.Pointer[limits]
+	requestRate rateLimiter
+	tokenRate   rateLimiter
+	// running counts the requests that are queued or running.
 	running atomic.Int64
-	// restUntil is when an account whose share is less than one request may
-	// start the next, in Unix nanoseconds.
-	restUntil atomic.Int64
+	// nextStartAt is the earliest start of the account's next request, in Unix nanoseconds. It is
+	// set only while the share is less than one concurrent request.
+	nextStartAt atomic.Int64
 
-	// offered and offeredTokens count demand since the last digest.
-	offered       atomic.Int64
-	offeredTokens atomic.Int64
-	offeredPeak   atomic.Int64
+	// offeredRequests, offeredTokens and peakConcurrency measure the demand since the last digest,
+	// refused requests included.
+	offeredRequests atomic.Int64
+	offeredTokens   atomic.Int64
+	peakConcurrency atomic.Int64
 
-	demand demand
+	demand demandEstimate
 }
 
-// charge is what was taken from an account's limits for one request.
-type charge struct {
-	reason Reason
-	wait   time.Duration
+// limitCheck is the result of checking one request against its account's limits. The reason is
+// NoReason if the request is within them.
+type limitCheck struct {
+	reason     Reason
+	retryAfter time.Duration
 }
 
-func (a *account) take(now time.Time, r *Request) charge {
-	a.offered.Add(1)
+func (a *account) acquire(now time.Time, r *Request) limitCheck {
+	a.offeredRequests.Add(1)
 	a.offeredTokens.Add(int64(r.Tokens))
 
 	l := a.limits.Load()
 
-	if wait, ok := a.start(now, l); !ok {
-		return charge{reason: Concurrency, wait: wait}
+	if wait, ok := a.acquireSlot(now, l); !ok {
+		return limitCheck{reason: Concurrency, retryAfter: wait}
 	}
 
-	if l.account.RequestsPerSecond > 0 {
-		if wait, ok := a.requests.take(now, 1, l.requests(), l.burst()); !ok {
+	if l.config.RequestsPerSecond > 0 {
+		if wait, ok := a.requestRate.take(now, 1, l.requestRate(), l.burst()); !ok {
 			a.running.Add(-1)
 
-			return charge{reason: RequestRate, wait: wait}
+			return limitCheck{reason: RequestRate, retryAfter: wait}
 		}
 	}
 
-	if l.account.TokensPerSecond > 0 && r.Tokens > 0 {
-		if wait, ok := a.tokens.take(now, float64(r.Tokens), l.tokens(), l.burst()); !ok {
-			a.requests.give(1, l.requests())
+	if l.config.TokensPerSecond > 0 && r.Tokens > 0 {
+		if wait, ok := a.tokenRate.take(now, float64(r.Tokens), l.tokenRate(), l.burst()); !ok {
+			a.requestRate.refund(1, l.requestRate())
 			a.running.Add(-1)
 
-			return charge{reason: TokenRate, wait: wait}
+			return limitCheck{reason: TokenRate, retryAfter: wait}
 		}
 	}
 
-	return charge{}
+	return limitCheck{}
 }
 
-// start counts one more request in progress, if the share allows it.
-func (a *account) start(now time.Time, l *limits) (time.Duration, bool) {
-	if l.account.Concurrent <= 0 {
+// acquireSlot counts one more request in progress if the share allows it. Otherwise it returns the
+// time until the next slot, or 0 if that is unknown.
+func (a *account) acquireSlot(now time.Time, l *limits) (time.Duration, bool) {
+	if l.config.Concurrent <= 0 {
 		a.running.Add(1)
 
 		return 0, true
 	}
 
-	share := l.concurrent()
+	share := l.concurrency()
 	allowed := int64(max(share, 1))
 
 	for {
 		running := a.running.Load()
 
 		if running >= allowed || share <= 0 {
-			a.offeredPeak.Store(max(a.offeredPeak.Load(), running+1))
+			a.peakConcurrency.Store(max(a.peakConcurrency.Load(), running+1))
 
 			return 0, false
 		}
 
-		if rest := a.restUntil.Load() - now.UnixNano(); share < 1 && rest > 0 {
-			return time.Duration(rest), false
+		if untilNext := a.nextStartAt.Load() - now.UnixNano(); share < 1 && untilNext > 0 {
+			return time.Duration(untilNext), false
 		}
 
 		if a.running.CompareAndSwap(running, running+1) {
@@ -95,37 +98,38 @@
 	}
 }
 
-// giveBack undoes take for a request that was refused after all.
-func (a *account) giveBack(r *Request) {
+// refund undoes acquire for a request that was refused afterwards.
+func (a *account) refund(r *Request) {
 	l := a.limits.Load()
-	a.requests.give(1, l.requests())
-	a.tokens.give(float64(r.Tokens), l.tokens())
+	a.requestRate.refund(1, l.requestRate())
+	a.tokenRate.refund(float64(r.Tokens), l.tokenRate())
 	a.running.Add(-1)
 }
 
-// finish ends a request that ran.
+// finish releases the slot of a request that ran, and corrects the token estimate.
 func (a *account) finish(now time.Time, r *Request, o Outcome) {
 	l := a.limits.Load()
 
 	if o.Tokens > 0 {
-		a.tokens.give(float64(r.Tokens-o.Tokens), l.tokens())
+		a.tokenRate.refund(float64(r.Tokens-o.Tokens), l.tokenRate())
 	}
 
-	// A share s of one request at a time is held as s of the time.
-	if share := l.concurrent(); share > 0 && share < 1 {
-		rest := time.Duration(float64(o.Duration) * (1/share - 1))
-		a.restUntil.Store(now.Add(rest).UnixNano())
+	// A share s < 1 of one concurrent request is enforced over time: the account may run a
+	// request for the fraction s of the time.
+	if share := l.concurrency(); share > 0 && share < 1 {
+		idle := time.Duration(float64(o.Duration) * (1/share - 1))
+		a.nextStartAt.Store(now.Add(idle).UnixNano())
 	}
 
 	a.running.Add(-1)
 }
 
-// rescale keeps what is owed of rate limits when the share of them changes.
+// rescale preserves the outstanding consumption of the rate limits when the share changes.
 func (a *account) rescale(now time.Time, old, share float64) {
 	if old <= 0 || share <= 0 {
 		return
 	}
 
-	a.requests.rescale(now, share/old)
-	a.tokens.rescale(now, share/old)
+	a.requestRate.rescale(now, share/old)
+	a.tokenRate.rescale(now, share/old)
 }
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -3,41 +3,41 @@
 import "time"
 
 const (
-	// burst is how much of a share may be used at once.
-	burst = time.Second
-	// evenBurst is the same of an even share. The share of an account that was
-	// idle is far below it at first, since it allows for what the other instances
-	// may have admitted in the meantime.
-	evenBurst = 3 * time.Second
+	// baseBurst is how much of a share may be consumed in one burst.
+	baseBurst = time.Second
+	// evenShareBurst is the same for an even share. After an account was idle, its actual share is
+	// initially far below an even one, since it allows for requests that other instances may
+	// have admitted in the meantime.
+	evenShareBurst = 3 * time.Second
 )
 
-// limits is the part of an account's limits that this instance may use.
+// limits holds the limits of an account and the share of them that this instance may use.
 type limits struct {
-	account AccountConfig
-	share   float64
-	// even is an even share among the members, 0 for an instance that is alone.
-	even float64
+	config AccountConfig
+	share  float64
+	// evenShare is an equal share for each member, or 0 for a single instance.
+	evenShare float64
 }
 
-// burst returns how much of the share may be used at once: a second of it, or
-// what an even share would allow in a little more. All instances together may
-// use evenBurst and burst of the whole limit ahead.
+// burst returns how much of the share may be consumed in one burst: a second's worth, or
+// evenShareBurst of an even share if that is more. All instances together may exceed the limit by at
+// most evenShareBurst and baseBurst of it.
 func (l *limits) burst() time.Duration {
 	if l.share <= 0 {
-		return burst
+		return baseBurst
 	}
 
-	return max(burst, time.Duration(float64(evenBurst)*l.even/l.share))
+	return max(baseBurst, time.Duration(float64(evenShareBurst)*l.evenShare/l.share))
 }
 
-func (l *limits) requests() float64 {
-	return l.account.RequestsPerSecond * l.share
+func (l *limits) requestRate() float64 {
+	return l.config.RequestsPerSecond * l.share
 }
 
-func (l *limits) tokens() float64 {
-	return l.account.TokensPerSecond * l.share
+func (l *limits) tokenRate() float64 {
+	return l.config.TokensPerSecond * l.share
 }
 
-func (l *limits) concurrent() float64 {
-	return float64(l.account.Concurrent) * l.share
+func (l *limits) concurrency() float64 {
+	return float64(l.config.Concurrent) * l.share
 }
--- a/controller/ownpart.go
+++ b/controller/ownpart.go
@@ -54,7 +54,7 @@
 		return planned
 	}
 
-	have := c.reconciler.Have(service)
+	have := c.reconciler.InstanceCounts(service)
 	surplus := total(have) + total(foreign) - c.holding.decision.Count(service)
 	targets := make([]placement.Target, 0, len(planned))
 
@@ -77,12 +77,12 @@
 // such cells where nothing else is left; each is then asked for one instance at a
 // time until a purchase goes through.
 func (c *Controller) probed(now time.Time, target placement.Target) int {
-	at, refused := c.planner.refusals.Since(target.Cell)
-	if !refused || now.Sub(at) >= 2*c.planner.config.AvoidFor {
+	at, refused := c.planner.refusals.LastAdded(target.Cell)
+	if !refused || now.Sub(at) >= 2*c.planner.config.AvoidDuration {
 		return target.Count
 	}
 
-	have := c.reconciler.Have(target.Service)[target.Cell]
+	have := c.reconciler.InstanceCounts(target.Service)[target.Cell]
 	if now.Sub(at) >= probeEvery && have <= c.boughtIn(target) {
 		have++
 	}
--- a/peer/call.go
+++ b/peer/call.go
@@ -9,64 +9,66 @@
 	"monsoonlever/codec"
 )
 
-// pendingCalls holds the callers that wait for an answer.
+// pendingCalls holds the calls that wait for a response, by call number.
 type pendingCalls struct {
-	mu      sync.Mutex
-	last    uint32
-	waiting map[uint32]pendingCall
+	mu     sync.Mutex
+	lastID uint32
+	byID   map[uint32]pendingCall
 }
 
 type pendingCall struct {
-	address string
-	answer  chan frame
+	address  string
+	response chan frame
 }
 
 func (p *pendingCalls) add(address string) (uint32, chan frame) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	if p.waiting == nil {
-		p.waiting = make(map[uint32]pendingCall)
+	if p.byID == nil {
+		p.byID = make(map[uint32]pendingCall)
 	}
 
-	p.last++
-	answer := make(chan frame, 1)
-	p.waiting[p.last] = pendingCall{address: address, answer: answer}
+	p.lastID++
+	response := make(chan frame, 1)
+	p.byID[p.lastID] = pendingCall{address: address, response: response}
 
-	return p.last, answer
+	return p.lastID, response
 }
 
 func (p *pendingCalls) remove(id uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	delete(p.waiting, id)
+	delete(p.byID, id)
 }
 
-// answer hands f to its caller. A late answer, or one from another remote than
-// was asked, finds no caller.
-func (p *pendingCalls) answer(address string, f frame) {
+// deliver passes the response f from the remote at address to its caller. It
+// discards a response that arrives after the call has ended or that comes from
+// another remote than the called one.
+func (p *pendingCalls) deliver(address string, f frame) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	call, ok := p.waiting[f.call]
+	call, ok := p.byID[f.call]
 	if !ok || call.address != address {
 		return
 	}
 
-	delete(p.waiting, f.call)
-	call.answer <- f
+	delete(p.byID, f.call)
+	call.response <- f
 }
 
-// fail ends every call to address; a closed channel means unreachable.
+// fail ends every call to address. It closes the response channels, which makes
+// Call return ErrUnreachable.
 func (p *pendingCalls) fail(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	for id, call := range p.waiting {
+	for id, call := range p.byID {
 		if call.address == address {
-			delete(p.waiting, id)
-			close(call.answer)
+			delete(p.byID, id)
+			close(call.response)
 		}
 	}
 }
@@ -75,9 +77,9 @@
 	n.calls.fail(address)
 }
 
-// Call sends a request and waits for its response, until ctx ends or the
-// node's CallTimeout has passed. After ErrTimeout and ErrUnreachable the
-// request may have been handled or not.
+// Call sends a request and waits for its response until ctx ends or the node's
+// CallTimeout has passed. After ErrTimeout and ErrUnreachable the remote may or
+// may not have handled the request.
 func Call[Req, Resp any](ctx context.Context, n *Node, to Target, kind Kind, req Req) (Resp, error) {
 	var resp Resp
 
@@ -86,7 +88,7 @@
 		return resp, merry.Prepend(err, "encode request")
 	}
 
-	id, answer := n.calls.add(to.Address)
+	id, response := n.calls.add(to.Address)
 	defer n.calls.remove(id)
 
 	if err := n.enqueue(to, frame{form: formRequest, kind: kind, call: id, body: body}); err != nil {
@@ -98,16 +100,16 @@
 		return resp, ctx.Err()
 	case <-n.Clock.After(n.callTimeout()):
 		return resp, ErrTimeout
-	case f, ok := <-answer:
+	case f, ok := <-response:
 		if !ok {
 			return resp, ErrUnreachable
 		}
 
-		return decodeAnswer[Resp](f)
+		return decodeResponse[Resp](f)
 	}
 }
 
-func decodeAnswer[Resp any](f frame) (Resp, error) {
+func decodeResponse[Resp any](f frame) (Resp, error) {
 	var resp Resp
 
 	if f.form == formFailure {
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -17,7 +17,7 @@
 	DefaultMaxBody = 1 << 20
 )
 
-// frame is one message on the wire with its header decoded.
+// frame is one message on the wire: its decoded header and its encoded body.
 type frame struct {
 	form form
 	kind Kind
@@ -39,12 +39,12 @@
 	return append(b, f.body...)
 }
 
-// readFrame reads one frame. It allocates a body only after its length has
-// been checked against maxBody.
+// readFrame reads one frame. It checks the declared length against maxBody
+// before it allocates the body.
 func readFrame(r io.Reader, maxBody int) (frame, error) {
 	var header [HeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
-		return frame{}, truncated(err)
+		return frame{}, classifyReadError(err)
 	}
 
 	f, length, err := decodeHeader(header, maxBody)
@@ -54,7 +54,7 @@
 
 	f.body = make([]byte, length)
 	if _, err := io.ReadFull(r, f.body); err != nil {
-		return frame{}, truncated(noEOF(err))
+		return frame{}, classifyReadError(asUnexpectedEOF(err))
 	}
 
 	return f, nil
@@ -82,8 +82,8 @@
 	return f, int(length), nil
 }
 
-// noEOF turns an end between header and body into an unexpected one.
-func noEOF(err error) error {
+// asUnexpectedEOF turns io.EOF after a frame's header into io.ErrUnexpectedEOF.
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -91,8 +91,9 @@
 	return err
 }
 
-// truncated types an end inside a frame; an end between frames stays io.EOF.
-func truncated(err error) error {
+// classifyReadError returns a FrameError for a stream that ends inside a frame,
+// and io.EOF for one that ends between frames.
+func classifyReadError(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return &FrameError{fault: FaultTruncated}
 	}
--- a/routing/update_test.go
+++ b/routing/update_test.go
@@ -8,7 +8,7 @@
 	"monsoonlever/provider"
 )
 
-func TestServerMissingFromListStaysWhileItReports(t *testing.T) {
+func TestUnlistedServerIsPickedWhileItReports(t *testing.T) {
 	tests := []struct {
 		desc    string
 		reports bool
@@ -16,8 +16,8 @@
 		want    bool
 	}{
 		{desc: "just reported", reports: false, after: time.Second, want: true},
-		{desc: "silent for longer than the grace", reports: false, after: 10 * time.Second, want: false},
-		{desc: "goes on reporting", reports: true, after: 10 * time.Second, want: true},
+		{desc: "no report within the timeout", reports: false, after: 10 * time.Second, want: false},
+		{desc: "keeps reporting", reports: true, after: 10 * time.Second, want: true},
 	}
 
 	for _, tt := range tests {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestEngineGetsRequestsOnceItIsReady(t *testing.T) {
+func TestPickRequiresReadyEngine(t *testing.T) {
 	key := NewKey(testKey.Service(), "m", "v1", "")
 
 	tests := []struct {
@@ -56,7 +56,7 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			table := newTestTable(1, 4)
-			table.UpdateState(testStart, testID(0), tt.state)
+			table.UpdateEngineState(testStart, testID(0), tt.state)
 
 			_, err := table.Pick(testStart, newTestRandom(), NewRequest(key))
 			if got := err == nil; got != tt.want {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestEqualServersAreChosenByDomainThenPrice(t *testing.T) {
+func TestPickPrefersOwnDomainThenLowerPrice(t *testing.T) {
 	table := &Table{Domain: testDomains[1], Policy: Policy{Choices: 20}}
 	listings := testListings(4)
 	listings[3].Class = "cheap"
@@ -83,8 +83,8 @@
 		request Request
 		want    int
 	}{
-		{desc: "the own domain", request: NewRequest(testKey), want: 1},
-		{desc: "the cheapest elsewhere", request: NewRequest(testKey).ExcludingDomains(testDomains[1:2]), want: 3},
+		{desc: "own failure domain", request: NewRequest(testKey), want: 1},
+		{desc: "lowest price outside the own failure domain", request: NewRequest(testKey).ExcludingDomains(testDomains[1:2]), want: 3},
 	}
 
 	for _, tt := range tests {
