--- a/membership/core.go
+++ b/membership/core.go
@@ -197,8 +197,8 @@
 	return c.superseded, c.superseded != 0
 }
 
-// Joined reports whether the core has synced the member list with another
-// member.
+// Joined reports whether the core has synced the member list with another member,
+// or has used up maxFastSyncRounds while the lists kept changing.
 func (c *Core) Joined() bool {
 	return c.joined
 }
@@ -249,8 +249,8 @@
 }
 
 // drawIndexes returns random indexes into a list of the given size: a permutation
-// of all indexes for a short list, else 2n indexes that may repeat, which cost less
-// than a shuffle.
+// of all indexes for a short list, else 2n indexes that may repeat, which cost
+// less than a shuffle.
 func (c *Core) drawIndexes(size, n int) []int {
 	if size <= 4*n {
 		return c.Random.Perm(size)
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -25,8 +25,9 @@
 	deadline     time.Time
 }
 
-// handlePause detects that the node itself was paused, and extends the deadlines of
-// suspects and regions by the pause, since messages could not be received in it.
+// handlePause detects that the node itself was paused, during which it received
+// no messages. It abandons the current probe, restarts the suspicion deadlines,
+// extends the region timeouts by the pause and starts a sync round.
 func (c *Core) handlePause() {
 	gap := c.now.Sub(c.lastTick)
 	if c.lastTick.IsZero() || gap < pauseThreshold {
@@ -55,8 +56,9 @@
 	c.healthPenalty = min(maxHealthPenalty, c.healthPenalty+by)
 }
 
-// scaleTimeout extends a timeout by the health penalty: recent failed probes, a refuted
-// suspicion or a pause make it likely that the node itself is slow.
+// scaleTimeout multiplies a timeout by one plus the health penalty. Failed probes,
+// a suspicion of the node itself and a pause raise the penalty, since they make it
+// likely that the node rather than other members is slow.
 func (c *Core) scaleTimeout(d time.Duration) time.Duration {
 	return d * time.Duration(1+c.healthPenalty)
 }
@@ -123,9 +125,9 @@
 	}
 }
 
-// pickIndirectProbers selects the members that probe a target indirectly. A region with
-// too few members to route around a broken link also uses bridges of other
-// regions.
+// pickIndirectProbers selects the members that probe a target indirectly. A
+// region with too few members to route around a broken link also uses bridges of
+// other regions.
 func (c *Core) pickIndirectProbers(target fleet.InstanceID) []*Member {
 	helpers := c.pickRandom(c.live.locals, c.config.IndirectProbes, target)
 	if len(c.live.locals) <= c.config.IndirectProbes {
@@ -167,8 +169,7 @@
 	c.reply(from, &Ack{Number: m.Number, Updates: c.piggybackTo(from.ID)})
 }
 
-// relayProbe probes the target for another member, whose ack follows in
-// handleAck.
+// relayProbe probes the target for another member; handleAck forwards the ack.
 func (c *Core) relayProbe(from Source, m *IndirectProbe) {
 	e := c.table.get(m.Target)
 	if e == nil || len(c.relayedProbes) >= maxRelayedProbes {
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -451,8 +451,8 @@
 	return row
 }
 
-// measurePartition partitions the regions, restarts a node every two minutes during
-// the partition, and then heals it.
+// measurePartition partitions the regions, restarts a node every two minutes
+// meanwhile, which is about the daily rate, and then heals the partition.
 func measurePartition(t *testing.T, m *simulation) []scaleRow {
 	t.Helper()
 
--- a/membership/simulation_test.go
+++ b/membership/simulation_test.go
@@ -17,9 +17,9 @@
 	wheelSize    = 128
 )
 
-// frameOverheadBytes is the overhead of a message in bytes: 12 for the frame header,
-// 22 for TLS, 52 for TCP and IP, and 52 for a TCP acknowledgement in the other
-// direction.
+// frameOverheadBytes is the overhead of a message in bytes: 12 for the frame
+// header, 22 for TLS, 52 for TCP and IP, and 52 for a TCP acknowledgement in the
+// other direction.
 const frameOverheadBytes = 138
 
 type delivery struct {
@@ -107,8 +107,8 @@
 	n.inbox = nil
 }
 
-// resume resumes a frozen process. It first receives the messages that waited in its
-// sockets.
+// resume resumes a frozen process, which first receives the messages that waited
+// in its sockets.
 func (m *simulation) resume(n *simulatedNode) {
 	if !n.frozen {
 		return
@@ -247,8 +247,8 @@
 	return ""
 }
 
-// stableWindow is the time for which all nodes must agree to count as settled, since
-// lists that flap can agree for a moment.
+// stableWindow is the time for which all nodes must agree to count as settled,
+// since lists that flap can agree for a moment.
 const stableWindow = 5 * time.Second
 
 // settle runs until all nodes have agreed for stableWindow, and returns the time
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -98,8 +98,8 @@
 }
 
 // contactDeadMember sends a sync request to the next dead member, which heals a
-// partition in which both sides declared each other dead. Only bridges contact dead
-// members of other regions.
+// partition in which both sides declared each other dead. Only bridges contact
+// dead members of other regions.
 func (c *Core) contactDeadMember() {
 	var dead []*Member
 
@@ -124,8 +124,8 @@
 	response := &SyncResponse{Updates: c.suspicionUpdates(from)}
 
 	if len(response.Updates) > 0 {
-		// The sender is going to refute its suspicion or death, which alone makes the
-		// digests differ.
+		// The digests differ at least by the status that the sender is about to
+		// refute, so that another round is needed.
 		response.More = len(differing) > 0
 	}
 
