--- a/controller/holding.go
+++ b/controller/grant_state.go
@@ -9,32 +9,32 @@
 	"monsoonlever/provider"
 )
 
-// holding is what this instance knows as the holder of one grant.
-type holding struct {
+// grantState is the state of the controller under one grant of the lease.
+type grantState struct {
 	fence lease.Fence
 	// checkpointSent is when a checkpoint was last appended.
 	checkpointSent time.Time
 	listing        listing
-	// countedAt is until when cost was counted.
-	countedAt time.Time
-	rollout   *rollout
-	plannedAt time.Time
-	decision  placement.Decision
-	// foreign counts the instances that this system did not buy.
+	// costCountedAt is the time up to which cost is recorded.
+	costCountedAt time.Time
+	rollout       *rollout
+	plannedAt     time.Time
+	decision      placement.Decision
+	// foreign counts the instances that this controller did not buy.
 	foreign map[fleet.Service]map[placement.Cell]int
 	drains  map[fleet.InstanceID]*drain
 }
 
-// listing is what the cloud API last said.
+// listing is the last instance list of the cloud API.
 type listing struct {
-	asked       time.Time
+	requestedAt time.Time
 	outstanding bool
 	known       bool
 	instances   []provider.Instance
 }
 
-func newHolding(fence lease.Fence) holding {
-	return holding{
+func newGrantState(fence lease.Fence) grantState {
+	return grantState{
 		fence:   fence,
 		rollout: newRollout(),
 		drains:  make(map[fleet.InstanceID]*drain),
--- a/controller/planner.go
+++ b/controller/planner.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	// measureEvery is the time between two measurements of the load.
-	measureEvery = 5 * time.Second
-	// planEvery is the time between two plans.
-	planEvery = 5 * time.Second
+	// measureInterval is the time between two measurements of the load.
+	measureInterval = 5 * time.Second
+	// planInterval is the time between two plans.
+	planInterval = 5 * time.Second
 )
 
-// planner remembers what plans are made from. Every candidate measures, so that
-// a new holder knows the trend.
+// planner is the input of the plans that outlives a grant. Every candidate measures the load, so that
+// a new holder has a forecast.
 type planner struct {
 	config      placement.Config
 	forecasters map[fleet.Service]*placement.Forecaster
 	refusals    *placement.CellPenalties
 	reclaims    *placement.CellPenalties
 	measuredAt  time.Time
-	// reclaimed are the leaving instances that were noted.
-	reclaimed map[fleet.InstanceID]bool
+	// recordedReclaims are the leaving instances that are recorded in reclaims.
+	recordedReclaims map[fleet.InstanceID]bool
 }
 
 func newPlanner() *planner {
 	config := placement.DefaultConfig()
 
 	return &planner{
-		config:      config,
-		forecasters: make(map[fleet.Service]*placement.Forecaster),
-		refusals:    config.NewCellPenalties(),
-		reclaims:    config.NewCellPenalties(),
-		reclaimed:   make(map[fleet.InstanceID]bool),
+		config:           config,
+		forecasters:      make(map[fleet.Service]*placement.Forecaster),
+		refusals:         config.NewCellPenalties(),
+		reclaims:         config.NewCellPenalties(),
+		recordedReclaims: make(map[fleet.InstanceID]bool),
 	}
 }
 
-// measure takes in the load of every service.
+// measure adds the current load of every service to its forecaster.
 func (c *Controller) measure(v view) {
-	if !isDue(v.now, c.planner.measuredAt, measureEvery) {
+	if !isDue(v.now, c.planner.measuredAt, measureInterval) {
 		return
 	}
 
@@ -57,15 +57,15 @@
 	}
 }
 
-// plan decides anew what each service should have.
+// plan computes the target count of instances of each service.
 func (c *Controller) plan(v view) {
-	h := &c.holding
-	if !v.listed || !h.listing.known || !isDue(v.now, h.plannedAt, planEvery) {
+	h := &c.grant
+	if !v.listed || !h.listing.known || !isDue(v.now, h.plannedAt, planInterval) {
 		return
 	}
 
 	h.plannedAt = v.now
-	c.noteReclaims(v)
+	c.recordReclaims(v)
 
 	h.foreign = c.foreign(v)
 	state := placement.State{
@@ -80,7 +80,7 @@
 	for _, s := range v.manifest.Services() {
 		if s.Capacity().Max() == 0 {
 			unmanaged = append(unmanaged, placement.Explanation{
-				Service: s.Name(), Text: "left as it is: the manifest bounds no number of servers for it",
+				Service: s.Name(), Text: "not managed: the manifest sets no maximum number of servers",
 			})
 
 			continue
@@ -103,12 +103,12 @@
 	h.decision.Explanations = append(h.decision.Explanations, unmanaged...)
 }
 
-// foreign counts by service and cell the instances that are not this system's
-// to give up: those that no purchase of its own accounts for.
+// foreign counts by service and cell the instances that carry no purchase token of this controller.
+// Instances that leave are not counted.
 func (c *Controller) foreign(v view) map[fleet.Service]map[placement.Cell]int {
 	counts := make(map[fleet.Service]map[placement.Cell]int)
 
-	for _, instance := range c.holding.listing.instances {
+	for _, instance := range c.grant.listing.instances {
 		s, ok := v.server(instance.ID)
 		if _, own := placement.ParseToken(c.owner(), instance.Token); own || !ok || s.Leaving {
 			continue
@@ -124,11 +124,12 @@
 	return counts
 }
 
-// noteReclaims remembers where reclaimable instances are taken back.
-func (c *Controller) noteReclaims(v view) {
+// recordReclaims records the cells in which the provider reclaims instances, that is, of instances
+// that leave although this controller has not retired them.
+func (c *Controller) recordReclaims(v view) {
 	leaving := make(map[fleet.InstanceID]bool)
 
-	for _, instance := range c.holding.listing.instances {
+	for _, instance := range c.grant.listing.instances {
 		s, ok := v.server(instance.ID)
 		if intent, own := c.intentOf(instance); !ok || !s.Leaving || own && intent.Retired {
 			continue
@@ -136,10 +137,10 @@
 
 		leaving[instance.ID] = true
 
-		if !c.planner.reclaimed[instance.ID] {
+		if !c.planner.recordedReclaims[instance.ID] {
 			c.planner.reclaims.Add(v.now, cellOf(instance))
 		}
 	}
 
-	c.planner.reclaimed = leaving
+	c.planner.recordedReclaims = leaving
 }
