--- a/controller/checkpoint.go
+++ b/controller/checkpoint.go
@@ -8,8 +8,8 @@
 	"monsoonlever/provider"
 )
 
-// Checkpoint is the state of a role after the entry at an offset. The holder
-// writes it, so that an instance can start from the retained part of the log.
+// Checkpoint is the state of a role after the log entry at AsOf. The holder appends checkpoints, so
+// that an instance can start from the retained part of the log.
 type Checkpoint struct {
 	AsOf     provider.Offset    `msgpack:"asOf"`
 	AsOfTime time.Time          `msgpack:"asOfTime"`
@@ -18,34 +18,35 @@
 }
 
 const (
-	// checkpointEvery is the time between two checkpoints, and less where the
-	// log keeps records for less than checkpointsKept times that.
-	checkpointEvery = 5 * time.Minute
-	checkpointsKept = 8
-	// checkpointRetry is the time after which an unread checkpoint is written again.
-	checkpointRetry = 30 * time.Second
+	// checkpointInterval is the maximum time between two checkpoints. It is shortened to
+	// retention/checkpointsPerRetention if the log retains records for a shorter time.
+	checkpointInterval      = 5 * time.Minute
+	checkpointsPerRetention = 8
+	// checkpointRetryInterval is the time after which a checkpoint is appended again if it was not
+	// read back from the log.
+	checkpointRetryInterval = 30 * time.Second
 )
 
-// checkpoint writes the state of the role: under each grant, and before the last
-// checkpoint ages out.
+// checkpoint appends the state of the role once after each grant, and then periodically, so that the
+// retained part of the log always contains a checkpoint.
 func (c *Controller) checkpoint(now time.Time, retention time.Duration) {
-	every := checkpointEvery
+	interval := checkpointInterval
 	if retention > 0 {
-		every = min(every, retention/checkpointsKept)
+		interval = min(interval, retention/checkpointsPerRetention)
 	}
 
-	sent := c.holding.checkpointSent
-	fresh := c.history.checkpointed.After(sent) && now.Sub(c.history.checkpointed) < every
+	sent := c.grant.checkpointSent
+	fresh := c.stream.checkpointReadAt.After(sent) && now.Sub(c.stream.checkpointReadAt) < interval
 
-	if !sent.IsZero() && (fresh || now.Sub(sent) < min(checkpointRetry, every)) {
+	if !sent.IsZero() && (fresh || now.Sub(sent) < min(checkpointRetryInterval, interval)) {
 		return
 	}
 
-	c.holding.checkpointSent = now
+	c.grant.checkpointSent = now
 	c.counters.checkpoints.Inc()
 	c.append(kindCheckpoint, Checkpoint{
-		AsOf:     c.history.asOf,
-		AsOfTime: c.history.asOfTime,
+		AsOf:     c.stream.asOf,
+		AsOfTime: c.stream.asOfTime,
 		Lease:    c.core.Snapshot(),
 		Intents:  c.reconciler.Ledger().Snapshot(),
 	})
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -9,13 +9,13 @@
 	"monsoonlever/placement"
 )
 
-// rollOut moves the runners to the versions of the manifest.
+// rollOut moves the runners to the model versions of the manifest.
 func (c *Controller) rollOut(ctx context.Context, v view) {
 	if !v.listed {
 		return
 	}
 
-	r := c.holding.rollout
+	r := c.grant.rollout
 	r.update(v)
 	r.lines = nil
 	clear(r.surge)
@@ -28,36 +28,36 @@
 		}
 	}
 
-	for _, one := range r.runners {
-		if !one.known && isDue(v.now, one.askedAt, readEvery) {
-			c.read(ctx, one)
+	for _, engine := range r.runners {
+		if !engine.known && isDue(v.now, engine.requestedAt, readInterval) {
+			c.read(ctx, engine)
 		}
 	}
 
-	for _, action := range r.corrector.Step(v.now, c.holding.fence) {
-		one, ok := r.runners[action.Target]
+	for _, action := range r.corrector.Step(v.now, c.grant.fence) {
+		engine, ok := r.runners[action.Target]
 
 		switch {
 		case !ok:
 		case action.Read:
-			c.read(ctx, one)
+			c.read(ctx, engine)
 		default:
-			c.order(ctx, one.server, action)
+			c.order(ctx, engine.server, action)
 		}
 	}
 }
 
-// read reads an engine and its load.
-func (c *Controller) read(ctx context.Context, one *runner) {
-	if one.reading {
+// read reads the state and the load of an engine.
+func (c *Controller) read(ctx context.Context, engine *runner) {
+	if engine.reading {
 		return
 	}
 
-	one.reading = true
-	one.askedAt = c.Clock.Now()
-	client := one.server.Client
-	id := one.server.ID
-	corrector := c.holding.rollout.corrector
+	engine.reading = true
+	engine.requestedAt = c.Clock.Now()
+	client := engine.server.Client
+	id := engine.server.ID
+	corrector := c.grant.rollout.corrector
 
 	c.calls.Go(func() {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -69,20 +69,20 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 
-		one.reading = false
+		engine.reading = false
 
 		if err != nil {
 			return
 		}
 
-		one.take(c.Clock.Now(), state, load, loadErr == nil)
+		engine.update(c.Clock.Now(), state, load, loadErr == nil)
 		corrector.Observe(id, placement.EngineReadback(state))
 	})
 }
 
-// order gives one order, unless the lease is gone at that moment.
+// order sends one order if the lease is still held.
 func (c *Controller) order(ctx context.Context, s Server, a lease.Action[placement.EngineSpec]) {
-	corrector := c.holding.rollout.corrector
+	corrector := c.grant.rollout.corrector
 
 	c.calls.Go(func() {
 		certain := true
@@ -98,7 +98,8 @@
 	})
 }
 
-// send tells whether it is certain what became of the order.
+// send sends an order and reports whether its outcome is certain: it took effect, or it was not
+// sent or rejected and will never take effect.
 func (c *Controller) send(ctx context.Context, s Server, a lease.Action[placement.EngineSpec]) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
