--- a/document/scanner.go
+++ b/document/depth.go
@@ -2,14 +2,16 @@
 
 import "bytes"
 
-// scanner counts the nesting of brackets outside strings and comments.
-type scanner struct {
+// depthScanner tracks the nesting depth of brackets outside strings and comments.
+type depthScanner struct {
 	data  []byte
 	pos   int
 	depth int
 }
 
-func (s *scanner) deepest() (int, bool) {
+// firstTooDeep returns the offset of the first bracket beyond MaxDepth and whether
+// there is one.
+func (s *depthScanner) firstTooDeep() (int, bool) {
 	for s.pos < len(s.data) {
 		switch s.data[s.pos] {
 		case '"':
@@ -31,8 +33,8 @@
 	return 0, false
 }
 
-// skipString leaves the position at the closing quote.
-func (s *scanner) skipString() {
+// skipString advances the position to the closing quote.
+func (s *depthScanner) skipString() {
 	for s.pos++; s.pos < len(s.data); s.pos++ {
 		switch s.data[s.pos] {
 		case '\\':
@@ -43,8 +45,9 @@
 	}
 }
 
-// skipComment leaves the position at the comment's last byte.
-func (s *scanner) skipComment() {
+// skipComment advances the position to the last byte of a comment. A slash that
+// begins no comment is left to the parser, which rejects it.
+func (s *depthScanner) skipComment() {
 	rest := s.data[s.pos:]
 
 	switch {
@@ -55,7 +58,7 @@
 	}
 }
 
-func (s *scanner) skipPast(rest []byte, end string) {
+func (s *depthScanner) skipPast(rest []byte, end string) {
 	i := bytes.Index(rest[2:], []byte(end))
 	if i < 0 {
 		s.pos = len(s.data)
--- a/membership/groups.go
+++ b/membership/live_members.go
@@ -8,33 +8,34 @@
 	"monsoonlever/fleet"
 )
 
-// groups are the live members other than the node, sorted by what they are
-// asked for.
-type groups struct {
-	// locals are those of the node's region.
+// liveMembers holds the live members of the table by their role in probes,
+// gossip and sync.
+type liveMembers struct {
+	// locals are the other live members of the node's region.
 	locals []*Member
-	// bridges are the bridges of every other region.
+	// bridges are the elected bridges of all other regions.
 	bridges []*Member
-	// bridge says whether the node is a bridge of its own region.
-	bridge bool
-	// size counts all live members, the node included.
-	size int
+	// isBridge reports whether the node is an elected bridge of its own region.
+	isBridge bool
+	// count is the number of live members, including the node.
+	count int
 }
 
-// bridgeKey names a failure domain of a region.
+// bridgeKey identifies a failure domain of a region, which has one bridge.
 type bridgeKey struct {
 	region fleet.Region
 	domain fleet.FailureDomain
 }
 
-// regroup sorts the members anew after one has come, gone or moved on.
-func (c *Core) regroup() {
-	if !c.regrouping {
+// refreshLiveMembers rebuilds the live members when a member was added or its
+// phase or status changed.
+func (c *Core) refreshLiveMembers() {
+	if !c.liveOutdated {
 		return
 	}
 
-	c.regrouping = false
-	g := groups{}
+	c.liveOutdated = false
+	g := liveMembers{}
 	elected := make(map[bridgeKey]*Member)
 
 	for _, e := range c.table.order {
@@ -43,7 +44,7 @@
 			continue
 		}
 
-		g.size++
+		g.count++
 
 		if m.identity.Region == c.Self.Region && m.identity.ID != c.Self.ID {
 			g.locals = append(g.locals, m)
@@ -55,21 +56,21 @@
 	for _, m := range elected {
 		switch {
 		case m.identity.ID == c.Self.ID:
-			g.bridge = true
+			g.isBridge = true
 		case m.identity.Region != c.Self.Region:
 			g.bridges = append(g.bridges, m)
 		}
 	}
 
 	slices.SortFunc(g.bridges, compareRank)
-	c.notePromotion(g.bridge)
-	c.groups = g
-	c.noteRegions()
+	c.handlePromotion(g.isBridge)
+	c.live = g
+	c.trackNewRegions()
 }
 
-// elect keeps one bridge for each failure domain: of the usable members the
-// one with the lowest hash, so that every member elects the same without a
-// message, and the loss of a domain takes one bridge at most.
+// elect elects one bridge for each failure domain, so that the loss of a domain
+// removes at most one bridge. It prefers usable members and then the lowest hash
+// of the ID: all members elect the same bridges without exchanging messages.
 func elect(elected map[bridgeKey]*Member, m *Member) {
 	key := bridgeKey{region: m.identity.Region, domain: m.identity.Domain}
 
