--- a/settings/checker.go
+++ b/settings/checker.go
@@ -11,7 +11,7 @@
 	"monsoonlever/finding"
 )
 
-// checker reports findings of the checks beside each settings struct.
+// checker validates the values of settings and reports findings with their field and line.
 type checker struct {
 	document *document.Document
 	findings *finding.List
@@ -42,7 +42,8 @@
 	}
 }
 
-// listenAddress accepts an empty or unspecified host, which means all addresses.
+// listenAddress checks an IP address and port to listen on. An empty or unspecified host is
+// valid and means all addresses of the machine.
 func (c *checker) listenAddress(field, value string) {
 	if value == "" {
 		c.report(field, "is missing")
@@ -56,7 +57,8 @@
 	}
 }
 
-// dialAddress demands a host that another instance can reach.
+// dialAddress checks an IP address and port to connect to. An empty or unspecified host is a
+// finding, since a peer can't dial it.
 func (c *checker) dialAddress(field, value string) {
 	if value == "" {
 		c.report(field, "is missing")
--- a/settings/control.go
+++ b/settings/control.go
@@ -1,19 +1,20 @@
 package settings
 
-// ControlMode tells what an instance does for the control of its region.
+// ControlMode selects how far an instance takes part in the control of its region.
 type ControlMode string
 
-// The modes of control.
+// Control modes.
 const (
-	// ControlOff takes no part.
+	// ControlOff disables the controller on this instance.
 	ControlOff ControlMode = "off"
-	// ControlObserve decides and shows, and gives the orders of roll-outs.
+	// ControlObserve makes and publishes decisions and orders rollouts, but buys and
+	// releases no instances.
 	ControlObserve ControlMode = "observe"
 	// ControlAct also buys and releases instances.
 	ControlAct ControlMode = "act"
 )
 
-// Control holds the settings of the control of a region.
+// Control holds the settings of the controller of a region.
 type Control struct {
 	Mode ControlMode `json:"mode"`
 }
--- a/settings/daemon.go
+++ b/settings/daemon.go
@@ -9,8 +9,8 @@
 const (
 	defaultDeployment   = "default"
 	defaultEntryService = "monsoonlever"
-	// defaultDrainTimeout is above the deadline of most calls: a planned stop that
-	// cuts no request ends with the last of them.
+	// defaultDrainTimeout exceeds the deadline of most calls, so that a planned stop
+	// interrupts none of them. The stop ends as soon as the last call has finished.
 	defaultDrainTimeout      = time.Hour
 	defaultAppendsPerSecond  = 20.0
 	maxAppendsPerSecondShare = 500.0
@@ -18,25 +18,26 @@
 
 // Daemon holds the settings of monsoonleverd.
 type Daemon struct {
-	// Deployment keeps the log streams of deployments on one log apart.
+	// Deployment separates the log streams of deployments that share a log.
 	Deployment string `json:"deployment"`
-	// Instance is unique for the life of the instance; a replacement has another.
+	// Instance identifies this instance. A replacement instance has another ID.
 	Instance      fleet.InstanceID    `json:"instance"`
 	Region        fleet.Region        `json:"region"`
 	FailureDomain fleet.FailureDomain `json:"failureDomain"`
 	Listen        Listen              `json:"listen"`
-	// PeerAddress is the host:port at which peers reach this instance.
+	// PeerAddress is the IP:port that peers dial to reach this instance.
 	PeerAddress string `json:"peerAddress"`
-	// Seeds are peer addresses to ask for the others; they may be gone.
+	// Seeds are peer addresses from which the instance requests the addresses of further
+	// peers. Some of them may be unreachable.
 	Seeds []string `json:"seeds"`
-	// EntryService names the entry instances in the platform's list, whose
-	// addresses there are those for peers. They serve as seeds too.
+	// EntryService is the service under which the platform's list has the entry instances,
+	// with their peer addresses. These addresses are seeds too.
 	EntryService fleet.Service `json:"entryService"`
 	TLS          *TLS          `json:"tls"`
 	Platform     Platform      `json:"platform"`
 	Limits       Limits        `json:"limits"`
 	Control      Control       `json:"control"`
-	// DrainTimeout bounds a planned stop.
+	// DrainTimeout limits the duration of a planned stop.
 	DrainTimeout time.Duration `json:"drainTimeout"`
 	// AppendsPerSecond is this instance's share of the log's append budget.
 	AppendsPerSecond float64 `json:"appendsPerSecond"`
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -6,32 +6,32 @@
 	"monsoonlever/fleet"
 )
 
-// Entry holds the settings of an entry instance on the users' platform, where
-// rules, backend servers and other instances are found through the platform's
-// store.
+// Entry holds the settings of an entry instance on the users' platform, which reads rules,
+// backend servers and other instances from the platform's store.
 type Entry struct {
 	// Instance is unique among the instances of a deployment.
 	Instance      fleet.InstanceID    `json:"instance"`
 	FailureDomain fleet.FailureDomain `json:"failureDomain"`
 	Region        fleet.Region        `json:"region"`
 	Listen        EntryListen         `json:"listen"`
-	// Store is the host:port of the platform's store, Cloud that of its API.
+	// Store is the IP:port of the platform's store, and Cloud that of its cloud API, which
+	// is required if there are duties.
 	Store string `json:"store"`
 	Cloud string `json:"cloud"`
-	// StoreRetention is how long the store keeps records.
+	// StoreRetention is how long the store retains records.
 	StoreRetention time.Duration `json:"storeKeeps"`
-	// Duties are the calls to the cloud API that one instance makes for all.
+	// Duties are the kinds of calls to the cloud API that this deployment makes.
 	Duties []Duty        `json:"duties"`
 	Limits MachineLimits `json:"limits"`
 	Bounds Bounds        `json:"bounds"`
 }
 
-// Duty is a kind of call that one instance makes for all.
+// Duty is a kind of call to the cloud API that one instance makes on behalf of all instances.
 type Duty string
 
-// The duties.
+// Duties.
 const (
-	// ReportUsage tells what client accounts have used.
+	// ReportUsage reports the usage of client accounts.
 	ReportUsage Duty = "usage"
 	// OrderServers sets the number of backend servers.
 	OrderServers Duty = "scaling"
@@ -41,18 +41,20 @@
 type EntryListen struct {
 	// Callers is the address for client accounts.
 	Callers string `json:"callers"`
-	// Readiness is where the balancer asks whether to send callers here.
+	// Readiness is the address for the load balancer's readiness checks.
 	Readiness string `json:"readiness"`
-	// Peers is the address for other entry instances, and where these reach it.
+	// Peers is the address for other entry instances. The instance listens on it, and the
+	// other instances dial it.
 	Peers string `json:"peers"`
-	// Operators is the address for metrics.
+	// Operators is the address for metrics. It may be empty, which disables them.
 	Operators string `json:"operators"`
 }
 
-// MachineLimits is what an instance may use.
+// MachineLimits holds the resources that an instance may use.
 type MachineLimits struct {
 	MemoryMegabytes float64 `json:"memoryMegabytes"`
-	// ProcessorCores may be a part of one. Larger instances relay and lead first.
+	// ProcessorCores may be a fraction. Instances with more cores are preferred as relays and
+	// leaders.
 	ProcessorCores  float64 `json:"processorCores"`
 	FileDescriptors float64 `json:"fileDescriptors"`
 }
@@ -60,44 +62,45 @@
 // MemoryBytes returns the memory that an instance may use.
 func (m MachineLimits) MemoryBytes() int64 { return int64(m.MemoryMegabytes * (1 << 20)) }
 
-// Bounds are what operators demand of all instances together.
+// Bounds holds the limits that operators set for all instances together.
 type Bounds struct {
-	// Revocation is how long after a change of the rules a key that it took away
-	// may still be used; zero is not bounded.
+	// Revocation is how long a key may remain usable after a change of the rules has
+	// removed it. Zero means no limit.
 	Revocation time.Duration `json:"revocation"`
-	// Drain is how long a backend server goes on serving once it is known to leave.
+	// Drain is how long a backend server keeps serving after it has been announced as leaving.
 	Drain time.Duration `json:"drain"`
 	// Stop is the time from SIGTERM until the process is killed.
 	Stop time.Duration `json:"stop"`
-	// Retries are bounded by RetryShare of the requests of a service in any
-	// RetryWindow, and RetryExtra more, over all instances.
+	// RetryShare, RetryWindow and RetryExtra limit the retries of all instances: within any
+	// RetryWindow to the share RetryShare of the requests of a service, plus RetryExtra.
 	RetryShare  float64       `json:"retryShare"`
 	RetryWindow time.Duration `json:"retryWindow"`
 	RetryExtra  float64       `json:"retryExtra"`
-	// Limits of client accounts may be exceeded by LimitOvershoot of what a
-	// LimitWindow holds and by LimitSlack.
+	// LimitWindow, LimitOvershoot and LimitSlack are the tolerance for the limits of client
+	// accounts: usage may exceed the amount allowed in a LimitWindow by the share
+	// LimitOvershoot plus LimitSlack, which has the unit of the limit.
 	LimitWindow    time.Duration `json:"limitWindow"`
 	LimitOvershoot float64       `json:"limitOvershoot"`
 	LimitSlack     float64       `json:"limitSlack"`
-	// TrialShare and TrialSlack are the part of a service's requests, from the order of a
-	// new version to its deadline, and how many more, that a bad version may get. TrialStop
-	// is the time after which nobody may send to one that has shown itself bad.
+	// TrialShare and TrialSlack limit the requests that a bad version may receive: a share
+	// of the service's requests from the order of the version to its deadline, plus a fixed
+	// number. TrialStop is the time within which all instances must stop sending requests to
+	// a version that has shown itself bad.
 	TrialShare float64       `json:"trialShare"`
 	TrialSlack float64       `json:"trialSlack"`
 	TrialStop  time.Duration `json:"trialStop"`
-	// Lease is the shortest time after which a role may come back to an instance
-	// that lost it.
+	// Lease is the shortest time after which a role may return to an instance that lost it.
 	Lease time.Duration `json:"lease"`
-	// UsageWindow is the width of the windows that usage is reported for, and
-	// UsageLate the time after a window's end in which its report is due.
+	// UsageWindow is the width of the windows for which usage is reported, and UsageLate the
+	// time after the end of a window within which its report is due.
 	UsageWindow time.Duration `json:"usageWindow"`
 	UsageLate   time.Duration `json:"usageLate"`
 }
 
-// Retries returns RetryExtra in whole further sends.
+// Retries returns RetryExtra rounded down to whole retries.
 func (b Bounds) Retries() int { return int(b.RetryExtra) }
 
-// Defaults of bounds that a deployment does not name.
+// Defaults of settings that the file omits.
 const (
 	defaultDrain          = 2 * time.Second
 	defaultStop           = 8 * time.Second
@@ -113,7 +116,7 @@
 	defaultMemory         = 256
 	defaultCores          = 1
 	defaultDescriptors    = 1024
-	// minDescriptors leaves room for the store, the listeners and a few callers.
+	// minDescriptors suffices for the store, the listeners and a few callers.
 	minDescriptors = 64
 )
 
@@ -133,7 +136,7 @@
 	}
 }
 
-// HasDuty tells whether this deployment has a duty.
+// HasDuty reports whether this deployment has the duty.
 func (s Entry) HasDuty(d Duty) bool {
 	for _, duty := range s.Duties {
 		if duty == d {
--- a/settings/entry_test.go
+++ b/settings/entry_test.go
@@ -13,8 +13,8 @@
 
 const entryExample = "../examples/kronvig.entry.jsonc"
 
-// Operators state bounds and what a machine may use as fractions too: those of a part of a
-// deployment are a share of the whole.
+// Limits and bounds may be fractions, since those of a part of a deployment are a share of the
+// whole. Whole numbers are derived by rounding down.
 func TestLoadEntryAcceptsFractionalLimits(t *testing.T) {
 	text := `{
 		"instance": "entry-1", "failureDomain": "a", "region": "r",
@@ -35,7 +35,7 @@
 	}
 
 	if got, want := s.Bounds.Retries(), 35; got != want {
-		t.Errorf("further sends: got %d, want %d, the most whole ones within the bound", got, want)
+		t.Errorf("retries: got %d, want %d, the bound rounded down", got, want)
 	}
 
 	if got, want := s.Limits.MemoryBytes(), int64(266.5*(1<<20)); got != want {
@@ -71,13 +71,13 @@
 		{"no store", `"store": "127.0.0.1:8225",`, ``, "store", "is missing"},
 		{"a store without a port", `"store": "127.0.0.1:8225"`, `"store": "127.0.0.1"`, "store", "IP number"},
 		{"duties without the API", `"cloud": "127.0.0.1:8226",`, ``, "cloud", "is missing"},
-		{"one address for two", `"readiness": "127.0.0.1:8224"`, `"readiness": "127.0.0.1:8221"`, "listen.readiness", "must differ"},
-		{"no time to stop", `"stop": "8s"`, `"stop": "0s"`, "bounds.stop", "above 0"},
-		{"a share below nothing", `"retryShare": 0.2`, `"retryShare": -1`, "bounds.retryShare", "below 0"},
-		{"a store that keeps nothing", `"cloud":`, `"storeKeeps": "0s", "cloud":`, "storeKeeps", "above 0"},
-		{"no processor", `"memoryMegabytes"`, `"processorCores": 0, "memoryMegabytes"`, "limits.processorCores", "above 0"},
+		{"an address used twice", `"readiness": "127.0.0.1:8224"`, `"readiness": "127.0.0.1:8221"`, "listen.readiness", "must differ"},
+		{"a stop timeout of zero", `"stop": "8s"`, `"stop": "0s"`, "bounds.stop", "above 0"},
+		{"a negative share", `"retryShare": 0.2`, `"retryShare": -1`, "bounds.retryShare", "below 0"},
+		{"a store retention of zero", `"cloud":`, `"storeKeeps": "0s", "cloud":`, "storeKeeps", "above 0"},
+		{"zero processor cores", `"memoryMegabytes"`, `"processorCores": 0, "memoryMegabytes"`, "limits.processorCores", "above 0"},
 		{"too few descriptors", `"fileDescriptors": 4100`, `"fileDescriptors": 8`, "limits.fileDescriptors", "at least"},
-		{"a field that nobody knows", `"region"`, `"regoin"`, "regoin", "unknown"},
+		{"an unknown field", `"region"`, `"regoin"`, "regoin", "unknown"},
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
 			changed := strings.Replace(string(data), tt.old, tt.new, 1)
@@ -98,7 +98,7 @@
 			}
 
 			if !found {
-				t.Errorf("got %v, want one at %s with %q", err, tt.field, tt.message)
+				t.Errorf("findings: got %v, want one at %s with %q", err, tt.field, tt.message)
 			}
 		})
 	}
--- a/settings/limits.go
+++ b/settings/limits.go
@@ -11,15 +11,15 @@
 	minHeaderBytes = 1 << 10
 )
 
-// Limits bound what one caller connection or all of them may cost.
+// Limits holds the limits for requests and connections of callers.
 type Limits struct {
-	// MaxBodyBytes bounds the body of one request.
+	// MaxBodyBytes limits the body of a request.
 	MaxBodyBytes int64 `json:"maxBodyBytes"`
-	// MaxHeaderBytes bounds the header of one request.
+	// MaxHeaderBytes limits the header of a request.
 	MaxHeaderBytes int `json:"maxHeaderBytes"`
-	// ReadHeaderTimeout bounds the time a caller takes to send its header.
+	// ReadHeaderTimeout limits the time in which a caller must send the header.
 	ReadHeaderTimeout time.Duration `json:"readHeaderTimeout"`
-	// MaxConnections bounds the open connections of callers.
+	// MaxConnections limits the open connections of all callers.
 	MaxConnections int `json:"maxConnections"`
 }
 
--- a/settings/parse_test.go
+++ b/settings/parse_test.go
@@ -23,23 +23,23 @@
 	}{
 		{"no instance", `"instance": "entry-ballerup-a-1",`, ``, "instance", "is missing"},
 		{"a name with a space", `"dk-east"`, `"dk east"`, "region", "letters, digits"},
-		{"a host name to listen at", `"callers": "127.0.0.1:8080"`, `"callers": "localhost:8080"`, "listen.callers", "IP number"},
-		{"a port beyond its range", `"callers": "127.0.0.1:8080"`, `"callers": "127.0.0.1:80800"`, "listen.callers", "IP number"},
-		{"one address for two", `"peers": "127.0.0.1:8081"`, `"peers": "127.0.0.1:8080"`, "listen.peers", "must differ"},
-		{"a peer address that nobody can dial", `"peerAddress": "127.0.0.1:8081"`, `"peerAddress": "0.0.0.0:8081"`, "peerAddress", "peers dial"},
-		{"a seed twice", `"127.0.0.1:8281"`, `"127.0.0.1:8181"`, "seeds[1]", "duplicate"},
-		{"a URL of another scheme", `"http://127.0.0.1:7001"`, `"file:///tmp"`, "platform.log", "http or https"},
+		{"a host name as listen address", `"callers": "127.0.0.1:8080"`, `"callers": "localhost:8080"`, "listen.callers", "IP number"},
+		{"a port out of range", `"callers": "127.0.0.1:8080"`, `"callers": "127.0.0.1:80800"`, "listen.callers", "IP number"},
+		{"an address used twice", `"peers": "127.0.0.1:8081"`, `"peers": "127.0.0.1:8080"`, "listen.peers", "must differ"},
+		{"an unspecified peer address", `"peerAddress": "127.0.0.1:8081"`, `"peerAddress": "0.0.0.0:8081"`, "peerAddress", "peers dial"},
+		{"a duplicate seed", `"127.0.0.1:8281"`, `"127.0.0.1:8181"`, "seeds[1]", "duplicate"},
+		{"a URL with an unsupported scheme", `"http://127.0.0.1:7001"`, `"file:///tmp"`, "platform.log", "http or https"},
 		{"TLS without a key", `"platform": {`, `"tls": { "certFile": "a", "caFile": "b" }, "platform": {`, "tls.keyFile", "is missing"},
-		{"no drain timeout", `"drainTimeout": "1h"`, `"drainTimeout": "0s"`, "drainTimeout", "above 0"},
-		{"more appends than the log takes", `"appendsPerSecond": 20`, `"appendsPerSecond": 9000`, "appendsPerSecond", "at most"},
-		{"an unknown mode of control", `"platform": {`, `"control": { "mode": "guess" }, "platform": {`, "control.mode", "must be"},
-		{"a body of nothing", `"maxBodyBytes": 8388608`, `"maxBodyBytes": 0`, "limits.maxBodyBytes", "above 0"},
+		{"a drain timeout of zero", `"drainTimeout": "1h"`, `"drainTimeout": "0s"`, "drainTimeout", "above 0"},
+		{"an append rate above the maximum", `"appendsPerSecond": 20`, `"appendsPerSecond": 9000`, "appendsPerSecond", "at most"},
+		{"an unknown control mode", `"platform": {`, `"control": { "mode": "guess" }, "platform": {`, "control.mode", "must be"},
+		{"a body limit of zero", `"maxBodyBytes": 8388608`, `"maxBodyBytes": 0`, "limits.maxBodyBytes", "above 0"},
 	}
 
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			if !strings.Contains(string(data), tt.old) {
-				t.Fatalf("example holds no %q", tt.old)
+				t.Fatalf("%q is not in the example", tt.old)
 			}
 
 			_, err := Parse("d", []byte(strings.Replace(string(data), tt.old, tt.new, 1)))
@@ -72,6 +72,6 @@
 
 func TestLoadReportsMissingFile(t *testing.T) {
 	if _, err := Load("testdata/none.jsonc"); err == nil || !strings.Contains(err.Error(), "read settings") {
-		t.Errorf("error: got %v, want one of reading settings", err)
+		t.Errorf("error: got %v, want one with \"read settings\"", err)
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads what one instance must know before it can join: who it
-// is, where it listens and where the platform is.
+// Package settings reads the settings that an instance needs before it can join its
+// deployment: its identity, its listen addresses and the addresses of the platform.
 //
-// Everything else comes from the manifest. Settings are JSON with comments; all
-// findings are reported together, each with its line.
+// Services and their limits come from the manifest or, on the users' platform, from its rules.
+// Settings are JSON with comments. All findings are reported together, each with its line.
 //
 // # Usage
 //
@@ -21,8 +21,8 @@
 	"monsoonlever/finding"
 )
 
-// Load reads the settings file of the daemon. Where the content has findings the
-// error is a *finding.Error with all of them.
+// Load reads the settings file of the daemon. If the content has findings, the error is a
+// *finding.Error with all of them.
 func Load(path string) (Daemon, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -32,13 +32,14 @@
 	return Parse(path, data)
 }
 
-// Parse reads the settings of the daemon from the content of a file.
+// Parse reads the settings of the daemon from the content of a file. Its errors are of type
+// *finding.Error.
 func Parse(file string, data []byte) (Daemon, error) {
 	return parse(file, data, defaultDaemon())
 }
 
 // LoadEntry reads the settings file of an entry instance on the users' platform.
-// Where the content has findings the error is a *finding.Error with all of them.
+// If the content has findings, the error is a *finding.Error with all of them.
 func LoadEntry(path string) (Entry, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -48,12 +49,13 @@
 	return ParseEntry(path, data)
 }
 
-// ParseEntry reads the settings of an entry instance from the content of a file.
+// ParseEntry reads the settings of an entry instance from the content of a file. Its errors
+// are of type *finding.Error.
 func ParseEntry(file string, data []byte) (Entry, error) {
 	return parse(file, data, defaultEntry())
 }
 
-// checkable is a struct of settings with the checks beside it.
+// checkable is a settings struct that validates itself.
 type checkable interface {
 	check(c *checker)
 }
@@ -66,7 +68,7 @@
 
 	d := document.Decode(file, data, &s, &l)
 
-	// Without a readable document every missing field would be a finding too.
+	// If the document is unreadable, the checks would report every required field as missing.
 	if !d.Has("") {
 		return zero, l.Err()
 	}
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -1,10 +1,10 @@
 package settings
 
-// TLS names the files for the connections between entry instances.
+// TLS holds the paths of the files for mutual TLS between entry instances.
 type TLS struct {
 	CertFile string `json:"certFile"`
 	KeyFile  string `json:"keyFile"`
-	// CAFile holds the authority that signs the certificates of peers.
+	// CAFile has the certificate of the authority that signs the certificates of peers.
 	CAFile string `json:"caFile"`
 }
 
