--- a/membership/holds_test.go
+++ b/membership/holds_test.go
@@ -190,9 +190,10 @@
 	})
 }
 
-// TestHoldsMembershipOrder checks that delayed and repeated messages never make a
-// node return to an older incarnation, revision, status or payload of a member.
-func TestHoldsMembershipOrder(t *testing.T) {
+// TestHoldsMembershipNeverRevertsState checks that delayed and repeated messages
+// never make a node return to an older incarnation, revision, status or payload of
+// a member.
+func TestHoldsMembershipNeverRevertsState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 6)
 		m.lossRate = 0.1
@@ -217,9 +218,9 @@
 	})
 }
 
-// TestHoldsMembershipLeavingIsKnown checks that the announcement of a leaving
-// member reaches all other nodes within leavingBound over a lossy network.
-func TestHoldsMembershipLeavingIsKnown(t *testing.T) {
+// TestHoldsMembershipLeavingReachesAllNodes checks that the announcement of a
+// leaving member reaches all other nodes within leavingBound over a lossy network.
+func TestHoldsMembershipLeavingReachesAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 24)
 		m.lossRate = rapid.Float64Range(0, 0.2).Draw(t, "loss")
@@ -238,9 +239,9 @@
 	})
 }
 
-// TestHoldsMembershipFrozenBlamesNobody checks that a node that was paused for
-// seconds or minutes causes no other node to be declared dead when it resumes.
-func TestHoldsMembershipFrozenBlamesNobody(t *testing.T) {
+// TestHoldsMembershipPausedNodeCausesNoDeaths checks that a node that was paused
+// for seconds or minutes causes no other node to be declared dead when it resumes.
+func TestHoldsMembershipPausedNodeCausesNoDeaths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 10)
 		frozen := m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(t, "frozen")]
@@ -269,10 +270,10 @@
 	})
 }
 
-// TestHoldsMembershipOneWayCutKillsNobody checks that no member is declared dead
-// while one direction of the link between two members is cut, since other members
-// still reach both.
-func TestHoldsMembershipOneWayCutKillsNobody(t *testing.T) {
+// TestHoldsMembershipOneWayCutCausesNoDeaths checks that no member is declared
+// dead while one direction of the link between two members is cut, since other
+// members still reach both.
+func TestHoldsMembershipOneWayCutCausesNoDeaths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 10)
 		from := rapid.IntRange(0, len(m.nodes)-1).Draw(t, "from")
@@ -288,9 +289,9 @@
 	})
 }
 
-// TestHoldsMembershipIsBounded checks that under faults no message exceeds its
-// maximum size and no node exceeds rateBound over a window.
-func TestHoldsMembershipIsBounded(t *testing.T) {
+// TestHoldsMembershipLimitsMessageSizeAndRate checks that under faults no message
+// exceeds its maximum size and no node exceeds rateBound over a window.
+func TestHoldsMembershipLimitsMessageSizeAndRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawSimulation(t, 8)
 		faults := drawFaults(t, len(m.nodes))
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -129,12 +129,12 @@
 // region with too few members to route around a broken link also uses bridges of
 // other regions.
 func (c *Core) pickIndirectProbers(target fleet.InstanceID) []*Member {
-	helpers := c.pickRandom(c.live.locals, c.config.IndirectProbes, target)
+	probers := c.pickRandom(c.live.locals, c.config.IndirectProbes, target)
 	if len(c.live.locals) <= c.config.IndirectProbes {
-		helpers = append(helpers, c.pickRandom(c.live.bridges, c.config.IndirectProbes, target)...)
+		probers = append(probers, c.pickRandom(c.live.bridges, c.config.IndirectProbes, target)...)
 	}
 
-	return helpers
+	return probers
 }
 
 func (c *Core) suspect(m *Member) {
--- a/membership/update_test.go
+++ b/membership/update_test.go
@@ -54,9 +54,9 @@
 	return buffer.Len()
 }
 
-// TestHoldsMembershipSizesAreBounds checks that Size, by which messages are
+// TestHoldsMembershipSizeIsUpperBound checks that Size, by which messages are
 // filled and rates are limited, is never below the encoded size of a message.
-func TestHoldsMembershipSizesAreBounds(t *testing.T) {
+func TestHoldsMembershipSizeIsUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(drawUpdate), 0, 20).Draw(t, "updates")
 		digests := make([]byte, bucketCount*digestSize)
