--- a/controller/purchases.go
+++ b/controller/purchases.go
@@ -11,10 +11,10 @@
 	"monsoonlever/provider"
 )
 
-// act makes the plan true by purchases and releases. Without a plan under this
-// grant what is under way is finished and nothing new is decided.
+// act buys and releases instances to reach the plan. Without a plan under this grant, pending
+// purchases and releases are completed and no new ones are started.
 func (c *Controller) act(ctx context.Context, v view) {
-	h := &c.holding
+	h := &c.grant
 	c.observeHealth(ctx, v)
 
 	var (
@@ -23,7 +23,7 @@
 	)
 
 	if c.reconciler.Synced(h.fence) && !h.plannedAt.IsZero() {
-		targets, limits = c.ownPart(v.now)
+		targets, limits = c.ownPlan(v.now)
 	}
 
 	c.actedFence = h.fence
@@ -38,20 +38,20 @@
 	case placement.AppendCommand:
 		c.append(kindIntent, command.Record)
 	case placement.ListCommand:
-		c.callList(ctx, c.holding.fence, func(instances []provider.Instance) {
+		c.callList(ctx, c.grant.fence, func(instances []provider.Instance) {
 			c.reconciler.ListFinished(command.Number, instances)
 		})
 	case placement.BuyCommand:
-		c.buy(ctx, c.holding.fence, command)
+		c.buy(ctx, c.grant.fence, command)
 	case placement.DrainCommand:
 		c.drain(v.now, command.Instance)
 	case placement.ReleaseCommand:
-		c.giveBack(ctx, c.holding.fence, command.Instance)
+		c.releaseInstance(ctx, c.grant.fence, command.Instance)
 	}
 }
 
-// buy makes one purchase. Where the lease is gone the call is not made; it is
-// then told as unknown, which settles nothing.
+// buy makes one purchase. If the lease was lost, the call is not made and its outcome is reported as
+// unknown, which leaves the purchase open.
 func (c *Controller) buy(ctx context.Context, fence lease.Fence, command placement.BuyCommand) {
 	c.calls.Go(func() {
 		outcome := placement.OutcomeUnknown
@@ -64,7 +64,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 
-		// An answer to a call of an earlier grant says nothing of a later call.
+		// The response to a call under an earlier grant does not decide the outcome of a later call.
 		if c.actedFence != fence {
 			return
 		}
@@ -72,8 +72,8 @@
 		c.reconciler.PurchaseFinished(c.Clock.Now(), command.Token, outcome, instance)
 
 		if outcome == placement.OutcomeRefused {
-			// The plan was made without knowing of it.
-			c.holding.plannedAt = time.Time{}
+			// The plan did not know of this refusal; plan again in the next step.
+			c.grant.plannedAt = time.Time{}
 		}
 	})
 }
@@ -101,8 +101,9 @@
 	}
 }
 
-// giveBack releases an instance. It is asked for again until it is gone.
-func (c *Controller) giveBack(ctx context.Context, fence lease.Fence, id fleet.InstanceID) {
+// releaseInstance releases an instance. The reconciler repeats the release until the instance is
+// gone.
+func (c *Controller) releaseInstance(ctx context.Context, fence lease.Fence, id fleet.InstanceID) {
 	c.calls.Go(func() {
 		if !c.mayCall(fence) {
 			return
--- a/controller/history.go
+++ b/controller/stream_state.go
@@ -20,34 +20,35 @@
 	kindCheckpoint
 )
 
-// history tells how much of the stream is known.
-type history struct {
-	// complete is set once the state of the role is known. Until then entries
-	// are kept, because they come after the checkpoint that is waited for.
-	complete bool
-	since    time.Time
-	kept     []logstream.Entry
-	// asOf and asOfTime are the place of the last entry that was read.
+// streamState is the position on the stream and whether the state of the role is known.
+type streamState struct {
+	// stateKnown is set once the state of the role is known. Until then entries are buffered,
+	// because they may follow the checkpoint from which the state is restored.
+	stateKnown bool
+	// horizon is the start of the retained part of the stream, zero if all of it is retained.
+	horizon  time.Time
+	buffered []logstream.Entry
+	// asOf and asOfTime are the offset and time of the last entry that was read.
 	asOf     provider.Offset
 	asOfTime time.Time
-	// checkpointed is when a checkpoint of the role was last read.
-	checkpointed time.Time
+	// checkpointReadAt is when a checkpoint of the role was last read.
+	checkpointReadAt time.Time
 }
 
 var _ logstream.Subscriber = (*Controller)(nil)
 
-// Horizon implements logstream.Subscriber. What is older than since is not known,
-// and a checkpoint is waited for.
+// Horizon implements logstream.Subscriber. If entries before since are missing, the controller waits
+// for a checkpoint.
 func (c *Controller) Horizon(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.history.since = since
-	c.history.kept = nil
-	c.history.complete = since.IsZero()
+	c.stream.horizon = since
+	c.stream.buffered = nil
+	c.stream.stateKnown = since.IsZero()
 
-	if !c.history.complete {
-		klog.InfoS("older records of control have aged out; waiting for a checkpoint", "since", since)
+	if !c.stream.stateKnown {
+		klog.InfoS("older controller records expired; waiting for a checkpoint", "since", since)
 	}
 }
 
@@ -59,23 +60,23 @@
 	now := c.Clock.Now()
 
 	for _, e := range entries {
-		c.history.asOf = e.Offset()
-		c.history.asOfTime = e.Time()
+		c.stream.asOf = e.Offset()
+		c.stream.asOfTime = e.Time()
 
-		if c.history.complete {
+		if c.stream.stateKnown {
 			c.apply(now, e)
 
 			continue
 		}
 
-		c.history.kept = append(c.history.kept, e)
+		c.stream.buffered = append(c.stream.buffered, e)
 		c.restore(now, e)
 	}
 }
 
-// apply takes in one entry under a known state.
+// apply applies one entry to the known state.
 func (c *Controller) apply(now time.Time, e logstream.Entry) {
-	switch e.Kind() { //nolint:exhaustive // fences are no entries
+	switch e.Kind() { //nolint:exhaustive // fences are not delivered as entries
 	case kindLease:
 		var record lease.Record
 		if c.decode(e, &record) {
@@ -89,19 +90,19 @@
 	case kindCheckpoint:
 		var checkpoint Checkpoint
 		if c.decode(e, &checkpoint) && checkpoint.Lease.Role == c.core.Role() {
-			c.history.checkpointed = now
+			c.stream.checkpointReadAt = now
 		}
 	}
 }
 
-// observe passes a record of the lease on, and a grant to the intents.
+// observe applies a lease record, and reports a new grant to the reconciler.
 func (c *Controller) observe(now time.Time, offset provider.Offset, record lease.Record) {
 	before := c.core.Snapshot()
 	c.core.Observe(now, offset, record)
 	after := c.core.Snapshot()
 
 	if after.Last != before.Last {
-		c.seenAt = now
+		c.leaseSeenAt = now
 	}
 
 	if after.Fence != before.Fence {
@@ -110,14 +111,15 @@
 	}
 }
 
-// restore starts from a checkpoint if every entry after it was kept.
+// restore restores the state from the checkpoint in e if every entry after that checkpoint was
+// buffered, and then applies those entries.
 func (c *Controller) restore(now time.Time, e logstream.Entry) {
 	var checkpoint Checkpoint
 	if e.Kind() != kindCheckpoint || !c.decode(e, &checkpoint) {
 		return
 	}
 
-	if checkpoint.Lease.Role != c.core.Role() || checkpoint.AsOfTime.Before(c.history.since) {
+	if checkpoint.Lease.Role != c.core.Role() || checkpoint.AsOfTime.Before(c.stream.horizon) {
 		return
 	}
 
@@ -127,10 +129,10 @@
 		c.reconciler.Ledger().Restore(checkpoint.Intents)
 	}
 
-	kept := c.history.kept
-	c.history.kept = nil
-	c.history.complete = true
-	c.seenAt = now
+	kept := c.stream.buffered
+	c.stream.buffered = nil
+	c.stream.stateKnown = true
+	c.leaseSeenAt = now
 
 	for _, k := range kept {
 		if k.Offset() > checkpoint.AsOf {
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// mergeAll takes over the updates of a message.
+// mergeAll merges all valid updates of a message into the table.
 func (c *Core) mergeAll(message Message) {
-	updates := message.news()
+	updates := message.updates()
 	for i := range updates {
 		if updates[i].valid() {
 			c.merge(&updates[i])
@@ -15,7 +15,7 @@
 	}
 }
 
-// merge takes over what an update says that is newer than what is known.
+// merge applies the parts of an update that are newer than the table's.
 func (c *Core) merge(u *Update) {
 	if u.ID == c.Self.ID {
 		c.mergeSelf(u)
@@ -25,7 +25,7 @@
 
 	e := c.table.get(u.ID)
 	if e == nil {
-		c.mergeUnknown(u)
+		c.mergeNewMember(u)
 
 		return
 	}
@@ -39,11 +39,11 @@
 	p := mergeState(&changed, u) | mergePayload(&changed, u)
 
 	if changed != *old {
-		c.replace(&changed, p, classOf(old, &changed))
+		c.store(&changed, p, classifyChange(old, &changed))
 	}
 }
 
-func classOf(before, after *Member) class {
+func classifyChange(before, after *Member) broadcastClass {
 	switch {
 	case after.identity.Incarnation != before.identity.Incarnation:
 		return classJoin
@@ -54,9 +54,10 @@
 	}
 }
 
-// mergeUnknown adds a member. One that is gone is not added, or nodes that
-// forget it at different times would remind each other for ever.
-func (c *Core) mergeUnknown(u *Update) {
+// mergeNewMember adds an unknown member. It ignores dead and left members:
+// nodes evict them at different times, and would otherwise reintroduce them to
+// each other forever.
+func (c *Core) mergeNewMember(u *Update) {
 	if u.Place == nil || u.Status == Dead || u.Phase == Left {
 		return
 	}
@@ -64,10 +65,11 @@
 	m := &Member{identity: Identity{ID: u.ID}}
 	mergeState(m, u)
 	mergePayload(m, u)
-	c.replace(m, partsAll, classJoin)
+	c.store(m, partsAll, classJoin)
 }
 
-// mergeState takes over a newer state and returns what must be sent on.
+// mergeState applies a newer state to m and returns the parts that must be
+// rebroadcast with it.
 func mergeState(m *Member, u *Update) parts {
 	fresh := u.Place != nil && (u.Incarnation > m.identity.Incarnation || m.identity.Address == "")
 	if !fresh && !u.version().newer(m.version()) {
@@ -105,7 +107,9 @@
 	return partPayload
 }
 
-// mergeSelf refutes what others wrongly think of the node.
+// mergeSelf handles an update about the node itself. It refutes a suspicion or
+// a death by raising the revision, and stops the core when a later incarnation of
+// the instance exists.
 func (c *Core) mergeSelf(u *Update) {
 	self := c.self()
 
@@ -122,38 +126,41 @@
 
 	changed := *self
 	changed.revision = u.Revision + 1
-	c.worsenHealth(1)
-	c.replace(&changed, 0, classState)
+	c.raiseHealthPenalty(1)
+	c.store(&changed, 0, classState)
 }
 
-// replace stores a member, reports the change and sends it on.
-func (c *Core) replace(m *Member, p parts, of class) {
+// store writes a member to the table, reports the change and queues it for
+// broadcast.
+func (c *Core) store(m *Member, p parts, of broadcastClass) {
 	var before *Member
 	if e := c.table.get(m.identity.ID); e != nil {
 		before = e.member
 	}
 
 	e := c.table.put(m)
-	c.track(e, before)
+	c.updateTimers(e, before)
 	c.step.changes = append(c.step.changes, Change{before: before, after: m})
 
-	// A node that joins hears of members that all others know.
+	// While the node joins, the other members already know the members that it
+	// learns of, so that it rebroadcasts only state changes and its own updates.
 	if c.joined || of == classState || m.identity.ID == c.Self.ID {
 		c.broadcasts.add(m.identity.ID, p, of)
 	}
 
 	if before == nil || before.version() != m.version() {
-		c.regrouping = true
+		c.liveOutdated = true
 	}
 }
 
-// track starts and ends the timers of a member whose status changed.
-func (c *Core) track(e *entry, before *Member) {
+// updateTimers sets the retention time of a member that died or left, and starts,
+// restarts or clears the suspicion deadline.
+func (c *Core) updateTimers(e *entry, before *Member) {
 	m := e.member
 	if m.Live() {
-		e.since = time.Time{}
+		e.endedAt = time.Time{}
 	} else if before == nil || before.Live() {
-		e.since = c.now
+		e.endedAt = c.now
 	}
 
 	suspect := m.status == Suspect && m.Live() && m.identity.Region == c.Self.Region
@@ -161,19 +168,19 @@
 
 	switch {
 	case suspect && !watched:
-		e.deadline = c.now.Add(c.suspicion())
+		e.deadline = c.now.Add(c.suspicionTimeout())
 		c.suspects = append(c.suspects, m.identity.ID)
 	case suspect && before.version() != m.version():
-		e.deadline = c.now.Add(c.suspicion())
+		e.deadline = c.now.Add(c.suspicionTimeout())
 	case !suspect && watched:
 		e.deadline = time.Time{}
 		c.suspects = slices.DeleteFunc(c.suspects, isID(m.identity.ID))
 	}
 }
 
-// outdated reports a source that an incarnation after it has replaced, and
-// tells it so.
-func (c *Core) outdated(from Source) bool {
+// rejectOutdated reports whether a later incarnation of the source is known, and
+// sends that incarnation to the source.
+func (c *Core) rejectOutdated(from Source) bool {
 	e := c.table.get(from.ID)
 	if e == nil {
 		return false
@@ -188,16 +195,16 @@
 	return false
 }
 
-// reap forgets members that have been gone for long.
-func (c *Core) reap() {
-	if c.now.Before(c.reapAt) {
+// evictExpired removes the dead and left members whose retention has expired.
+func (c *Core) evictExpired() {
+	if c.now.Before(c.evictAt) {
 		return
 	}
 
-	c.reapAt = c.now.Add(time.Minute)
+	c.evictAt = c.now.Add(time.Minute)
 
 	for _, e := range slices.Clone(c.table.order) {
-		if !e.since.IsZero() && c.now.Sub(e.since) > c.config.Retention {
+		if !e.endedAt.IsZero() && c.now.Sub(e.endedAt) > c.config.Retention {
 			c.table.remove(e.member.identity.ID)
 			c.step.changes = append(c.step.changes, Change{before: e.member})
 		}
