--- a/evacuation/coordinator.go
+++ b/evacuation/coordinator.go
@@ -8,19 +8,21 @@
 	"monsoonlever/fleet"
 )
 
-// Turn tells a stream that it may be exported now, or, without a target, that
-// it will not be.
+// Turn permits the export of a stream's KV cache to Target. An empty Target
+// refuses the export.
 type Turn struct {
 	Attempt backend.AttemptID
 	Target  fleet.InstanceID
 }
 
-// Coordinator is the step machine that gives the streams of leaving servers
-// their turns. The exported fields are set before the first step.
+// Coordinator is the state machine that permits or refuses the exports of the
+// streams on leaving servers. Its exported fields must be set before the first
+// method call.
 type Coordinator struct {
 	Planner Planner
-	// GatherWindow is how long streams are gathered before the first turn, so that
-	// the dearest of them is known.
+	// GatherWindow is the time from the first notice or stream of a server to
+	// its first export. Streams that are enqueued within it are ordered
+	// together, so that the most expensive one is exported first.
 	GatherWindow time.Duration
 
 	leaving map[fleet.InstanceID]*leavingServer
@@ -28,17 +30,19 @@
 	targets []Target
 }
 
-// leavingServer is one leaving server.
+// leavingServer is the state of a server that will be reclaimed. Its fields
+// active, target and size describe the export in progress.
 type leavingServer struct {
-	notice  Notice
-	streams []Stream
-	active  backend.AttemptID
-	target  fleet.InstanceID
-	size    int
-	firstTurnAt    time.Time
+	notice      Notice
+	streams     []Stream
+	active      backend.AttemptID
+	target      fleet.InstanceID
+	size        int
+	firstTurnAt time.Time
 }
 
-// Notice takes a reclaim notice. A server that is leaving is no target more.
+// Notice records a reclaim notice. The server is no longer used as a target. Of
+// several notices for a server, the one with the earliest time counts.
 func (c *Coordinator) Notice(now time.Time, n Notice) {
 	if c.Planner.Wave != nil {
 		c.Planner.Wave.Note(now, n.Domain)
@@ -49,10 +53,11 @@
 	}
 }
 
-// Targets takes the servers that could take caches at present.
+// Targets replaces the servers that can currently receive KV caches.
 func (c *Coordinator) Targets(targets []Target) { c.targets = targets }
 
-// Enqueue puts a stream on the list of its server.
+// Enqueue adds a stream to the export queue of its server. If no notice has been
+// received for the server, by is taken as the time of its reclaim.
 func (c *Coordinator) Enqueue(now time.Time, s Stream, by time.Time) {
 	d := c.ensureLeaving(s.Server, now)
 	if d.notice.At.IsZero() {
@@ -62,7 +67,8 @@
 	d.streams = append(d.streams, s)
 }
 
-// Done says that a stream's export has ended, one way or the other.
+// Done removes a stream whose export has succeeded, failed or been abandoned,
+// so that its server can export the next one.
 func (c *Coordinator) Done(id backend.AttemptID) {
 	for _, server := range c.order {
 		d := c.leaving[server]
@@ -74,13 +80,14 @@
 	}
 }
 
-// RemoveServer forgets a server.
+// RemoveServer discards the state of a server.
 func (c *Coordinator) RemoveServer(server fleet.InstanceID) {
 	delete(c.leaving, server)
 	c.order = slices.DeleteFunc(c.order, func(id fleet.InstanceID) bool { return id == server })
 }
 
-// Turns returns whose turn it is. Each server exports one stream at a time.
+// Turns returns the exports that may start now and those that are refused.
+// Each server exports one stream at a time.
 func (c *Coordinator) Turns(now time.Time) []Turn {
 	var turns []Turn
 
@@ -96,7 +103,8 @@
 	return turns
 }
 
-// Wake returns the time at which Turns is to be asked again, if any.
+// Wake returns the earliest time at which a gather window with queued streams
+// ends, and reports whether there is one. Turns must be called again then.
 func (c *Coordinator) Wake(now time.Time) (time.Time, bool) {
 	var at time.Time
 
@@ -114,8 +122,8 @@
 	return at, !at.IsZero()
 }
 
-// startNext plans afresh and takes the first of the plan. Without any, the streams
-// that are left will not be exported.
+// startNext computes a new plan and starts its first export. If the plan is
+// empty, it refuses every queued stream.
 func (c *Coordinator) startNext(now time.Time, d *leavingServer) []Turn {
 	plan := c.Planner.Plan(now, d.notice, d.streams, c.availableTargets())
 	if len(plan) == 0 {
@@ -141,7 +149,8 @@
 	return turns
 }
 
-// availableTargets returns the targets that are not leaving, less what is on its way.
+// availableTargets returns the targets that are not leaving. Their room is
+// reduced by the exports in progress.
 func (c *Coordinator) availableTargets() []Target {
 	out := make([]Target, 0, len(c.targets))
 
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -1,15 +1,17 @@
-// Package evacuation decides which KV caches leave a backend server that will
-// be reclaimed, in which order and whereto.
+// Package evacuation decides which KV caches are exported from a backend server
+// before it is reclaimed, in which order and to which target.
 //
-// Plan is a pure function of the notice, the streams and the targets. What is
-// dearest to recompute goes first, as far as time and bandwidth reach, towards
-// failure domains that the wave of reclaims is not likely to hit next.
-// Coordinator is the step machine around it, which plans again at each turn,
-// so that a target that gets its own notice is used no more. Desk is its shell.
+// [Planner.Plan] is a pure function of the notice, the streams, the targets and
+// the wave of reclaims. It exports the caches that are most expensive to
+// recompute first, as far as time and bandwidth allow, and prefers targets in
+// failure domains that are least likely to be reclaimed next. [Coordinator] is
+// the state machine that plans again before every export, so that a target
+// that gets a reclaim notice itself is no longer used. [ExportScheduler] runs
+// a Coordinator on a clock.
 //
 // # Usage
 //
-//	desk := &evacuation.Desk{Clock: clock.System{}, Coordinator: coordinator}
-//	runner := &answer.Runner{Exports: desk}
-//	desk.Notice(evacuation.Notice{Server: "runner-1", Domain: "bole", At: at})
+//	exports := &evacuation.ExportScheduler{Clock: clock.System{}, Coordinator: coordinator}
+//	runner := &answer.Runner{Exports: exports}
+//	exports.Notice(evacuation.Notice{Server: "runner-1", Domain: "bole", At: at})
 package evacuation
--- a/evacuation/export.go
+++ b/evacuation/export.go
@@ -7,9 +7,9 @@
 	"monsoonlever/fleet"
 )
 
-// Export is one planned copy of a KV cache. Those of one server follow one
-// another: two copies at once would each take twice as long, and the one that
-// is cut off is of no use.
+// Export is one planned copy of a KV cache. The copies from one server run
+// one after another: two concurrent copies would each take twice as long, and a
+// copy that the reclaim interrupts is useless.
 type Export struct {
 	Attempt backend.AttemptID
 	Target  fleet.InstanceID
--- a/evacuation/export_scheduler.go
+++ b/evacuation/export_scheduler.go
@@ -11,15 +11,15 @@
 	"monsoonlever/fleet"
 )
 
-// bytesPerPromptToken estimates the tokens of a prompt from its length.
+// bytesPerPromptToken is the estimated length of a prompt token.
 const bytesPerPromptToken = 4
 
-// ExportScheduler is the shell of a Coordinator: an answer.ExportSource. The exported
-// fields are set before Run.
+// ExportScheduler runs a Coordinator on a clock and implements
+// answer.ExportSource. Its exported fields must be set before Run.
 type ExportScheduler struct {
 	Clock       clock.Clock
 	Coordinator *Coordinator
-	// Targets returns the servers that could take caches at present.
+	// Targets returns the servers that can currently receive KV caches.
 	Targets func() []Target
 
 	mu      sync.Mutex
@@ -28,7 +28,7 @@
 	once    sync.Once
 }
 
-// Run gives out the turns until the context ends.
+// Run permits and refuses exports until the context is canceled.
 func (d *ExportScheduler) Run(ctx context.Context) {
 	d.init()
 
@@ -47,17 +47,19 @@
 	}
 }
 
-// Notice takes a reclaim notice of a backend server.
+// Notice records the reclaim notice of a backend server.
 func (d *ExportScheduler) Notice(n Notice) {
 	d.step(func(now time.Time) { d.Coordinator.Notice(now, n) })
 }
 
-// RemoveServer forgets a server that has been reclaimed.
+// RemoveServer discards the state of a server that has been reclaimed.
 func (d *ExportScheduler) RemoveServer(server fleet.InstanceID) {
 	d.step(func(time.Time) { d.Coordinator.RemoveServer(server) })
 }
 
-// Target waits for the turn of an answer.
+// Target blocks until the export of an answer's KV cache is permitted or refused,
+// or until the context is canceled. It reports whether the export is permitted.
+// If so, the caller must call Done of the returned turn after the export.
 func (d *ExportScheduler) Target(ctx context.Context, r answer.Request, e answer.ExportKV) (answer.ExportTurn, bool) {
 	turn := make(chan fleet.InstanceID, 1)
 	stream := Stream{
@@ -115,7 +117,8 @@
 	}
 }
 
-// grantTurns gives out the present grantTurns and returns when there may be more.
+// grantTurns permits and refuses the exports that are due. It returns the result
+// of Coordinator.Wake.
 func (d *ExportScheduler) grantTurns() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/evacuation/export_scheduler_test.go
+++ b/evacuation/export_scheduler_test.go
@@ -13,8 +13,8 @@
 	"monsoonlever/clock"
 )
 
-// TestExportSchedulerExportsCostliestFirst asks in the order of arrival; what
-// does not fit into the notice any more is refused.
+// TestExportSchedulerExportsCostliestFirst guards against exports in the order
+// of their requests. Streams that no longer fit into the notice are refused.
 func TestExportSchedulerExportsCostliestFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/evacuation/notice.go
+++ b/evacuation/notice.go
@@ -6,7 +6,7 @@
 	"monsoonlever/fleet"
 )
 
-// Notice says that a server will be reclaimed at a time.
+// Notice announces that a server will be reclaimed at At.
 type Notice struct {
 	Server fleet.InstanceID
 	Domain fleet.FailureDomain
--- a/evacuation/plan.go
+++ b/evacuation/plan.go
@@ -8,17 +8,18 @@
 	"monsoonlever/fleet"
 )
 
-// Planner makes plans from a policy and the present wave.
+// Planner plans exports from a policy and the current wave of reclaims.
 type Planner struct {
 	Policy Policy
 	Wave   *Wave
 
-	// order replaces the order of the streams in comparisons.
+	// order overrides costliestFirst in tests that compare strategies.
 	order func(a, b Stream) int
 }
 
-// Plan returns the exports from a leaving server in their order. A stream that
-// is not in it finds no target with room or does not fit into the time.
+// Plan returns the exports from a leaving server in the order in which they run.
+// It omits a stream if no target has room for its cache or if its export would
+// not finish by the time of the reclaim less the margin.
 func (p Planner) Plan(now time.Time, n Notice, streams []Stream, targets []Target) []Export {
 	ordered := slices.Clone(streams)
 
@@ -61,7 +62,8 @@
 }
 
 // lowestRiskFirst orders the targets by the risk of their failure domain, then by
-// their room. The leaving server's own domain is left out: it goes as a whole.
+// their room. It omits the leaving server's own domain, which is assumed to be
+// reclaimed as a whole.
 func (p Planner) lowestRiskFirst(now time.Time, n Notice, targets []Target) []Target {
 	out := make([]Target, 0, len(targets))
 	risk := make(map[fleet.FailureDomain]float64)
--- a/evacuation/plan_test.go
+++ b/evacuation/plan_test.go
@@ -14,7 +14,7 @@
 
 var testStart = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// testPolicy exports one thousand tokens a second.
+// testPolicy exports 1000 tokens per second.
 func testPolicy() Policy {
 	return Policy{BytesPerToken: 1000, BytesPerSecond: 1000 * 1000, Margin: time.Second}
 }
@@ -47,12 +47,12 @@
 		targets []Target
 		want    []backend.AttemptID
 	}{
-		{desc: "the dearest first, as far as the time reaches", streams: streams, targets: []Target{roomy}, want: []backend.AttemptID{"long", "medium"}},
-		{desc: "nothing without a target", streams: streams},
-		{desc: "nothing into the domain that is leaving", streams: streams, targets: []Target{{Server: "t1", Domain: "a1", Room: 9000}}},
-		{desc: "what there is room for", streams: streams, targets: []Target{{Server: "t1", Domain: "b1", Room: 1500}}, want: []backend.AttemptID{"medium", "short"}},
+		{desc: "costliest first until the notice ends", streams: streams, targets: []Target{roomy}, want: []backend.AttemptID{"long", "medium"}},
+		{desc: "no target", streams: streams},
+		{desc: "target in the domain of the leaving server", streams: streams, targets: []Target{{Server: "t1", Domain: "a1", Room: 9000}}},
+		{desc: "streams that fit into the room of the target", streams: streams, targets: []Target{{Server: "t1", Domain: "b1", Room: 1500}}, want: []backend.AttemptID{"medium", "short"}},
 		{desc: "priority before length", streams: []Stream{{Attempt: "long", Tokens: 2000}, {Attempt: "urgent", Tokens: 1500, Priority: 1}}, targets: []Target{roomy}, want: []backend.AttemptID{"urgent"}},
-		{desc: "nothing to a server of another model", streams: []Stream{{Attempt: "x", Model: "m", Tokens: 1}}, targets: []Target{roomy}},
+		{desc: "target of another model", streams: []Stream{{Attempt: "x", Model: "m", Tokens: 1}}, targets: []Target{roomy}},
 	}
 
 	for _, tt := range tests {
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestPlanFitsTimeAndRoom checks that no plan promises more than there is time
-// and room for.
+// TestPlanFitsTimeAndRoom checks that no plan exceeds the time of the notice or the
+// room of a target.
 func TestPlanFitsTimeAndRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Planner{Policy: testPolicy(), Wave: testWave()}
--- a/evacuation/policy.go
+++ b/evacuation/policy.go
@@ -6,21 +6,21 @@
 	"monsoonlever/fleet"
 )
 
-// Policy tells what an export costs and what it is worth.
+// Policy estimates the duration of an export and the cost of losing a cache.
 type Policy struct {
-	// BytesPerToken is the size of the KV cache of a token.
+	// BytesPerToken is the size of the KV cache of one token.
 	BytesPerToken int
 	// BytesPerSecond is this entry instance's share of the bandwidth of one
 	// leaving server.
 	BytesPerSecond int
-	// Setup is the time that an export takes beside its bytes.
+	// Setup is the fixed duration of an export, apart from its transfer.
 	Setup time.Duration
-	// Margin is kept free at the end of a notice.
+	// Margin is the time before the reclaim by which exports must have finished.
 	Margin time.Duration
 	// Rate is the cost of recomputing one token of a model; 0 counts as 1.
 	Rate map[fleet.Model]float64
-	// PriorityFactor multiplies the worth of a stream for each step of
-	// priority; 0 counts as 1.
+	// PriorityFactor multiplies the cost of losing a stream's cache once for
+	// each priority level; 0 counts as 1.
 	PriorityFactor float64
 }
 
@@ -35,7 +35,8 @@
 	return p.Setup + time.Duration(seconds*float64(time.Second))
 }
 
-// weightedCost returns what the loss of a stream's cache would cost.
+// weightedCost returns the cost of recomputing a stream's cache, weighted by
+// the stream's priority.
 func (p Policy) weightedCost(s Stream) float64 {
 	rate := p.Rate[s.Model]
 	if rate == 0 {
--- a/evacuation/recompute_test.go
+++ b/evacuation/recompute_test.go
@@ -13,19 +13,19 @@
 	"monsoonlever/fleet"
 )
 
-// The shape of the traces: long essays on twelve runners in four failure
-// domains, with caches too large to leave all in time.
+// The traces simulate long essays on twelve runners in four failure domains. The
+// caches are too large for all of them to be exported within a notice.
 const (
-	traceTick        = 100 * time.Millisecond
-	traceLength      = 6 * time.Minute
-	traceNotice      = 5 * time.Second
-	traceWaveGap     = 20 * time.Second
-	traceRestartDelay  = time.Minute
-	traceRunners     = 3
-	traceSlots       = 16
-	traceDecodeRate  = 15
-	tracePrefillRate = 4000
-	traceArrivals    = 2.2
+	traceTick         = 100 * time.Millisecond
+	traceLength       = 6 * time.Minute
+	traceNotice       = 5 * time.Second
+	traceWaveGap      = 20 * time.Second
+	traceRestartDelay = time.Minute
+	traceRunners      = 3
+	traceSlots        = 16
+	traceDecodeRate   = 15
+	tracePrefillRate  = 4000
+	traceArrivals     = 2.2
 )
 
 // essay is one answer of a trace.
@@ -41,29 +41,29 @@
 }
 
 type traceRunner struct {
-	id     fleet.InstanceID
-	domain fleet.FailureDomain
+	id        fleet.InstanceID
+	domain    fleet.FailureDomain
 	reclaimAt time.Duration
-	readyAt time.Duration
-	essays []*essay
+	readyAt   time.Duration
+	essays    []*essay
 }
 
-// strategy is a way to treat the answers of a server that is reclaimed.
+// strategy is a policy for the answers on a reclaimed server.
 type strategy struct {
-	desc    string
-	restart bool
-	export  bool
-	ignoreWave   bool
-	order   func(a, b Stream) int
+	desc       string
+	restart    bool
+	export     bool
+	ignoreWave bool
+	order      func(a, b Stream) int
 }
 
-// recomputed is the work that was done again.
+// recomputed counts the work that was repeated.
 type recomputed struct {
 	decoded   int
 	prefilled int
 	exports   int
 	finished  int
-	// better counts the seeds with fewer tokens than the strategy before.
+	// better counts the seeds with fewer tokens than the previous strategy.
 	better int
 }
 
@@ -74,16 +74,16 @@
 }
 
 type trace struct {
-	strategy strategy
-	rng      *rand.Rand
-	now      time.Duration
-	runners  []*traceRunner
-	queue    []*essay
-	waves    map[time.Duration]fleet.FailureDomain
-	planner  Planner
-	recomputed   recomputed
-	arrived     int
-	due      float64
+	strategy   strategy
+	rng        *rand.Rand
+	now        time.Duration
+	runners    []*traceRunner
+	queue      []*essay
+	waves      map[time.Duration]fleet.FailureDomain
+	planner    Planner
+	recomputed recomputed
+	arrived    int
+	due        float64
 }
 
 func newTrace(seed uint64, s strategy) *trace {
@@ -118,8 +118,9 @@
 	return w
 }
 
-// scheduleWaves reclaims two failure domains one after the other, twice. Three
-// of four times the second is the dearest that is left.
+// scheduleWaves schedules two waves, each of which reclaims two failure domains
+// one after the other. With probability 3/4, the second domain is the most
+// expensive of the rest.
 func (w *trace) scheduleWaves(prices []int) {
 	byPrice := []int{0, 1, 2, 3}
 	slices.SortFunc(byPrice, func(a, b int) int { return cmp.Compare(prices[b], prices[a]) })
@@ -268,8 +269,8 @@
 	return out
 }
 
-// completeExports lets answers go on at their target once their cache is there. What was
-// decoded meanwhile is prefilled again.
+// completeExports moves answers to their target once their cache has arrived. The
+// tokens decoded during the export are prefilled again.
 func (w *trace) completeExports() {
 	for _, r := range w.runners {
 		r.essays = slices.DeleteFunc(r.essays, func(e *essay) bool {
@@ -320,8 +321,8 @@
 
 func arrivalOrder(a, b Stream) int { return cmp.Compare(a.Attempt, b.Attempt) }
 
-// TestRecomputedTokens compares the ways to treat answers of reclaimed servers
-// on the same traces, and prints the table of docs/reclaims.md.
+// TestRecomputedTokens compares the strategies for answers on reclaimed servers
+// on the same traces and prints the table of docs/reclaims.md.
 func TestRecomputedTokens(t *testing.T) {
 	strategies := []strategy{
 		{desc: "restart from nothing", restart: true},
@@ -363,7 +364,8 @@
 
 	t.Log(table.String())
 
-	// Each way must beat the one before it on what it is meant to save.
+	// Each strategy must improve on the one before it: resuming in engine
+	// seconds, the later ones in recomputed tokens.
 	if got, limit := totals[1].engineSeconds(), totals[0].engineSeconds(); got >= limit {
 		t.Errorf("resume from text: got %.0f engine seconds, want less than %.0f", got, limit)
 	}
--- a/evacuation/stream.go
+++ b/evacuation/stream.go
@@ -5,12 +5,12 @@
 	"monsoonlever/fleet"
 )
 
-// Stream is an answer that runs on a server that is leaving.
+// Stream is an answer in progress on a leaving server.
 type Stream struct {
 	Attempt  backend.AttemptID
 	Server   fleet.InstanceID
 	Model    fleet.Model
 	Priority fleet.Priority
-	// Tokens counts the tokens of prompt and answer whose cache would be lost.
+	// Tokens is the number of prompt and answer tokens in the KV cache.
 	Tokens int
 }
--- a/evacuation/target.go
+++ b/evacuation/target.go
@@ -2,11 +2,11 @@
 
 import "monsoonlever/fleet"
 
-// Target is a server that could take KV caches.
+// Target is a server that can receive KV caches.
 type Target struct {
 	Server fleet.InstanceID
 	Domain fleet.FailureDomain
 	Model  fleet.Model
-	// Room is how many more tokens its cache can take.
+	// Room is the number of tokens for which its cache has space.
 	Room int
 }
--- a/evacuation/wave.go
+++ b/evacuation/wave.go
@@ -7,25 +7,25 @@
 	"monsoonlever/fleet"
 )
 
-// DomainInfo is what is known of a failure domain.
+// DomainInfo describes a failure domain.
 type DomainInfo struct {
 	Region    fleet.Region
 	Instances int
-	// Price is the present price of a reclaimable instance.
+	// Price is the current price of a reclaimable instance.
 	Price float64
 }
 
-// Wave estimates which failure domain the reclaims hit next. The exported
-// fields are set before the first notice.
+// Wave estimates which failure domain is reclaimed next. Its exported fields must
+// be set before the first notice.
 type Wave struct {
-	// HalfLife is the time in which a notice loses half of its weight.
+	// HalfLife is the time in which the weight of a notice halves.
 	HalfLife time.Duration
-	Domains   map[fleet.FailureDomain]DomainInfo
+	Domains  map[fleet.FailureDomain]DomainInfo
 
 	notices map[fleet.FailureDomain]noticeCount
 }
 
-// noticeCount is the decayed count of notices in a failure domain at a time.
+// noticeCount is the decayed number of notices in a failure domain, as of at.
 type noticeCount struct {
 	count float64
 	at    time.Time
@@ -33,7 +33,7 @@
 
 const (
 	sameRegionWeight = 0.5
-	priceWeight     = 0.25
+	priceWeight      = 0.25
 )
 
 // Note records a notice in a failure domain.
@@ -45,10 +45,12 @@
 	w.notices[d] = noticeCount{count: w.count(now, d) + 1, at: now}
 }
 
-// Risk returns how likely a failure domain is hit next; only the order of the
-// values means anything. A domain under reclaim is worst. Of the others, those
-// beside it in the region come before those elsewhere, and of these the dear
-// ones, whose price tells of scarcity.
+// Risk returns a score of how likely a failure domain is reclaimed next; only the
+// order of scores is meaningful. A domain scores by the fraction of its instances
+// that got notices recently, or by a reduced fraction of another domain in the
+// same region if that is higher. A higher price adds to the score, since it
+// indicates scarcity. A domain whose instances all just got notices therefore
+// scores above every domain without notices.
 func (w *Wave) Risk(now time.Time, d fleet.FailureDomain) float64 {
 	place := w.Domains[d]
 	risk := w.reclaimedFraction(now, d)
@@ -62,7 +64,8 @@
 	return risk + priceWeight*w.scarcity(place)
 }
 
-// reclaimedFraction returns the part of a domain's instances that was reclaimed of late.
+// reclaimedFraction returns the fraction of a domain's instances that got
+// reclaim notices recently.
 func (w *Wave) reclaimedFraction(now time.Time, d fleet.FailureDomain) float64 {
 	instances := max(1, w.Domains[d].Instances)
 
@@ -80,7 +83,8 @@
 	return h.count * math.Exp2(-halves)
 }
 
-// scarcity returns how far a price is above the cheapest, from 0 to 1.
+// scarcity returns where the price of a domain lies between the lowest (0) and the
+// highest (1) of all domains.
 func (w *Wave) scarcity(place DomainInfo) float64 {
 	low, high := math.Inf(1), 0.0
 	for _, p := range w.Domains {
