--- a/controller/rollout.go
+++ b/controller/rollout.go
@@ -25,7 +25,7 @@
 // rollout is the state of the model roll-outs under one grant.
 type rollout struct {
 	corrector *lease.Corrector[placement.EngineSpec]
-	rollouts  map[modelKey]*placement.Rollout
+	byModel   map[modelKey]*placement.Rollout
 	runners   map[fleet.InstanceID]*runner
 	surge     map[fleet.Service]int
 	lines     []string
@@ -42,18 +42,18 @@
 		corrector: &lease.Corrector[placement.EngineSpec]{
 			ReadInterval: readInterval, RetryInterval: orderRetryInterval, MaxOrderDelay: lease.DefaultConfig().MaxOrderDelay,
 		},
-		rollouts: make(map[modelKey]*placement.Rollout),
-		runners:  make(map[fleet.InstanceID]*runner),
-		surge:    make(map[fleet.Service]int),
+		byModel: make(map[modelKey]*placement.Rollout),
+		runners: make(map[fleet.InstanceID]*runner),
+		surge:   make(map[fleet.Service]int),
 	}
 }
 
 // rolloutOf returns the roll-out of a model, and creates it on first use.
 func (r *rollout) rolloutOf(key modelKey) *placement.Rollout {
-	s, ok := r.rollouts[key]
+	s, ok := r.byModel[key]
 	if !ok {
 		s = &placement.Rollout{DrainTimeout: drainTimeout, MaxUnavailable: 1}
-		r.rollouts[key] = s
+		r.byModel[key] = s
 	}
 
 	return s
@@ -115,17 +115,17 @@
 func (r *rollout) decide(now time.Time, m *manifest.Manifest, s manifest.Service, model manifest.Model) {
 	group := r.group(s, model.Name())
 	service := serviceOf(m, s)
-	service.Spec = holdingOf(model)
+	service.Spec = specOf(model)
 
 	var states []placement.Runner
 	for _, engine := range group {
 		states = append(states, engine.placement(r.corrector))
 	}
 
-	step := r.rolloutOf(modelKey{service: s.Name(), model: model.Name()})
+	modelRollout := r.rolloutOf(modelKey{service: s.Name(), model: model.Name()})
 
 	if canSurge(group) {
-		r.surge[s.Name()] = max(r.surge[s.Name()], step.Surge(service, states))
+		r.surge[s.Name()] = max(r.surge[s.Name()], modelRollout.Surge(service, states))
 	}
 
 	allowed := placement.LoadQueue{MaxConcurrent: maxConcurrentLoads}.Allowed(r.loads(service.Priority))
@@ -133,11 +133,11 @@
 
 	moving := 0
 
-	for _, assignment := range step.Step(now, service, states, mayLoad) {
+	for _, assignment := range modelRollout.Step(now, service, states, mayLoad) {
 		engine := r.runners[assignment.Instance]
 		engine.assign(assignment, r.corrector)
 
-		if engine.known && engine.holding() != service.Spec {
+		if engine.known && engine.spec() != service.Spec {
 			moving++
 			r.lines = append(r.lines, fmt.Sprintf("%s: %s %s", s.Name(), assignment.Instance, assignment.Reason))
 		}
--- a/controller/runner.go
+++ b/controller/runner.go
@@ -31,12 +31,12 @@
 	idle      bool
 	// stray is set if the engine holds no model of its service.
 	stray bool
-	// orderedHolding is the model version that was last assigned.
-	orderedHolding placement.EngineSpec
+	// orderedSpec is the model version that was last assigned.
+	orderedSpec placement.EngineSpec
 }
 
-// holding returns the model and version that the engine holds.
-func (r *runner) holding() placement.EngineSpec {
+// spec returns the model and version that the engine holds.
+func (r *runner) spec() placement.EngineSpec {
 	return placement.EngineSpec{Model: r.state.Model, Version: r.state.Version}
 }
 
@@ -48,7 +48,7 @@
 // isLoading reports whether the engine was assigned a version that it does not serve yet. An order
 // that was not read back counts as well, so that its load slot is not given to another runner.
 func (r *runner) isLoading() bool {
-	return r.orderedHolding.Model != "" && (r.orderedHolding != r.holding() || !r.state.Ready)
+	return r.orderedSpec.Model != "" && (r.orderedSpec != r.spec() || !r.state.Ready)
 }
 
 // update stores the state and load that were read from the engine. loadKnown is false if the load
@@ -77,7 +77,7 @@
 func (r *runner) placement(c *lease.Corrector[placement.EngineSpec]) placement.Runner {
 	return placement.Runner{
 		Instance: r.server.ID,
-		Spec:     r.holding(),
+		Spec:     r.spec(),
 		Ready:    r.isReady(),
 		Idle:     r.idle,
 		Leaving:  r.server.Leaving,
@@ -102,11 +102,11 @@
 		wanted.Adapter = r.state.Adapter
 	}
 
-	if a.Drain && a.Spec == r.holding() {
+	if a.Drain && a.Spec == r.spec() {
 		wanted.Role = drainRole
 	}
 
-	r.orderedHolding = a.Spec
+	r.orderedSpec = a.Spec
 	c.SetDesired(r.server.ID, wanted)
 }
 
--- a/controller/services.go
+++ b/controller/services.go
@@ -42,7 +42,7 @@
 	}
 
 	if model, ok := modelOf(m, s); ok {
-		out.Spec = holdingOf(model)
+		out.Spec = specOf(model)
 		out.LoadTime = time.Duration(float64(model.WeightBytes()) / storeBytesPerSecond * float64(time.Second))
 	}
 
@@ -59,7 +59,7 @@
 	return m.Model(models[0])
 }
 
-func holdingOf(model manifest.Model) placement.EngineSpec {
+func specOf(model manifest.Model) placement.EngineSpec {
 	return placement.EngineSpec{Model: model.Name(), Version: model.Version()}
 }
 
