--- a/controller/holds_test.go
+++ b/controller/holds_test.go
@@ -86,15 +86,15 @@
 
 func (o *faultRun) checkInvariants() {
 	if n := len(holders(o.candidates...)); n > 1 {
-		o.violate("got %d holders, want one at most", n)
+		o.violate("got %d holders, want at most one", n)
 	}
 
 	if n := o.instances(modelService, ""); n > maxRunners {
-		o.violate("got %d runners, want %d at most", n, maxRunners)
+		o.violate("got %d runners, want at most %d", n, maxRunners)
 	}
 
 	if n := o.instances(plainService, ""); n > maxPlain {
-		o.violate("got %d plain servers, want %d at most", n, maxPlain)
+		o.violate("got %d plain servers, want at most %d", n, maxPlain)
 	}
 
 	o.mu.Lock()
@@ -167,7 +167,7 @@
 			o.watch(time.Hour)
 
 			if !o.meetsMinimum() {
-				o.violate("got %d runners and %d plain servers in the end, want %d and %d",
+				o.violate("got %d runners and %d plain servers at the end, want %d and %d",
 					o.countServing(modelService), o.countServing(plainService), minRunners, minPlain)
 			}
 
--- a/controller/lease_test.go
+++ b/controller/lease_test.go
@@ -32,7 +32,7 @@
 				time.Sleep(time.Minute)
 
 				if got := len(holders(first, second)); got != 1 || !first.Status().IsHolder {
-					t.Fatalf("holders: got %d, want the first alone", got)
+					t.Fatalf("holders: got %d, want only the first", got)
 				}
 
 				fence := first.Status().Fence
@@ -40,7 +40,7 @@
 				took := r.waitFor("second holder", tt.most, func() bool { return second.Status().IsHolder })
 
 				if first.Status().IsHolder {
-					t.Errorf("first holder after %s: got it still holding, want not", took)
+					t.Errorf("first holder after %s: got the lease still held, want it lost", took)
 				}
 
 				if got := second.Status(); got.Fence <= fence || got.Holder != "entry-2" || !got.ExpiresAt.After(time.Now()) {
--- a/controller/planner.go
+++ b/controller/planner.go
@@ -80,7 +80,7 @@
 	for _, s := range v.manifest.Services() {
 		if s.Capacity().Max() == 0 {
 			unmanaged = append(unmanaged, placement.Explanation{
-				Service: s.Name(), Text: "not managed: the manifest sets no maximum number of servers",
+				Service: s.Name(), Text: "left as it is: the manifest bounds no number of servers for it",
 			})
 
 			continue
--- a/controller/purchases_test.go
+++ b/controller/purchases_test.go
@@ -11,7 +11,8 @@
 	"monsoonlever/standin"
 )
 
-// The bounds of the example's manifest, and the load of the tests in runners.
+// The bounds of the services in the example manifest. runnerLoad is the demand of the tests, in
+// runners.
 const (
 	minRunners = 8
 	maxRunners = 18
@@ -20,7 +21,8 @@
 	runnerLoad = 5
 )
 
-// meetsMinimum reports whether both services serve with the minimum of their manifest.
+// meetsMinimum reports whether both services have the minimum number of serving servers of the
+// manifest.
 func (r *region) meetsMinimum() bool {
 	return r.countServing(modelService) >= minRunners && r.countServing(plainService) >= minPlain
 }
@@ -83,7 +85,7 @@
 		time.Sleep(10 * time.Minute)
 
 		if lines := strings.Join(c.Status().Decisions, "\n"); !strings.Contains(lines, "refused") {
-			t.Errorf("decisions while refused: got %q, want why", lines)
+			t.Errorf("decisions while refused: got %q, want the refusals", lines)
 		}
 
 		refused := c.Metrics.GetOrCreateCounter(`monsoonlever_control_purchases_total{outcome="refused"}`).Get()
@@ -144,7 +146,7 @@
 		}
 
 		if lines := c.Status().Decisions; len(lines) != 2 || !strings.Contains(lines[0], "grows by") {
-			t.Errorf("decisions: got %q, want one line a service", lines)
+			t.Errorf("decisions: got %q, want one line per service", lines)
 		}
 
 		r.stopAll(c)
--- a/controller/rollout_test.go
+++ b/controller/rollout_test.go
@@ -86,12 +86,12 @@
 			first := r.start("entry-1", func(c *controller.Controller) {
 				c.Servers = withClient{region: r, id: "engine-0", client: slow}
 			})
-			r.waitFor("held order", time.Minute, func() bool { return len(slow.blocked) == 1 })
+			r.waitFor("blocked order", time.Minute, func() bool { return len(slow.blocked) == 1 })
 			first.clock.pause()
 
 			second := r.start("entry-2")
 			r.setManifest(oldVersion, newVersion)
-			r.waitFor("roll-out by the second", 5*time.Minute, func() bool {
+			r.waitFor("roll-out by the second candidate", 5*time.Minute, func() bool {
 				return r.count(servesVersion(newVersion)) == len(domains)
 			})
 
@@ -100,7 +100,7 @@
 
 			stale := r.count(servesVersion(newVersion)) != len(domains)
 			if checks && stale {
-				t.Errorf("stale order at an engine that checks: got it taken, want refused")
+				t.Errorf("stale order at an engine that checks: got the order executed, want it refused")
 			}
 
 			r.waitFor("convergence", time.Minute, func() bool { return r.count(servesVersion(newVersion)) == len(domains) })
@@ -108,7 +108,7 @@
 			time.Sleep(time.Minute)
 
 			if got := r.count(servesVersion(newVersion)); got != len(domains) || first.Status().IsHolder {
-				t.Errorf("after the pause: got %d runners, want %d, and the first not to hold", got, len(domains))
+				t.Errorf("after the pause: got %d runners, want %d, and the first candidate not the holder", got, len(domains))
 			}
 
 			r.stopAll(first, second)
--- a/controller/status.go
+++ b/controller/status.go
@@ -59,11 +59,11 @@
 	case c.Manifest() == nil:
 		return "no manifest is in force here"
 	case !c.isReady():
-		return "the log has not been read yet"
+		return "the log was not read yet"
 	case !c.stream.stateKnown:
-		return "no checkpoint found on the log"
+		return "no checkpoint was found on the log"
 	case !c.journal.Healthy():
-		return "the log does not respond"
+		return "the log does not answer"
 	default:
 		return ""
 	}
