--- a/evacuation/domains.go
+++ b/evacuation/domains.go
@@ -7,6 +7,6 @@
 )
 
 // SetDomains replaces the regions, sizes and prices of the failure domains.
-func (d *ExportScheduler) SetDomains(places map[fleet.FailureDomain]DomainInfo) {
-	d.step(func(time.Time) { d.Coordinator.Planner.Wave.Domains = places })
+func (s *ExportScheduler) SetDomains(domains map[fleet.FailureDomain]DomainInfo) {
+	s.step(func(time.Time) { s.Coordinator.Planner.Wave.Domains = domains })
 }
--- a/evacuation/export_scheduler.go
+++ b/evacuation/export_scheduler.go
@@ -29,38 +29,38 @@
 }
 
 // Run permits and refuses exports until the context is canceled.
-func (d *ExportScheduler) Run(ctx context.Context) {
-	d.init()
+func (s *ExportScheduler) Run(ctx context.Context) {
+	s.init()
 
 	for {
 		var timer <-chan time.Time
-		if at, ok := d.grantTurns(); ok {
-			timer = d.Clock.After(at.Sub(d.Clock.Now()))
+		if at, ok := s.grantTurns(); ok {
+			timer = s.Clock.After(at.Sub(s.Clock.Now()))
 		}
 
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.wake:
+		case <-s.wake:
 		case <-timer:
 		}
 	}
 }
 
 // Notice records the reclaim notice of a backend server.
-func (d *ExportScheduler) Notice(n Notice) {
-	d.step(func(now time.Time) { d.Coordinator.Notice(now, n) })
+func (s *ExportScheduler) Notice(n Notice) {
+	s.step(func(now time.Time) { s.Coordinator.Notice(now, n) })
 }
 
 // RemoveServer discards the state of a server that has been reclaimed.
-func (d *ExportScheduler) RemoveServer(server fleet.InstanceID) {
-	d.step(func(time.Time) { d.Coordinator.RemoveServer(server) })
+func (s *ExportScheduler) RemoveServer(server fleet.InstanceID) {
+	s.step(func(time.Time) { s.Coordinator.RemoveServer(server) })
 }
 
 // Target blocks until the export of an answer's KV cache is permitted or refused,
 // or until the context is canceled. It reports whether the export is permitted.
 // If so, the caller must call Done of the returned turn after the export.
-func (d *ExportScheduler) Target(ctx context.Context, r answer.Request, e answer.ExportKV) (answer.ExportTurn, bool) {
+func (s *ExportScheduler) Target(ctx context.Context, r answer.Request, e answer.ExportKV) (answer.ExportTurn, bool) {
 	turn := make(chan fleet.InstanceID, 1)
 	stream := Stream{
 		Attempt:  e.Attempt,
@@ -70,15 +70,15 @@
 		Tokens:   len(r.Prompt)/bytesPerPromptToken + e.Tokens,
 	}
 
-	d.step(func(now time.Time) {
-		d.waiting[e.Attempt] = turn
-		d.Coordinator.Enqueue(now, stream, e.By)
+	s.step(func(now time.Time) {
+		s.waiting[e.Attempt] = turn
+		s.Coordinator.Enqueue(now, stream, e.By)
 	})
 
 	done := func() {
-		d.step(func(time.Time) {
-			delete(d.waiting, e.Attempt)
-			d.Coordinator.Done(e.Attempt)
+		s.step(func(time.Time) {
+			delete(s.waiting, e.Attempt)
+			s.Coordinator.Done(e.Attempt)
 		})
 	}
 
@@ -95,46 +95,46 @@
 	return answer.ExportTurn{}, false
 }
 
-func (d *ExportScheduler) init() {
-	d.once.Do(func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
+func (s *ExportScheduler) init() {
+	s.once.Do(func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
 
-		d.waiting = make(map[backend.AttemptID]chan fleet.InstanceID)
-		d.wake = make(chan struct{}, 1)
+		s.waiting = make(map[backend.AttemptID]chan fleet.InstanceID)
+		s.wake = make(chan struct{}, 1)
 	})
 }
 
-func (d *ExportScheduler) step(step func(now time.Time)) {
-	d.init()
-	d.mu.Lock()
-	step(d.Clock.Now())
-	d.mu.Unlock()
+func (s *ExportScheduler) step(step func(now time.Time)) {
+	s.init()
+	s.mu.Lock()
+	step(s.Clock.Now())
+	s.mu.Unlock()
 
 	select {
-	case d.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
 // grantTurns permits and refuses the exports that are due. It returns the result
 // of Coordinator.Wake.
-func (d *ExportScheduler) grantTurns() (time.Time, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *ExportScheduler) grantTurns() (time.Time, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	now := d.Clock.Now()
+	now := s.Clock.Now()
 
-	if d.Targets != nil {
-		d.Coordinator.Targets(d.Targets())
+	if s.Targets != nil {
+		s.Coordinator.Targets(s.Targets())
 	}
 
-	for _, t := range d.Coordinator.Turns(now) {
-		if ch, ok := d.waiting[t.Attempt]; ok {
+	for _, t := range s.Coordinator.Turns(now) {
+		if ch, ok := s.waiting[t.Attempt]; ok {
 			ch <- t.Target
-			delete(d.waiting, t.Attempt)
+			delete(s.waiting, t.Attempt)
 		}
 	}
 
-	return d.Coordinator.Wake(now)
+	return s.Coordinator.Wake(now)
 }
--- a/evacuation/export_scheduler_test.go
+++ b/evacuation/export_scheduler_test.go
@@ -18,7 +18,7 @@
 func TestExportSchedulerExportsCostliestFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		desk := &ExportScheduler{
+		scheduler := &ExportScheduler{
 			Clock:       clock.System{},
 			Coordinator: &Coordinator{Planner: Planner{Policy: testPolicy()}, GatherWindow: 20 * time.Millisecond},
 			Targets:     func() []Target { return []Target{{Server: "t", Domain: "b1", Room: 9000}} },
@@ -26,11 +26,11 @@
 
 		var loop sync.WaitGroup
 
-		loop.Go(func() { desk.Run(ctx) })
+		loop.Go(func() { scheduler.Run(ctx) })
 
 		start := time.Now()
 		by := start.Add(5 * time.Second)
-		desk.Notice(Notice{Server: "s", Domain: "a1", At: by})
+		scheduler.Notice(Notice{Server: "s", Domain: "a1", At: by})
 
 		var (
 			mu      sync.Mutex
@@ -40,7 +40,7 @@
 		)
 
 		export := func(id backend.AttemptID, tokens int) {
-			turn, ok := desk.Target(ctx, answer.Request{}, answer.ExportKV{Attempt: id, Server: "s", Tokens: tokens, By: by})
+			turn, ok := scheduler.Target(ctx, answer.Request{}, answer.ExportKV{Attempt: id, Server: "s", Tokens: tokens, By: by})
 
 			mu.Lock()
 			defer mu.Unlock()
