--- a/placement/cellpenalties.go
+++ b/placement/cellpenalties.go
@@ -11,10 +11,10 @@
 	// HalfLife is the time in which a mark loses half its weight.
 	HalfLife time.Duration
 
-	marks map[Cell]mark
+	penalties map[Cell]penalty
 }
 
-type mark struct {
+type penalty struct {
 	at     time.Time
 	weight float64
 }
@@ -24,11 +24,11 @@
 
 // Add marks a cell.
 func (m *CellPenalties) Add(now time.Time, cell Cell) {
-	if m.marks == nil {
-		m.marks = make(map[Cell]mark)
+	if m.penalties == nil {
+		m.penalties = make(map[Cell]penalty)
 	}
 
-	m.marks[cell] = mark{at: now, weight: min(m.Weight(now, cell)+1, maxWeight)}
+	m.penalties[cell] = penalty{at: now, weight: min(m.Weight(now, cell)+1, maxWeight)}
 }
 
 // Weight returns the weight of a cell at now: 0 where nothing is remembered.
@@ -37,7 +37,7 @@
 		return 0
 	}
 
-	last, ok := m.marks[cell]
+	last, ok := m.penalties[cell]
 	if !ok {
 		return 0
 	}
@@ -53,12 +53,12 @@
 		return time.Time{}, false
 	}
 
-	last, ok := m.marks[cell]
+	last, ok := m.penalties[cell]
 
 	return last.at, ok
 }
 
 // Clear drops the mark of a cell, as after a purchase that went through.
 func (m *CellPenalties) Clear(cell Cell) {
-	delete(m.marks, cell)
+	delete(m.penalties, cell)
 }
--- a/placement/flapping_test.go
+++ b/placement/flapping_test.go
@@ -15,8 +15,8 @@
 // given up and bought back as the noise of the load comes and goes.
 const changesPerHour = 4
 
-// hour is an hour in steps of half a minute.
-const hour = 120
+// stepsPerHour is an stepsPerHour in steps of half a minute.
+const stepsPerHour = 120
 
 var domains = []fleet.FailureDomain{"ballerup-a", "ballerup-b", "taastrup-1", "taastrup-2"}
 
@@ -32,8 +32,8 @@
 	}
 }
 
-// market offers one class everywhere at prices that move by more than half.
-func market(t *rapid.T) []provider.Offer {
+// drawOffers offers one class everywhere at prices that move by more than half.
+func drawOffers(t *rapid.T) []provider.Offer {
 	var offers []provider.Offer
 
 	for _, domain := range domains {
@@ -50,9 +50,9 @@
 	most := 0
 
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		w.faults = false
-		w.pace = 30 * second
+		w.stepDuration = 30 * second
 		w.targets = nil
 		w.maximum = 20
 
@@ -61,10 +61,10 @@
 		}
 
 		forecaster := placement.NewForecaster(2 * time.Minute)
-		offers := market(t)
+		offers := drawOffers(t)
 		var bought []int
 
-		for range 2 * hour {
+		for range 2 * stepsPerHour {
 			w.steadyTick(forecaster, &offers)
 			bought = append(bought, w.purchases)
 		}
@@ -74,8 +74,8 @@
 		}
 
 		// The first half hour fills the empty deployment.
-		for i := hour / 2; i+hour < len(bought); i++ {
-			got := bought[i+hour] - bought[i]
+		for i := stepsPerHour / 2; i+stepsPerHour < len(bought); i++ {
+			got := bought[i+stepsPerHour] - bought[i]
 			most = max(most, got)
 
 			if got > 2*changesPerHour {
@@ -88,26 +88,26 @@
 }
 
 // steadyTick measures a steady load with noise and plans anew.
-func (w *world) steadyTick(forecaster *placement.Forecaster, offers *[]provider.Offer) {
+func (w *simulation) steadyTick(forecaster *placement.Forecaster, offers *[]provider.Offer) {
 	noise := float64(rapid.IntRange(-100, 100).Draw(w.t, "noise")) / 1000
 	forecaster.Observe(w.now(), placement.Load{TokensPerSecond: 8000 * (1 + noise)})
 
 	if w.step%10 == 0 {
-		*offers = market(w.t)
+		*offers = drawOffers(w.t)
 	}
 
 	if w.step%100 == 99 {
-		w.changeController()
+		w.grantNextController()
 	}
 
-	w.plan(forecaster, *offers)
+	w.updatePlan(forecaster, *offers)
 	w.tick()
 }
 
-func (w *world) plan(forecaster *placement.Forecaster, offers []provider.Offer) {
+func (w *simulation) updatePlan(forecaster *placement.Forecaster, offers []provider.Offer) {
 	w.targets, w.limits = nil, nil
 
-	c := w.newest()
+	c := w.newestHolder()
 	if !c.reconciler.Synced(c.fence) {
 		return
 	}
@@ -121,14 +121,14 @@
 	w.limits = decision.Limits
 }
 
-func (w *world) changeController() {
+func (w *simulation) grantNextController() {
 	c := w.controllers[w.step/100%len(w.controllers)]
-	w.boot(c)
+	w.restart(c)
 	c.reconciler.ChangesPerHour = changesPerHour
 	w.grant(c)
 }
 
-func (w *world) newest() *controller {
+func (w *simulation) newestHolder() *controller {
 	newest := w.controllers[0]
 
 	for _, c := range w.controllers {
--- a/placement/forecaster.go
+++ b/placement/forecaster.go
@@ -39,8 +39,8 @@
 
 // Observe takes in one measurement of the load.
 func (f *Forecaster) Observe(now time.Time, load Load) {
-	f.samples = append(dropBefore(f.samples, now.Add(-f.Window)), sample{at: now, load: load})
-	f.needs = append(dropBefore(f.needs, now.Add(-f.HoldDown)), sample{at: now, load: f.need(now)})
+	f.samples = append(removeBefore(f.samples, now.Add(-f.Window)), sample{at: now, load: load})
+	f.needs = append(removeBefore(f.needs, now.Add(-f.HoldDown)), sample{at: now, load: f.need(now)})
 }
 
 // Forecast returns the forecast as of the last measurement.
@@ -49,7 +49,7 @@
 		return Forecast{}
 	}
 
-	result := Forecast{Now: f.level(), Need: f.needs[len(f.needs)-1].load}
+	result := Forecast{Now: f.currentLoad(), Need: f.needs[len(f.needs)-1].load}
 	for _, n := range f.needs {
 		result.Peak = result.Peak.Max(n.load)
 	}
@@ -58,14 +58,14 @@
 }
 
 func (f *Forecaster) need(now time.Time) Load {
-	level := f.level()
+	level := f.currentLoad()
 	if f.samples[len(f.samples)-1].at.Sub(f.samples[0].at) < f.Window/2 {
 		return level.Scale(1 + f.Headroom)
 	}
 
 	ahead := Load{
-		RequestsPerSecond: f.extend(now, Load.requests),
-		TokensPerSecond:   f.extend(now, Load.tokens),
+		RequestsPerSecond: f.extrapolate(now, Load.requests),
+		TokensPerSecond:   f.extrapolate(now, Load.tokens),
 	}
 	ahead = Load{
 		RequestsPerSecond: min(ahead.RequestsPerSecond, level.RequestsPerSecond*f.MaxGrowth),
@@ -75,9 +75,9 @@
 	return level.Max(ahead).Scale(1 + f.Headroom)
 }
 
-// level is the mean of the newest third of the window, so that one noisy
+// currentLoad is the mean of the newest third of the window, so that one noisy
 // measurement buys nothing.
-func (f *Forecaster) level() Load {
+func (f *Forecaster) currentLoad() Load {
 	newest := f.samples[len(f.samples)-1].at
 	sum, count := Load{}, 0.0
 
@@ -94,8 +94,8 @@
 	return sum.Scale(1 / count)
 }
 
-// extend fits a line by least squares and reads it at the lead time.
-func (f *Forecaster) extend(now time.Time, rate func(Load) float64) float64 {
+// extrapolate fits a line by least squares and reads it at the lead time.
+func (f *Forecaster) extrapolate(now time.Time, rate func(Load) float64) float64 {
 	n := float64(len(f.samples))
 
 	var sumX, sumY, sumXX, sumXY float64
@@ -123,7 +123,7 @@
 
 func (l Load) tokens() float64 { return l.TokensPerSecond }
 
-func dropBefore(samples []sample, oldest time.Time) []sample {
+func removeBefore(samples []sample, oldest time.Time) []sample {
 	kept := samples[:0]
 
 	for _, s := range samples {
--- a/placement/layout.go
+++ b/placement/layout.go
@@ -13,37 +13,37 @@
 	options []option
 	shares  []float64
 	counts  []int
-	// places is the index of each option's failure domain.
-	places []int
-	// sums is room to add up the shares of each failure domain.
-	sums    []float64
-	urgent  float64
-	minimum int
-	maximum int
+	// domainIndexes is the index of each option's failure domain.
+	domainIndexes []int
+	// domainShares is room to add up the shares of each failure domain.
+	domainShares []float64
+	urgentShare  float64
+	minimum      int
+	maximum      int
 }
 
-// totalStep is the step between the totals that are tried for the ideal layout,
+// totalShareStep is the step between the totals that are tried for the ideal layout,
 // as a share of the demand.
-const totalStep = 0.04
+const totalShareStep = 0.04
 
-// enough absorbs rounding in sums of shares.
-const enough = 1e-9
+// roundingTolerance absorbs rounding in sums of shares.
+const roundingTolerance = 1e-9
 
 // newLayout starts from what the service has.
 func newLayout(options []option, service Service, demand Load, have map[Cell]int, surge int) *layout {
 	l := &layout{
-		options: options,
-		counts:  make([]int, len(options)),
-		sums:    make([]float64, len(options)),
-		urgent:  service.UrgentShare,
-		minimum: service.Min + surge,
-		maximum: max(service.Max, service.Min+surge),
+		options:      options,
+		counts:       make([]int, len(options)),
+		domainShares: make([]float64, len(options)),
+		urgentShare:  service.UrgentShare,
+		minimum:      service.Min + surge,
+		maximum:      max(service.Max, service.Min+surge),
 	}
 
 	for i, o := range options {
 		l.shares = append(l.shares, o.capacity.share(demand))
 		l.counts[i] = have[o.cell]
-		l.places = append(l.places, slices.IndexFunc(options, func(other option) bool {
+		l.domainIndexes = append(l.domainIndexes, slices.IndexFunc(options, func(other option) bool {
 			return other.cell.Domain == o.cell.Domain
 		}))
 	}
@@ -63,26 +63,26 @@
 func (l *layout) price() float64 {
 	sum := 0.0
 	for i, n := range l.counts {
-		sum += float64(n) * l.options[i].weighed
+		sum += float64(n) * l.options[i].riskPrice
 	}
 
 	return sum
 }
 
-// carried is the share of the demand that all instances carry, and left is what
+// coverage is the share of the demand that all instances carry, and left is what
 // remains after the loss of the worst failure domain, which is returned too.
-func (l *layout) carried() (all, left float64, worst fleet.FailureDomain) {
-	clear(l.sums)
+func (l *layout) coverage() (all, remaining float64, worst fleet.FailureDomain) {
+	clear(l.domainShares)
 
-	for i, place := range l.places {
+	for i, place := range l.domainIndexes {
 		share := float64(l.counts[i]) * l.shares[i]
 		all += share
-		l.sums[place] += share
+		l.domainShares[place] += share
 	}
 
 	greatest := 0.0
 
-	for place, share := range l.sums {
+	for place, share := range l.domainShares {
 		if share > greatest {
 			greatest, worst = share, l.options[place].cell.Domain
 		}
@@ -95,8 +95,8 @@
 // loss of any one failure domain. A service of two instances or more is never
 // held in one failure domain alone.
 func (l *layout) covers() bool {
-	all, left, _ := l.carried()
-	if l.total() < l.minimum || all < 1-enough || left < l.urgent-enough {
+	all, left, _ := l.coverage()
+	if l.total() < l.minimum || all < 1-roundingTolerance || left < l.urgentShare-roundingTolerance {
 		return false
 	}
 
@@ -106,8 +106,8 @@
 // grow adds the cheapest instances until the demand is covered.
 func (l *layout) grow() {
 	for !l.covers() && l.total() < l.maximum {
-		all, _, worst := l.carried()
-		spread := all >= 1-enough && l.total() >= l.minimum
+		all, _, worst := l.coverage()
+		spread := all >= 1-roundingTolerance && l.total() >= l.minimum
 
 		i := l.cheapest(worst, spread)
 		if i < 0 {
@@ -118,17 +118,17 @@
 	}
 }
 
-// grown returns the cheaper of two ways to cover the demand without giving
+// cheapestGrowth returns the cheaper of two ways to cover the demand without giving
 // anything up: the next cheapest instances, or those of the ideal layout.
-func (l *layout) grown() *layout {
-	greedy := l.copied(l.counts)
+func (l *layout) cheapestGrowth() *layout {
+	greedy := l.withCounts(l.counts)
 	if l.covers() {
 		return greedy
 	}
 
 	greedy.grow()
 
-	best := l.ideal()
+	best := l.cheapestFromScratch()
 	if best == nil {
 		return greedy
 	}
@@ -137,7 +137,7 @@
 		best.counts[i] = max(best.counts[i], n)
 	}
 
-	best.shrinkTo(l.counts)
+	best.shrinkToFloors(l.counts)
 
 	if !best.covers() || best.total() > l.maximum || greedy.covers() && greedy.price() <= best.price() {
 		return greedy
@@ -157,7 +157,7 @@
 			continue
 		}
 
-		if best < 0 || l.better(i, best) {
+		if best < 0 || l.isBetter(i, best) {
 			best = i
 		}
 	}
@@ -165,13 +165,13 @@
 	return best
 }
 
-func (l *layout) better(i, j int) bool {
+func (l *layout) isBetter(i, j int) bool {
 	a, b := l.options[i], l.options[j]
 	if a.avoided != b.avoided {
 		return !a.avoided
 	}
 
-	priceA, priceB := a.weighed/l.shares[i], b.weighed/l.shares[j]
+	priceA, priceB := a.riskPrice/l.shares[i], b.riskPrice/l.shares[j]
 	if priceA != priceB {
 		return priceA < priceB
 	}
@@ -181,18 +181,18 @@
 
 // shrink removes the dearest instances that the demand does not need.
 func (l *layout) shrink() {
-	l.shrinkTo(make([]int, len(l.counts)))
+	l.shrinkToFloors(make([]int, len(l.counts)))
 }
 
-// shrinkTo does the same, but leaves each option at least its floor.
-func (l *layout) shrinkTo(floors []int) {
+// shrinkToFloors does the same, but leaves each option at least its floor.
+func (l *layout) shrinkToFloors(floors []int) {
 	order := make([]int, len(l.options))
 	for i := range order {
 		order[i] = i
 	}
 
 	slices.SortStableFunc(order, func(i, j int) int {
-		return cmp.Compare(l.options[j].weighed/l.shares[j], l.options[i].weighed/l.shares[i])
+		return cmp.Compare(l.options[j].riskPrice/l.shares[j], l.options[i].riskPrice/l.shares[i])
 	})
 
 	for _, i := range order {
@@ -211,10 +211,10 @@
 // maxSwaps bounds the instances that one plan moves.
 const maxSwaps = 4
 
-// improve replaces single instances by cheaper ones elsewhere that save at least
+// moveToCheaper replaces single instances by cheaper ones elsewhere that save at least
 // the threshold of the old one's price, and returns how many. The demand stays
 // covered after each, so a move that is cut short leaves no gap.
-func (l *layout) improve(threshold float64) int {
+func (l *layout) moveToCheaper(threshold float64) int {
 	swaps := 0
 
 	for swaps < maxSwaps && l.swap(threshold) {
@@ -234,8 +234,8 @@
 		}
 
 		for j, o := range l.options {
-			saving := old.weighed - o.weighed
-			if o.avoided || saving <= best || saving < threshold*old.weighed || !l.coversWith(i, j) {
+			saving := old.riskPrice - o.riskPrice
+			if o.avoided || saving <= best || saving < threshold*old.riskPrice || !l.coversAfterSwap(i, j) {
 				continue
 			}
 
@@ -253,7 +253,7 @@
 	return true
 }
 
-func (l *layout) coversWith(from, to int) bool {
+func (l *layout) coversAfterSwap(from, to int) bool {
 	l.counts[from]--
 	l.counts[to]++
 
@@ -265,16 +265,16 @@
 	return covers
 }
 
-// ideal returns the cheapest layout for the demand without regard to what there
+// cheapestFromScratch returns the cheapest layout for the demand without regard to what there
 // is. It tries each bound on what one failure domain may carry: for a total T
 // no domain may carry more than T less the urgent share.
-func (l *layout) ideal() *layout {
-	order := l.byPrice()
+func (l *layout) cheapestFromScratch() *layout {
+	order := l.optionsByPrice()
 
 	var best *layout
 
-	for total := max(1, l.urgent); total <= 1+max(1, l.urgent); total += totalStep {
-		candidate := l.fill(order, total)
+	for total := max(1, l.urgentShare); total <= 1+max(1, l.urgentShare); total += totalShareStep {
+		candidate := l.fillInOrder(order, total)
 		if candidate == nil {
 			continue
 		}
@@ -287,16 +287,16 @@
 	return best
 }
 
-func (l *layout) fill(order []int, total float64) *layout {
-	candidate := l.copied(make([]int, len(l.counts)))
-	bound := total - l.urgent
+func (l *layout) fillInOrder(order []int, total float64) *layout {
+	candidate := l.withCounts(make([]int, len(l.counts)))
+	bound := total - l.urgentShare
 	domains := make(map[fleet.FailureDomain]float64)
 	sum := 0.0
 
 	for _, i := range order {
 		domain := l.options[i].cell.Domain
 		room := min(bound-domains[domain], total-sum)
-		n := int(math.Floor(room/l.shares[i] + enough))
+		n := int(math.Floor(room/l.shares[i] + roundingTolerance))
 
 		if rest := total - sum - float64(n)*l.shares[i]; rest > 0 && bound-domains[domain] >= float64(n+1)*l.shares[i] {
 			n++
@@ -321,14 +321,14 @@
 	return candidate
 }
 
-func (l *layout) copied(counts []int) *layout {
+func (l *layout) withCounts(counts []int) *layout {
 	result := *l
 	result.counts = slices.Clone(counts)
 
 	return &result
 }
 
-func (l *layout) byPrice() []int {
+func (l *layout) optionsByPrice() []int {
 	var order []int
 
 	for i, o := range l.options {
@@ -338,7 +338,7 @@
 	}
 
 	slices.SortStableFunc(order, func(i, j int) int {
-		return cmp.Compare(l.options[i].weighed/l.shares[i], l.options[j].weighed/l.shares[j])
+		return cmp.Compare(l.options[i].riskPrice/l.shares[i], l.options[j].riskPrice/l.shares[j])
 	})
 
 	return order
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -10,11 +10,11 @@
 // Ledger folds grants and intent records, in log order, into the intents that
 // are not closed. Every process that reads the same log has the same ledger.
 type Ledger struct {
-	fence    lease.Fence
-	sequence uint64
-	intents  map[Token]Intent
-	moves    []time.Time
-	givenUp  []time.Time
+	fence                lease.Fence
+	sequence             uint64
+	intents              map[Token]Intent
+	voluntaryPurchases   []time.Time
+	voluntaryRetirements []time.Time
 }
 
 // NewLedger returns an empty ledger.
@@ -41,7 +41,7 @@
 	l.sequence = r.Sequence
 
 	if r.Step == StepBuy {
-		l.noteChange(r)
+		l.recordVoluntaryChange(r)
 		l.intents[r.Token] = Intent{Token: r.Token, Service: r.Service, Cell: r.Cell}
 
 		return true
@@ -56,7 +56,7 @@
 	case StepRetire:
 		intent.Retired = true
 		l.intents[r.Token] = intent
-		l.noteChange(r)
+		l.recordVoluntaryChange(r)
 	case StepClose:
 		delete(l.intents, r.Token)
 	default:
@@ -78,31 +78,31 @@
 	return result
 }
 
-// Moves counts the purchases without need of the hour before now.
-func (l *Ledger) Moves(now time.Time) int {
-	return lastHour(l.moves, now)
+// VoluntaryPurchases counts the purchases without need of the hour before now.
+func (l *Ledger) VoluntaryPurchases(now time.Time) int {
+	return countLastHour(l.voluntaryPurchases, now)
 }
 
-// GivenUp counts the retirements without need of the hour before now.
-func (l *Ledger) GivenUp(now time.Time) int {
-	return lastHour(l.givenUp, now)
+// VoluntaryRetirements counts the retirements without need of the hour before now.
+func (l *Ledger) VoluntaryRetirements(now time.Time) int {
+	return countLastHour(l.voluntaryRetirements, now)
 }
 
-func (l *Ledger) noteChange(r Record) {
+func (l *Ledger) recordVoluntaryChange(r Record) {
 	if !r.Voluntary {
 		return
 	}
 
 	if r.Step == StepBuy {
-		l.moves = append(dropOld(l.moves, r.At), r.At)
+		l.voluntaryPurchases = append(removeOlderThanHour(l.voluntaryPurchases, r.At), r.At)
 
 		return
 	}
 
-	l.givenUp = append(dropOld(l.givenUp, r.At), r.At)
+	l.voluntaryRetirements = append(removeOlderThanHour(l.voluntaryRetirements, r.At), r.At)
 }
 
-func lastHour(changes []time.Time, now time.Time) int {
+func countLastHour(changes []time.Time, now time.Time) int {
 	count := 0
 
 	for _, at := range changes {
@@ -114,7 +114,7 @@
 	return count
 }
 
-func dropOld(changes []time.Time, now time.Time) []time.Time {
+func removeOlderThanHour(changes []time.Time, now time.Time) []time.Time {
 	return slices.DeleteFunc(changes, func(at time.Time) bool {
 		return now.Sub(at) >= time.Hour
 	})
@@ -128,11 +128,11 @@
 // Snapshot returns the ledger for a checkpoint.
 func (l *Ledger) Snapshot() Snapshot {
 	return Snapshot{
-		Fence:    l.fence,
-		Sequence: l.sequence,
-		Intents:  l.Intents(),
-		Moves:    slices.Clone(l.moves),
-		GivenUp:  slices.Clone(l.givenUp),
+		Fence:                l.fence,
+		Sequence:             l.sequence,
+		Intents:              l.Intents(),
+		VoluntaryPurchases:   slices.Clone(l.voluntaryPurchases),
+		VoluntaryRetirements: slices.Clone(l.voluntaryRetirements),
 	}
 }
 
@@ -140,8 +140,8 @@
 func (l *Ledger) Restore(s Snapshot) {
 	l.fence = s.Fence
 	l.sequence = s.Sequence
-	l.moves = slices.Clone(s.Moves)
-	l.givenUp = slices.Clone(s.GivenUp)
+	l.voluntaryPurchases = slices.Clone(s.VoluntaryPurchases)
+	l.voluntaryRetirements = slices.Clone(s.VoluntaryRetirements)
 	l.intents = make(map[Token]Intent, len(s.Intents))
 
 	for _, intent := range s.Intents {
--- a/placement/load.go
+++ b/placement/load.go
@@ -25,18 +25,18 @@
 
 // share is the part of demand that one instance of capacity l carries.
 func (l Load) share(demand Load) float64 {
-	busiest := 0.0
+	instancesNeeded := 0.0
 	if l.RequestsPerSecond > 0 {
-		busiest = max(busiest, demand.RequestsPerSecond/l.RequestsPerSecond)
+		instancesNeeded = max(instancesNeeded, demand.RequestsPerSecond/l.RequestsPerSecond)
 	}
 
 	if l.TokensPerSecond > 0 {
-		busiest = max(busiest, demand.TokensPerSecond/l.TokensPerSecond)
+		instancesNeeded = max(instancesNeeded, demand.TokensPerSecond/l.TokensPerSecond)
 	}
 
-	if busiest == 0 {
+	if instancesNeeded == 0 {
 		return 1
 	}
 
-	return 1 / busiest
+	return 1 / instancesNeeded
 }
--- a/placement/observedinstance.go
+++ b/placement/observedinstance.go
@@ -10,8 +10,8 @@
 // ObservedInstance is an instance as the controller last saw it, by its token.
 type ObservedInstance struct {
 	Instance provider.Instance
-	// Known is set once anything is known of its work.
-	Known bool
+	// HealthKnown is set once anything is known of its work.
+	HealthKnown bool
 	// Ready tells whether it serves, and Idle whether it has no work left.
 	Ready bool
 	Idle  bool
--- a/placement/option.go
+++ b/placement/option.go
@@ -11,15 +11,15 @@
 type option struct {
 	cell Cell
 	// price is as offered, and weighed adds the risk of the cell.
-	price   float64
-	weighed float64
+	price     float64
+	riskPrice float64
 	// capacity is the load one instance carries at the latency target.
 	capacity Load
 	avoided  bool
 }
 
-// avoidWeight is the weight of a refusal from which on a cell is not bought in.
-const avoidWeight = 0.25
+// minAvoidWeight is the weight of a refusal from which on a cell is not bought in.
+const minAvoidWeight = 0.25
 
 // options returns the cells a service can be placed in, by name of the cell.
 func (s State) options(now time.Time, service Service) []option {
@@ -43,13 +43,13 @@
 
 func (s State) option(now time.Time, offer provider.Offer, capacity Load) option {
 	cell := Cell{Domain: offer.Domain, Class: offer.Class, Market: offer.Market}
-	o := option{cell: cell, price: offer.PricePerHour, weighed: offer.PricePerHour, capacity: capacity}
+	o := option{cell: cell, price: offer.PricePerHour, riskPrice: offer.PricePerHour, capacity: capacity}
 
 	if offer.Market == provider.Reclaimable {
-		o.weighed *= 1 + s.Config.RiskPremium + s.Config.RiskPremium*s.Reclaims.Weight(now, cell)
+		o.riskPrice *= 1 + s.Config.RiskPremium + s.Config.RiskPremium*s.Reclaims.Weight(now, cell)
 	}
 
-	o.avoided = s.Refusals.Weight(now, cell) >= avoidWeight
+	o.avoided = s.Refusals.Weight(now, cell) >= minAvoidWeight
 
 	return o
 }
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -17,7 +17,7 @@
 
 	for _, service := range s.Services {
 		options := s.options(now, service.Service)
-		chosen, needed, why := choose(s.Config, service, options)
+		chosen, needed, why := chooseLayout(s.Config, service, options)
 
 		for i, n := range chosen.counts {
 			if n > 0 || service.InstanceCounts[options[i].cell] > 0 {
@@ -35,11 +35,11 @@
 	return d
 }
 
-// choose returns the layout, the count without a move to save money, and why.
-func choose(config Config, s ServiceState, options []option) (*layout, int, string) {
+// chooseLayout returns the layout, the count without a move to save money, and why.
+func chooseLayout(config Config, s ServiceState, options []option) (*layout, int, string) {
 	chosen := newLayout(options, s.Service, s.Forecast.Need, s.InstanceCounts, s.Surge)
 	before := chosen.total()
-	chosen = chosen.grown()
+	chosen = chosen.cheapestGrowth()
 
 	if chosen.total() > before {
 		return chosen, chosen.total(), fmt.Sprintf("grows by %d", chosen.total()-before)
@@ -53,7 +53,7 @@
 	peak.shrink()
 	kept := peak.total()
 
-	if moved := peak.copied(peak.counts); moved.improve(config.MoveThreshold) > 0 {
+	if moved := peak.withCounts(peak.counts); moved.moveToCheaper(config.MoveThreshold) > 0 {
 		return moved, kept, fmt.Sprintf("moves to save %.2f an hour", peak.price()-moved.price())
 	}
 
@@ -76,12 +76,12 @@
 		}
 	}
 
-	all, left, worst := chosen.carried()
+	all, left, worst := chosen.coverage()
 	text := fmt.Sprintf("%d instances (%s), %s: expects %.1f requests/s and %.0f tokens/s, now %.1f and %.0f; carries %.0f%% of that at the target, %.0f%% without %s (needs %.0f%%); %.2f an hour",
 		chosen.total(), strings.Join(places, ", "), why,
 		service.Forecast.Need.RequestsPerSecond, service.Forecast.Need.TokensPerSecond,
 		service.Forecast.Now.RequestsPerSecond, service.Forecast.Now.TokensPerSecond,
-		100*all, 100*left, worst, 100*chosen.urgent, price)
+		100*all, 100*left, worst, 100*chosen.urgentShare, price)
 
 	if !chosen.covers() {
 		text += fmt.Sprintf("; NOT ENOUGH within the maximum of %d and the offers", chosen.maximum)
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -12,9 +12,9 @@
 	"monsoonlever/provider"
 )
 
-// remaining returns the tokens per second that a decision leaves without a
+// tokensWithout returns the tokens per second that a decision leaves without a
 // failure domain.
-func remaining(d placement.Decision, lost fleet.FailureDomain) float64 {
+func tokensWithout(d placement.Decision, lost fleet.FailureDomain) float64 {
 	sum := 0.0
 
 	for _, t := range d.Targets {
@@ -26,22 +26,22 @@
 	return sum
 }
 
-func stateOf(t *rapid.T, need float64) placement.State {
+func drawState(t *rapid.T, need float64) placement.State {
 	load := placement.Load{TokensPerSecond: need}
 
 	return placement.State{
 		Config: placement.DefaultConfig(),
-		Offers: market(t),
+		Offers: drawOffers(t),
 		Services: []placement.ServiceState{{
 			Service: steadyService(), Forecast: placement.Forecast{Now: load, Need: load, Peak: load},
 		}},
 	}
 }
 
-func TestHoldsPlanSurvivesLossOfAnyDomain(t *testing.T) {
+func TestHoldsPlanCoversLossOfAnyDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		need := float64(rapid.IntRange(100, 9000).Draw(t, "need"))
-		s := stateOf(t, need)
+		s := drawState(t, need)
 		have := make(map[placement.Cell]int)
 
 		for _, domain := range domains {
@@ -52,12 +52,12 @@
 		s.Services[0].InstanceCounts = have
 		d := placement.Plan(start, s)
 
-		if got := remaining(d, ""); got < need {
+		if got := tokensWithout(d, ""); got < need {
 			t.Errorf("carried: got %.0f, want at least %.0f", got, need)
 		}
 
 		for _, domain := range domains {
-			if got, want := remaining(d, domain), 0.8*need; got < want-1e-6 {
+			if got, want := tokensWithout(d, domain), 0.8*need; got < want-1e-6 {
 				t.Errorf("carried without %s: got %.0f, want at least %.0f", domain, got, want)
 			}
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestForecastCopesWithTriplingDemand(t *testing.T) {
+func TestForecastFollowsTriplingDemand(t *testing.T) {
 	f := placement.NewForecaster(4 * time.Minute)
 	at := func(minute int) float64 {
 		return 1000 * (1 + 2*min(1, max(0, float64(minute-30)/15)))
--- a/placement/purchases_test.go
+++ b/placement/purchases_test.go
@@ -62,57 +62,57 @@
 	fence      lease.Fence
 }
 
-// event is a call or an answer on its way.
-type event struct {
-	lands int
-	run   func()
+// delayedEvent is a call or an answer on its way.
+type delayedEvent struct {
+	dueStep int
+	run     func()
 }
 
-type world struct {
-	t           *rapid.T
-	cloud       *cloud
-	log         []any
-	controllers []*controller
-	events      []event
-	step        int
-	faults      bool
-	targets     []placement.Target
-	purchases   int
-	limits      []placement.Limit
-	pace        time.Duration
-	maximum     int
+type simulation struct {
+	t            *rapid.T
+	cloud        *cloud
+	log          []any
+	controllers  []*controller
+	events       []delayedEvent
+	step         int
+	faults       bool
+	targets      []placement.Target
+	purchases    int
+	limits       []placement.Limit
+	stepDuration time.Duration
+	maximum      int
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, faults: true, pace: second, maximum: maximum, cloud: &cloud{
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{t: t, faults: true, stepDuration: second, maximum: maximum, cloud: &cloud{
 		byToken: make(map[string]provider.Instance),
 		running: make(map[fleet.InstanceID]provider.Instance),
 	}}
 	for range 3 {
 		c := &controller{}
-		w.boot(c)
+		w.restart(c)
 		w.controllers = append(w.controllers, c)
 	}
 
 	w.limits = []placement.Limit{{Service: service, Max: maximum}}
-	w.retarget()
+	w.drawTargets()
 
 	return w
 }
 
-func (w *world) boot(c *controller) {
+func (w *simulation) restart(c *controller) {
 	c.epoch++
 	c.read = 0
 	c.fence = 0
 	c.reconciler = placement.NewReconciler(owner)
-	c.reconciler.ListEvery = 3 * second
-	c.reconciler.BuyRetry = 4 * second
-	c.reconciler.AppendRetry = 3 * second
+	c.reconciler.ListInterval = 3 * second
+	c.reconciler.PurchaseRetryInterval = 4 * second
+	c.reconciler.AppendRetryInterval = 3 * second
 	c.reconciler.DrainTimeout = 5 * second
 	c.reconciler.ChangesPerHour = 1000
 }
 
-func (w *world) retarget() {
+func (w *simulation) drawTargets() {
 	w.targets = nil
 	left := maximum
 
@@ -129,17 +129,17 @@
 	}
 }
 
-func (w *world) now() time.Time {
-	return start.Add(time.Duration(w.step) * w.pace)
+func (w *simulation) now() time.Time {
+	return start.Add(time.Duration(w.step) * w.stepDuration)
 }
 
 // chance is true once in n where faults are on.
-func (w *world) chance(n int, label string) bool {
+func (w *simulation) chance(n int, label string) bool {
 	return w.faults && rapid.IntRange(0, n-1).Draw(w.t, label) == 0
 }
 
 // delay is mostly short, and long for what a paused process sends.
-func (w *world) delay() int {
+func (w *simulation) delay() int {
 	if !w.faults {
 		return 1
 	}
@@ -151,17 +151,17 @@
 	return rapid.IntRange(0, 3).Draw(w.t, "delay")
 }
 
-func (w *world) after(ticks int, run func()) {
-	w.events = append(w.events, event{lands: w.step + ticks, run: run})
+func (w *simulation) after(ticks int, run func()) {
+	w.events = append(w.events, delayedEvent{dueStep: w.step + ticks, run: run})
 }
 
-func (w *world) tick() {
+func (w *simulation) tick() {
 	w.step++
 	due := w.events
 	w.events = nil
 
 	for _, e := range due {
-		if e.lands > w.step {
+		if e.dueStep > w.step {
 			w.events = append(w.events, e)
 
 			continue
@@ -170,10 +170,10 @@
 		e.run()
 	}
 
-	w.disturb()
+	w.injectFaults()
 
 	for _, c := range w.controllers {
-		w.act(c)
+		w.stepController(c)
 	}
 
 	if got := len(w.cloud.running); got > w.maximum {
@@ -181,11 +181,11 @@
 	}
 }
 
-func (w *world) disturb() {
+func (w *simulation) injectFaults() {
 	c := w.controllers[rapid.IntRange(0, 2).Draw(w.t, "controller")]
 
 	if w.chance(25, "crash") {
-		w.boot(c)
+		w.restart(c)
 	}
 
 	if w.chance(25, "grant") || w.step == 1 {
@@ -193,7 +193,7 @@
 	}
 
 	if w.chance(30, "retarget") {
-		w.retarget()
+		w.drawTargets()
 	}
 
 	if w.chance(30, "reclaim") {
@@ -205,14 +205,14 @@
 	}
 }
 
-func (w *world) grant(c *controller) {
+func (w *simulation) grant(c *controller) {
 	fence := lease.Fence(len(w.log) + 1)
 	w.log = append(w.log, fence)
 	c.fence = fence
 }
 
-// act reads the log, late at times, so that an older holder goes on for a while.
-func (w *world) act(c *controller) {
+// stepController reads the log, late at times, so that an older holder goes on for a while.
+func (w *simulation) stepController(c *controller) {
 	if !w.chance(3, "reads late") {
 		for ; c.read < len(w.log); c.read++ {
 			switch entry := w.log[c.read].(type) {
@@ -237,7 +237,7 @@
 	}
 }
 
-func (w *world) perform(c *controller, command placement.Command) {
+func (w *simulation) perform(c *controller, command placement.Command) {
 	epoch := c.epoch
 	answer := func(run func()) {
 		w.after(w.delay(), func() {
@@ -271,7 +271,7 @@
 }
 
 // performBuy may lose the answer before, or after, the call takes effect.
-func (w *world) performBuy(c *controller, cmd placement.BuyCommand, answer func(func())) {
+func (w *simulation) performBuy(c *controller, cmd placement.BuyCommand, answer func(func())) {
 	lost := w.chance(4, "answer lost")
 	if lost {
 		answer(func() {
@@ -298,7 +298,7 @@
 }
 
 // settle lets the faults end and gives the newest holder time to finish.
-func (w *world) settle() {
+func (w *simulation) settle() {
 	w.faults = false
 	w.grant(w.controllers[0])
 
@@ -307,7 +307,7 @@
 	}
 }
 
-func (w *world) checkSettled() {
+func (w *simulation) checkSettled() {
 	got := make(map[placement.Cell]int)
 	for _, instance := range w.cloud.running {
 		got[placement.Cell{Domain: instance.Domain, Class: instance.Class, Market: instance.Market}]++
@@ -324,11 +324,11 @@
 	}
 }
 
-func TestHoldsPurchases(t *testing.T) {
+func TestHoldsPurchasesMatchTargets(t *testing.T) {
 	purchases := 0
 
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		for range 150 {
 			w.tick()
 		}
--- a/placement/reconcile.go
+++ b/placement/reconcile.go
@@ -8,23 +8,23 @@
 	"monsoonlever/provider"
 )
 
-// buy asks for every intent that has no instance. A retired intent is asked for
+// purchase asks for every intent that has no instance. A retired intent is asked for
 // as well while an earlier call may still take effect: once its token is known
-// to be used up, no late call can buy with it.
-func (r *Reconciler) buy(now time.Time) []Command {
+// to be used up, no late call can purchase with it.
+func (r *Reconciler) purchase(now time.Time) []Command {
 	var commands []Command
 
 	for _, intent := range r.ledger.Intents() {
-		if _, ok := r.seen[intent.Token]; ok {
+		if _, ok := r.observed[intent.Token]; ok {
 			continue
 		}
 
 		c := r.call(intent.Token)
-		if c.bought || c.outstanding || r.settled(intent, c) {
+		if c.bought || c.outstanding || r.isUnfulfillable(intent, c) {
 			continue
 		}
 
-		if !c.lastAt.IsZero() && now.Sub(c.lastAt) < r.BuyRetry {
+		if !c.lastAt.IsZero() && now.Sub(c.lastAt) < r.PurchaseRetryInterval {
 			continue
 		}
 
@@ -42,10 +42,10 @@
 	return commands
 }
 
-// settled tells whether an intent without an instance can never get one: every
+// isUnfulfillable tells whether an intent without an instance can never get one: every
 // call with its token was made under this grant and answered by a refusal, or
 // none was made at all and none is wanted.
-func (r *Reconciler) settled(intent Intent, c *call) bool {
+func (r *Reconciler) isUnfulfillable(intent Intent, c *purchaseCall) bool {
 	if intent.Token.Fence != r.fence || c.unknown || c.outstanding {
 		return false
 	}
@@ -53,15 +53,15 @@
 	return c.refused || intent.Retired
 }
 
-// finish closes intents whose instance is gone or can never be, and drains and
+// finishIntents closes intents whose instance is gone or can never be, and drains and
 // releases the retired ones.
-func (r *Reconciler) finish(now time.Time) []Command {
+func (r *Reconciler) finishIntents(now time.Time) []Command {
 	var commands []Command
 
 	for _, intent := range r.ledger.Intents() {
-		o, ok := r.seen[intent.Token]
+		o, ok := r.observed[intent.Token]
 		if !ok {
-			commands = append(commands, r.close(now, intent)...)
+			commands = append(commands, r.closeIntent(now, intent)...)
 
 			continue
 		}
@@ -74,13 +74,13 @@
 	return commands
 }
 
-func (r *Reconciler) close(now time.Time, intent Intent) []Command {
+func (r *Reconciler) closeIntent(now time.Time, intent Intent) []Command {
 	c := r.call(intent.Token)
-	if !c.bought && !r.settled(intent, c) || r.isPending(intent.Token) {
+	if !c.bought && !r.isUnfulfillable(intent, c) || r.isPending(intent.Token) {
 		return nil
 	}
 
-	return []Command{r.append(now, Record{Step: StepClose, Token: intent.Token})}
+	return []Command{r.appendRecord(now, Record{Step: StepClose, Token: intent.Token})}
 }
 
 func (r *Reconciler) drain(now time.Time, o *ObservedInstance) []Command {
@@ -97,7 +97,7 @@
 }
 
 func (r *Reconciler) release(now time.Time, o *ObservedInstance) []Command {
-	if !o.releasedAt.IsZero() && now.Sub(o.releasedAt) < r.BuyRetry {
+	if !o.releasedAt.IsZero() && now.Sub(o.releasedAt) < r.PurchaseRetryInterval {
 		return nil
 	}
 
@@ -106,25 +106,25 @@
 	return []Command{ReleaseCommand{Instance: o.Instance.ID}}
 }
 
-// releaseUnknown gives back instances of this owner that no intent accounts
+// releaseOrphans gives back instances of this owner that no intent accounts
 // for. Those of a newer grant are left alone: this process has not read of it.
-func (r *Reconciler) releaseUnknown(now time.Time) []Command {
+func (r *Reconciler) releaseOrphans(now time.Time) []Command {
 	var commands []Command
 
-	for _, token := range r.seenTokens() {
+	for _, token := range r.observedTokens() {
 		if _, ok := r.ledger.intents[token]; ok || token.Fence > r.fence {
 			continue
 		}
 
-		commands = append(commands, r.release(now, r.seen[token])...)
+		commands = append(commands, r.release(now, r.observed[token])...)
 	}
 
 	return commands
 }
 
-func (r *Reconciler) seenTokens() []Token {
-	tokens := make([]Token, 0, len(r.seen))
-	for token := range r.seen {
+func (r *Reconciler) observedTokens() []Token {
+	tokens := make([]Token, 0, len(r.observed))
+	for token := range r.observed {
 		tokens = append(tokens, token)
 	}
 
@@ -133,13 +133,13 @@
 	return tokens
 }
 
-// counts tells whether an intent is or will be of use.
-func (r *Reconciler) counts(intent Intent) bool {
+// isUsable tells whether an intent is or will be of use.
+func (r *Reconciler) isUsable(intent Intent) bool {
 	if intent.Retired {
 		return false
 	}
 
-	if o, ok := r.seen[intent.Token]; ok {
+	if o, ok := r.observed[intent.Token]; ok {
 		return !o.Leaving
 	}
 
@@ -148,8 +148,8 @@
 	return !c.bought && !c.refused
 }
 
-// shape opens intents that are missing and retires those that are too many.
-func (r *Reconciler) shape(now time.Time, targets []Target, limits []Limit) []Command {
+// adjustCounts opens intents that are missing and retires those that are too many.
+func (r *Reconciler) adjustCounts(now time.Time, targets []Target, limits []Limit) []Command {
 	var commands []Command
 
 	for _, limit := range limits {
@@ -163,21 +163,21 @@
 			}
 		}
 
-		commands = append(commands, r.open(now, limit, targets)...)
+		commands = append(commands, r.openIntents(now, limit, targets)...)
 		commands = append(commands, r.retireSurplus(now, limit, wanted, total)...)
-		commands = append(commands, r.retireUseless(now, limit.Service)...)
+		commands = append(commands, r.retireUnusable(now, limit.Service)...)
 	}
 
 	return commands
 }
 
-// open appends intents up to the limit, which counts every intent that is not
+// openIntents appends intents up to the limit, which counts every intent that is not
 // closed: each may have an instance, or get one. Purchases beyond what is needed
 // wait for a change of the hour.
-func (r *Reconciler) open(now time.Time, limit Limit, targets []Target) []Command {
+func (r *Reconciler) openIntents(now time.Time, limit Limit, targets []Target) []Command {
 	have := r.InstanceCounts(limit.Service)
-	held := r.held(limit.Service)
-	moves := r.ChangesPerHour - r.ledger.Moves(now)
+	held := r.intentCount(limit.Service)
+	moves := r.ChangesPerHour - r.ledger.VoluntaryPurchases(now)
 	useful := 0
 
 	for _, n := range have {
@@ -205,7 +205,7 @@
 			held++
 			useful++
 
-			commands = append(commands, r.append(now, Record{
+			commands = append(commands, r.appendRecord(now, Record{
 				Step: StepBuy, Service: t.Service, Cell: t.Cell, Voluntary: voluntary,
 			}))
 		}
@@ -214,7 +214,7 @@
 	return commands
 }
 
-func (r *Reconciler) held(service fleet.Service) int {
+func (r *Reconciler) intentCount(service fleet.Service) int {
 	held := 0
 
 	for _, intent := range r.ledger.Intents() {
@@ -232,68 +232,68 @@
 // cannot come first, one ready instance goes before its replacement comes.
 func (r *Reconciler) retireSurplus(now time.Time, limit Limit, wanted map[Cell]int, total int) []Command {
 	have := r.InstanceCounts(limit.Service)
-	allowed := allowance{
-		ready:   r.ready(limit.Service),
-		enough:  total,
-		changes: r.ChangesPerHour - r.ledger.GivenUp(now),
+	budget := retirementBudget{
+		ready:     r.readyCount(limit.Service),
+		minReady:  total,
+		remaining: r.ChangesPerHour - r.ledger.VoluntaryRetirements(now),
 	}
 
-	if r.held(limit.Service) >= limit.Max {
-		allowed.enough = total - 1
+	if r.intentCount(limit.Service) >= limit.Max {
+		budget.minReady = total - 1
 	}
 
 	var commands []Command
 
 	for _, intent := range r.newestFirst(limit.Service) {
-		if !r.counts(intent) || have[intent.Cell] <= wanted[intent.Cell] || r.isPending(intent.Token) {
+		if !r.isUsable(intent) || have[intent.Cell] <= wanted[intent.Cell] || r.isPending(intent.Token) {
 			continue
 		}
 
-		o, bought := r.seen[intent.Token]
-		if bought && !allowed.take(o) || !bought && r.mayBeBought(intent) {
+		o, bought := r.observed[intent.Token]
+		if bought && !budget.take(o) || !bought && r.purchaseUndecided(intent) {
 			continue
 		}
 
 		have[intent.Cell]--
 
-		commands = append(commands, r.append(now, Record{Step: StepRetire, Token: intent.Token, Voluntary: bought}))
+		commands = append(commands, r.appendRecord(now, Record{Step: StepRetire, Token: intent.Token, Voluntary: bought}))
 	}
 
 	return commands
 }
 
-// mayBeBought tells whether a purchase was asked for whose outcome is not known.
+// purchaseUndecided tells whether a purchase was asked for whose outcome is not known.
 // It is waited for, since giving it up now would cost a change all the same.
-func (r *Reconciler) mayBeBought(intent Intent) bool {
+func (r *Reconciler) purchaseUndecided(intent Intent) bool {
 	c := r.call(intent.Token)
 
 	return intent.Token.Fence != r.fence || c.outstanding || c.unknown
 }
 
-// retireUseless retires instances that leave, and intents that were refused
+// retireUnusable retires instances that leave, and intents that were refused
 // while an earlier call may still take effect.
-func (r *Reconciler) retireUseless(now time.Time, service fleet.Service) []Command {
+func (r *Reconciler) retireUnusable(now time.Time, service fleet.Service) []Command {
 	var commands []Command
 
 	for _, intent := range r.ledger.Intents() {
-		if intent.Service != service || intent.Retired || r.isPending(intent.Token) || !r.useless(intent) {
+		if intent.Service != service || intent.Retired || r.isPending(intent.Token) || !r.isUnusable(intent) {
 			continue
 		}
 
-		commands = append(commands, r.append(now, Record{Step: StepRetire, Token: intent.Token}))
+		commands = append(commands, r.appendRecord(now, Record{Step: StepRetire, Token: intent.Token}))
 	}
 
 	return commands
 }
 
-func (r *Reconciler) useless(intent Intent) bool {
-	if o, ok := r.seen[intent.Token]; ok {
+func (r *Reconciler) isUnusable(intent Intent) bool {
+	if o, ok := r.observed[intent.Token]; ok {
 		return o.Leaving
 	}
 
 	c := r.call(intent.Token)
 
-	return c.refused && !c.bought && !r.settled(intent, c)
+	return c.refused && !c.bought && !r.isUnfulfillable(intent, c)
 }
 
 func (r *Reconciler) isPending(token Token) bool {
@@ -306,11 +306,11 @@
 	return false
 }
 
-func (r *Reconciler) ready(service fleet.Service) int {
+func (r *Reconciler) readyCount(service fleet.Service) int {
 	ready := 0
 
 	for _, intent := range r.ledger.Intents() {
-		o, ok := r.seen[intent.Token]
+		o, ok := r.observed[intent.Token]
 		if ok && intent.Service == service && !intent.Retired && o.Ready && !o.Leaving {
 			ready++
 		}
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -15,12 +15,12 @@
 	// Owner is the prefix of the purchase tokens; instances with another prefix
 	// are left alone.
 	Owner string
-	// ListEvery is the time between two listings.
-	ListEvery time.Duration
-	// BuyRetry is the time between two purchases with one token.
-	BuyRetry time.Duration
-	// AppendRetry is the time after which an unread record is appended again.
-	AppendRetry time.Duration
+	// ListInterval is the time between two listings.
+	ListInterval time.Duration
+	// PurchaseRetryInterval is the time between two purchases with one token.
+	PurchaseRetryInterval time.Duration
+	// AppendRetryInterval is the time after which an unread record is appended again.
+	AppendRetryInterval time.Duration
 	// DrainTimeout is how long an instance may drain before it is released.
 	DrainTimeout time.Duration
 	// ChangesPerHour bounds the instances that are given up, and those that are
@@ -33,23 +33,23 @@
 	fence    lease.Fence
 	sequence uint64
 	pending  map[uint64]Record
-	calls    map[Token]*call
-	seen     map[Token]*ObservedInstance
+	calls    map[Token]*purchaseCall
+	observed map[Token]*ObservedInstance
 	listing  listing
 	// appendedAt is when a record was last appended.
 	appendedAt time.Time
 }
 
-// call is what this process knows of its purchases with one token.
-type call struct {
+// purchaseCall is what this process knows of its purchases with one token.
+type purchaseCall struct {
 	outstanding bool
 	// unknown is set once a call was not answered: it may still take effect.
 	unknown bool
 	refused bool
 	lastAt  time.Time
-	// afterList is the last listing that began before the purchase was answered.
-	afterList uint64
-	bought    bool
+	// lastListing is the last listing that began before the purchase was answered.
+	lastListing uint64
+	bought      bool
 }
 
 type listing struct {
@@ -62,16 +62,16 @@
 // to date by Grant and Read.
 func NewReconciler(owner string) *Reconciler {
 	return &Reconciler{
-		Owner:          owner,
-		ListEvery:      5 * time.Second,
-		BuyRetry:       10 * time.Second,
-		AppendRetry:    5 * time.Second,
-		DrainTimeout:   10 * time.Minute,
-		ChangesPerHour: DefaultChangesPerHour,
-		ledger:         NewLedger(),
-		pending:        make(map[uint64]Record),
-		calls:          make(map[Token]*call),
-		seen:           make(map[Token]*ObservedInstance),
+		Owner:                 owner,
+		ListInterval:          5 * time.Second,
+		PurchaseRetryInterval: 10 * time.Second,
+		AppendRetryInterval:   5 * time.Second,
+		DrainTimeout:          10 * time.Minute,
+		ChangesPerHour:        DefaultChangesPerHour,
+		ledger:                NewLedger(),
+		pending:               make(map[uint64]Record),
+		calls:                 make(map[Token]*purchaseCall),
+		observed:              make(map[Token]*ObservedInstance),
 	}
 }
 
@@ -102,7 +102,7 @@
 
 	if valid && record.Step == StepClose {
 		delete(r.calls, record.Token)
-		delete(r.seen, record.Token)
+		delete(r.observed, record.Token)
 	}
 }
 
@@ -119,12 +119,12 @@
 	case OutcomeBought:
 		c.bought = true
 		c.refused = false
-		c.afterList = r.listing.number
-		r.observe(token, instance)
-		r.forgetRefusal(token)
+		c.lastListing = r.listing.number
+		r.updateInstance(token, instance)
+		r.clearRefusal(token)
 	case OutcomeRefused:
 		c.refused = true
-		r.noteRefusal(now, token)
+		r.recordRefusal(now, token)
 	case OutcomeUnknown:
 		c.unknown = true
 	}
@@ -146,29 +146,29 @@
 		}
 
 		found[token] = true
-		r.observe(token, instance)
+		r.updateInstance(token, instance)
 	}
 
-	for token := range r.seen {
-		if c, ok := r.calls[token]; ok && c.bought && c.afterList >= number {
+	for token := range r.observed {
+		if c, ok := r.calls[token]; ok && c.bought && c.lastListing >= number {
 			continue
 		}
 
 		if !found[token] {
-			delete(r.seen, token)
-			r.gone(token)
+			delete(r.observed, token)
+			r.markRemoved(token)
 		}
 	}
 }
 
 // Observe takes in what is known of the work of an instance.
 func (r *Reconciler) Observe(h Health) {
-	for _, o := range r.seen {
+	for _, o := range r.observed {
 		if o.Instance.ID != h.Instance {
 			continue
 		}
 
-		o.Known = true
+		o.HealthKnown = true
 		o.Ready = h.Ready
 		o.Idle = h.Idle
 		o.Leaving = h.Leaving
@@ -180,7 +180,7 @@
 	result := make(map[Cell]int)
 
 	for _, intent := range r.ledger.Intents() {
-		if intent.Service == service && r.counts(intent) {
+		if intent.Service == service && r.isUsable(intent) {
 			result[intent.Cell]++
 		}
 	}
@@ -193,7 +193,7 @@
 	var result []ObservedInstance
 
 	for _, intent := range r.ledger.Intents() {
-		if o, ok := r.seen[intent.Token]; ok && intent.Service == service {
+		if o, ok := r.observed[intent.Token]; ok && intent.Service == service {
 			result = append(result, *o)
 		}
 	}
@@ -216,7 +216,7 @@
 	}
 
 	if fence != r.fence {
-		r.begin(fence)
+		r.startGrant(fence)
 	}
 
 	commands := r.list(now)
@@ -224,33 +224,33 @@
 		return commands
 	}
 
-	commands = append(commands, r.buy(now)...)
-	commands = append(commands, r.releaseUnknown(now)...)
+	commands = append(commands, r.purchase(now)...)
+	commands = append(commands, r.releaseOrphans(now)...)
 
 	// Records in flight are not in the ledger yet, so nothing is decided on it.
 	if len(r.pending) > 0 {
 		return append(commands, r.resend(now)...)
 	}
 
-	commands = append(commands, r.finish(now)...)
+	commands = append(commands, r.finishIntents(now)...)
 
-	return append(commands, r.shape(now, targets, limits)...)
+	return append(commands, r.adjustCounts(now, targets, limits)...)
 }
 
-// begin forgets what an earlier grant of this process knew of its calls: under
+// startGrant forgets what an earlier grant of this process knew of its calls: under
 // the new one every earlier call may still be on its way.
-func (r *Reconciler) begin(fence lease.Fence) {
+func (r *Reconciler) startGrant(fence lease.Fence) {
 	r.fence = fence
 	r.sequence = 0
 	r.listing.done = 0
 	r.listing.lastAt = time.Time{}
 	clear(r.pending)
 	clear(r.calls)
-	clear(r.seen)
+	clear(r.observed)
 }
 
 func (r *Reconciler) list(now time.Time) []Command {
-	if !r.listing.lastAt.IsZero() && now.Sub(r.listing.lastAt) < r.ListEvery {
+	if !r.listing.lastAt.IsZero() && now.Sub(r.listing.lastAt) < r.ListInterval {
 		return nil
 	}
 
@@ -260,48 +260,48 @@
 	return []Command{ListCommand{Number: r.listing.number}}
 }
 
-// observe keeps what is known of an instance when it is seen again.
-func (r *Reconciler) observe(token Token, instance provider.Instance) {
-	if o, ok := r.seen[token]; ok {
+// updateInstance keeps what is known of an instance when it is seen again.
+func (r *Reconciler) updateInstance(token Token, instance provider.Instance) {
+	if o, ok := r.observed[token]; ok {
 		o.Instance = instance
 
 		return
 	}
 
-	r.seen[token] = &ObservedInstance{Instance: instance}
+	r.observed[token] = &ObservedInstance{Instance: instance}
 }
 
-// gone notes that an instance was there and is no more.
-func (r *Reconciler) gone(token Token) {
+// markRemoved notes that an instance was there and is no more.
+func (r *Reconciler) markRemoved(token Token) {
 	c := r.call(token)
 	c.bought = true
 }
 
-func (r *Reconciler) call(token Token) *call {
+func (r *Reconciler) call(token Token) *purchaseCall {
 	c, ok := r.calls[token]
 	if !ok {
-		c = &call{}
+		c = &purchaseCall{}
 		r.calls[token] = c
 	}
 
 	return c
 }
 
-func (r *Reconciler) noteRefusal(now time.Time, token Token) {
+func (r *Reconciler) recordRefusal(now time.Time, token Token) {
 	intent, ok := r.ledger.intents[token]
 	if ok && r.Refusals != nil {
 		r.Refusals.Add(now, intent.Cell)
 	}
 }
 
-func (r *Reconciler) forgetRefusal(token Token) {
+func (r *Reconciler) clearRefusal(token Token) {
 	intent, ok := r.ledger.intents[token]
 	if ok && r.Refusals != nil {
 		r.Refusals.Clear(intent.Cell)
 	}
 }
 
-func (r *Reconciler) append(now time.Time, record Record) Command {
+func (r *Reconciler) appendRecord(now time.Time, record Record) Command {
 	r.sequence++
 	r.appendedAt = now
 	record.At = now
@@ -319,7 +319,7 @@
 
 // resend appends the unread records again, in order; a reader takes each once.
 func (r *Reconciler) resend(now time.Time) []Command {
-	if now.Sub(r.appendedAt) < r.AppendRetry {
+	if now.Sub(r.appendedAt) < r.AppendRetryInterval {
 		return nil
 	}
 
--- a/placement/record_test.go
+++ b/placement/record_test.go
@@ -9,7 +9,7 @@
 	"monsoonlever/placement"
 )
 
-func TestRecordSurvivesEncoding(t *testing.T) {
+func TestRecordEncodingRoundTrip(t *testing.T) {
 	want := placement.Record{
 		Step: placement.StepRetire, Fence: 7, Sequence: 3, Token: placement.Token{Fence: 5, Sequence: 1},
 		Service: service, Cell: cells[0], At: start, Voluntary: true,
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestTokenSurvivesPurchase(t *testing.T) {
+func TestPurchaseTokenRoundTrip(t *testing.T) {
 	want := placement.Token{Fence: 12, Sequence: 9}
 
 	got, ok := placement.ParseToken(owner, want.Purchase(owner))
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestHoldingSurvivesOrder(t *testing.T) {
+func TestEngineSpecRoundTripsThroughOrder(t *testing.T) {
 	want := placement.EngineSpec{Model: "ledger", Version: "2", Adapter: "dk", Role: "decode"}
 	o := want.Order(4)
 	state := backend.EngineState{Fence: o.Fence, Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role}
--- a/placement/rollout.go
+++ b/placement/rollout.go
@@ -29,9 +29,9 @@
 
 	sorted := slices.Clone(runners)
 	slices.SortFunc(sorted, func(a, b Runner) int { return cmp.Compare(a.Instance, b.Instance) })
-	r.forget(sorted)
+	r.removeMissing(sorted)
 
-	r.pick(now, s, sorted)
+	r.startDrains(now, s, sorted)
 
 	result := make([]Assignment, 0, len(sorted))
 	for _, runner := range sorted {
@@ -67,11 +67,11 @@
 	return 0
 }
 
-// pick starts to drain runners while enough others stay ready. It waits until
+// startDrains starts to drain runners while enough others stay ready. It waits until
 // every runner is settled: before that an older holder's order may still take
 // another runner down.
-func (r *Rollout) pick(now time.Time, s Service, runners []Runner) {
-	staying, unavailable := 0, 0
+func (r *Rollout) startDrains(now time.Time, s Service, runners []Runner) {
+	remainingReady, unavailable := 0, 0
 
 	for _, runner := range runners {
 		if !runner.Settled && !runner.Leaving {
@@ -80,7 +80,7 @@
 
 		_, drains := r.draining[runner.Instance]
 		if runner.Ready && !drains && !runner.Leaving {
-			staying++
+			remainingReady++
 
 			continue
 		}
@@ -91,7 +91,7 @@
 	}
 
 	for _, runner := range runners {
-		if staying < 2 || unavailable >= max(1, r.MaxUnavailable) {
+		if remainingReady < 2 || unavailable >= max(1, r.MaxUnavailable) {
 			return
 		}
 
@@ -101,7 +101,7 @@
 		}
 
 		r.draining[runner.Instance] = now
-		staying--
+		remainingReady--
 		unavailable++
 	}
 }
@@ -127,7 +127,7 @@
 	}
 }
 
-func (r *Rollout) forget(runners []Runner) {
+func (r *Rollout) removeMissing(runners []Runner) {
 	for id := range r.draining {
 		found := slices.ContainsFunc(runners, func(runner Runner) bool { return runner.Instance == id })
 		if !found {
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -22,7 +22,7 @@
 	busy    int
 }
 
-func (e *engine) take(fence lease.Fence, holding placement.EngineSpec) {
+func (e *engine) applyOrder(fence lease.Fence, holding placement.EngineSpec) {
 	if fence < e.fence {
 		return
 	}
@@ -39,12 +39,12 @@
 	return placement.EngineSpec{Model: "ledger", Version: fleet.ModelVersion(v)}
 }
 
-// fleetOfEngines runs a rollout with delayed orders and changes of the holder.
-type fleetOfEngines struct {
-	t       *rapid.T
-	engines []*engine
-	flying  []event
-	step    int
+// rolloutSimulation runs a rollout with delayed orders and changes of the holder.
+type rolloutSimulation struct {
+	t        *rapid.T
+	engines  []*engine
+	inFlight []delayedEvent
+	step     int
 }
 
 // rolloutHolder is one holder, whose orders may land after the next was granted.
@@ -62,11 +62,11 @@
 	}
 }
 
-func (f *fleetOfEngines) now() time.Time {
+func (f *rolloutSimulation) now() time.Time {
 	return start.Add(time.Duration(f.step) * second)
 }
 
-func (f *fleetOfEngines) find(id fleet.InstanceID) *engine {
+func (f *rolloutSimulation) engineByID(id fleet.InstanceID) *engine {
 	for _, e := range f.engines {
 		if e.id == id {
 			return e
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (f *fleetOfEngines) runners(fence lease.Fence) []placement.Runner {
+func (f *rolloutSimulation) runners(fence lease.Fence) []placement.Runner {
 	var result []placement.Runner
 	for _, e := range f.engines {
 		result = append(result, placement.Runner{
@@ -89,8 +89,8 @@
 
 // send delivers an order late if its sender is paused. At times the answer is
 // lost, and the order lands within the flight after its call ended.
-func (f *fleetOfEngines) send(h *rolloutHolder, a lease.Action[placement.EngineSpec]) {
-	e := f.find(a.Target)
+func (f *rolloutSimulation) send(h *rolloutHolder, a lease.Action[placement.EngineSpec]) {
+	e := f.engineByID(a.Target)
 	delay := rapid.IntRange(0, 2).Draw(f.t, "delay")
 
 	switch rapid.IntRange(0, 9).Draw(f.t, "fault") {
@@ -99,28 +99,28 @@
 	case 1:
 		late := delay + rapid.IntRange(0, 2).Draw(f.t, "late")
 		f.after(delay, func() { h.corrector.OrderFinished(f.now(), a.Target, false) })
-		f.after(late, func() { e.take(a.Fence, a.State) })
+		f.after(late, func() { e.applyOrder(a.Fence, a.State) })
 
 		return
 	}
 
 	f.after(delay, func() {
-		e.take(a.Fence, a.State)
+		e.applyOrder(a.Fence, a.State)
 		h.corrector.OrderFinished(f.now(), a.Target, true)
 	})
 }
 
-func (f *fleetOfEngines) after(ticks int, run func()) {
-	f.flying = append(f.flying, event{lands: f.step + ticks, run: run})
+func (f *rolloutSimulation) after(ticks int, run func()) {
+	f.inFlight = append(f.inFlight, delayedEvent{dueStep: f.step + ticks, run: run})
 }
 
-func (f *fleetOfEngines) land() {
-	flying := f.flying
-	f.flying = nil
+func (f *rolloutSimulation) deliverDue() {
+	inFlight := f.inFlight
+	f.inFlight = nil
 
-	for _, o := range flying {
-		if o.lands > f.step {
-			f.flying = append(f.flying, o)
+	for _, o := range inFlight {
+		if o.dueStep > f.step {
+			f.inFlight = append(f.inFlight, o)
 
 			continue
 		}
@@ -134,7 +134,7 @@
 	}
 }
 
-func (f *fleetOfEngines) ready() int {
+func (f *rolloutSimulation) ready() int {
 	count := 0
 
 	for _, e := range f.engines {
@@ -146,7 +146,7 @@
 	return count
 }
 
-func (f *fleetOfEngines) work() {
+func (f *rolloutSimulation) advanceEngines() {
 	for _, e := range f.engines {
 		e.busy = max(0, e.busy-1)
 		e.loading = max(0, e.loading-1)
@@ -158,7 +158,7 @@
 	moved := 0
 
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleetOfEngines{t: t}
+		f := &rolloutSimulation{t: t}
 
 		for i := range rapid.IntRange(1, 5).Draw(t, "engines") {
 			f.engines = append(f.engines, &engine{
@@ -171,8 +171,8 @@
 		holders := []*rolloutHolder{newRolloutHolder(1)}
 
 		for f.step = 0; f.step < 250; f.step++ {
-			f.land()
-			f.work()
+			f.deliverDue()
+			f.advanceEngines()
 
 			if f.step < 100 && rapid.IntRange(0, 9).Draw(t, "grant") == 0 {
 				holders = append(holders, newRolloutHolder(lease.Fence(len(holders)+1)))
@@ -180,7 +180,7 @@
 
 			// The lease keeps earlier holders from deciding anything by now, but what
 			// they were paused before sending still lands.
-			f.act(holders[len(holders)-1], wanted)
+			f.stepHolder(holders[len(holders)-1], wanted)
 		}
 
 		for _, e := range f.engines {
@@ -201,7 +201,7 @@
 	}
 }
 
-func (f *fleetOfEngines) act(h *rolloutHolder, wanted placement.Service) {
+func (f *rolloutSimulation) stepHolder(h *rolloutHolder, wanted placement.Service) {
 	all := func(fleet.InstanceID) bool { return true }
 	for _, a := range h.rollout.Step(f.now(), wanted, f.runners(h.fence), all) {
 		h.corrector.SetDesired(a.Instance, a.Spec)
@@ -214,7 +214,7 @@
 			continue
 		}
 
-		e := f.find(a.Target)
+		e := f.engineByID(a.Target)
 		h.corrector.Observe(a.Target, lease.Readback[placement.EngineSpec]{State: e.holding, Fence: e.fence, ChecksFence: true})
 	}
 }
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -11,8 +11,8 @@
 	Fence    lease.Fence `msgpack:"fence"`
 	Sequence uint64      `msgpack:"sequence"`
 	Intents  []Intent    `msgpack:"intents"`
-	// Moves and GivenUp hold when the purchases and retirements without need were
+	// VoluntaryPurchases and GivenUp hold when the purchases and retirements without need were
 	// written in the last hour.
-	Moves   []time.Time `msgpack:"moves"`
-	GivenUp []time.Time `msgpack:"givenUp"`
+	VoluntaryPurchases   []time.Time `msgpack:"moves"`
+	VoluntaryRetirements []time.Time `msgpack:"givenUp"`
 }
