--- a/claim/table.go
+++ b/claim/table.go
@@ -7,37 +7,39 @@
 	"monsoonlever/logstream"
 )
 
-// Table decides what becomes of the requests of one entry instance that may
-// not be repeated. Every method is one step: it takes an event and the time
-// and returns what to do. Calls must not overlap.
+// Table is the state machine for the non-idempotent requests of one entry instance. Every
+// method is one step: it takes an event and the time, and returns the commands to execute.
+// It is not safe for concurrent use.
 type Table struct {
 	config Config
 	self   claimant
 
-	// keys, claimants, logTime and since follow from the records alone.
+	// keys, expiry, claimants, logTime and completeSince are derived from the records read.
+	// InstanceRemoved also marks claimants as removed.
 	keys      map[KeyID]*keyState
-	aging     agingQueue
+	expiry    expiryQueue
 	claimants claimants
 	logTime   time.Time
-	// since is the time from which on the records read are complete.
-	since time.Time
+	// completeSince is the time since which the records read are complete.
+	completeSince time.Time
 
-	attempts map[RequestID]*attempt
-	// order holds the attempts in the order of their admission.
+	attempts map[AttemptID]*attempt
+	// order contains the attempts in the order of their submission.
 	order []*attempt
-	// pending, owners and joined find attempts by key: the one whose claim is
-	// on its way, the one that won, and those that wait for another.
+	// pending, owners and joined index the attempts by key: the attempt whose claim was
+	// appended but not read back, the attempt that won the key, and the attempts that wait
+	// for another one.
 	pending map[KeyID]*attempt
 	owners  map[KeyID]*attempt
 	joined  map[KeyID][]*attempt
 
-	started  bool
-	caughtUp bool
-	down     bool
-	badCount int
+	started     bool
+	caughtUp    bool
+	down        bool
+	undecodable int
 }
 
-// NewTable returns a table that has read nothing.
+// NewTable returns an empty table.
 func NewTable(config Config) *Table {
 	config = config.withDefaults()
 
@@ -46,30 +48,32 @@
 		self:      claimant{id: config.Self, incarnation: config.Incarnation},
 		keys:      make(map[KeyID]*keyState),
 		claimants: newClaimants(),
-		attempts:  make(map[RequestID]*attempt),
+		attempts:  make(map[AttemptID]*attempt),
 		pending:   make(map[KeyID]*attempt),
 		owners:    make(map[KeyID]*attempt),
 		joined:    make(map[KeyID][]*attempt),
 	}
 }
 
-// Keys returns the number of keys that are remembered.
-func (t *Table) Keys() int { return len(t.keys) }
+// KeyCount returns the number of retained keys.
+func (t *Table) KeyCount() int { return len(t.keys) }
 
-// Open returns the number of attempts that are not over.
-func (t *Table) Open() int { return len(t.attempts) }
+// OpenAttempts returns the number of attempts in memory: those without a verdict, and those
+// whose outcome or void was not read back yet.
+func (t *Table) OpenAttempts() int { return len(t.attempts) }
 
-// Undecodable returns the number of records that were skipped.
-func (t *Table) Undecodable() int { return t.badCount }
+// Undecodable returns the number of records that were skipped because they could not be
+// decoded.
+func (t *Table) Undecodable() int { return t.undecodable }
 
-// CaughtUp says that all records that were on the log at the start were read.
+// CaughtUp reports that all records that were on the log at the start were read.
 func (t *Table) CaughtUp() { t.caughtUp = true }
 
-// LogUp says that the log answers again. What is owed is appended by Tick.
+// LogUp reports that the log is available again. Tick appends the pending records.
 func (t *Table) LogUp() { t.down = false }
 
-// LogDown says that the log doesn't answer. Attempts that can't go on without
-// it get their final verdicts at once.
+// LogDown reports that the log is unavailable. Attempts that depend on it are resolved
+// immediately.
 func (t *Table) LogDown() []Command {
 	if t.down {
 		return nil
@@ -81,49 +85,50 @@
 
 	for _, a := range t.snapshot() {
 		switch {
-		case a.answered:
+		case a.resolved:
 		case a.phase == attemptClaiming:
-			commands = append(commands, t.giveUp(a, ReasonLogDown, t.config.OutageRetry)...)
+			commands = append(commands, t.abort(a, ReasonLogDown, t.config.OutageRetryAfter)...)
 		case a.phase == attemptVoiding:
-			commands = append(commands, t.answer(a, refusal(NotStarted, ReasonLogDown, t.config.OutageRetry)))
+			commands = append(commands, t.resolve(a, verdictWithoutResult(NotStarted, ReasonLogDown, t.config.OutageRetryAfter)))
 		case a.phase == attemptJoined && t.owners[a.key] == nil:
-			commands = append(commands, t.answer(a, refusal(Unknown, ReasonLogDown, t.config.OutageRetry)))
+			commands = append(commands, t.resolve(a, verdictWithoutResult(Unknown, ReasonLogDown, t.config.OutageRetryAfter)))
 		}
 	}
 
 	return commands
 }
 
-// InstanceGone says that an incarnation of an entry instance is no longer
-// live. Its claims stand, since it may only be paused.
-func (t *Table) InstanceGone(id fleet.InstanceID, incarnation fleet.Incarnation) []Command {
-	who := claimant{id: id, incarnation: incarnation}
-	if who == t.self {
+// InstanceRemoved reports that an incarnation of an entry instance is no longer live. Its
+// claims stay valid, because it may only be paused.
+func (t *Table) InstanceRemoved(id fleet.InstanceID, incarnation fleet.Incarnation) []Command {
+	removed := claimant{id: id, incarnation: incarnation}
+	if removed == t.self {
 		return nil
 	}
 
-	number := t.claimants.leave(who)
+	number := t.claimants.markRemoved(removed)
 
 	var commands []Command
 
 	for _, a := range t.snapshot() {
 		state := t.keys[a.key]
-		if a.phase != attemptJoined || a.answered || t.owners[a.key] != nil || state == nil {
+		if a.phase != attemptJoined || a.resolved || t.owners[a.key] != nil || state == nil {
 			continue
 		}
 
 		if state.phase == keyClaimed && state.claimant == number {
-			commands = append(commands, t.answer(a, refusal(Unknown, ReasonClaimantGone, t.config.OutageRetry)))
+			commands = append(commands, t.resolve(a, verdictWithoutResult(Unknown, ReasonClaimantGone, t.config.OutageRetryAfter)))
 		}
 	}
 
 	return commands
 }
 
-// Horizon says that records before since were not read, which is zero if none
-// are missing. Called again, it says that records aged out unread.
+// Horizon reports that records before since were not read; a zero time means that no
+// records are missing. Every further call reports that records were deleted from the log
+// before they were read.
 func (t *Table) Horizon(since time.Time) []Command {
-	t.since = since
+	t.completeSince = since
 
 	if !t.started {
 		t.started = true
@@ -132,50 +137,50 @@
 	}
 
 	t.keys = make(map[KeyID]*keyState)
-	t.aging = agingQueue{}
+	t.expiry = expiryQueue{}
 
 	var commands []Command
 
 	for _, a := range t.snapshot() {
-		if a.phase == attemptJoined && !a.answered && t.owners[a.key] == nil && t.pending[a.key] == nil {
-			commands = append(commands, t.answer(a, refusal(Unknown, ReasonUncertain, t.config.RetryAfter)))
+		if a.phase == attemptJoined && !a.resolved && t.owners[a.key] == nil && t.pending[a.key] == nil {
+			commands = append(commands, t.resolve(a, verdictWithoutResult(Unknown, ReasonUncertain, t.config.RetryAfter)))
 		}
 	}
 
 	return commands
 }
 
-// snapshot returns the attempts in the order of their admission, so that steps
-// are deterministic and may end attempts on the way.
+// snapshot returns a copy of the attempts in the order of their submission. The order makes
+// steps deterministic; the copy lets them remove attempts during iteration.
 func (t *Table) snapshot() []*attempt {
-	kept := t.order[:0]
+	open := t.order[:0]
 
 	for _, a := range t.order {
 		if t.attempts[a.id] == a {
-			kept = append(kept, a)
+			open = append(open, a)
 		}
 	}
 
-	clear(t.order[len(kept):])
-	t.order = kept
+	clear(t.order[len(open):])
+	t.order = open
 
-	return append([]*attempt(nil), kept...)
+	return append([]*attempt(nil), open...)
 }
 
-// answer gives an attempt its verdict. An attempt that owes nothing to the log
-// is then over.
-func (t *Table) answer(a *attempt, v Verdict) Command {
-	a.answered = true
+// resolve sets the verdict on an attempt. The attempt is removed unless its outcome or void
+// must still be read back.
+func (t *Table) resolve(a *attempt, v Verdict) Command {
+	a.resolved = true
 
 	if a.phase == attemptClaiming || a.phase == attemptJoined {
-		t.forget(a)
+		t.remove(a)
 	}
 
-	return Answer{request: a.id, verdict: v}
+	return Resolve{attempt: a.id, verdict: v}
 }
 
-// forget removes an attempt that is over.
-func (t *Table) forget(a *attempt) {
+// remove removes an attempt from all indexes.
+func (t *Table) remove(a *attempt) {
 	delete(t.attempts, a.id)
 
 	if t.pending[a.key] == a {
@@ -187,12 +192,12 @@
 	}
 
 	if a.phase == attemptJoined {
-		t.leave(a)
+		t.unjoin(a)
 	}
 }
 
-// leave takes an attempt out of those that wait for its key.
-func (t *Table) leave(a *attempt) {
+// unjoin removes an attempt from those that wait for its key.
+func (t *Table) unjoin(a *attempt) {
 	waiting := t.joined[a.key]
 
 	for i, other := range waiting {
@@ -217,32 +222,31 @@
 	t.joined[a.key] = append(t.joined[a.key], a)
 }
 
-// giveUp ends an attempt that has sent nothing. Should its claim turn out to
-// be on the log, reading it makes this instance void it. Attempts that wait
-// for the claim end with it.
-func (t *Table) giveUp(a *attempt, reason Reason, retryAfter time.Duration) []Command {
+// abort ends an attempt that sent nothing, and the attempts that joined its claim. If its
+// claim is read back later, this instance voids it.
+func (t *Table) abort(a *attempt, reason Reason, retryAfter time.Duration) []Command {
 	wasPending := t.pending[a.key] == a
-	commands := []Command{t.answer(a, refusal(NotStarted, reason, retryAfter))}
+	commands := []Command{t.resolve(a, verdictWithoutResult(NotStarted, reason, retryAfter))}
 
 	if wasPending && t.owners[a.key] == nil {
-		commands = append(commands, t.answerJoined(a.key, refusal(NotStarted, reason, retryAfter))...)
+		commands = append(commands, t.resolveJoined(a.key, verdictWithoutResult(NotStarted, reason, retryAfter))...)
 	}
 
 	return commands
 }
 
-// answerJoined gives all attempts that wait for a key the same verdict.
-func (t *Table) answerJoined(key KeyID, v Verdict) []Command {
+// resolveJoined sets the same verdict on all attempts that wait for a key.
+func (t *Table) resolveJoined(key KeyID, v Verdict) []Command {
 	var commands []Command
 
 	for _, a := range append([]*attempt(nil), t.joined[key]...) {
-		commands = append(commands, t.answer(a, v))
+		commands = append(commands, t.resolve(a, v))
 	}
 
 	return commands
 }
 
-// appendOf returns the command to append a record of an attempt.
-func appendOf(kind logstream.Kind, id RequestID, record any) Command {
-	return Append{kind: kind, request: id, payload: encode(record)}
+// newAppend returns the command to append a record of an attempt.
+func newAppend(kind logstream.Kind, id AttemptID, record any) Command {
+	return Append{kind: kind, attempt: id, payload: encode(record)}
 }
--- a/controller/fixture_test.go
+++ b/controller/fixture_test.go
@@ -34,8 +34,7 @@
 
 var domains = []fleet.FailureDomain{"ballerup-a", "ballerup-b", "taastrup-1", "taastrup-2"}
 
-// region is a region over the stand-ins in one process, under the fake time of
-// testing/synctest.
+// region is a region of stand-ins in one process, under the fake time of testing/synctest.
 type region struct {
 	t        *testing.T
 	log      *standin.Log
@@ -45,11 +44,11 @@
 
 	mu      sync.Mutex
 	servers map[fleet.InstanceID]*backendServer
-	left    map[fleet.InstanceID]bool
+	leaving map[fleet.InstanceID]bool
 	costs   map[fleet.Service]float64
 }
 
-// backendServer is a listed server with its engine, nil for a plain service.
+// backendServer is a listed server. Its engine is nil for a plain service.
 type backendServer struct {
 	service fleet.Service
 	domain  fleet.FailureDomain
@@ -63,16 +62,16 @@
 	r := &region{
 		t: t, log: standin.NewLog(clock.System{}), cloud: standin.NewCloud(clock.System{}),
 		servers: make(map[fleet.InstanceID]*backendServer),
-		left:    make(map[fleet.InstanceID]bool),
+		leaving: make(map[fleet.InstanceID]bool),
 		costs:   make(map[fleet.Service]float64),
 	}
-	r.publish()
+	r.setManifest()
 
 	return r
 }
 
-// publish puts the example manifest in force with texts replaced in pairs.
-func (r *region) publish(replace ...string) {
+// setManifest puts the example manifest in force after replacing old, new pairs of strings.
+func (r *region) setManifest(replace ...string) {
 	r.t.Helper()
 
 	data, err := os.ReadFile("../examples/kronvig.manifest.jsonc")
@@ -88,7 +87,7 @@
 	r.manifest.Store(m)
 }
 
-// addEngines starts an engine in each of some failure domains.
+// addEngines starts one engine in each of the given failure domains.
 func (r *region) addEngines(checks bool, loadTime time.Duration, in ...fleet.FailureDomain) {
 	for i, domain := range in {
 		weights := standin.NewWeights(clock.System{})
@@ -113,7 +112,7 @@
 	}
 }
 
-// inProcess answers requests by a handler without a network.
+// inProcess is a transport that calls a handler without a network.
 type inProcess struct {
 	handler http.Handler
 }
@@ -138,19 +137,19 @@
 	for id, s := range r.servers {
 		ready := s.engine == nil || s.engine.State().Ready
 		all = append(all, controller.Server{
-			ID: id, Service: s.service, Domain: s.domain, Client: s.client, Ready: ready, Leaving: r.left[id],
+			ID: id, Service: s.service, Domain: s.domain, Client: s.client, Ready: ready, Leaving: r.leaving[id],
 		})
 	}
 
 	return all, true
 }
 
-// Leave implements controller.Servers.
-func (r *region) Leave(id fleet.InstanceID, _ time.Time) {
+// MarkLeaving implements controller.Servers.
+func (r *region) MarkLeaving(id fleet.InstanceID, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.left[id] = true
+	r.leaving[id] = true
 }
 
 // AddCost implements controller.Costs.
@@ -161,7 +160,7 @@
 	r.costs[service] += cost
 }
 
-func (r *region) spent(service fleet.Service) float64 {
+func (r *region) cost(service fleet.Service) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -228,8 +227,8 @@
 	return c
 }
 
-// end stops every candidate.
-func (r *region) end(candidates ...*candidate) {
+// stopAll stops the candidates and waits until every goroutine of the region has ended.
+func (r *region) stopAll(candidates ...*candidate) {
 	for _, c := range candidates {
 		c.clock.resume()
 		c.stop()
@@ -242,17 +241,17 @@
 		e.Wait()
 	}
 
-	// The waits that the clocks still hold end within this time.
+	// Timers that the clocks still hold expire within this time.
 	time.Sleep(time.Minute)
 }
 
-// holders returns the candidates that may act now.
+// holders returns the candidates that hold the lease now.
 func holders(candidates ...*candidate) []*candidate {
-	return slices.DeleteFunc(slices.Clone(candidates), func(c *candidate) bool { return !c.Status().Holds })
+	return slices.DeleteFunc(slices.Clone(candidates), func(c *candidate) bool { return !c.Status().IsHolder })
 }
 
-// until waits in fake time until a condition holds, and returns how long that took.
-func (r *region) until(what string, limit time.Duration, holds func() bool) time.Duration {
+// waitFor waits in fake time until a condition is true, and returns the time that this took.
+func (r *region) waitFor(what string, limit time.Duration, holds func() bool) time.Duration {
 	r.t.Helper()
 
 	start := time.Now()
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -194,7 +194,7 @@
 	}
 
 	if !again {
-		w.Table.Leave(w.Clock.Now(), id, source)
+		w.Table.MarkLeaving(w.Clock.Now(), id, source)
 		klog.InfoS("backend server is leaving", "instance", id, "source", source, "at", at)
 	}
 
@@ -264,7 +264,7 @@
 	}
 
 	now := w.Clock.Now()
-	w.Table.UpdateState(now, s.ID(), state)
+	w.Table.UpdateEngineState(now, s.ID(), state)
 
 	if state.Ready {
 		s.askStateAt(now.Add(cmp.Or(w.StateEvery, defaultStateEvery)))
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -60,7 +60,7 @@
 		Excluding(q.Exclude).
 		WithPrefix(q.PromptPrefix).
 		Preferring(q.Prefer).
-		WithRepeatable()
+		WithIdempotent()
 }
 
 // choose picks servers until one of them has not begun to leave since it was picked,
@@ -73,7 +73,7 @@
 		}
 
 		start := p.Clock.Now()
-		if choice.Sent(start) {
+		if choice.Begin(start) {
 			return answer.Choice{Server: choice.ID(), Release: p.release(choice, start)}, true
 		}
 	}
--- a/document/syntax.go
+++ b/document/syntax.go
@@ -5,11 +5,13 @@
 	"strconv"
 )
 
-// syntaxPlace finds the line in the parser's text; its errors have no fields.
-var syntaxPlace = regexp.MustCompile(`line (\d+)`)
+// syntaxLinePattern matches the line number in the text of a parser error, which
+// has no field for it.
+var syntaxLinePattern = regexp.MustCompile(`line (\d+)`)
 
+// syntaxLine returns the line that a parser error names, or 0 if it names none.
 func syntaxLine(err error) int {
-	match := syntaxPlace.FindStringSubmatch(err.Error())
+	match := syntaxLinePattern.FindStringSubmatch(err.Error())
 	if match == nil {
 		return 0
 	}
@@ -22,10 +24,10 @@
 	return line
 }
 
-// tooDeep returns the offset of the first bracket beyond MaxDepth. The parser
-// recurses without a bound of its own.
+// tooDeep returns the offset of the first bracket beyond MaxDepth and whether there
+// is one. It runs before the parser, which recurses without a depth limit.
 func tooDeep(data []byte) (int, bool) {
-	s := scanner{data: data}
+	s := depthScanner{data: data}
 
-	return s.deepest()
+	return s.firstTooDeep()
 }
--- a/membership/payload.go
+++ b/membership/payload.go
@@ -9,42 +9,44 @@
 // ErrPayloadTooLarge is returned for a payload above MaxPayload.
 var ErrPayloadTooLarge = merry.Sentinel("payload is too large")
 
-// Urgency says how soon a payload is spread.
+// Urgency is the priority of a payload.
 type Urgency uint8
 
 const (
-	// Routine payloads wait for the member's share of the fleet's rate; of
-	// several that wait only the last is spread.
+	// Routine payloads wait for the member's share of Config.PayloadRate. Only the
+	// latest of several waiting payloads is published.
 	Routine Urgency = iota
-	// Urgent payloads, such as news of a reclaim, go at once while the member
-	// has urgent changes left: ten, and another one each six seconds, or each
-	// as many seconds as there are members.
+	// Urgent payloads, such as the notice of a reclaim, are published immediately
+	// within a limit: a burst of ten, and another one every six seconds, or every
+	// n seconds with n live members if that is longer.
 	Urgent
 )
 
 const (
-	// maxPayloadShare bounds a member's share of the rate in a small fleet.
-	maxPayloadShare = 200
-	// payloadBurst is how many bytes of routine updates may be saved up.
-	payloadBurst = 2 * (MaxPayload + MaxName)
-	// urgentRate is how many urgent changes accrue to a member in a second; in
-	// a large fleet it is one for all members together.
-	urgentRate  = 1.0 / 6
-	urgentBurst = 10
+	// maxMemberPayloadRate is the maximum share of Config.PayloadRate for one
+	// member, in bytes per second; it applies in a small fleet.
+	maxMemberPayloadRate = 200
+	// payloadBurstBytes is the burst of routine updates in bytes.
+	payloadBurstBytes = 2 * (MaxPayload + MaxName)
+	// urgentChangesPerSecond is the rate of urgent changes of one member. In a large
+	// fleet all members together are limited to one per second.
+	urgentChangesPerSecond = 1.0 / 6
+	urgentBurstChanges     = 10
 )
 
-// pendingPayload is the node's own payload that waits for its turn.
+// pendingPayload is the node's own payload that waits for the rate limit.
 type pendingPayload struct {
-	waiting bool
-	urgent  bool
-	data    string
-	routine tokenBucket
-	hurried tokenBucket
+	waiting       bool
+	urgent        bool
+	data          string
+	routineBytes  tokenBucket
+	urgentChanges tokenBucket
 }
 
-// SetPayload replaces the node's payload.
+// SetPayload replaces the node's payload and publishes it when the rate limit
+// allows.
 func (c *Core) SetPayload(now time.Time, data []byte, urgency Urgency) (Step, error) {
-	c.begin(now)
+	c.beginStep(now)
 
 	if len(data) > MaxPayload {
 		return c.step, ErrPayloadTooLarge
@@ -53,13 +55,13 @@
 	c.pending.waiting = true
 	c.pending.urgent = c.pending.urgent || urgency == Urgent
 	c.pending.data = string(data)
-	c.releasePayload()
+	c.publishPendingPayload()
 
 	return c.step, nil
 }
 
-// releasePayload spreads the waiting payload when the rate allows it.
-func (c *Core) releasePayload() {
+// publishPendingPayload publishes the waiting payload if the rate limit allows it.
+func (c *Core) publishPendingPayload() {
 	p := &c.pending
 	if !p.waiting || c.stopped {
 		return
@@ -71,15 +73,15 @@
 	changed.urgent = p.urgent
 
 	u := newUpdate(&changed, partPayload)
-	share := min(maxPayloadShare, c.config.PayloadRate/float64(max(1, c.groups.size)))
-	p.routine.refill(c.now, share, payloadBurst)
-	p.hurried.refill(c.now, min(urgentRate, 1/float64(max(1, c.groups.size))), urgentBurst)
+	share := min(maxMemberPayloadRate, c.config.PayloadRate/float64(max(1, c.live.count)))
+	p.routineBytes.refill(c.now, share, payloadBurstBytes)
+	p.urgentChanges.refill(c.now, min(urgentChangesPerSecond, 1/float64(max(1, c.live.count))), urgentBurstChanges)
 
-	if !p.routine.take(float64(u.size())) && (!p.urgent || !p.hurried.take(1)) {
+	if !p.routineBytes.take(float64(u.size())) && (!p.urgent || !p.urgentChanges.take(1)) {
 		return
 	}
 
-	c.replace(&changed, partPayload, classOf(c.self(), &changed))
+	c.store(&changed, partPayload, classifyChange(c.self(), &changed))
 	p.waiting = false
 	p.urgent = false
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -21,36 +21,39 @@
 	defaultCallTimeout = 5 * time.Second
 	// handshakeTimeout bounds dialing, the TLS handshake and both hellos.
 	handshakeTimeout = 5 * time.Second
-	// keepAliveIdle keeps the probes of some hundred idle connections small.
+	// keepAliveIdle is long enough to keep the probe traffic of a few hundred
+	// idle connections small.
 	keepAliveIdle = 2 * time.Minute
-	// maxRunningCalls bounds the handlers of requests that run at once.
+	// maxRunningCalls bounds the request handlers that run at the same time.
 	maxRunningCalls = 256
-	// acceptPause is the wait after a connection that could not be accepted.
-	acceptPause = 100 * time.Millisecond
+	// acceptRetryDelay is the delay before the next accept after a failed one.
+	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Node sends and receives messages for one instance. The exported fields are
-// set, and handlers registered, before Run.
+// Node sends and receives messages for one instance. The exported fields must be
+// set and the handlers registered before Run.
 type Node struct {
 	// ID names the instance; the certificate must carry it as a DNS name.
 	ID fleet.InstanceID
-	// Incarnation counts the starts of the process on this instance.
+	// Incarnation identifies this start of the process on the instance.
 	Incarnation fleet.Incarnation
 	// Domain is the failure domain of the instance.
 	Domain fleet.FailureDomain
-	// Deployment names the deployment; remotes of another are refused.
+	// Deployment names the deployment; remotes of other deployments are refused.
 	Deployment string
-	// Listen is the host:port to listen on. It is unused with a Listener.
+	// Listen is the host:port to listen on. It is ignored if Listener is set.
 	Listen string
-	// Listener is taken instead of Listen when it is set; Run closes it.
+	// Listener, if set, accepts the connections instead of a new listener on
+	// Listen. Run closes it.
 	Listener net.Listener
 	// Advertise is the host:port at which remotes reach the node.
 	Advertise string
 	// TLS holds the node's key and the CA, as keys.Files.TLS returns them.
 	TLS *tls.Config
-	// Clock drives backoff, idle time and call timeouts.
+	// Clock drives backoff, idle timeouts and call timeouts.
 	Clock clock.Clock
-	// Droppable lists the kinds whose oldest message gives way in a full queue.
+	// Droppable lists the kinds whose oldest queued message is dropped when a
+	// new one finds the queue full.
 	Droppable []Kind
 	// QueueLength bounds each of the two queues to a remote; 0 means 256.
 	QueueLength int
@@ -62,11 +65,11 @@
 	// CallTimeout bounds a Call; 0 means 5 seconds.
 	CallTimeout time.Duration
 
-	handlers map[Kind]messageHandler
-	serving  map[Kind]callHandler
-	refusals refusalLog
-	calls    pendingCalls
-	running  chan struct{}
+	messageHandlers map[Kind]messageHandler
+	callHandlers    map[Kind]callHandler
+	refusals        refusalLog
+	calls           pendingCalls
+	callSlots       chan struct{}
 
 	mu      sync.Mutex
 	started bool
@@ -77,8 +80,8 @@
 	ctx     context.Context
 }
 
-// Run listens and serves until ctx ends. It returns once every goroutine of
-// the node has ended.
+// Run accepts connections and exchanges messages until ctx ends or the listener
+// is closed. It returns after every goroutine of the node has ended.
 func (n *Node) Run(ctx context.Context) error {
 	if n.TLS == nil {
 		return ErrNoTLS
@@ -92,9 +95,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	n.running = make(chan struct{}, maxRunningCalls)
+	n.callSlots = make(chan struct{}, maxRunningCalls)
 	tasks := conc.NewWaitGroup()
-	n.begin(ctx, tasks)
+	n.start(ctx, tasks)
 
 	tasks.Go(func() {
 		<-ctx.Done()
@@ -105,7 +108,7 @@
 	err = n.accept(ctx, listener)
 
 	cancel()
-	n.end()
+	n.stop()
 	tasks.Wait()
 
 	return err
@@ -126,8 +129,9 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: 15 * time.Second, Count: 4}
 }
 
-// begin starts the links of messages that were sent before Run.
-func (n *Node) begin(ctx context.Context, tasks *conc.WaitGroup) {
+// start marks the node as running and starts the links that Send created before
+// Run.
+func (n *Node) start(ctx context.Context, tasks *conc.WaitGroup) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -145,8 +149,9 @@
 	n.tasks.Go(func() { l.run(ctx) })
 }
 
-// end closes every connection, so that their readers return.
-func (n *Node) end() {
+// stop marks the node as stopped and closes every connection, so that the
+// goroutines that read them return.
+func (n *Node) stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -157,8 +162,9 @@
 	}
 }
 
-// accept takes connections until the listener is closed. Other failures, such
-// as too many open files, pass.
+// accept serves incoming connections until ctx ends or the listener is closed.
+// Other errors, such as too many open files, are temporary: it retries after
+// acceptRetryDelay.
 func (n *Node) accept(ctx context.Context, listener net.Listener) error {
 	for {
 		raw, err := listener.Accept()
@@ -174,16 +180,17 @@
 			return merry.Prepend(err, "accept peer")
 		case err != nil:
 			acceptFailures.Inc()
-			n.pause(ctx, acceptPause)
+			n.pause(ctx, acceptRetryDelay)
 
 			continue
 		}
 
-		n.tasks.Go(func() { n.welcome(ctx, raw) })
+		n.tasks.Go(func() { n.serveConn(ctx, raw) })
 	}
 }
 
-// link returns the link to address, or nil once the node has stopped.
+// link returns the link to address and creates it if needed. It returns nil once
+// the node has stopped.
 func (n *Node) link(address string) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -210,7 +217,7 @@
 	return l
 }
 
-func (n *Node) forget(l *link) {
+func (n *Node) removeLink(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -219,7 +226,7 @@
 	}
 }
 
-// pause waits and reports whether ctx is still in force.
+// pause waits for the given duration. It reports false if ctx ends before that.
 func (n *Node) pause(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/peer/refusallog.go
+++ b/peer/refusallog.go
@@ -11,59 +11,64 @@
 	"k8s.io/klog/v2"
 )
 
-// maxLoggedRemotes bounds the memory of who was logged; past it all start anew.
+// maxLoggedRemotes bounds the number of remotes in a refusalLog. A full log is
+// cleared, after which remotes are logged again.
 const maxLoggedRemotes = 1024
 
-// refusalLog remembers which remotes were logged as refused.
+// refusalLog records for each refused remote the reason that was logged last, so
+// that repeated refusals are logged once.
 type refusalLog struct {
-	mu   sync.Mutex
-	seen map[string]Reason
+	mu         sync.Mutex
+	lastReason map[string]Reason
 }
 
-// first reports whether the remote has not been logged with this reason.
-func (r *refusalLog) first(remote string, reason Reason) bool {
+// record stores the reason for the remote and reports whether it must be logged,
+// that is, whether it differs from the last reason logged for the remote.
+func (r *refusalLog) record(remote string, reason Reason) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if r.seen == nil || len(r.seen) >= maxLoggedRemotes {
-		r.seen = make(map[string]Reason)
+	if r.lastReason == nil || len(r.lastReason) >= maxLoggedRemotes {
+		r.lastReason = make(map[string]Reason)
 	}
 
-	if r.seen[remote] == reason {
+	if r.lastReason[remote] == reason {
 		return false
 	}
 
-	r.seen[remote] = reason
+	r.lastReason[remote] = reason
 
 	return true
 }
 
-// refuse counts a refused remote and logs it once. Other failures of a
-// handshake, such as a reset, are no refusal.
-func (n *Node) refuse(address string, err error) {
+// reportRefusal counts a refused remote and logs it unless it was last logged
+// with the same reason. Other handshake errors, such as a reset connection, are
+// not refusals; of these, only malformed frames are counted.
+func (n *Node) reportRefusal(address string, err error) {
 	var refusal *RefusalError
 	if !errors.As(err, &refusal) {
-		noteFault(err)
+		countFrameError(err)
 
 		return
 	}
 
 	refusedCounter(refusal.reason).Inc()
 
-	// The port of a remote that connects changes each time.
+	// An incoming connection has another source port each time, so the log keeps
+	// remotes by host.
 	host, _, splitErr := net.SplitHostPort(address)
 	if splitErr != nil {
 		host = address
 	}
 
-	if n.refusals.first(host, refusal.reason) {
+	if n.refusals.record(host, refusal.reason) {
 		klog.InfoS("peer refused", "remote", host, "reason", refusal.reason.String(), "err", err)
 	}
 }
 
-// asRefusal types the failures of a TLS handshake that a wrong or missing key
-// causes on either side.
-func asRefusal(err error) error {
+// classifyHandshakeError returns a RefusalError for the handshake errors that a
+// wrong or missing key causes on either side, and err itself for all others.
+func classifyHandshakeError(err error) error {
 	var (
 		verification *tls.CertificateVerificationError
 		authority    x509.UnknownAuthorityError
