--- a/placement/assignment.go
+++ b/placement/assignment.go
@@ -2,11 +2,12 @@
 
 import "monsoonlever/fleet"
 
-// Assignment is what one runner should hold, and whether it gets new work.
+// Assignment is the engine spec that one runner should load, and whether the runner
+// is drained.
 type Assignment struct {
 	Instance fleet.InstanceID
 	Spec     EngineSpec
 	Drain    bool
-	// Reason says why, for status.
+	// Reason explains the assignment on the status page.
 	Reason string
 }
--- a/placement/cellpenalties.go
+++ b/placement/cellpenalties.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// CellPenalties remembers in which cells a purchase was refused or an instance was
-// reclaimed. What it remembers loses half its weight every half-life.
+// CellPenalties records the cells in which a purchase was refused or an
+// instance was reclaimed. The weight of a cell decays exponentially.
 type CellPenalties struct {
-	// HalfLife is the time in which a mark loses half its weight.
+	// HalfLife is the time in which a penalty loses half its weight.
 	HalfLife time.Duration
 
 	penalties map[Cell]penalty
@@ -19,10 +19,10 @@
 	weight float64
 }
 
-// maxWeight bounds how long many marks in a row are remembered.
+// maxWeight bounds the weight, and so the decay time, of repeated penalties.
 const maxWeight = 4
 
-// Add marks a cell.
+// Add adds a penalty of weight 1 to a cell.
 func (m *CellPenalties) Add(now time.Time, cell Cell) {
 	if m.penalties == nil {
 		m.penalties = make(map[Cell]penalty)
@@ -31,7 +31,7 @@
 	m.penalties[cell] = penalty{at: now, weight: min(m.Weight(now, cell)+1, maxWeight)}
 }
 
-// Weight returns the weight of a cell at now: 0 where nothing is remembered.
+// Weight returns the weight of a cell at now: 0 without a penalty.
 func (m *CellPenalties) Weight(now time.Time, cell Cell) float64 {
 	if m == nil {
 		return 0
@@ -47,7 +47,7 @@
 	return last.weight * math.Exp2(-halves)
 }
 
-// LastAdded returns when a cell was last marked.
+// LastAdded returns when a cell last got a penalty, and whether it has one.
 func (m *CellPenalties) LastAdded(cell Cell) (time.Time, bool) {
 	if m == nil {
 		return time.Time{}, false
@@ -58,7 +58,7 @@
 	return last.at, ok
 }
 
-// Clear drops the mark of a cell, as after a purchase that went through.
+// Clear removes the penalty of a cell, as after a successful purchase.
 func (m *CellPenalties) Clear(cell Cell) {
 	delete(m.penalties, cell)
 }
--- a/placement/command.go
+++ b/placement/command.go
@@ -5,37 +5,38 @@
 	"monsoonlever/provider"
 )
 
-// Command is what a Reconciler asks its shell to do.
+// Command is an action that a Reconciler asks its caller to perform.
 type Command interface {
 	command()
 }
 
-// AppendCommand appends a record to the log. Its result is seen when the log is
-// read.
+// AppendCommand appends a record to the log. It has no response: the
+// reconciler learns the result by reading the log.
 type AppendCommand struct {
 	Record Record
 }
 
-// BuyCommand makes a purchase. The shell answers with Bought once.
+// BuyCommand makes a purchase. The caller reports the outcome once, by
+// Reconciler.PurchaseFinished.
 type BuyCommand struct {
 	Token    Token
 	Purchase provider.Purchase
 }
 
-// ListCommand lists the instances of the cloud API. The shell answers with
-// Listed, and with the same number.
+// ListCommand lists the instances of the cloud API. The caller
+// reports the result by Reconciler.ListFinished, with the same number.
 type ListCommand struct {
 	Number uint64
 }
 
 // DrainCommand stops new work on an instance. It is repeated until the instance
-// is released, so it needs no answer.
+// is released, so it needs no response.
 type DrainCommand struct {
 	Instance fleet.InstanceID
 }
 
-// ReleaseCommand gives an instance back. It is repeated until a listing lacks
-// the instance, so it needs no answer.
+// ReleaseCommand terminates an instance at the cloud API. It is repeated until a listing lacks
+// the instance, so it needs no response.
 type ReleaseCommand struct {
 	Instance fleet.InstanceID
 }
--- a/placement/config.go
+++ b/placement/config.go
@@ -4,23 +4,22 @@
 
 // Config holds the settings of the planner.
 type Config struct {
-	// MoveThreshold is the saving, as a share of the present price, from which
-	// on instances are moved to cheaper cells.
+	// MoveThreshold is the saving, as a fraction of the current price, at or
+	// above which an instance is moved to a cheaper cell.
 	MoveThreshold float64
-	// RiskPremium is added to the price of a reclaimable instance, as a share,
-	// for the work that its reclaim costs.
+	// RiskPremium is added to the price of a reclaimable instance, as a
+	// fraction, to cover the work lost when it is reclaimed.
 	RiskPremium float64
 	// AvoidDuration is how long a cell is avoided after one refused purchase. After
-	// more in a row it is avoided up to twice as long.
+	// several in a row it is avoided for up to twice as long.
 	AvoidDuration time.Duration
 }
 
-// DefaultChangesPerHour is how many instances are given up, and how many are
-// bought to save money, in an hour.
+// DefaultChangesPerHour is the default limit per hour on voluntary retirements,
+// and separately on purchases made only to save money.
 const DefaultChangesPerHour = 8
 
-// DefaultConfig returns settings that suit a deployment of some dozens of
-// instances.
+// DefaultConfig returns settings for a deployment of a few dozen instances.
 func DefaultConfig() Config {
 	return Config{
 		MoveThreshold: 0.1,
--- a/placement/decision.go
+++ b/placement/decision.go
@@ -2,7 +2,7 @@
 
 import "monsoonlever/fleet"
 
-// Decision is what a plan wants, and why.
+// Decision is the result of Plan: the wanted instance counts and their reasons.
 type Decision struct {
 	Targets      []Target
 	Explanations []Explanation
@@ -10,7 +10,7 @@
 	Limits []Limit
 }
 
-// Explanation says in a sentence why a service gets what it gets.
+// Explanation describes in one sentence the instances planned for a service and why.
 type Explanation struct {
 	Service fleet.Service
 	Text    string
@@ -21,7 +21,7 @@
 	return string(l.Service) + ": " + l.Text
 }
 
-// Count returns the instances that the decision wants for a service.
+// Count returns the number of instances planned for a service.
 func (d Decision) Count(service fleet.Service) int {
 	total := 0
 
--- a/placement/enginespec.go
+++ b/placement/enginespec.go
@@ -6,7 +6,7 @@
 	"monsoonlever/lease"
 )
 
-// EngineSpec is what a runner holds: the wanted state of an engine order.
+// EngineSpec is the model, version, adapter and role that a runner loads.
 type EngineSpec struct {
 	Model   fleet.Model
 	Version fleet.ModelVersion
@@ -14,7 +14,7 @@
 	Role    string
 }
 
-// Order returns the engine order for the holding under a fencing number.
+// Order returns the engine order for the spec under a fencing token.
 func (h EngineSpec) Order(fence lease.Fence) backend.Order {
 	return backend.Order{
 		Fence:   uint64(fence),
@@ -25,7 +25,7 @@
 	}
 }
 
-// EngineReadback returns what a Corrector needs to know of an engine.
+// EngineReadback converts the state reported by an engine for a lease.Corrector.
 func EngineReadback(s backend.EngineState) lease.Readback[EngineSpec] {
 	return lease.Readback[EngineSpec]{
 		State:       EngineSpec{Model: s.Model, Version: s.Version, Adapter: s.Adapter, Role: s.Role},
--- a/placement/forecast.go
+++ b/placement/forecast.go
@@ -1,11 +1,12 @@
 package placement
 
-// Forecast is the load of one service and what to be ready for.
+// Forecast is the current and expected load of one service.
 type Forecast struct {
-	// Now is the load as measured, smoothed.
+	// Now is the smoothed measured load.
 	Now Load
-	// Need is the load expected by the time a purchase made now serves.
+	// Need is the load expected when an instance bought now becomes ready.
 	Need Load
-	// Peak is the greatest need of late; nothing is given up below it.
+	// Peak is the greatest Need within the forecaster's HoldDown; no capacity below
+	// it is retired.
 	Peak Load
 }
--- a/placement/forecaster.go
+++ b/placement/forecaster.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Forecaster extends the recent trend of a load over the time that a purchase
-// takes. Demand that triples as a payment run closes does so over minutes, and
-// its slope shows before its height does.
+// Forecaster extrapolates the recent trend of a load over the time that a purchase
+// takes. Demand that triples at the close of a payment run rises over minutes,
+// so its slope can be measured before its peak is reached.
 type Forecaster struct {
 	// Lead is how far ahead to look.
 	Lead time.Duration
-	// Window is how far back the trend is taken from.
+	// Window is the age of the oldest sample used for the trend.
 	Window time.Duration
-	// HoldDown is how long a need is remembered before capacity is given up.
+	// HoldDown is how long a past need prevents capacity from being retired.
 	HoldDown time.Duration
-	// Headroom is the share added to the forecast.
+	// Headroom is the fraction added to the forecast.
 	Headroom float64
-	// MaxGrowth bounds the forecast as a multiple of the present load.
+	// MaxGrowth bounds the forecast as a multiple of the current load.
 	MaxGrowth float64
 
 	samples []sample
@@ -37,7 +37,7 @@
 	}
 }
 
-// Observe takes in one measurement of the load.
+// Observe records one measurement of the load.
 func (f *Forecaster) Observe(now time.Time, load Load) {
 	f.samples = append(removeBefore(f.samples, now.Add(-f.Window)), sample{at: now, load: load})
 	f.needs = append(removeBefore(f.needs, now.Add(-f.HoldDown)), sample{at: now, load: f.need(now)})
@@ -75,8 +75,8 @@
 	return level.Max(ahead).Scale(1 + f.Headroom)
 }
 
-// currentLoad is the mean of the newest third of the window, so that one noisy
-// measurement buys nothing.
+// currentLoad is the mean of the newest third of the window, so that a single
+// noisy measurement triggers no purchase.
 func (f *Forecaster) currentLoad() Load {
 	newest := f.samples[len(f.samples)-1].at
 	sum, count := Load{}, 0.0
@@ -94,7 +94,7 @@
 	return sum.Scale(1 / count)
 }
 
-// extrapolate fits a line by least squares and reads it at the lead time.
+// extrapolate fits a line by least squares and returns its value at the lead time.
 func (f *Forecaster) extrapolate(now time.Time, rate func(Load) float64) float64 {
 	n := float64(len(f.samples))
 
--- a/placement/intent.go
+++ b/placement/intent.go
@@ -2,7 +2,7 @@
 
 import "monsoonlever/fleet"
 
-// Intent is one instance that is wanted, bought or on its way out.
+// Intent is one instance to buy, already bought, or being retired.
 type Intent struct {
 	Token   Token         `msgpack:"token"`
 	Service fleet.Service `msgpack:"service"`
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -7,8 +7,8 @@
 	"monsoonlever/lease"
 )
 
-// Ledger folds grants and intent records, in log order, into the intents that
-// are not closed. Every process that reads the same log has the same ledger.
+// Ledger builds the set of open intents from the grants and intent records, in
+// log order. Processes that read the same log have equal ledgers.
 type Ledger struct {
 	fence                lease.Fence
 	sequence             uint64
@@ -22,7 +22,7 @@
 	return &Ledger{intents: make(map[Token]Intent)}
 }
 
-// Grant takes in a grant of the controller role at its place on the log.
+// Grant applies a grant of the controller role, in log order.
 func (l *Ledger) Grant(fence lease.Fence) {
 	if fence <= l.fence {
 		return
@@ -32,7 +32,7 @@
 	l.sequence = 0
 }
 
-// Apply judges one record and tells whether it is valid.
+// Apply applies one record and reports whether it is valid.
 func (l *Ledger) Apply(r Record) bool {
 	if r.Fence != l.fence || r.Sequence <= l.sequence {
 		return false
@@ -78,12 +78,14 @@
 	return result
 }
 
-// VoluntaryPurchases counts the purchases without need of the hour before now.
+// VoluntaryPurchases counts the purchases made only to save money in
+// the hour before now.
 func (l *Ledger) VoluntaryPurchases(now time.Time) int {
 	return countLastHour(l.voluntaryPurchases, now)
 }
 
-// VoluntaryRetirements counts the retirements without need of the hour before now.
+// VoluntaryRetirements counts the voluntary retirements in the hour before
+// now.
 func (l *Ledger) VoluntaryRetirements(now time.Time) int {
 	return countLastHour(l.voluntaryRetirements, now)
 }
--- a/placement/limit.go
+++ b/placement/limit.go
@@ -6,7 +6,7 @@
 type Limit struct {
 	Service fleet.Service
 	Max     int
-	// Needed is the count without any move to save money. Purchases up to it are
-	// made at once, those beyond it count as changes of the hour.
+	// Needed is the count without moves to save money. Purchases up to it are
+	// made immediately; those beyond it count against ChangesPerHour.
 	Needed int
 }
--- a/placement/load.go
+++ b/placement/load.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// share is the part of demand that one instance of capacity l carries.
+// share returns the fraction of demand that one instance of capacity l carries.
 func (l Load) share(demand Load) float64 {
 	instancesNeeded := 0.0
 	if l.RequestsPerSecond > 0 {
--- a/placement/loadqueue.go
+++ b/placement/loadqueue.go
@@ -7,17 +7,17 @@
 	"monsoonlever/fleet"
 )
 
-// LoadQueue shares the rate of the weight store: a few loads run at once, each
-// with more of the rate, since two loads one after the other restore the first
-// runner in half the time that two at once take.
+// LoadQueue limits concurrent loads from the weight store. Two loads in sequence
+// finish the first runner in half the time that two concurrent loads take, so
+// fewer loads, each with more bandwidth, restore capacity sooner.
 type LoadQueue struct {
-	// MaxConcurrent is how many loads may run at once.
+	// MaxConcurrent is how many loads may run at the same time.
 	MaxConcurrent int
 }
 
-// Allowed returns the runners that may load now. A load that has started goes
-// on. The next goes to the service that misses its target most, by priority
-// first; a rollout, which misses nothing, comes last.
+// Allowed returns the runners that may load now. A started load is never
+// interrupted. Services with a shortage come first, by priority and then by the
+// size of the shortage; rollouts, which have no shortage, come last.
 func (q LoadQueue) Allowed(requests []LoadRequest) []fleet.InstanceID {
 	sorted := slices.Clone(requests)
 	slices.SortStableFunc(sorted, compareLoads)
--- a/placement/option.go
+++ b/placement/option.go
@@ -7,7 +7,7 @@
 	"monsoonlever/provider"
 )
 
-// option is a cell as one service sees it at present.
+// option is a cell with its current price and capacity for one service.
 type option struct {
 	cell Cell
 	// price is as offered, and weighed adds the risk of the cell.
@@ -18,10 +18,10 @@
 	avoided  bool
 }
 
-// minAvoidWeight is the weight of a refusal from which on a cell is not bought in.
+// minAvoidWeight is the penalty weight at or above which a cell is avoided.
 const minAvoidWeight = 0.25
 
-// options returns the cells a service can be placed in, by name of the cell.
+// options returns the cells that a service can be placed in, sorted by cell.
 func (s State) options(now time.Time, service Service) []option {
 	var result []option
 
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -1,6 +1,6 @@
 package placement
 
-// Outcome tells how a purchase ended.
+// Outcome is the result of a purchase call.
 type Outcome string
 
 // The outcomes of a purchase.
--- a/placement/runner.go
+++ b/placement/runner.go
@@ -2,14 +2,14 @@
 
 import "monsoonlever/fleet"
 
-// Runner is what the controller last read of one runner of a service.
+// Runner is the last state that the controller read of one runner.
 type Runner struct {
 	Instance fleet.InstanceID
 	Spec     EngineSpec
 	Ready    bool
 	Idle     bool
 	Leaving  bool
-	// Settled tells whether the runner was read back under the present fencing
-	// number, so that it takes no order of an older holder.
+	// Settled reports whether the runner's state was read under the current fencing
+	// token, after which the runner rejects orders of earlier holders.
 	Settled bool
 }
--- a/placement/step.go
+++ b/placement/step.go
@@ -1,10 +1,10 @@
 package placement
 
-// Step tells what an intent record does.
+// Step is the state change that an intent record makes.
 type Step string
 
-// The steps of an intent. Buy opens it, Retire makes the end of its instance
-// irrevocable, and Close ends it once there is no instance and can be none.
+// The steps of an intent. StepBuy opens it, StepRetire irrevocably retires its
+// instance, and StepClose removes it once no instance exists or can be created.
 const (
 	StepBuy    Step = "buy"
 	StepRetire Step = "retire"
--- a/placement/token.go
+++ b/placement/token.go
@@ -8,20 +8,22 @@
 	"monsoonlever/lease"
 )
 
-// Token names one intent to buy. It is derived from the intent's place under
-// the lease, so that every holder derives the same one.
+// Token identifies one purchase intent. It is derived from the grant and the
+// sequence number of the intent's record, so every lease holder derives the
+// same token.
 type Token struct {
 	Fence    lease.Fence `msgpack:"fence"`
 	Sequence uint64      `msgpack:"sequence"`
 }
 
-// Purchase returns the token as the cloud API gets it, under the name of the
-// owner whose instances are managed.
+// Purchase returns the token in the form passed to the cloud API, prefixed with
+// the owner of the instances.
 func (t Token) Purchase(owner string) string {
 	return fmt.Sprintf("%s/%d/%d", owner, t.Fence, t.Sequence)
 }
 
-// ParseToken reads a purchase token and tells whether it is of the owner.
+// ParseToken parses a purchase token and reports whether it is valid and belongs to
+// the owner.
 func ParseToken(owner, text string) (Token, bool) {
 	rest, ok := strings.CutPrefix(text, owner+"/")
 	if !ok {
