--- a/placement/config.go
+++ b/placement/config.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// NewCellPenalties returns a memory that forgets one mark after AvoidFor.
+// NewCellPenalties returns penalties whose weight halves twice in AvoidDuration, so
+// that a single refusal excludes its cell for AvoidDuration.
 func (c Config) NewCellPenalties() *CellPenalties {
 	return &CellPenalties{HalfLife: c.AvoidDuration / 2}
 }
--- a/placement/flapping_test.go
+++ b/placement/flapping_test.go
@@ -11,8 +11,8 @@
 	"monsoonlever/provider"
 )
 
-// changesPerHour bounds the moves of an hour, and as many instances again may be
-// given up and bought back as the noise of the load comes and goes.
+// changesPerHour limits the moves per hour. As many instances again may be retired
+// and bought back because of load noise.
 const changesPerHour = 4
 
 // stepsPerHour is an stepsPerHour in steps of half a minute.
@@ -87,7 +87,7 @@
 	t.Logf("most instances bought in an hour at steady load: %d", most)
 }
 
-// steadyTick measures a steady load with noise and plans anew.
+// steadyTick observes a steady load with noise, plans again and runs a step.
 func (w *simulation) steadyTick(forecaster *placement.Forecaster, offers *[]provider.Offer) {
 	noise := float64(rapid.IntRange(-100, 100).Draw(w.t, "noise")) / 1000
 	forecaster.Observe(w.now(), placement.Load{TokensPerSecond: 8000 * (1 + noise)})
--- a/placement/layout.go
+++ b/placement/layout.go
@@ -8,28 +8,28 @@
 	"monsoonlever/fleet"
 )
 
-// layout is a number of instances in each option, judged against a demand.
+// layout is a number of instances for each option, evaluated against a demand.
 type layout struct {
 	options []option
 	shares  []float64
 	counts  []int
-	// domainIndexes is the index of each option's failure domain.
+	// domainIndexes maps each option to the index of the first option in its domain.
 	domainIndexes []int
-	// domainShares is room to add up the shares of each failure domain.
+	// domainShares is a reused buffer for the shares by failure domain.
 	domainShares []float64
 	urgentShare  float64
 	minimum      int
 	maximum      int
 }
 
-// totalShareStep is the step between the totals that are tried for the ideal layout,
-// as a share of the demand.
+// totalShareStep is the step between the total capacities that
+// cheapestFromScratch tries, as a fraction of the demand.
 const totalShareStep = 0.04
 
 // roundingTolerance absorbs rounding in sums of shares.
 const roundingTolerance = 1e-9
 
-// newLayout starts from what the service has.
+// newLayout returns a layout with the current instances of the service.
 func newLayout(options []option, service Service, demand Load, have map[Cell]int, surge int) *layout {
 	l := &layout{
 		options:      options,
@@ -69,8 +69,9 @@
 	return sum
 }
 
-// coverage is the share of the demand that all instances carry, and left is what
-// remains after the loss of the worst failure domain, which is returned too.
+// coverage returns the fraction of the demand that all instances carry, the
+// fraction that remains after the loss of the failure domain that carries most,
+// and that domain.
 func (l *layout) coverage() (all, remaining float64, worst fleet.FailureDomain) {
 	clear(l.domainShares)
 
@@ -91,9 +92,9 @@
 	return all, all - greatest, worst
 }
 
-// covers tells whether the demand is carried now, and its urgent share after the
-// loss of any one failure domain. A service of two instances or more is never
-// held in one failure domain alone.
+// covers reports whether the instances carry the demand, and its urgent share
+// after the loss of any one failure domain. A service with a minimum of two or
+// more instances must span at least two failure domains.
 func (l *layout) covers() bool {
 	all, left, _ := l.coverage()
 	if l.total() < l.minimum || all < 1-roundingTolerance || left < l.urgentShare-roundingTolerance {
@@ -118,8 +119,9 @@
 	}
 }
 
-// cheapestGrowth returns the cheaper of two ways to cover the demand without giving
-// anything up: the next cheapest instances, or those of the ideal layout.
+// cheapestGrowth returns the cheaper of two layouts that cover the demand and
+// keep all current instances: one that adds the cheapest instances greedily,
+// and one that adds the instances of cheapestFromScratch.
 func (l *layout) cheapestGrowth() *layout {
 	greedy := l.withCounts(l.counts)
 	if l.covers() {
@@ -146,9 +148,9 @@
 	return best
 }
 
-// cheapest returns the option with the least price for what it carries, outside
-// the worst failure domain if only the loss of that one is uncovered. Avoided
-// options are taken only where there is no other.
+// cheapest returns the option with the lowest price per carried share. With spread
+// set it skips the worst failure domain, because only the loss of that domain is
+// uncovered. Avoided options are chosen only if there is no other.
 func (l *layout) cheapest(worst fleet.FailureDomain, spread bool) int {
 	best := -1
 
@@ -179,12 +181,12 @@
 	return l.counts[i] < l.counts[j]
 }
 
-// shrink removes the dearest instances that the demand does not need.
+// shrink removes instances that the demand does not need, most expensive first.
 func (l *layout) shrink() {
 	l.shrinkToFloors(make([]int, len(l.counts)))
 }
 
-// shrinkToFloors does the same, but leaves each option at least its floor.
+// shrinkToFloors is shrink with a minimum count for each option.
 func (l *layout) shrinkToFloors(floors []int) {
 	order := make([]int, len(l.options))
 	for i := range order {
@@ -208,12 +210,13 @@
 	}
 }
 
-// maxSwaps bounds the instances that one plan moves.
+// maxSwaps is the maximum number of instances that one plan moves.
 const maxSwaps = 4
 
-// moveToCheaper replaces single instances by cheaper ones elsewhere that save at least
-// the threshold of the old one's price, and returns how many. The demand stays
-// covered after each, so a move that is cut short leaves no gap.
+// moveToCheaper replaces single instances by cheaper ones in other cells, each
+// saving at least the threshold as a fraction of the old price, and returns the
+// number of replacements. The demand stays covered after each replacement, so an
+// interrupted move causes no shortage.
 func (l *layout) moveToCheaper(threshold float64) int {
 	swaps := 0
 
@@ -224,7 +227,7 @@
 	return swaps
 }
 
-// swap makes the replacement that saves most.
+// swap makes the replacement with the greatest saving and reports whether there was one.
 func (l *layout) swap(threshold float64) bool {
 	from, to, best := -1, -1, 0.0
 
@@ -265,9 +268,9 @@
 	return covers
 }
 
-// cheapestFromScratch returns the cheapest layout for the demand without regard to what there
-// is. It tries each bound on what one failure domain may carry: for a total T
-// no domain may carry more than T less the urgent share.
+// cheapestFromScratch returns the cheapest layout for the demand, ignoring current
+// instances. It tries a range of total capacities: with a total T, no failure
+// domain may carry more than T minus the urgent share.
 func (l *layout) cheapestFromScratch() *layout {
 	order := l.optionsByPrice()
 
--- a/placement/option.go
+++ b/placement/option.go
@@ -10,7 +10,7 @@
 // option is a cell with its current price and capacity for one service.
 type option struct {
 	cell Cell
-	// price is as offered, and weighed adds the risk of the cell.
+	// price is the offered price, and riskPrice adds the risk premium.
 	price     float64
 	riskPrice float64
 	// capacity is the load one instance carries at the latency target.
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// Plan decides how many instances of each class each service should have in
-// which failure domain and market.
+// Plan computes how many instances each service should have in each cell.
 //
-// It grows from what there is until the need is covered, gives up what even the
-// recent peak does not need, and moves to cheaper cells only where that saves
-// the move threshold.
+// Starting from the current instances, it adds instances until the need is
+// covered. Otherwise it removes instances that even the recent peak does not
+// need, and moves instances to cheaper cells if that saves MoveThreshold.
 func Plan(now time.Time, s State) Decision {
 	var d Decision
 
@@ -35,7 +34,8 @@
 	return d
 }
 
-// chooseLayout returns the layout, the count without a move to save money, and why.
+// chooseLayout returns the layout, the count without moves to save money, and the
+// reason.
 func chooseLayout(config Config, s ServiceState, options []option) (*layout, int, string) {
 	chosen := newLayout(options, s.Service, s.Forecast.Need, s.InstanceCounts, s.Surge)
 	before := chosen.total()
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -12,8 +12,8 @@
 	"monsoonlever/provider"
 )
 
-// tokensWithout returns the tokens per second that a decision leaves without a
-// failure domain.
+// tokensWithout returns the tokens per second that a decision provides after the
+// loss of a failure domain.
 func tokensWithout(d placement.Decision, lost fleet.FailureDomain) float64 {
 	sum := 0.0
 
@@ -117,7 +117,7 @@
 	for minute := range 60 {
 		f.Observe(start.Add(time.Duration(minute)*time.Minute), placement.Load{TokensPerSecond: at(minute)})
 
-		// The slope shows within four minutes of its start.
+		// The slope is measurable four minutes after it starts.
 		if minute < 34 {
 			continue
 		}
--- a/placement/purchases_test.go
+++ b/placement/purchases_test.go
@@ -54,7 +54,7 @@
 	return instance, nil
 }
 
-// controller is one process; a restart gives it another epoch.
+// controller is one process; each restart increments its epoch.
 type controller struct {
 	reconciler *placement.Reconciler
 	epoch      int
@@ -62,7 +62,7 @@
 	fence      lease.Fence
 }
 
-// delayedEvent is a call or an answer on its way.
+// delayedEvent is a request or response in flight.
 type delayedEvent struct {
 	dueStep int
 	run     func()
@@ -133,12 +133,12 @@
 	return start.Add(time.Duration(w.step) * w.stepDuration)
 }
 
-// chance is true once in n where faults are on.
+// chance returns true with probability 1/n if faults are enabled.
 func (w *simulation) chance(n int, label string) bool {
 	return w.faults && rapid.IntRange(0, n-1).Draw(w.t, label) == 0
 }
 
-// delay is mostly short, and long for what a paused process sends.
+// delay returns a mostly short delay, and sometimes a long one as of a paused process.
 func (w *simulation) delay() int {
 	if !w.faults {
 		return 1
@@ -211,7 +211,8 @@
 	c.fence = fence
 }
 
-// stepController reads the log, late at times, so that an older holder goes on for a while.
+// stepController reads the log, sometimes late, so that an earlier holder stays active
+// for a while.
 func (w *simulation) stepController(c *controller) {
 	if !w.chance(3, "reads late") {
 		for ; c.read < len(w.log); c.read++ {
@@ -270,7 +271,8 @@
 	}
 }
 
-// performBuy may lose the answer before, or after, the call takes effect.
+// performBuy simulates a purchase whose response may be lost before or after the
+// call takes effect.
 func (w *simulation) performBuy(c *controller, cmd placement.BuyCommand, answer func(func())) {
 	lost := w.chance(4, "answer lost")
 	if lost {
@@ -297,7 +299,7 @@
 	})
 }
 
-// settle lets the faults end and gives the newest holder time to finish.
+// settle disables faults and gives the newest holder time to finish.
 func (w *simulation) settle() {
 	w.faults = false
 	w.grant(w.controllers[0])
--- a/placement/reconcile.go
+++ b/placement/reconcile.go
@@ -42,9 +42,9 @@
 	return commands
 }
 
-// isUnfulfillable tells whether an intent without an instance can never get one: every
-// call with its token was made under this grant and answered by a refusal, or
-// none was made at all and none is wanted.
+// isUnfulfillable reports whether an intent without an instance can never get one:
+// all calls with its token were made under this grant and refused, or it was
+// retired before any call.
 func (r *Reconciler) isUnfulfillable(intent Intent, c *purchaseCall) bool {
 	if intent.Token.Fence != r.fence || c.unknown || c.outstanding {
 		return false
@@ -53,8 +53,8 @@
 	return c.refused || intent.Retired
 }
 
-// finishIntents closes intents whose instance is gone or can never be, and drains and
-// releases the retired ones.
+// finishIntents closes intents whose instance no longer exists or can never exist,
+// and drains and releases retired instances.
 func (r *Reconciler) finishIntents(now time.Time) []Command {
 	var commands []Command
 
@@ -106,8 +106,8 @@
 	return []Command{ReleaseCommand{Instance: o.Instance.ID}}
 }
 
-// releaseOrphans gives back instances of this owner that no intent accounts
-// for. Those of a newer grant are left alone: this process has not read of it.
+// releaseOrphans releases instances of this owner without an intent. It skips
+// instances of a newer grant, whose records this process has not read yet.
 func (r *Reconciler) releaseOrphans(now time.Time) []Command {
 	var commands []Command
 
@@ -133,7 +133,7 @@
 	return tokens
 }
 
-// isUsable tells whether an intent is or will be of use.
+// isUsable reports whether an intent has, or may get, an instance that can be used.
 func (r *Reconciler) isUsable(intent Intent) bool {
 	if intent.Retired {
 		return false
@@ -148,7 +148,7 @@
 	return !c.bought && !c.refused
 }
 
-// adjustCounts opens intents that are missing and retires those that are too many.
+// adjustCounts opens missing intents and retires surplus or unusable ones.
 func (r *Reconciler) adjustCounts(now time.Time, targets []Target, limits []Limit) []Command {
 	var commands []Command
 
@@ -171,9 +171,9 @@
 	return commands
 }
 
-// openIntents appends intents up to the limit, which counts every intent that is not
-// closed: each may have an instance, or get one. Purchases beyond what is needed
-// wait for a change of the hour.
+// openIntents appends intents up to the limit, which counts every intent that is
+// not closed, since each has or may get an instance. Purchases beyond
+// Limit.Needed are voluntary and count against ChangesPerHour.
 func (r *Reconciler) openIntents(now time.Time, limit Limit, targets []Target) []Command {
 	have := r.InstanceCounts(limit.Service)
 	held := r.intentCount(limit.Service)
@@ -226,10 +226,10 @@
 	return held
 }
 
-// retireSurplus gives up what is beyond the wanted counts: at once where
-// nothing was bought yet, and else only while the ready instances are enough
-// and the hour's changes are not used up. At the limit, where a replacement
-// cannot come first, one ready instance goes before its replacement comes.
+// retireSurplus retires intents beyond the wanted counts: immediately if nothing
+// was bought, otherwise only while enough ready instances remain and the hourly
+// limit allows it. At Limit.Max, where no replacement can be bought first, one
+// ready instance may be retired before its replacement is bought.
 func (r *Reconciler) retireSurplus(now time.Time, limit Limit, wanted map[Cell]int, total int) []Command {
 	have := r.InstanceCounts(limit.Service)
 	budget := retirementBudget{
@@ -262,16 +262,17 @@
 	return commands
 }
 
-// purchaseUndecided tells whether a purchase was asked for whose outcome is not known.
-// It is waited for, since giving it up now would cost a change all the same.
+// purchaseUndecided reports whether a purchase call may still succeed. Such an
+// intent is kept until the outcome is known: retiring it now would count as a
+// change if the instance was bought.
 func (r *Reconciler) purchaseUndecided(intent Intent) bool {
 	c := r.call(intent.Token)
 
 	return intent.Token.Fence != r.fence || c.outstanding || c.unknown
 }
 
-// retireUnusable retires instances that leave, and intents that were refused
-// while an earlier call may still take effect.
+// retireUnusable retires intents whose instance is about to be reclaimed, and
+// refused intents while an earlier call may still take effect.
 func (r *Reconciler) retireUnusable(now time.Time, service fleet.Service) []Command {
 	var commands []Command
 
--- a/placement/reconciler.go
+++ b/placement/reconciler.go
@@ -9,8 +9,8 @@
 	"monsoonlever/provider"
 )
 
-// Reconciler makes the wanted counts true under one holder of the controller
-// role. It starts without knowledge of instances and learns them by a listing.
+// Reconciler brings the instances to the wanted counts under one holder of the
+// controller role. It learns the existing instances from a listing.
 type Reconciler struct {
 	// Owner is the prefix of the purchase tokens; instances with another prefix
 	// are left alone.
@@ -23,10 +23,11 @@
 	AppendRetryInterval time.Duration
 	// DrainTimeout is how long an instance may drain before it is released.
 	DrainTimeout time.Duration
-	// ChangesPerHour bounds the instances that are given up, and those that are
-	// bought to save money, in an hour over all services. The log keeps the count, so a new holder goes on with it.
+	// ChangesPerHour limits voluntary retirements, and separately purchases made
+	// only to save money, per hour over all services. The count is kept in the
+	// log, so it continues under a new holder.
 	ChangesPerHour int
-	// Refusals is told of every refused purchase; it may be nil.
+	// Refusals records every refused purchase; it may be nil.
 	Refusals *CellPenalties
 
 	ledger   *Ledger
@@ -40,14 +41,14 @@
 	appendedAt time.Time
 }
 
-// purchaseCall is what this process knows of its purchases with one token.
+// purchaseCall is the state of this process's purchase calls with one token.
 type purchaseCall struct {
 	outstanding bool
-	// unknown is set once a call was not answered: it may still take effect.
+	// unknown is set after a call without a response, which may still take effect.
 	unknown bool
 	refused bool
 	lastAt  time.Time
-	// lastListing is the last listing that began before the purchase was answered.
+	// lastListing is the last listing that began before the purchase response.
 	lastListing uint64
 	bought      bool
 }
@@ -80,13 +81,13 @@
 	return r.ledger
 }
 
-// Grant takes in a grant of the controller role at its place on the log.
+// Grant applies a grant of the controller role, in log order.
 func (r *Reconciler) Grant(fence lease.Fence) {
 	r.ledger.Grant(fence)
 	clear(r.pending)
 }
 
-// Read takes in one intent record at its place on the log.
+// Read applies one intent record, in log order.
 func (r *Reconciler) Read(record Record) {
 	valid := r.ledger.Apply(record)
 	if record.Fence != r.fence {
@@ -106,7 +107,7 @@
 	}
 }
 
-// PurchaseFinished takes in the answer to a purchase.
+// PurchaseFinished records the outcome of a purchase call.
 func (r *Reconciler) PurchaseFinished(now time.Time, token Token, outcome Outcome, instance provider.Instance) {
 	c, ok := r.calls[token]
 	if !ok {
@@ -130,7 +131,7 @@
 	}
 }
 
-// ListFinished takes in the answer to a listing.
+// ListFinished records the result of a listing.
 func (r *Reconciler) ListFinished(number uint64, instances []provider.Instance) {
 	if number <= r.listing.done {
 		return
@@ -161,7 +162,7 @@
 	}
 }
 
-// Observe takes in what is known of the work of an instance.
+// Observe records the health of an instance.
 func (r *Reconciler) Observe(h Health) {
 	for _, o := range r.observed {
 		if o.Instance.ID != h.Instance {
@@ -175,7 +176,7 @@
 	}
 }
 
-// InstanceCounts counts what each cell of a service holds or is about to, for a plan.
+// InstanceCounts counts the usable and pending instances of a service by cell.
 func (r *Reconciler) InstanceCounts(service fleet.Service) map[Cell]int {
 	result := make(map[Cell]int)
 
@@ -202,14 +203,14 @@
 }
 
 // Synced tells whether the log was read up to the grant and the instances were
-// listed under it. A plan made before that takes what there is for missing.
+// listed under it. A plan made earlier would treat existing instances as missing.
 func (r *Reconciler) Synced(fence lease.Fence) bool {
 	return fence == r.ledger.Fence() && fence == r.fence && r.listing.done > 0
 }
 
-// Step returns what to do at now under the fencing number from lease.Core.Check.
-// Nothing is bought or given up before the first listing under that number. A
-// service without a limit is left as it is.
+// Step returns the commands to perform at now under the fencing token from lease.Core.Check.
+// Nothing is bought or retired before the first listing under that token. A
+// service without a limit is not changed.
 func (r *Reconciler) Step(now time.Time, fence lease.Fence, targets []Target, limits []Limit) []Command {
 	if fence != r.ledger.Fence() {
 		return nil
@@ -227,7 +228,7 @@
 	commands = append(commands, r.purchase(now)...)
 	commands = append(commands, r.releaseOrphans(now)...)
 
-	// Records in flight are not in the ledger yet, so nothing is decided on it.
+	// The ledger lacks records in flight, so no new decisions are made from it.
 	if len(r.pending) > 0 {
 		return append(commands, r.resend(now)...)
 	}
@@ -237,8 +238,8 @@
 	return append(commands, r.adjustCounts(now, targets, limits)...)
 }
 
-// startGrant forgets what an earlier grant of this process knew of its calls: under
-// the new one every earlier call may still be on its way.
+// startGrant discards the call state of an earlier grant of this process: under
+// the new grant every earlier call may still take effect.
 func (r *Reconciler) startGrant(fence lease.Fence) {
 	r.fence = fence
 	r.sequence = 0
@@ -260,7 +261,7 @@
 	return []Command{ListCommand{Number: r.listing.number}}
 }
 
-// updateInstance keeps what is known of an instance when it is seen again.
+// updateInstance stores a listed or bought instance and keeps its known health.
 func (r *Reconciler) updateInstance(token Token, instance provider.Instance) {
 	if o, ok := r.observed[token]; ok {
 		o.Instance = instance
@@ -271,7 +272,7 @@
 	r.observed[token] = &ObservedInstance{Instance: instance}
 }
 
-// markRemoved notes that an instance was there and is no more.
+// markRemoved records that an instance existed and was removed.
 func (r *Reconciler) markRemoved(token Token) {
 	c := r.call(token)
 	c.bought = true
@@ -317,7 +318,8 @@
 	return AppendCommand{Record: record}
 }
 
-// resend appends the unread records again, in order; a reader takes each once.
+// resend appends the unread records again, in order; readers ignore
+// duplicates.
 func (r *Reconciler) resend(now time.Time) []Command {
 	if now.Sub(r.appendedAt) < r.AppendRetryInterval {
 		return nil
--- a/placement/record.go
+++ b/placement/record.go
@@ -15,12 +15,12 @@
 	Fence lease.Fence `msgpack:"fence"`
 	// Sequence counts the records under one grant.
 	Sequence uint64 `msgpack:"sequence"`
-	// Token names the intent: the record's own place for StepBuy.
+	// Token identifies the intent; for StepBuy it is derived from this record.
 	Token   Token         `msgpack:"token"`
 	Service fleet.Service `msgpack:"service,omitempty"`
 	Cell    Cell          `msgpack:"cell"`
 	// At is when the record was written, by the writer's clock. Voluntary is set
-	// on a purchase or retirement that counts as one of the changes of the hour.
+	// on a purchase or retirement that counts against ChangesPerHour.
 	At        time.Time `msgpack:"at"`
 	Voluntary bool      `msgpack:"voluntary,omitempty"`
 }
--- a/placement/rollout.go
+++ b/placement/rollout.go
@@ -8,20 +8,19 @@
 	"monsoonlever/fleet"
 )
 
-// Rollout moves the runners of one service to the wanted holding. It drains a
-// runner before it orders the new version, and takes none down unless another
-// stays ready.
+// Rollout moves the runners of one service to the wanted spec. It drains a runner
+// before it orders the new version, and only while another runner stays ready.
 type Rollout struct {
-	// DrainTimeout is how long a runner may finish its work.
+	// DrainTimeout is how long a runner may take to finish its work.
 	DrainTimeout time.Duration
-	// MaxUnavailable is how many runners may be draining or loading at once.
+	// MaxUnavailable is how many runners may be draining or loading at the same time.
 	MaxUnavailable int
 
 	draining map[fleet.InstanceID]time.Time
 }
 
-// Step returns an assignment for every runner, by instance. Loading of weights
-// is held back for runners that mayLoad does not allow.
+// Step returns an assignment for every runner, by instance. A runner for
+// which mayLoad returns false does not start to load weights.
 func (r *Rollout) Step(now time.Time, s Service, runners []Runner, mayLoad func(fleet.InstanceID) bool) []Assignment {
 	if r.draining == nil {
 		r.draining = make(map[fleet.InstanceID]time.Time)
@@ -41,8 +40,8 @@
 	return result
 }
 
-// Surge returns how many runners to buy beyond the plan: one while a rollout has
-// no second runner to keep ready.
+// Surge returns how many runners to buy beyond the plan: one while a rollout
+// has fewer than two ready runners.
 func (r *Rollout) Surge(s Service, runners []Runner) int {
 	old, ready := 0, 0
 
@@ -68,8 +67,8 @@
 }
 
 // startDrains starts to drain runners while enough others stay ready. It waits until
-// every runner is settled: before that an older holder's order may still take
-// another runner down.
+// every runner is settled, because until then a delayed order of an earlier
+// holder may make another runner unavailable.
 func (r *Rollout) startDrains(now time.Time, s Service, runners []Runner) {
 	remainingReady, unavailable := 0, 0
 
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -12,7 +12,7 @@
 	"monsoonlever/placement"
 )
 
-// engine is a runner that loads what it is ordered to and checks fences.
+// engine simulates a runner that checks the fence of each order.
 type engine struct {
 	id      fleet.InstanceID
 	holding placement.EngineSpec
@@ -47,7 +47,7 @@
 	step     int
 }
 
-// rolloutHolder is one holder, whose orders may land after the next was granted.
+// rolloutHolder is one holder, whose orders may arrive after the next grant.
 type rolloutHolder struct {
 	fence     lease.Fence
 	rollout   *placement.Rollout
@@ -87,8 +87,8 @@
 	return result
 }
 
-// send delivers an order late if its sender is paused. At times the answer is
-// lost, and the order lands within the flight after its call ended.
+// send delivers an order late if its sender is paused. Sometimes the
+// response is lost, and the order arrives after its call has failed.
 func (f *rolloutSimulation) send(h *rolloutHolder, a lease.Action[placement.EngineSpec]) {
 	e := f.engineByID(a.Target)
 	delay := rapid.IntRange(0, 2).Draw(f.t, "delay")
@@ -178,8 +178,8 @@
 				holders = append(holders, newRolloutHolder(lease.Fence(len(holders)+1)))
 			}
 
-			// The lease keeps earlier holders from deciding anything by now, but what
-			// they were paused before sending still lands.
+			// The lease stops earlier holders from new decisions, but orders delayed
+			// by a pause still arrive.
 			f.stepHolder(holders[len(holders)-1], wanted)
 		}
 
