--- a/burnpage/page.go
+++ b/burnpage/page.go
@@ -57,7 +57,7 @@
 	data.Windows = burn.WindowNames()
 
 	if len(shown) > 0 {
-		drawn, err := plots(r, shown)
+		drawn, err := drawPlots(r, shown)
 		if err != nil {
 			return err
 		}
@@ -72,8 +72,8 @@
 	return nil
 }
 
-func plots(r burn.Report, shown []burn.Row) ([]template.HTML, error) {
-	var drawn []template.HTML
+func drawPlots(r burn.Report, shown []burn.Row) ([]template.HTML, error) {
+	var images []template.HTML
 
 	for _, draw := range []func() (template.HTML, error){
 		func() (template.HTML, error) { return attainedPlot(r.Services) },
@@ -81,15 +81,15 @@
 		func() (template.HTML, error) { return latencyPlot(shown) },
 		func() (template.HTML, error) { return refusedPlot(r.Rows) },
 	} {
-		one, err := draw()
+		image, err := draw()
 		if err != nil {
 			return nil, err
 		}
 
-		if one != "" {
-			drawn = append(drawn, one)
+		if image != "" {
+			images = append(images, image)
 		}
 	}
 
-	return drawn, nil
+	return images, nil
 }
--- a/burnpage/page_test.go
+++ b/burnpage/page_test.go
@@ -34,7 +34,7 @@
 	return r.Snapshot(end)
 }
 
-func TestPageHoldsPlotsAndEscapedNames(t *testing.T) {
+func TestPageHasPlotsAndEscapedNames(t *testing.T) {
 	var b bytes.Buffer
 	if err := burnpage.Write(&b, burn.NewReport(sample())); err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPageNeedsNoOtherFile(t *testing.T) {
+func TestPageIsSelfContained(t *testing.T) {
 	var b bytes.Buffer
 	if err := burnpage.Write(&b, burn.NewReport(sample())); err != nil {
 		t.Fatal(err)
--- a/burnpage/plot.go
+++ b/burnpage/plot.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	plotWidth  = 17 * vg.Centimeter
-	plotHeight = 8 * vg.Centimeter
-	maxBar     = 9
-	// barRoom is what all bars of a plot and the gaps between them share.
-	barRoom   = 400
-	lineWidth = 1.5
-	headRoom  = 1.3
+	plotWidth         = 17 * vg.Centimeter
+	plotHeight        = 8 * vg.Centimeter
+	maxBarWidthPoints = 9
+	// totalBarWidthPoints is what all bars of a plot and the gaps between them share.
+	totalBarWidthPoints = 400
+	lineWidthPoints     = 1.5
+	headroomFactor      = 1.3
 )
 
 // palette is told apart without red against green, and dark on light.
@@ -39,7 +39,7 @@
 	color.RGBA{R: 0x7f, G: 0x7f, B: 0x7f, A: 0xff},
 }
 
-func paint(i int) color.Color {
+func seriesColor(i int) color.Color {
 	return palette[i%len(palette)]
 }
 
@@ -80,9 +80,9 @@
 	return p
 }
 
-// leaveRoom keeps bars clear of the edges and of the legend.
-func leaveRoom(p *plot.Plot, bars int) {
-	p.Y.Max *= headRoom
+// addMargins keeps bars clear of the edges and of the legend.
+func addMargins(p *plot.Plot, bars int) {
+	p.Y.Max *= headroomFactor
 	p.X.Min = -1
 	p.X.Max = float64(bars)
 }
@@ -100,9 +100,9 @@
 	for i, s := range services {
 		var points plotter.XYs
 
-		for _, one := range s.Points {
-			good := float64(one.Good) / math.Max(1, float64(one.Requests)) * 100
-			points = append(points, plotter.XY{X: float64(one.At.Unix()), Y: good})
+		for _, point := range s.Points {
+			good := float64(point.Good) / math.Max(1, float64(point.Requests)) * 100
+			points = append(points, plotter.XY{X: float64(point.At.Unix()), Y: good})
 			p.Y.Min = math.Min(p.Y.Min, good-1)
 		}
 
@@ -115,14 +115,14 @@
 			return "", merry.Prepend(err, "plot of attained")
 		}
 
-		line.Color, line.Width = paint(i), vg.Points(lineWidth)
-		dots.Color = paint(i)
+		line.Color, line.Width = seriesColor(i), vg.Points(lineWidthPoints)
+		dots.Color = seriesColor(i)
 		p.Add(line, dots)
 		p.Legend.Add(string(s.Service), line)
 	}
 
 	// The legend stands below the lines.
-	p.Y.Min = 100 - (100-p.Y.Min)*headRoom
+	p.Y.Min = 100 - (100-p.Y.Min)*headroomFactor
 
 	return svg(p, plotHeight)
 }
@@ -143,12 +143,12 @@
 		}
 	}
 
-	if err := addLevel(p, 1, len(rows)); err != nil {
+	if err := addReferenceLine(p, 1, len(rows)); err != nil {
 		return "", err
 	}
 
-	nameRows(p, rows)
-	leaveRoom(p, len(rows))
+	labelRows(p, rows)
+	addMargins(p, len(rows))
 
 	return svg(p, plotHeight+vg.Centimeter)
 }
@@ -181,12 +181,12 @@
 		}
 	}
 
-	if err := addLevel(p, 100, len(rows)); err != nil {
+	if err := addReferenceLine(p, 100, len(rows)); err != nil {
 		return "", err
 	}
 
-	nameRows(p, rows)
-	leaveRoom(p, len(rows))
+	labelRows(p, rows)
+	addMargins(p, len(rows))
 
 	return svg(p, plotHeight+vg.Centimeter)
 }
@@ -220,20 +220,20 @@
 	}
 
 	p.NominalX(names...)
-	leaveRoom(p, len(names))
+	addMargins(p, len(names))
 
 	return svg(p, plotHeight)
 }
 
 func addBars(p *plot.Plot, values plotter.Values, i, groups int, name string) error {
-	width := min(maxBar, barRoom/float64((len(values)+1)*(groups+1)))
+	width := min(maxBarWidthPoints, totalBarWidthPoints/float64((len(values)+1)*(groups+1)))
 
 	bars, err := plotter.NewBarChart(values, vg.Points(width))
 	if err != nil {
 		return merry.Prepend(err, "plot of bars")
 	}
 
-	bars.Color = paint(i)
+	bars.Color = seriesColor(i)
 	bars.LineStyle.Width = 0
 	bars.Offset = vg.Points(width * (float64(i) - float64(groups-1)/2))
 	p.Add(bars)
@@ -245,8 +245,8 @@
 	return nil
 }
 
-// addLevel draws a dashed line across all bars.
-func addLevel(p *plot.Plot, y float64, bars int) error {
+// addReferenceLine draws a dashed line across all bars.
+func addReferenceLine(p *plot.Plot, y float64, bars int) error {
 	line, err := plotter.NewLine(plotter.XYs{{X: -0.5, Y: y}, {X: float64(bars) - 0.5, Y: y}})
 	if err != nil {
 		return merry.Prepend(err, "plot of a level")
@@ -258,8 +258,8 @@
 	return nil
 }
 
-// nameRows names the rows under the bars, by their number in the table.
-func nameRows(p *plot.Plot, rows []burn.Row) {
+// labelRows names the rows under the bars, by their number in the table.
+func labelRows(p *plot.Plot, rows []burn.Row) {
 	names := make([]string, len(rows))
 	for i := range rows {
 		names[i] = fmt.Sprintf("#%d", i+1)
