--- a/burnpage/page.go
+++ b/burnpage/page.go
@@ -1,7 +1,7 @@
-// Package burnpage draws the report on service-level burn as one HTML page.
+// Package burnpage renders the report on service-level burn as one HTML page.
 //
-// It stands apart from burn so that an entry instance, which only counts, does
-// not link plotting and fonts.
+// It is separate from package burn so that an entry instance, which only records
+// observations, does not link the plotting library and its fonts.
 //
 // # Usage
 //
@@ -33,10 +33,11 @@
 	"over":    func(got, target time.Duration) bool { return target > 0 && got > target },
 }).Parse(pageText))
 
-// maxPlotRows bounds the rows of a plot to what can be read.
+// maxPlotRows limits the rows of a plot, which becomes illegible with more.
 const maxPlotRows = 16
 
-// pageData is what the page shows.
+// pageData is the input of the page template. Cut reports whether the plots omit rows, and
+// Plotted is the number of rows that they show.
 type pageData struct {
 	burn.Report
 
@@ -46,7 +47,8 @@
 	Plots   []template.HTML
 }
 
-// Write writes a report as one page that needs no other file.
+// Write writes a report as one self-contained HTML page, with the rows in ascending order of
+// the budget left.
 func Write(w io.Writer, r burn.Report) error {
 	r.Rows = slices.Clone(r.Rows)
 	slices.SortStableFunc(r.Rows, func(a, b burn.Row) int { return cmp.Compare(a.BudgetLeft, b.BudgetLeft) })
--- a/burnpage/page_test.go
+++ b/burnpage/page_test.go
@@ -11,8 +11,8 @@
 	"monsoonlever/burnpage"
 )
 
-// sample is the snapshot of an hour with a model and a plain service. An account
-// has a name that must not become part of the page's code.
+// sample returns a snapshot of an hour with a model service and a plain service. One account
+// name is a script element, which the page must escape.
 func sample() burn.Snapshot {
 	start := time.Date(2026, 5, 4, 8, 0, 0, 0, time.UTC)
 	r := &burn.Recorder{Instance: "entry-1"}
@@ -42,7 +42,7 @@
 
 	for _, want := range []string{"<svg", "Burn rate by window", "&lt;script&gt;", "bankFile"} {
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("got no %q", want)
+			t.Errorf("page: got no %q", want)
 		}
 	}
 }
--- a/burnpage/plot.go
+++ b/burnpage/plot.go
@@ -23,13 +23,14 @@
 	plotWidth         = 17 * vg.Centimeter
 	plotHeight        = 8 * vg.Centimeter
 	maxBarWidthPoints = 9
-	// totalBarWidthPoints is what all bars of a plot and the gaps between them share.
+	// totalBarWidthPoints is the width of all bars of a plot and the gaps between them.
 	totalBarWidthPoints = 400
 	lineWidthPoints     = 1.5
 	headroomFactor      = 1.3
 )
 
-// palette is told apart without red against green, and dark on light.
+// palette has colors that contrast with a light background and can be distinguished without
+// telling red from green.
 var palette = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x4e, B: 0x79, A: 0xff},
 	color.RGBA{R: 0xc5, G: 0x5a, B: 0x11, A: 0xff},
@@ -53,7 +54,8 @@
 		return "", merry.Prepend(err, "render plot")
 	}
 
-	// What comes before the element itself belongs to a file of its own.
+	// The XML declaration and the comment before the element belong only in a separate
+	// SVG file.
 	_, element, found := bytes.Cut(b.Bytes(), []byte("<svg"))
 	if !found {
 		return "", merry.New("render plot: no svg element")
@@ -80,14 +82,14 @@
 	return p
 }
 
-// addMargins keeps bars clear of the edges and of the legend.
+// addMargins extends the axes so that bars do not touch the edges or the legend.
 func addMargins(p *plot.Plot, bars int) {
 	p.Y.Max *= headroomFactor
 	p.X.Min = -1
 	p.X.Max = float64(bars)
 }
 
-// attainedPlot shows over time which part of each service's requests was good.
+// attainedPlot draws the percentage of good requests of each service over time.
 func attainedPlot(services []burn.ServiceRow) (template.HTML, error) {
 	p := newPlot("Answered within the targets", "% of requests")
 	p.X.Tick.Marker = plot.TimeTicks{Format: "15:04:05"}
@@ -112,7 +114,7 @@
 
 		line, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
-			return "", merry.Prepend(err, "plot of attained")
+			return "", merry.Prepend(err, "draw line of a service")
 		}
 
 		line.Color, line.Width = seriesColor(i), vg.Points(lineWidthPoints)
@@ -121,13 +123,13 @@
 		p.Legend.Add(string(s.Service), line)
 	}
 
-	// The legend stands below the lines.
+	// The legend is at the bottom, below the lines.
 	p.Y.Min = 100 - (100-p.Y.Min)*headroomFactor
 
 	return svg(p, plotHeight)
 }
 
-// burnPlot shows the burn rates of each row by window.
+// burnPlot draws the burn rates of each row by window.
 func burnPlot(rows []burn.Row) (template.HTML, error) {
 	p := newPlot("Burn rate by window (1 spends the budget in three days)", "burn rate")
 
@@ -153,8 +155,7 @@
 	return svg(p, plotHeight+vg.Centimeter)
 }
 
-// latencyPlot shows the percentiles of the time to the whole answer as a part
-// of the target.
+// latencyPlot draws the 95th percentile of each latency of a row as a percentage of its target.
 func latencyPlot(rows []burn.Row) (template.HTML, error) {
 	p := newPlot("Latency, 95th percentile as a part of its target", "% of target")
 	kinds := []struct {
@@ -199,7 +200,8 @@
 	return float64(got) / float64(target)
 }
 
-// refusedPlot shows refusals by reason.
+// refusedPlot draws the number of refused requests by reason. It returns an empty string if
+// there are none.
 func refusedPlot(rows []burn.Row) (template.HTML, error) {
 	sums := burn.ReasonTotals(rows)
 	if len(sums) == 0 {
@@ -230,7 +232,7 @@
 
 	bars, err := plotter.NewBarChart(values, vg.Points(width))
 	if err != nil {
-		return merry.Prepend(err, "plot of bars")
+		return merry.Prepend(err, "draw bars")
 	}
 
 	bars.Color = seriesColor(i)
@@ -245,11 +247,11 @@
 	return nil
 }
 
-// addReferenceLine draws a dashed line across all bars.
+// addReferenceLine draws a dashed horizontal line at y across all bars.
 func addReferenceLine(p *plot.Plot, y float64, bars int) error {
 	line, err := plotter.NewLine(plotter.XYs{{X: -0.5, Y: y}, {X: float64(bars) - 0.5, Y: y}})
 	if err != nil {
-		return merry.Prepend(err, "plot of a level")
+		return merry.Prepend(err, "draw reference line")
 	}
 
 	line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
@@ -258,7 +260,7 @@
 	return nil
 }
 
-// labelRows names the rows under the bars, by their number in the table.
+// labelRows labels the bars of each row with the number of the row in the table.
 func labelRows(p *plot.Plot, rows []burn.Row) {
 	names := make([]string, len(rows))
 	for i := range rows {
