--- a/evacuation/desk_test.go
+++ b/evacuation/export_scheduler_test.go
@@ -13,14 +13,14 @@
 	"monsoonlever/clock"
 )
 
-// TestDeskExportsOneAtATimeDearestFirst asks in the order of arrival; what
-// does not fit into the notice any more is refused.
-func TestDeskExportsOneAtATimeDearestFirst(t *testing.T) {
+// TestExportSchedulerExportsCostliestFirst guards against exports in the order
+// of their requests. Streams that no longer fit into the notice are refused.
+func TestExportSchedulerExportsCostliestFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		desk := &Desk{
+		desk := &ExportScheduler{
 			Clock:       clock.System{},
-			Coordinator: &Coordinator{Planner: Planner{Policy: testPolicy()}, Gather: 20 * time.Millisecond},
+			Coordinator: &Coordinator{Planner: Planner{Policy: testPolicy()}, GatherWindow: 20 * time.Millisecond},
 			Targets:     func() []Target { return []Target{{Server: "t", Domain: "b1", Room: 9000}} },
 		}
 
