--- a/daemon/exports.go
+++ b/daemon/exports.go
@@ -32,7 +32,7 @@
 
 func newCoordinator() *evacuation.Coordinator {
 	return &evacuation.Coordinator{
-		Gather: gatherExports,
+		GatherWindow: gatherExports,
 		Planner: evacuation.Planner{
 			Wave: &evacuation.Wave{HalfLife: waveHalfLife},
 			Policy: evacuation.Policy{
@@ -74,7 +74,7 @@
 	}
 
 	if server, ok := p.directory.Server(id); ok {
-		p.desk.SetPlaces(p.places())
+		p.desk.SetDomains(p.places())
 		p.desk.Notice(evacuation.Notice{Server: id, Domain: server.Domain(), At: at})
 	}
 
@@ -84,8 +84,8 @@
 }
 
 // places returns what is known of each failure domain.
-func (p *parts) places() map[fleet.FailureDomain]evacuation.Place {
-	out := make(map[fleet.FailureDomain]evacuation.Place)
+func (p *parts) places() map[fleet.FailureDomain]evacuation.DomainInfo {
+	out := make(map[fleet.FailureDomain]evacuation.DomainInfo)
 
 	m := p.manifest()
 	if m == nil {
@@ -94,7 +94,7 @@
 
 	for _, region := range m.Regions() {
 		for _, domain := range region.FailureDomains() {
-			out[domain.Name()] = evacuation.Place{Region: region.Name(), Price: dearest(domain)}
+			out[domain.Name()] = evacuation.DomainInfo{Region: region.Name(), Price: dearest(domain)}
 		}
 	}
 
--- a/evacuation/desk.go
+++ b/evacuation/export_scheduler.go
@@ -11,15 +11,15 @@
 	"monsoonlever/fleet"
 )
 
-// bytesPerPromptToken estimates the tokens of a prompt from its length.
+// bytesPerPromptToken is the estimated length of a prompt token.
 const bytesPerPromptToken = 4
 
-// Desk is the shell of a Coordinator: an answer.ExportSource. The exported
-// fields are set before Run.
-type Desk struct {
+// ExportScheduler runs a Coordinator on a clock and implements
+// answer.ExportSource. Its exported fields must be set before Run.
+type ExportScheduler struct {
 	Clock       clock.Clock
 	Coordinator *Coordinator
-	// Targets returns the servers that could take caches at present.
+	// Targets returns the servers that can currently receive KV caches.
 	Targets func() []Target
 
 	mu      sync.Mutex
@@ -28,13 +28,13 @@
 	once    sync.Once
 }
 
-// Run gives out the turns until the context ends.
-func (d *Desk) Run(ctx context.Context) {
+// Run permits and refuses exports until the context is canceled.
+func (d *ExportScheduler) Run(ctx context.Context) {
 	d.init()
 
 	for {
 		var timer <-chan time.Time
-		if at, ok := d.turns(); ok {
+		if at, ok := d.grantTurns(); ok {
 			timer = d.Clock.After(at.Sub(d.Clock.Now()))
 		}
 
@@ -47,18 +47,20 @@
 	}
 }
 
-// Notice takes a reclaim notice of a backend server.
-func (d *Desk) Notice(n Notice) {
-	d.do(func(now time.Time) { d.Coordinator.Notice(now, n) })
+// Notice records the reclaim notice of a backend server.
+func (d *ExportScheduler) Notice(n Notice) {
+	d.step(func(now time.Time) { d.Coordinator.Notice(now, n) })
 }
 
-// Gone forgets a server that has been reclaimed.
-func (d *Desk) Gone(server fleet.InstanceID) {
-	d.do(func(time.Time) { d.Coordinator.Gone(server) })
+// RemoveServer discards the state of a server that has been reclaimed.
+func (d *ExportScheduler) RemoveServer(server fleet.InstanceID) {
+	d.step(func(time.Time) { d.Coordinator.RemoveServer(server) })
 }
 
-// Target waits for the turn of an answer.
-func (d *Desk) Target(ctx context.Context, r answer.Request, e answer.ExportKV) (answer.ExportTurn, bool) {
+// Target blocks until the export of an answer's KV cache is permitted or refused,
+// or until the context is canceled. It reports whether the export is permitted.
+// If so, the caller must call Done of the returned turn after the export.
+func (d *ExportScheduler) Target(ctx context.Context, r answer.Request, e answer.ExportKV) (answer.ExportTurn, bool) {
 	turn := make(chan fleet.InstanceID, 1)
 	stream := Stream{
 		Attempt:  e.Attempt,
@@ -68,13 +70,13 @@
 		Tokens:   len(r.Prompt)/bytesPerPromptToken + e.Tokens,
 	}
 
-	d.do(func(now time.Time) {
+	d.step(func(now time.Time) {
 		d.waiting[e.Attempt] = turn
-		d.Coordinator.Ask(now, stream, e.By)
+		d.Coordinator.Enqueue(now, stream, e.By)
 	})
 
 	done := func() {
-		d.do(func(time.Time) {
+		d.step(func(time.Time) {
 			delete(d.waiting, e.Attempt)
 			d.Coordinator.Done(e.Attempt)
 		})
@@ -93,7 +95,7 @@
 	return answer.ExportTurn{}, false
 }
 
-func (d *Desk) init() {
+func (d *ExportScheduler) init() {
 	d.once.Do(func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -103,7 +105,7 @@
 	})
 }
 
-func (d *Desk) do(step func(now time.Time)) {
+func (d *ExportScheduler) step(step func(now time.Time)) {
 	d.init()
 	d.mu.Lock()
 	step(d.Clock.Now())
@@ -115,8 +117,9 @@
 	}
 }
 
-// turns gives out the present turns and returns when there may be more.
-func (d *Desk) turns() (time.Time, bool) {
+// grantTurns permits and refuses the exports that are due. It returns the result
+// of Coordinator.Wake.
+func (d *ExportScheduler) grantTurns() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
