--- a/burnpage/plot.go
+++ b/burnpage/plot.go
@@ -20,16 +20,17 @@
 )
 
 const (
-	plotWidth  = 17 * vg.Centimeter
-	plotHeight = 8 * vg.Centimeter
-	maxBar     = 9
-	// barRoom is what all bars of a plot and the gaps between them share.
-	barRoom   = 400
-	lineWidth = 1.5
-	headRoom  = 1.3
+	plotWidth         = 17 * vg.Centimeter
+	plotHeight        = 8 * vg.Centimeter
+	maxBarWidthPoints = 9
+	// totalBarWidthPoints is the width of all bars of a plot and the gaps between them.
+	totalBarWidthPoints = 400
+	lineWidthPoints     = 1.5
+	headroomFactor      = 1.3
 )
 
-// palette is told apart without red against green, and dark on light.
+// palette has colors that contrast with a light background and can be distinguished without
+// telling red from green.
 var palette = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x4e, B: 0x79, A: 0xff},
 	color.RGBA{R: 0xc5, G: 0x5a, B: 0x11, A: 0xff},
@@ -39,7 +40,7 @@
 	color.RGBA{R: 0x7f, G: 0x7f, B: 0x7f, A: 0xff},
 }
 
-func paint(i int) color.Color {
+func seriesColor(i int) color.Color {
 	return palette[i%len(palette)]
 }
 
@@ -53,7 +54,8 @@
 		return "", merry.Prepend(err, "render plot")
 	}
 
-	// What comes before the element itself belongs to a file of its own.
+	// The XML declaration and the comment before the element belong only in a separate
+	// SVG file.
 	_, element, found := bytes.Cut(b.Bytes(), []byte("<svg"))
 	if !found {
 		return "", merry.New("render plot: no svg element")
@@ -80,14 +82,14 @@
 	return p
 }
 
-// leaveRoom keeps bars clear of the edges and of the legend.
-func leaveRoom(p *plot.Plot, bars int) {
-	p.Y.Max *= headRoom
+// addMargins extends the axes so that bars do not touch the edges or the legend.
+func addMargins(p *plot.Plot, bars int) {
+	p.Y.Max *= headroomFactor
 	p.X.Min = -1
 	p.X.Max = float64(bars)
 }
 
-// attainedPlot shows over time which part of each service's requests was good.
+// attainedPlot draws the percentage of good requests of each service over time.
 func attainedPlot(services []burn.ServiceRow) (template.HTML, error) {
 	p := newPlot("Answered within the targets", "% of requests")
 	p.X.Tick.Marker = plot.TimeTicks{Format: "15:04:05"}
@@ -100,9 +102,9 @@
 	for i, s := range services {
 		var points plotter.XYs
 
-		for _, one := range s.Points {
-			good := float64(one.Good) / math.Max(1, float64(one.Requests)) * 100
-			points = append(points, plotter.XY{X: float64(one.At.Unix()), Y: good})
+		for _, point := range s.Points {
+			good := float64(point.Good) / math.Max(1, float64(point.Requests)) * 100
+			points = append(points, plotter.XY{X: float64(point.At.Unix()), Y: good})
 			p.Y.Min = math.Min(p.Y.Min, good-1)
 		}
 
@@ -112,22 +114,22 @@
 
 		line, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
-			return "", merry.Prepend(err, "plot of attained")
+			return "", merry.Prepend(err, "draw line of a service")
 		}
 
-		line.Color, line.Width = paint(i), vg.Points(lineWidth)
-		dots.Color = paint(i)
+		line.Color, line.Width = seriesColor(i), vg.Points(lineWidthPoints)
+		dots.Color = seriesColor(i)
 		p.Add(line, dots)
 		p.Legend.Add(string(s.Service), line)
 	}
 
-	// The legend stands below the lines.
-	p.Y.Min = 100 - (100-p.Y.Min)*headRoom
+	// The legend is at the bottom, below the lines.
+	p.Y.Min = 100 - (100-p.Y.Min)*headroomFactor
 
 	return svg(p, plotHeight)
 }
 
-// burnPlot shows the burn rates of each row by window.
+// burnPlot draws the burn rates of each row by window.
 func burnPlot(rows []burn.Row) (template.HTML, error) {
 	p := newPlot("Burn rate by window (1 spends the budget in three days)", "burn rate")
 
@@ -143,18 +145,17 @@
 		}
 	}
 
-	if err := addLevel(p, 1, len(rows)); err != nil {
+	if err := addReferenceLine(p, 1, len(rows)); err != nil {
 		return "", err
 	}
 
-	nameRows(p, rows)
-	leaveRoom(p, len(rows))
+	labelRows(p, rows)
+	addMargins(p, len(rows))
 
 	return svg(p, plotHeight+vg.Centimeter)
 }
 
-// latencyPlot shows the percentiles of the time to the whole answer as a part
-// of the target.
+// latencyPlot draws the 95th percentile of each latency of a row as a percentage of its target.
 func latencyPlot(rows []burn.Row) (template.HTML, error) {
 	p := newPlot("Latency, 95th percentile as a part of its target", "% of target")
 	kinds := []struct {
@@ -181,12 +182,12 @@
 		}
 	}
 
-	if err := addLevel(p, 100, len(rows)); err != nil {
+	if err := addReferenceLine(p, 100, len(rows)); err != nil {
 		return "", err
 	}
 
-	nameRows(p, rows)
-	leaveRoom(p, len(rows))
+	labelRows(p, rows)
+	addMargins(p, len(rows))
 
 	return svg(p, plotHeight+vg.Centimeter)
 }
@@ -199,7 +200,8 @@
 	return float64(got) / float64(target)
 }
 
-// refusedPlot shows refusals by reason.
+// refusedPlot draws the number of refused requests by reason. It returns an empty string if
+// there are none.
 func refusedPlot(rows []burn.Row) (template.HTML, error) {
 	sums := burn.ReasonTotals(rows)
 	if len(sums) == 0 {
@@ -220,20 +222,20 @@
 	}
 
 	p.NominalX(names...)
-	leaveRoom(p, len(names))
+	addMargins(p, len(names))
 
 	return svg(p, plotHeight)
 }
 
 func addBars(p *plot.Plot, values plotter.Values, i, groups int, name string) error {
-	width := min(maxBar, barRoom/float64((len(values)+1)*(groups+1)))
+	width := min(maxBarWidthPoints, totalBarWidthPoints/float64((len(values)+1)*(groups+1)))
 
 	bars, err := plotter.NewBarChart(values, vg.Points(width))
 	if err != nil {
-		return merry.Prepend(err, "plot of bars")
+		return merry.Prepend(err, "draw bars")
 	}
 
-	bars.Color = paint(i)
+	bars.Color = seriesColor(i)
 	bars.LineStyle.Width = 0
 	bars.Offset = vg.Points(width * (float64(i) - float64(groups-1)/2))
 	p.Add(bars)
@@ -245,11 +247,11 @@
 	return nil
 }
 
-// addLevel draws a dashed line across all bars.
-func addLevel(p *plot.Plot, y float64, bars int) error {
+// addReferenceLine draws a dashed horizontal line at y across all bars.
+func addReferenceLine(p *plot.Plot, y float64, bars int) error {
 	line, err := plotter.NewLine(plotter.XYs{{X: -0.5, Y: y}, {X: float64(bars) - 0.5, Y: y}})
 	if err != nil {
-		return merry.Prepend(err, "plot of a level")
+		return merry.Prepend(err, "draw reference line")
 	}
 
 	line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
@@ -258,8 +260,8 @@
 	return nil
 }
 
-// nameRows names the rows under the bars, by their number in the table.
-func nameRows(p *plot.Plot, rows []burn.Row) {
+// labelRows labels the bars of each row with the number of the row in the table.
+func labelRows(p *plot.Plot, rows []burn.Row) {
 	names := make([]string, len(rows))
 	for i := range rows {
 		names[i] = fmt.Sprintf("#%d", i+1)
--- a/placement/allowance.go
+++ b/placement/allowance.go
@@ -1,19 +1,21 @@
 package placement
 
-// allowance is how many instances of a service may be given up without need.
-type allowance struct {
-	ready   int
-	enough  int
-	changes int
+// retirementBudget limits the voluntary retirements of one service in a step.
+// Ready instances are retired only while more than minReady are left.
+type retirementBudget struct {
+	ready     int
+	minReady  int
+	remaining int
 }
 
-// take uses the allowance for one instance and tells whether that was allowed.
-func (a *allowance) take(o *ObservedInstance) bool {
-	if !o.Known || a.changes <= 0 || o.Ready && a.ready <= a.enough {
+// take reports whether the instance may be retired, and if so deducts it from
+// the budget. An instance of unknown health is never retired.
+func (a *retirementBudget) take(o *ObservedInstance) bool {
+	if !o.HealthKnown || a.remaining <= 0 || o.Ready && a.ready <= a.minReady {
 		return false
 	}
 
-	a.changes--
+	a.remaining--
 
 	if o.Ready {
 		a.ready--
--- a/placement/layout.go
+++ b/placement/layout.go
@@ -8,42 +8,42 @@
 	"monsoonlever/fleet"
 )
 
-// layout is a number of instances in each option, judged against a demand.
+// layout is a number of instances for each option, evaluated against a demand.
 type layout struct {
 	options []option
 	shares  []float64
 	counts  []int
-	// places is the index of each option's failure domain.
-	places []int
-	// sums is room to add up the shares of each failure domain.
-	sums    []float64
-	urgent  float64
-	minimum int
-	maximum int
+	// domainIndexes maps each option to the index of the first option in its domain.
+	domainIndexes []int
+	// domainShares is a reused buffer for the shares by failure domain.
+	domainShares []float64
+	urgentShare  float64
+	minimum      int
+	maximum      int
 }
 
-// totalStep is the step between the totals that are tried for the ideal layout,
-// as a share of the demand.
-const totalStep = 0.04
+// totalShareStep is the step between the total capacities that
+// cheapestFromScratch tries, as a fraction of the demand.
+const totalShareStep = 0.04
 
-// enough absorbs rounding in sums of shares.
-const enough = 1e-9
+// roundingTolerance absorbs rounding in sums of shares.
+const roundingTolerance = 1e-9
 
-// newLayout starts from what the service has.
+// newLayout returns a layout with the current instances of the service.
 func newLayout(options []option, service Service, demand Load, have map[Cell]int, surge int) *layout {
 	l := &layout{
-		options: options,
-		counts:  make([]int, len(options)),
-		sums:    make([]float64, len(options)),
-		urgent:  service.UrgentShare,
-		minimum: service.Min + surge,
-		maximum: max(service.Max, service.Min+surge),
+		options:      options,
+		counts:       make([]int, len(options)),
+		domainShares: make([]float64, len(options)),
+		urgentShare:  service.UrgentShare,
+		minimum:      service.Min + surge,
+		maximum:      max(service.Max, service.Min+surge),
 	}
 
 	for i, o := range options {
 		l.shares = append(l.shares, o.capacity.share(demand))
 		l.counts[i] = have[o.cell]
-		l.places = append(l.places, slices.IndexFunc(options, func(other option) bool {
+		l.domainIndexes = append(l.domainIndexes, slices.IndexFunc(options, func(other option) bool {
 			return other.cell.Domain == o.cell.Domain
 		}))
 	}
@@ -63,26 +63,27 @@
 func (l *layout) price() float64 {
 	sum := 0.0
 	for i, n := range l.counts {
-		sum += float64(n) * l.options[i].weighed
+		sum += float64(n) * l.options[i].riskPrice
 	}
 
 	return sum
 }
 
-// carried is the share of the demand that all instances carry, and left is what
-// remains after the loss of the worst failure domain, which is returned too.
-func (l *layout) carried() (all, left float64, worst fleet.FailureDomain) {
-	clear(l.sums)
+// coverage returns the fraction of the demand that all instances carry, the
+// fraction that remains after the loss of the failure domain that carries most,
+// and that domain.
+func (l *layout) coverage() (all, remaining float64, worst fleet.FailureDomain) {
+	clear(l.domainShares)
 
-	for i, place := range l.places {
+	for i, place := range l.domainIndexes {
 		share := float64(l.counts[i]) * l.shares[i]
 		all += share
-		l.sums[place] += share
+		l.domainShares[place] += share
 	}
 
 	greatest := 0.0
 
-	for place, share := range l.sums {
+	for place, share := range l.domainShares {
 		if share > greatest {
 			greatest, worst = share, l.options[place].cell.Domain
 		}
@@ -91,12 +92,12 @@
 	return all, all - greatest, worst
 }
 
-// covers tells whether the demand is carried now, and its urgent share after the
-// loss of any one failure domain. A service of two instances or more is never
-// held in one failure domain alone.
+// covers reports whether the instances carry the demand, and its urgent share
+// after the loss of any one failure domain. A service with a minimum of two or
+// more instances must span at least two failure domains.
 func (l *layout) covers() bool {
-	all, left, _ := l.carried()
-	if l.total() < l.minimum || all < 1-enough || left < l.urgent-enough {
+	all, left, _ := l.coverage()
+	if l.total() < l.minimum || all < 1-roundingTolerance || left < l.urgentShare-roundingTolerance {
 		return false
 	}
 
@@ -106,8 +107,8 @@
 // grow adds the cheapest instances until the demand is covered.
 func (l *layout) grow() {
 	for !l.covers() && l.total() < l.maximum {
-		all, _, worst := l.carried()
-		spread := all >= 1-enough && l.total() >= l.minimum
+		all, _, worst := l.coverage()
+		spread := all >= 1-roundingTolerance && l.total() >= l.minimum
 
 		i := l.cheapest(worst, spread)
 		if i < 0 {
@@ -118,17 +119,18 @@
 	}
 }
 
-// grown returns the cheaper of two ways to cover the demand without giving
-// anything up: the next cheapest instances, or those of the ideal layout.
-func (l *layout) grown() *layout {
-	greedy := l.copied(l.counts)
+// cheapestGrowth returns the cheaper of two layouts that cover the demand and
+// keep all current instances: one that adds the cheapest instances greedily,
+// and one that adds the instances of cheapestFromScratch.
+func (l *layout) cheapestGrowth() *layout {
+	greedy := l.withCounts(l.counts)
 	if l.covers() {
 		return greedy
 	}
 
 	greedy.grow()
 
-	best := l.ideal()
+	best := l.cheapestFromScratch()
 	if best == nil {
 		return greedy
 	}
@@ -137,7 +139,7 @@
 		best.counts[i] = max(best.counts[i], n)
 	}
 
-	best.shrinkTo(l.counts)
+	best.shrinkToFloors(l.counts)
 
 	if !best.covers() || best.total() > l.maximum || greedy.covers() && greedy.price() <= best.price() {
 		return greedy
@@ -146,9 +148,9 @@
 	return best
 }
 
-// cheapest returns the option with the least price for what it carries, outside
-// the worst failure domain if only the loss of that one is uncovered. Avoided
-// options are taken only where there is no other.
+// cheapest returns the option with the lowest price per carried share. With spread
+// set it skips the worst failure domain, because only the loss of that domain is
+// uncovered. Avoided options are chosen only if there is no other.
 func (l *layout) cheapest(worst fleet.FailureDomain, spread bool) int {
 	best := -1
 
@@ -157,7 +159,7 @@
 			continue
 		}
 
-		if best < 0 || l.better(i, best) {
+		if best < 0 || l.isBetter(i, best) {
 			best = i
 		}
 	}
@@ -165,13 +167,13 @@
 	return best
 }
 
-func (l *layout) better(i, j int) bool {
+func (l *layout) isBetter(i, j int) bool {
 	a, b := l.options[i], l.options[j]
 	if a.avoided != b.avoided {
 		return !a.avoided
 	}
 
-	priceA, priceB := a.weighed/l.shares[i], b.weighed/l.shares[j]
+	priceA, priceB := a.riskPrice/l.shares[i], b.riskPrice/l.shares[j]
 	if priceA != priceB {
 		return priceA < priceB
 	}
@@ -179,20 +181,20 @@
 	return l.counts[i] < l.counts[j]
 }
 
-// shrink removes the dearest instances that the demand does not need.
+// shrink removes instances that the demand does not need, most expensive first.
 func (l *layout) shrink() {
-	l.shrinkTo(make([]int, len(l.counts)))
+	l.shrinkToFloors(make([]int, len(l.counts)))
 }
 
-// shrinkTo does the same, but leaves each option at least its floor.
-func (l *layout) shrinkTo(floors []int) {
+// shrinkToFloors is shrink with a minimum count for each option.
+func (l *layout) shrinkToFloors(floors []int) {
 	order := make([]int, len(l.options))
 	for i := range order {
 		order[i] = i
 	}
 
 	slices.SortStableFunc(order, func(i, j int) int {
-		return cmp.Compare(l.options[j].weighed/l.shares[j], l.options[i].weighed/l.shares[i])
+		return cmp.Compare(l.options[j].riskPrice/l.shares[j], l.options[i].riskPrice/l.shares[i])
 	})
 
 	for _, i := range order {
@@ -208,13 +210,14 @@
 	}
 }
 
-// maxSwaps bounds the instances that one plan moves.
+// maxSwaps is the maximum number of instances that one plan moves.
 const maxSwaps = 4
 
-// improve replaces single instances by cheaper ones elsewhere that save at least
-// the threshold of the old one's price, and returns how many. The demand stays
-// covered after each, so a move that is cut short leaves no gap.
-func (l *layout) improve(threshold float64) int {
+// moveToCheaper replaces single instances by cheaper ones in other cells, each
+// saving at least the threshold as a fraction of the old price, and returns the
+// number of replacements. The demand stays covered after each replacement, so an
+// interrupted move causes no shortage.
+func (l *layout) moveToCheaper(threshold float64) int {
 	swaps := 0
 
 	for swaps < maxSwaps && l.swap(threshold) {
@@ -224,7 +227,7 @@
 	return swaps
 }
 
-// swap makes the replacement that saves most.
+// swap makes the replacement with the greatest saving and reports whether there was one.
 func (l *layout) swap(threshold float64) bool {
 	from, to, best := -1, -1, 0.0
 
@@ -234,8 +237,8 @@
 		}
 
 		for j, o := range l.options {
-			saving := old.weighed - o.weighed
-			if o.avoided || saving <= best || saving < threshold*old.weighed || !l.coversWith(i, j) {
+			saving := old.riskPrice - o.riskPrice
+			if o.avoided || saving <= best || saving < threshold*old.riskPrice || !l.coversAfterSwap(i, j) {
 				continue
 			}
 
@@ -253,7 +256,7 @@
 	return true
 }
 
-func (l *layout) coversWith(from, to int) bool {
+func (l *layout) coversAfterSwap(from, to int) bool {
 	l.counts[from]--
 	l.counts[to]++
 
@@ -265,16 +268,16 @@
 	return covers
 }
 
-// ideal returns the cheapest layout for the demand without regard to what there
-// is. It tries each bound on what one failure domain may carry: for a total T
-// no domain may carry more than T less the urgent share.
-func (l *layout) ideal() *layout {
-	order := l.byPrice()
+// cheapestFromScratch returns the cheapest layout for the demand, ignoring current
+// instances. It tries a range of total capacities: with a total T, no failure
+// domain may carry more than T minus the urgent share.
+func (l *layout) cheapestFromScratch() *layout {
+	order := l.optionsByPrice()
 
 	var best *layout
 
-	for total := max(1, l.urgent); total <= 1+max(1, l.urgent); total += totalStep {
-		candidate := l.fill(order, total)
+	for total := max(1, l.urgentShare); total <= 1+max(1, l.urgentShare); total += totalShareStep {
+		candidate := l.fillInOrder(order, total)
 		if candidate == nil {
 			continue
 		}
@@ -287,16 +290,16 @@
 	return best
 }
 
-func (l *layout) fill(order []int, total float64) *layout {
-	candidate := l.copied(make([]int, len(l.counts)))
-	bound := total - l.urgent
+func (l *layout) fillInOrder(order []int, total float64) *layout {
+	candidate := l.withCounts(make([]int, len(l.counts)))
+	bound := total - l.urgentShare
 	domains := make(map[fleet.FailureDomain]float64)
 	sum := 0.0
 
 	for _, i := range order {
 		domain := l.options[i].cell.Domain
 		room := min(bound-domains[domain], total-sum)
-		n := int(math.Floor(room/l.shares[i] + enough))
+		n := int(math.Floor(room/l.shares[i] + roundingTolerance))
 
 		if rest := total - sum - float64(n)*l.shares[i]; rest > 0 && bound-domains[domain] >= float64(n+1)*l.shares[i] {
 			n++
@@ -321,14 +324,14 @@
 	return candidate
 }
 
-func (l *layout) copied(counts []int) *layout {
+func (l *layout) withCounts(counts []int) *layout {
 	result := *l
 	result.counts = slices.Clone(counts)
 
 	return &result
 }
 
-func (l *layout) byPrice() []int {
+func (l *layout) optionsByPrice() []int {
 	var order []int
 
 	for i, o := range l.options {
@@ -338,7 +341,7 @@
 	}
 
 	slices.SortStableFunc(order, func(i, j int) int {
-		return cmp.Compare(l.options[i].weighed/l.shares[i], l.options[j].weighed/l.shares[j])
+		return cmp.Compare(l.options[i].riskPrice/l.shares[i], l.options[j].riskPrice/l.shares[j])
 	})
 
 	return order
