--- a/placement/layout.go
+++ b/placement/layout.go
@@ -96,12 +96,12 @@
 // after the loss of any one failure domain. A service with a minimum of two or
 // more instances must span at least two failure domains.
 func (l *layout) covers() bool {
-	all, left, _ := l.coverage()
-	if l.total() < l.minimum || all < 1-roundingTolerance || left < l.urgentShare-roundingTolerance {
+	all, remaining, _ := l.coverage()
+	if l.total() < l.minimum || all < 1-roundingTolerance || remaining < l.urgentShare-roundingTolerance {
 		return false
 	}
 
-	return l.minimum < 2 || left > 0
+	return l.minimum < 2 || remaining > 0
 }
 
 // grow adds the cheapest instances until the demand is covered.
--- a/placement/reconcile.go
+++ b/placement/reconcile.go
@@ -8,9 +8,9 @@
 	"monsoonlever/provider"
 )
 
-// purchase asks for every intent that has no instance. A retired intent is asked for
-// as well while an earlier call may still take effect: once its token is known
-// to be used up, no late call can purchase with it.
+// purchase calls the cloud API for every intent without an instance. This
+// includes a retired intent while an earlier call may still take effect: once
+// its token is known to be used, a delayed call cannot buy with it.
 func (r *Reconciler) purchase(now time.Time) []Command {
 	var commands []Command
 
--- a/placement/rollout_test.go
+++ b/placement/rollout_test.go
@@ -15,21 +15,21 @@
 // engine simulates a runner that checks the fence of each order.
 type engine struct {
 	id      fleet.InstanceID
-	holding placement.EngineSpec
+	spec    placement.EngineSpec
 	fence   lease.Fence
 	ready   bool
 	loading int
 	busy    int
 }
 
-func (e *engine) applyOrder(fence lease.Fence, holding placement.EngineSpec) {
+func (e *engine) applyOrder(fence lease.Fence, spec placement.EngineSpec) {
 	if fence < e.fence {
 		return
 	}
 
 	e.fence = fence
-	if holding != e.holding {
-		e.holding = holding
+	if spec != e.spec {
+		e.spec = spec
 		e.ready = false
 		e.loading = 4
 	}
@@ -80,7 +80,7 @@
 	var result []placement.Runner
 	for _, e := range f.engines {
 		result = append(result, placement.Runner{
-			Instance: e.id, Spec: e.holding, Ready: e.ready, Idle: e.busy == 0, Settled: e.fence == fence,
+			Instance: e.id, Spec: e.spec, Ready: e.ready, Idle: e.busy == 0, Settled: e.fence == fence,
 		})
 	}
 
@@ -162,7 +162,7 @@
 
 		for i := range rapid.IntRange(1, 5).Draw(t, "engines") {
 			f.engines = append(f.engines, &engine{
-				id: fleet.InstanceID(fmt.Sprintf("r%d", i)), holding: version("1"), ready: true,
+				id: fleet.InstanceID(fmt.Sprintf("r%d", i)), spec: version("1"), ready: true,
 				busy: rapid.IntRange(0, 10).Draw(t, "busy"),
 			})
 		}
@@ -184,11 +184,11 @@
 		}
 
 		for _, e := range f.engines {
-			if len(f.engines) > 1 && e.holding != wanted.Spec {
-				t.Errorf("%s: got version %s, want %s", e.id, e.holding.Version, wanted.Spec.Version)
+			if len(f.engines) > 1 && e.spec != wanted.Spec {
+				t.Errorf("%s: got version %s, want %s", e.id, e.spec.Version, wanted.Spec.Version)
 			}
 
-			if e.holding == wanted.Spec {
+			if e.spec == wanted.Spec {
 				moved++
 			}
 		}
@@ -215,6 +215,6 @@
 		}
 
 		e := f.engineByID(a.Target)
-		h.corrector.Observe(a.Target, lease.Readback[placement.EngineSpec]{State: e.holding, Fence: e.fence, ChecksFence: true})
+		h.corrector.Observe(a.Target, lease.Readback[placement.EngineSpec]{State: e.spec, Fence: e.fence, ChecksFence: true})
 	}
 }
