--- a/admission/account_test.go
+++ b/admission/account_test.go
@@ -43,10 +43,10 @@
 	}
 }
 
-func TestAccountHoldsAPartOfOneRequest(t *testing.T) {
+func TestShareBelowOneRequestLimitsItsTime(t *testing.T) {
 	c := newController(t, testConfig(1000, 10, AccountConfig{Account: testAccount, Concurrent: 1}))
 	a := c.table.Load().accounts[testAccount]
-	a.limits.Store(&limits{account: AccountConfig{Concurrent: 1}, share: 0.25})
+	a.limits.Store(&limits{config: AccountConfig{Concurrent: 1}, share: 0.25})
 
 	first := c.Admit(start, testRequest())
 	c.Finish(start.Add(time.Second), first, Outcome{Duration: time.Second})
@@ -56,8 +56,8 @@
 		at   time.Duration
 		want Verdict
 	}{
-		{desc: "rests for three quarters of the time", at: 3900 * time.Millisecond, want: Refused},
-		{desc: "goes on after that", at: 4 * time.Second, want: Admitted},
+		{desc: "idle for three quarters of the time", at: 3900 * time.Millisecond, want: Refused},
+		{desc: "runs the next request after that", at: 4 * time.Second, want: Admitted},
 	}
 
 	for _, tt := range tests {
--- a/admission/service.go
+++ b/admission/service.go
@@ -12,10 +12,10 @@
 // service is the state of one service on this instance.
 type service struct {
 	name    fleet.Service
-	limiter limiter
-	// kinds is replaced as a whole and never changed.
-	kinds atomic.Pointer[map[fleet.CallKind]*kind]
-	// queued lets the path of a request see an empty queue without the lock.
+	limiter concurrencyLimiter
+	// kinds is copied on write; the map is never changed in place.
+	kinds atomic.Pointer[map[fleet.CallKind]*callKind]
+	// queued is the length of the queue, for checks without the lock.
 	queued   atomic.Int64
 	jitter   *jitter
 	counters *counters
@@ -26,24 +26,24 @@
 	withdrawn bool
 }
 
-func (s *service) kind(k fleet.CallKind) *kind {
+func (s *service) callKind(k fleet.CallKind) *callKind {
 	return (*s.kinds.Load())[k]
 }
 
-// configure takes new settings and keeps what was learned.
+// configure applies new settings and keeps the measurements.
 func (s *service) configure(c ServiceConfig) {
 	s.limiter.configure(c)
 
-	kinds := make(map[fleet.CallKind]*kind, len(c.Kinds))
+	kinds := make(map[fleet.CallKind]*callKind, len(c.Kinds))
 
 	for _, k := range c.Kinds {
-		state := &kind{}
+		state := &callKind{}
 
 		if old := s.kinds.Load(); old != nil && (*old)[k.Kind] != nil {
 			state = (*old)[k.Kind]
 		}
 
-		state.target.Store(int64(k.Target))
+		state.targetLatency.Store(int64(k.Target))
 		kinds[k.Kind] = state
 	}
 
@@ -56,21 +56,22 @@
 	s.withdrawn = false
 }
 
-// giveUpAt is the last time at which starting r may still meet its deadline.
-func (s *service) giveUpAt(r *Request) time.Time {
+// latestStart returns the latest time at which r can start and still be expected to meet its
+// deadline, or the zero time if it has none.
+func (s *service) latestStart(r *Request) time.Time {
 	if r.Deadline.IsZero() {
 		return time.Time{}
 	}
 
-	k := s.kind(r.Kind)
+	k := s.callKind(r.Kind)
 	if k == nil {
 		return r.Deadline
 	}
 
-	return r.Deadline.Add(-k.expect())
+	return r.Deadline.Add(-k.expectedDuration())
 }
 
-// enqueue queues t, or refuses it in the same step.
+// enqueue queues t, or refuses it immediately.
 func (s *service) enqueue(now time.Time, t *Ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,104 +82,106 @@
 		return
 	}
 
-	if s.hopeless(now, t, s.queue.ahead(t)) {
+	if s.infeasible(now, t, s.queue.ahead(t)) {
 		s.refuse(now, t, DeadlineTooShort)
 
 		return
 	}
 
-	s.hold(t)
+	s.markQueued(t)
 
 	for _, out := range s.queue.push(t) {
-		s.letGo(out)
+		s.unmarkQueued(out)
 		s.refuse(now, out, QueueFull)
 	}
 
-	// A slot may have been released since the fast path saw none.
+	// A slot may have been released after Admit found none free.
 	s.dispatch(now)
 }
 
-// hopeless tells whether t would be started too late behind so many others.
-func (s *service) hopeless(now time.Time, t *Ticket, ahead float64) bool {
-	if t.giveUp.IsZero() {
+// infeasible reports whether t would start too late to meet its deadline, with the given number of
+// requests ahead of it.
+func (s *service) infeasible(now time.Time, t *Ticket, ahead float64) bool {
+	if t.latestStart.IsZero() {
 		return false
 	}
 
-	return !now.Add(s.limiter.drain(ahead)).Before(t.giveUp)
+	return !now.Add(s.limiter.drainTime(ahead)).Before(t.latestStart)
 }
 
-// shed refuses what was feasible on arrival and is not any more, because the
-// service has become slower or others went before it.
+// shed refuses queued requests that can no longer meet their deadline, because the service became
+// slower or other requests were queued ahead of them.
 func (s *service) shed(now time.Time) {
 	if len(s.deadlines) == 0 {
 		return
 	}
 
-	late := s.queue.late(func(t *Ticket, ahead float64) bool { return s.hopeless(now, t, ahead) })
+	late := s.queue.findInfeasible(func(t *Ticket, ahead float64) bool { return s.infeasible(now, t, ahead) })
 
 	for _, t := range late {
 		s.queue.remove(t)
-		s.letGo(t)
+		s.unmarkQueued(t)
 		s.refuse(now, t, DeadlineTooShort)
 	}
 }
 
-// hold counts t as queued.
-func (s *service) hold(t *Ticket) {
-	t.decided = make(chan struct{})
+// markQueued counts t as queued and tracks its deadline.
+func (s *service) markQueued(t *Ticket) {
+	t.done = make(chan struct{})
 	t.queued = true
 	s.queued.Add(1)
 
-	if !t.giveUp.IsZero() {
+	if !t.latestStart.IsZero() {
 		heap.Push(&s.deadlines, t)
 	}
 }
 
-// letGo undoes hold.
-func (s *service) letGo(t *Ticket) {
+// unmarkQueued undoes markQueued.
+func (s *service) unmarkQueued(t *Ticket) {
 	t.queued = false
 	s.queued.Add(-1)
 
-	if t.place != noPlace {
-		heap.Remove(&s.deadlines, t.place)
+	if t.heapIndex != notInHeap {
+		heap.Remove(&s.deadlines, t.heapIndex)
 	}
 }
 
-// dispatch gives up what is too late and starts what there are slots for.
+// dispatch refuses queued requests whose latest start has passed, and starts others while slots
+// are free.
 func (s *service) dispatch(now time.Time) {
 	s.expire(now)
 
 	for s.queue.size() > 0 && s.limiter.acquire() {
 		t := s.queue.pop()
-		s.letGo(t)
+		s.unmarkQueued(t)
 		s.counters.admitted.Inc()
-		t.decide(Decision{Verdict: Admitted, Waited: now.Sub(t.arrived)})
+		t.decide(Decision{Verdict: Admitted, Waited: now.Sub(t.arrivedAt)})
 	}
 }
 
-// expire refuses every queued request whose time to start has passed.
+// expire refuses every queued request whose latest start has passed.
 func (s *service) expire(now time.Time) {
-	for len(s.deadlines) > 0 && !s.deadlines[0].giveUp.After(now) {
+	for len(s.deadlines) > 0 && !s.deadlines[0].latestStart.After(now) {
 		t := s.deadlines[0]
 		s.queue.remove(t)
-		s.letGo(t)
+		s.unmarkQueued(t)
 		s.refuse(now, t, DeadlineTooShort)
 	}
 }
 
-// refuse decides t, which is not in the queue.
+// refuse refuses t, which is not in the queue, and refunds what it consumed of its account's limits.
 func (s *service) refuse(now time.Time, t *Ticket, r Reason) {
-	t.account.giveBack(&t.request)
+	t.account.refund(&t.request)
 	s.counters.refused[r].Inc()
 	t.decide(Decision{
 		Verdict:    Refused,
 		Reason:     r,
-		RetryAfter: s.jitter.retryAfter(s.limiter.drain(float64(s.queue.size() + 1))),
-		Waited:     now.Sub(t.arrived),
+		RetryAfter: s.jitter.retryAfter(s.limiter.drainTime(float64(s.queue.size() + 1))),
+		Waited:     now.Sub(t.arrivedAt),
 	})
 }
 
-// tick is dispatch for a service that no request has touched for a while.
+// tick dispatches and sheds queued requests, independently of requests that arrive or finish.
 func (s *service) tick(now time.Time) {
 	if s.queued.Load() == 0 {
 		return
@@ -191,8 +194,8 @@
 	s.shed(now)
 }
 
-// next starts what the released slot is for.
-func (s *service) next(now time.Time) {
+// startNext starts queued requests after a slot was released.
+func (s *service) startNext(now time.Time) {
 	if s.queued.Load() == 0 {
 		return
 	}
@@ -203,7 +206,7 @@
 	s.dispatch(now)
 }
 
-// abandon takes t out of the queue; it returns false if t was decided before.
+// abandon removes t from the queue and refuses it. It returns false if t was already decided.
 func (s *service) abandon(now time.Time, t *Ticket) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,13 +216,13 @@
 	}
 
 	s.queue.remove(t)
-	s.letGo(t)
+	s.unmarkQueued(t)
 	s.refuse(now, t, Abandoned)
 
 	return true
 }
 
-// withdraw refuses all that is queued, and all that comes later.
+// withdraw refuses all queued requests, and makes enqueue refuse all later ones.
 func (s *service) withdraw(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,20 +230,20 @@
 	s.withdrawn = true
 
 	for _, t := range s.queue.drainAll() {
-		s.letGo(t)
+		s.unmarkQueued(t)
 		s.refuse(now, t, Withdrawn)
 	}
 }
 
-// finish ends a request that ran.
+// finish releases the slot of a request that ran and records its duration.
 func (s *service) finish(now time.Time, t *Ticket, o Outcome) {
 	var target time.Duration
 
-	if k := s.kind(t.request.Kind); k != nil {
-		target = time.Duration(k.target.Load())
-		k.learn(o.Duration)
+	if k := s.callKind(t.request.Kind); k != nil {
+		target = time.Duration(k.targetLatency.Load())
+		k.observe(o.Duration)
 	}
 
 	s.limiter.release(now, target, o)
-	s.next(now)
+	s.startNext(now)
 }
--- a/backend/event_decoder.go
+++ b/backend/event_decoder.go
@@ -8,7 +8,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxOffsetDigits keeps a parsed offset within an int of any size.
+// maxOffsetDigits keeps a parsed offset within the range of a 32-bit int.
 const maxOffsetDigits = 9
 
 var (
@@ -18,15 +18,15 @@
 	eventEnd     = []byte(`"}`)
 )
 
-// eventDecoder decodes token events. An event with just a token, in the order
-// of fields that TokenEvent has, costs one allocation; the rest goes by
-// encoding/json.
+// eventDecoder decodes token events. An event of the decoder's attempt that has only an offset
+// and a token, in the field order of TokenEvent, costs one allocation. All other events are
+// decoded by encoding/json.
 type eventDecoder struct {
 	attempt AttemptID
 }
 
 func (d eventDecoder) decode(data []byte) (TokenEvent, error) {
-	if event, ok := d.decodeToken(data); ok {
+	if event, ok := d.decodeTokenOnly(data); ok {
 		return event, nil
 	}
 
@@ -42,7 +42,7 @@
 	return event, nil
 }
 
-func (d eventDecoder) decodeToken(data []byte) (TokenEvent, bool) {
+func (d eventDecoder) decodeTokenOnly(data []byte) (TokenEvent, bool) {
 	rest, ok := bytes.CutPrefix(data, fieldAttempt)
 	if !ok || len(rest) < len(d.attempt) || string(rest[:len(d.attempt)]) != string(d.attempt) {
 		return TokenEvent{}, false
@@ -64,7 +64,7 @@
 	}
 
 	token, ok := bytes.CutSuffix(rest, eventEnd)
-	if !ok || !isPlainText(token) {
+	if !ok || !isUnescapedText(token) {
 		return TokenEvent{}, false
 	}
 
@@ -89,8 +89,9 @@
 	return offset, data[digits:], digits > 0 && !leadingZero
 }
 
-// isPlainText tells whether a JSON string holds its bytes as they are.
-func isPlainText(s []byte) bool {
+// isUnescapedText reports whether the content of a JSON string is valid UTF-8 without escapes, so
+// that it needs no decoding.
+func isUnescapedText(s []byte) bool {
 	for _, b := range s {
 		if b < ' ' || b == '"' || b == '\\' {
 			return false
--- a/burnpage/page.go
+++ b/burnpage/page.go
@@ -1,7 +1,7 @@
-// Package burnpage draws the report on service-level burn as one HTML page.
+// Package burnpage renders the report on service-level burn as one HTML page.
 //
-// It stands apart from burn so that an entry instance, which only counts, does
-// not link plotting and fonts.
+// It is separate from package burn so that an entry instance, which only records
+// observations, does not link the plotting library and its fonts.
 //
 // # Usage
 //
@@ -33,10 +33,11 @@
 	"over":    func(got, target time.Duration) bool { return target > 0 && got > target },
 }).Parse(pageText))
 
-// maxPlotRows bounds the rows of a plot to what can be read.
+// maxPlotRows limits the rows of a plot, which becomes illegible with more.
 const maxPlotRows = 16
 
-// pageData is what the page shows.
+// pageData is the input of the page template. Cut reports whether the plots omit rows, and
+// Plotted is the number of rows that they show.
 type pageData struct {
 	burn.Report
 
@@ -46,7 +47,8 @@
 	Plots   []template.HTML
 }
 
-// Write writes a report as one page that needs no other file.
+// Write writes a report as one self-contained HTML page, with the rows in ascending order of
+// the budget left.
 func Write(w io.Writer, r burn.Report) error {
 	r.Rows = slices.Clone(r.Rows)
 	slices.SortStableFunc(r.Rows, func(a, b burn.Row) int { return cmp.Compare(a.BudgetLeft, b.BudgetLeft) })
@@ -57,7 +59,7 @@
 	data.Windows = burn.WindowNames()
 
 	if len(shown) > 0 {
-		drawn, err := plots(r, shown)
+		drawn, err := drawPlots(r, shown)
 		if err != nil {
 			return err
 		}
@@ -72,8 +74,8 @@
 	return nil
 }
 
-func plots(r burn.Report, shown []burn.Row) ([]template.HTML, error) {
-	var drawn []template.HTML
+func drawPlots(r burn.Report, shown []burn.Row) ([]template.HTML, error) {
+	var images []template.HTML
 
 	for _, draw := range []func() (template.HTML, error){
 		func() (template.HTML, error) { return attainedPlot(r.Services) },
@@ -81,15 +83,15 @@
 		func() (template.HTML, error) { return latencyPlot(shown) },
 		func() (template.HTML, error) { return refusedPlot(r.Rows) },
 	} {
-		one, err := draw()
+		image, err := draw()
 		if err != nil {
 			return nil, err
 		}
 
-		if one != "" {
-			drawn = append(drawn, one)
+		if image != "" {
+			images = append(images, image)
 		}
 	}
 
-	return drawn, nil
+	return images, nil
 }
--- a/evacuation/desk_test.go
+++ b/evacuation/export_scheduler_test.go
@@ -13,24 +13,24 @@
 	"monsoonlever/clock"
 )
 
-// TestDeskExportsOneAtATimeDearestFirst asks in the order of arrival; what
-// does not fit into the notice any more is refused.
-func TestDeskExportsOneAtATimeDearestFirst(t *testing.T) {
+// TestExportSchedulerExportsCostliestFirst guards against exports in the order
+// of their requests. Streams that no longer fit into the notice are refused.
+func TestExportSchedulerExportsCostliestFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		desk := &Desk{
+		scheduler := &ExportScheduler{
 			Clock:       clock.System{},
-			Coordinator: &Coordinator{Planner: Planner{Policy: testPolicy()}, Gather: 20 * time.Millisecond},
+			Coordinator: &Coordinator{Planner: Planner{Policy: testPolicy()}, GatherWindow: 20 * time.Millisecond},
 			Targets:     func() []Target { return []Target{{Server: "t", Domain: "b1", Room: 9000}} },
 		}
 
 		var loop sync.WaitGroup
 
-		loop.Go(func() { desk.Run(ctx) })
+		loop.Go(func() { scheduler.Run(ctx) })
 
 		start := time.Now()
 		by := start.Add(5 * time.Second)
-		desk.Notice(Notice{Server: "s", Domain: "a1", At: by})
+		scheduler.Notice(Notice{Server: "s", Domain: "a1", At: by})
 
 		var (
 			mu      sync.Mutex
@@ -40,7 +40,7 @@
 		)
 
 		export := func(id backend.AttemptID, tokens int) {
-			turn, ok := desk.Target(ctx, answer.Request{}, answer.ExportKV{Attempt: id, Server: "s", Tokens: tokens, By: by})
+			turn, ok := scheduler.Target(ctx, answer.Request{}, answer.ExportKV{Attempt: id, Server: "s", Tokens: tokens, By: by})
 
 			mu.Lock()
 			defer mu.Unlock()
--- a/gateway/models.go
+++ b/gateway/models.go
@@ -9,7 +9,7 @@
 	"monsoonlever/fleet"
 )
 
-// modelList is the answer to a request for the models.
+// modelList is the response of PathModels.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -21,19 +21,19 @@
 	OwnedBy fleet.Service `json:"owned_by"`
 }
 
-// models lists the models that the caller may use.
+// models responds with the list of the models that the caller may use.
 func (g *Gateway) models(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	who, refused := g.authenticate(r)
+	c, refused := g.authenticate(r)
 	if refused != nil {
-		g.refuseUnknown(w, refused)
+		g.refuseUnclassified(w, refused)
 
 		return
 	}
 
 	list := modelList{Object: "list", Data: []modelItem{}}
 
-	for _, service := range who.manifest.Services() {
-		if !who.account.Allows(service.Name()) {
+	for _, service := range c.manifest.Services() {
+		if !c.account.Allows(service.Name()) {
 			continue
 		}
 
@@ -42,8 +42,8 @@
 		}
 	}
 
-	g.boundWrite(w)
+	g.setWriteDeadline(w)
 	w.Header().Set("Content-Type", "application/json")
-	// The caller is gone if this fails; there is nobody to tell.
+	// Ignores write errors: the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(list)
 }
--- a/listener/limit_test.go
+++ b/listener/limit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestLimitRefusesAboveItsBoundAndRecovers(t *testing.T) {
+func TestLimitRefusesOverMaxAndRecovers(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,18 +41,18 @@
 
 	first := dial()
 	defer first.Close()
-	held := <-accepted
+	firstAccepted := <-accepted
 
 	second := dial()
 	defer second.Close()
 	<-refused
 
 	if got, _ := io.ReadAll(second); string(got) != "busy" {
-		t.Errorf("answer over the bound: got %q, want %q", got, "busy")
+		t.Errorf("response over the limit: got %q, want %q", got, "busy")
 	}
 
-	held.Close()
-	held.Close()
+	firstAccepted.Close()
+	firstAccepted.Close()
 
 	if got, want := l.Open(), int64(0); got != want {
 		t.Errorf("open after close: got %d, want %d", got, want)
--- a/membership/holds_test.go
+++ b/membership/holds_test.go
@@ -11,19 +11,23 @@
 )
 
 const (
-	// settleBound is the time after the last fault in which all must agree.
+	// settleBound is the time after the last fault within which all running nodes
+	// must agree.
 	settleBound = 120 * time.Second
-	// leavingBound is the time in which all must know of a leaving member.
+	// leavingBound is the time within which all nodes must list a member as
+	// leaving.
 	leavingBound = 5 * time.Second
-	// rateBound is the most a node may send in a second, over a window.
+	// rateBound is the maximum rate at which a node may send, in bytes per second,
+	// averaged over rateWindow.
 	rateBound  = 8 << 10
 	rateWindow = 10 * time.Second
 )
 
-// drawModel boots a few nodes in one or two regions and lets them join.
-func drawModel(t *rapid.T, most int) *model {
-	m := newModel(rapid.Uint64().Draw(t, "seed"))
-	size := rapid.IntRange(3, most).Draw(t, "nodes")
+// drawSimulation boots a few nodes in one or two regions and runs until they have
+// joined.
+func drawSimulation(t *rapid.T, maxNodes int) *simulation {
+	m := newSimulation(rapid.Uint64().Draw(t, "seed"))
+	size := rapid.IntRange(3, maxNodes).Draw(t, "nodes")
 	regions := rapid.IntRange(1, 2).Draw(t, "regions")
 
 	for i := range size {
@@ -37,13 +41,13 @@
 	}
 
 	if _, d := m.settle(settleBound); d != "" {
-		t.Fatalf("joining: %s", d)
+		t.Fatalf("nodes do not agree after joining: %s", d)
 	}
 
 	return m
 }
 
-// fault is one thing that goes wrong, from a time on and for a time.
+// fault is a fault of a node or a link during an interval.
 type fault struct {
 	kind  faultKind
 	node  int
@@ -78,11 +82,12 @@
 	}), 0, 8).Draw(t, "faults")
 }
 
-// play runs the faults to the end of the last and heals what they left.
-func (m *model) play(faults []fault) {
+// runFaults simulates 101 s with the faults, which all end in that time, and then
+// removes all cuts.
+func (m *simulation) runFaults(faults []fault) {
 	var cuts []fault
 
-	m.blocked = func(from, to *modelNode) bool {
+	m.blocked = func(from, to *simulatedNode) bool {
 		for _, f := range cuts {
 			if f.kind == faultIsolation && (m.nodes[f.node] == from || m.nodes[f.node] == to) {
 				return true
@@ -102,7 +107,7 @@
 		for _, f := range faults {
 			m.apply(f, time.Duration(second)*time.Second)
 
-			if inForce(f, time.Duration(second)*time.Second) {
+			if cutInForce(f, time.Duration(second)*time.Second) {
 				cuts = append(cuts, f)
 			}
 		}
@@ -110,38 +115,39 @@
 		m.run(time.Second)
 	}
 
-	m.blocked = func(_, _ *modelNode) bool { return false }
+	m.blocked = func(_, _ *simulatedNode) bool { return false }
 }
 
-func inForce(f fault, at time.Duration) bool {
+func cutInForce(f fault, at time.Duration) bool {
 	return f.from <= at && at < f.until && (f.kind == faultCut || f.kind == faultIsolation)
 }
 
-// apply starts or ends a fault of a process.
-func (m *model) apply(f fault, at time.Duration) {
+// apply starts or ends a fault that affects a process rather than a link.
+func (m *simulation) apply(f fault, at time.Duration) {
 	n := m.nodes[f.node]
 
 	switch {
 	case f.kind == faultFreeze && at == f.from && n.running:
 		n.frozen = true
 	case f.kind == faultFreeze && at == f.until:
-		m.thaw(n)
+		m.resume(n)
 	case f.kind == faultRestart && at == f.from, f.kind == faultCrash && at == f.from:
 		m.crash(n)
 	case f.kind == faultRestart && at == f.until && !n.running:
 		m.boot(n)
 	case f.kind == faultLeave && at == f.from && n.running && !n.frozen:
-		m.take(n, n.core.Leave(m.now()))
+		m.execute(n, n.core.Leave(m.now()))
 	case f.kind == faultLeave && at == f.until && n.running && !n.frozen:
-		m.take(n, n.core.Depart(m.now()))
+		m.execute(n, n.core.Depart(m.now()))
 		m.crash(n)
 	}
 }
 
-// list gives the running nodes the platform's list, which still holds the
-// instances that are gone. Without it, nodes that all restarted while every seed
-// ended for good have nothing left by which to find each other.
-func (m *model) list() {
+// discoverAllAddresses gives the running nodes the addresses of all instances,
+// including terminated ones, as the platform's instance list does. Without it,
+// nodes that have all restarted cannot find each other once every seed has crashed
+// permanently.
+func (m *simulation) discoverAllAddresses() {
 	var addresses []string
 	for _, n := range m.nodes {
 		addresses = append(addresses, n.identity.Address)
@@ -152,14 +158,15 @@
 	}
 }
 
-// TestHoldsMembershipAgreesAfterFaults: once the faults end, all that run agree
-// on who runs, and on all that each says of itself, within a bounded time. The
-// platform's list is late until then.
+// TestHoldsMembershipAgreesAfterFaults checks that, within settleBound after the
+// faults end, all running nodes agree on the live members and on the state and
+// payload of each. The nodes read the platform's instance list only after the
+// faults.
 func TestHoldsMembershipAgreesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 8)
-		m.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
-		m.repeat = rapid.Float64Range(0, 0.2).Draw(t, "repeat")
+		m := drawSimulation(t, 8)
+		m.lossRate = rapid.Float64Range(0, 0.3).Draw(t, "loss")
+		m.repeatRate = rapid.Float64Range(0, 0.2).Draw(t, "repeat")
 		m.maxDelay = rapid.IntRange(1, 60).Draw(t, "delay")
 		faults := drawFaults(t, len(m.nodes))
 
@@ -169,59 +176,59 @@
 				t.Fatal(err)
 			}
 
-			m.take(n, step)
+			m.execute(n, step)
 		}
 
-		m.play(faults)
-		m.loss = 0
+		m.runFaults(faults)
+		m.lossRate = 0
 		m.maxDelay = 2
-		m.list()
+		m.discoverAllAddresses()
 
 		if _, d := m.settle(settleBound); d != "" {
-			t.Fatalf("not agreed after %v: %s", settleBound, d)
+			t.Fatalf("nodes do not agree after %v: %s", settleBound, d)
 		}
 	})
 }
 
-// TestHoldsMembershipOrder: no node ever goes back to an older incarnation,
-// revision or status of a member, or to an older payload, whatever arrives late
-// or twice.
-func TestHoldsMembershipOrder(t *testing.T) {
+// TestHoldsMembershipNeverRevertsState checks that delayed and repeated messages
+// never make a node return to an older incarnation, revision, status or payload of
+// a member.
+func TestHoldsMembershipNeverRevertsState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 6)
-		m.loss = 0.1
-		m.repeat = 0.3
+		m := drawSimulation(t, 6)
+		m.lossRate = 0.1
+		m.repeatRate = 0.3
 		m.maxDelay = 100
-		m.changed = func(n *modelNode, c Change) {
+		m.onChange = func(n *simulatedNode, c Change) {
 			if c.Before() == nil || c.After() == nil {
 				return
 			}
 
 			before, after := c.Before(), c.After()
 			if before.version().newer(after.version()) {
-				t.Fatalf("%s of %s: went back from %+v to %+v", n.identity.ID, after.ID(), before.version(), after.version())
+				t.Fatalf("%s: state of %s went back from %+v to %+v", n.identity.ID, after.ID(), before.version(), after.version())
 			}
 
 			if before.Incarnation() == after.Incarnation() && before.payloadVersion > after.payloadVersion {
-				t.Fatalf("%s of %s: payload went back from %d to %d", n.identity.ID, after.ID(), before.payloadVersion, after.payloadVersion)
+				t.Fatalf("%s: payload version of %s went back from %d to %d", n.identity.ID, after.ID(), before.payloadVersion, after.payloadVersion)
 			}
 		}
 
-		m.play(drawFaults(t, len(m.nodes)))
+		m.runFaults(drawFaults(t, len(m.nodes)))
 	})
 }
 
-// TestHoldsMembershipLeavingIsKnown: what a member announces of its leaving is
-// known to all others within seconds, over a lossy network.
-func TestHoldsMembershipLeavingIsKnown(t *testing.T) {
+// TestHoldsMembershipLeavingReachesAllNodes checks that the announcement of a
+// leaving member reaches all other nodes within leavingBound over a lossy network.
+func TestHoldsMembershipLeavingReachesAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 24)
-		m.loss = rapid.Float64Range(0, 0.2).Draw(t, "loss")
+		m := drawSimulation(t, 24)
+		m.lossRate = rapid.Float64Range(0, 0.2).Draw(t, "loss")
 		m.maxDelay = rapid.IntRange(1, 20).Draw(t, "delay")
 		m.run(time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond)
 
 		leaver := m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(t, "leaver")]
-		m.take(leaver, leaver.core.Leave(m.now()))
+		m.execute(leaver, leaver.core.Leave(m.now()))
 		m.run(leavingBound)
 
 		for _, n := range m.nodes {
@@ -232,14 +239,14 @@
 	})
 }
 
-// TestHoldsMembershipFrozenBlamesNobody: a node that was paused, for seconds or
-// minutes, gets none of the others declared dead when it goes on.
-func TestHoldsMembershipFrozenBlamesNobody(t *testing.T) {
+// TestHoldsMembershipPausedNodeCausesNoDeaths checks that a node that was paused
+// for seconds or minutes causes no other node to be declared dead when it resumes.
+func TestHoldsMembershipPausedNodeCausesNoDeaths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 10)
+		m := drawSimulation(t, 10)
 		frozen := m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(t, "frozen")]
 		keep := rapid.Bool().Draw(t, "inbox is kept")
-		m.changed = func(n *modelNode, c Change) {
+		m.onChange = func(n *simulatedNode, c Change) {
 			if c.After() != nil && c.After().Status() == Dead && c.After().ID() != frozen.identity.ID {
 				t.Fatalf("%s declared %s dead", n.identity.ID, c.After().ID())
 			}
@@ -253,7 +260,7 @@
 				frozen.inbox = nil
 			}
 
-			m.thaw(frozen)
+			m.resume(frozen)
 			m.run(30 * time.Second)
 		}
 
@@ -263,15 +270,16 @@
 	})
 }
 
-// TestHoldsMembershipOneWayCutKillsNobody: while one direction between two
-// members stays cut, nobody is declared dead, as others reach both.
-func TestHoldsMembershipOneWayCutKillsNobody(t *testing.T) {
+// TestHoldsMembershipOneWayCutCausesNoDeaths checks that no member is declared
+// dead while one direction of the link between two members is cut, since other
+// members still reach both.
+func TestHoldsMembershipOneWayCutCausesNoDeaths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 10)
+		m := drawSimulation(t, 10)
 		from := rapid.IntRange(0, len(m.nodes)-1).Draw(t, "from")
 		to := rapid.IntRange(0, len(m.nodes)-1).Draw(t, "to")
-		m.blocked = func(a, b *modelNode) bool { return a == m.nodes[from] && b == m.nodes[to] }
-		m.changed = func(n *modelNode, c Change) {
+		m.blocked = func(a, b *simulatedNode) bool { return a == m.nodes[from] && b == m.nodes[to] }
+		m.onChange = func(n *simulatedNode, c Change) {
 			if c.After() != nil && c.After().Status() == Dead {
 				t.Fatalf("%s declared %s dead", n.identity.ID, c.After().ID())
 			}
@@ -281,15 +289,15 @@
 	})
 }
 
-// TestHoldsMembershipIsBounded: no message is larger than its bound, and no
-// node sends more than its rate over any window, under all faults.
-func TestHoldsMembershipIsBounded(t *testing.T) {
+// TestHoldsMembershipLimitsMessageSizeAndRate checks that under faults no message
+// exceeds its maximum size and no node exceeds rateBound over a window.
+func TestHoldsMembershipLimitsMessageSizeAndRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawModel(t, 8)
+		m := drawSimulation(t, 8)
 		faults := drawFaults(t, len(m.nodes))
 		before := make([]int64, len(m.nodes))
 		until := m.now()
-		m.changed = func(*modelNode, Change) {
+		m.onChange = func(*simulatedNode, Change) {
 			if m.now().Before(until) {
 				return
 			}
@@ -305,10 +313,10 @@
 			}
 		}
 
-		m.play(faults)
+		m.runFaults(faults)
 
 		for _, n := range m.nodes {
-			if got, want := n.worst, MaxMessage+bucketCount*digestSize+2*messageOverhead; got > want {
+			if got, want := n.largestMessage, MaxMessage+bucketCount*digestSize+2*messageOverhead; got > want {
 				t.Fatalf("%s: largest message: got %d bytes, want at most %d", n.identity.ID, got, want)
 			}
 		}
--- a/membership/turns.go
+++ b/membership/rotation.go
@@ -2,15 +2,16 @@
 
 import "monsoonlever/fleet"
 
-// turns goes through the region's members in a random order that is drawn
-// anew each time all have had their turn. So a member waits for its turn for
-// two rounds at most, which random draws would not promise.
-type turns struct {
+// rotation is a round robin over the members of the node's region, reshuffled
+// after each round. It bounds the wait between two selections of a member by two
+// rounds; independent random selection has no such bound.
+type rotation struct {
 	order []fleet.InstanceID
 }
 
-// nextTurn returns the next live member, or nil when there is none.
-func (c *Core) nextTurn(t *turns) *Member {
+// nextInRotation returns the next live member of the rotation, or nil when the
+// region has no other live member.
+func (c *Core) nextInRotation(t *rotation) *Member {
 	for range 2 {
 		for len(t.order) > 0 {
 			id := t.order[0]
@@ -22,7 +23,7 @@
 		}
 
 		t.order = t.order[:0]
-		for _, m := range c.groups.locals {
+		for _, m := range c.live.locals {
 			t.order = append(t.order, m.identity.ID)
 		}
 
--- a/monsoonleverd/entry.go
+++ b/monsoonleverd/entry.go
@@ -19,34 +19,34 @@
 	Check    bool   `help:"Check the settings and stop."`
 }
 
-// memoryShare is the part of the machine's memory at which collection of garbage
-// becomes eager; the rest is for what the runtime does not count.
-const memoryShare = 0.7
+// memoryLimitFraction is the soft memory limit of the Go runtime as a fraction of the configured
+// memory. The rest is for memory that the runtime does not account for.
+const memoryLimitFraction = 0.7
 
 // Run serves until ctx ends.
-func (c *entryCommand) Run(ctx context.Context, hangups hangups, ready logReady) error {
+func (c *entryCommand) Run(ctx context.Context, reloads reloadSignals, ready logReady) error {
 	s, err := settings.LoadEntry(c.Settings)
 	if err != nil || c.Check {
 		return err
 	}
 
-	debug.SetMemoryLimit(int64(float64(s.Limits.MemoryBytes()) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(s.Limits.MemoryBytes()) * memoryLimitFraction))
 
 	clk := clock.NewSteady()
 	pipe := &logpipe.Pipe{Out: os.Stdout, Clock: clk}
-	stop := logTo(pipe)
-	defer stop()
+	stopLog := redirectLog(pipe)
+	defer stopLog()
 
 	ready()
 
-	e := &entry.Entry{Settings: s, Clock: clk, Reload: c.reloads(ctx, hangups), LogHasRoom: pipe.HasSpareCapacity}
+	e := &entry.Entry{Settings: s, Clock: clk, Reload: c.watchReloads(ctx, reloads), LogHasRoom: pipe.HasSpareCapacity}
 
 	return e.Run(ctx)
 }
 
-// logTo sends log lines to standard output through a pipe that never makes them wait.
-// The returned function ends that once all lines are written.
-func logTo(pipe *logpipe.Pipe) func() {
+// redirectLog redirects log lines to a pipe, so that logging never blocks. The returned function
+// stops the pipe after all queued lines are written.
+func redirectLog(pipe *logpipe.Pipe) func() {
 	setLogFlags(map[string]string{"logtostderr": "false", "one_output": "true", "stderrthreshold": "FATAL"})
 	klog.SetOutput(pipe)
 
@@ -65,32 +65,32 @@
 	}
 }
 
-// reloads reads the settings again on each hangup, until the instance stops. Settings with
-// findings change nothing.
-func (c *entryCommand) reloads(ctx context.Context, hangups hangups) <-chan settings.Entry {
-	read := make(chan settings.Entry)
+// watchReloads reads the settings again on each SIGHUP until ctx ends, and sends them to the returned
+// channel. Settings that cannot be read or have findings are logged and ignored.
+func (c *entryCommand) watchReloads(ctx context.Context, reloads reloadSignals) <-chan settings.Entry {
+	reloaded := make(chan settings.Entry)
 
 	go func() {
-		for range hangups {
+		for range reloads {
 			if ctx.Err() != nil {
-				klog.InfoS("settings are not reloaded, the instance stops")
+				klog.InfoS("settings not reloaded: instance is stopping")
 
 				continue
 			}
 
 			s, err := settings.LoadEntry(c.Settings)
 			if err != nil {
-				klog.ErrorS(err, "settings are not reloaded")
+				klog.ErrorS(err, "settings not reloaded")
 
 				continue
 			}
 
 			select {
-			case read <- s:
+			case reloaded <- s:
 			case <-ctx.Done():
 			}
 		}
 	}()
 
-	return read
+	return reloaded
 }
--- a/monsoonleverd/serve.go
+++ b/monsoonleverd/serve.go
@@ -19,7 +19,7 @@
 }
 
 // Run serves until ctx ends.
-func (c *serveCommand) Run(ctx context.Context, hangups hangups, ready logReady) error {
+func (c *serveCommand) Run(ctx context.Context, reloads reloadSignals, ready logReady) error {
 	ready()
 
 	s, err := settings.Load(c.Settings)
@@ -28,8 +28,8 @@
 	}
 
 	go func() {
-		for range hangups {
-			klog.InfoS("settings are read at the start only, SIGHUP changes nothing")
+		for range reloads {
+			klog.InfoS("SIGHUP ignored: settings are read only at startup")
 		}
 	}()
 
@@ -39,6 +39,6 @@
 }
 
 func printAddresses(a daemon.Addresses) {
-	// Standard output that is closed must not keep the instance from serving.
+	// The instance must serve even if standard output is closed.
 	_ = json.NewEncoder(os.Stdout).Encode(a)
 }
--- a/placement/decision.go
+++ b/placement/decision.go
@@ -2,26 +2,26 @@
 
 import "monsoonlever/fleet"
 
-// Decision is what a plan wants, and why.
+// Decision is the result of Plan: the wanted instance counts and their reasons.
 type Decision struct {
-	Targets []Target
-	Lines   []Line
+	Targets      []Target
+	Explanations []Explanation
 	// Limits bounds each service for the Reconciler.
 	Limits []Limit
 }
 
-// Line says in a sentence why a service gets what it gets.
-type Line struct {
+// Explanation describes in one sentence the instances planned for a service and why.
+type Explanation struct {
 	Service fleet.Service
 	Text    string
 }
 
 // String returns the line as service: text.
-func (l Line) String() string {
+func (l Explanation) String() string {
 	return string(l.Service) + ": " + l.Text
 }
 
-// Count returns the instances that the decision wants for a service.
+// Count returns the number of instances planned for a service.
 func (d Decision) Count(service fleet.Service) int {
 	total := 0
 
--- a/placement/flapping_test.go
+++ b/placement/flapping_test.go
@@ -11,12 +11,12 @@
 	"monsoonlever/provider"
 )
 
-// changesPerHour bounds the moves of an hour, and as many instances again may be
-// given up and bought back as the noise of the load comes and goes.
+// changesPerHour limits the moves per hour. As many instances again may be retired
+// and bought back because of load noise.
 const changesPerHour = 4
 
-// hour is an hour in steps of half a minute.
-const hour = 120
+// stepsPerHour is an stepsPerHour in steps of half a minute.
+const stepsPerHour = 120
 
 var domains = []fleet.FailureDomain{"ballerup-a", "ballerup-b", "taastrup-1", "taastrup-2"}
 
@@ -32,8 +32,8 @@
 	}
 }
 
-// market offers one class everywhere at prices that move by more than half.
-func market(t *rapid.T) []provider.Offer {
+// drawOffers offers one class everywhere at prices that move by more than half.
+func drawOffers(t *rapid.T) []provider.Offer {
 	var offers []provider.Offer
 
 	for _, domain := range domains {
@@ -50,9 +50,9 @@
 	most := 0
 
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		w.faults = false
-		w.pace = 30 * second
+		w.stepDuration = 30 * second
 		w.targets = nil
 		w.maximum = 20
 
@@ -61,10 +61,10 @@
 		}
 
 		forecaster := placement.NewForecaster(2 * time.Minute)
-		offers := market(t)
+		offers := drawOffers(t)
 		var bought []int
 
-		for range 2 * hour {
+		for range 2 * stepsPerHour {
 			w.steadyTick(forecaster, &offers)
 			bought = append(bought, w.purchases)
 		}
@@ -74,8 +74,8 @@
 		}
 
 		// The first half hour fills the empty deployment.
-		for i := hour / 2; i+hour < len(bought); i++ {
-			got := bought[i+hour] - bought[i]
+		for i := stepsPerHour / 2; i+stepsPerHour < len(bought); i++ {
+			got := bought[i+stepsPerHour] - bought[i]
 			most = max(most, got)
 
 			if got > 2*changesPerHour {
@@ -87,48 +87,48 @@
 	t.Logf("most instances bought in an hour at steady load: %d", most)
 }
 
-// steadyTick measures a steady load with noise and plans anew.
-func (w *world) steadyTick(forecaster *placement.Forecaster, offers *[]provider.Offer) {
+// steadyTick observes a steady load with noise, plans again and runs a step.
+func (w *simulation) steadyTick(forecaster *placement.Forecaster, offers *[]provider.Offer) {
 	noise := float64(rapid.IntRange(-100, 100).Draw(w.t, "noise")) / 1000
 	forecaster.Observe(w.now(), placement.Load{TokensPerSecond: 8000 * (1 + noise)})
 
 	if w.step%10 == 0 {
-		*offers = market(w.t)
+		*offers = drawOffers(w.t)
 	}
 
 	if w.step%100 == 99 {
-		w.changeController()
+		w.grantNextController()
 	}
 
-	w.plan(forecaster, *offers)
+	w.updatePlan(forecaster, *offers)
 	w.tick()
 }
 
-func (w *world) plan(forecaster *placement.Forecaster, offers []provider.Offer) {
+func (w *simulation) updatePlan(forecaster *placement.Forecaster, offers []provider.Offer) {
 	w.targets, w.limits = nil, nil
 
-	c := w.newest()
+	c := w.newestHolder()
 	if !c.reconciler.Synced(c.fence) {
 		return
 	}
 
 	state := placement.State{Config: placement.DefaultConfig(), Offers: offers}
 	state.Services = []placement.ServiceState{{
-		Service: steadyService(), Forecast: forecaster.Forecast(), Have: c.reconciler.Have(service),
+		Service: steadyService(), Forecast: forecaster.Forecast(), InstanceCounts: c.reconciler.InstanceCounts(service),
 	}}
 	decision := placement.Plan(w.now(), state)
 	w.targets = decision.Targets
 	w.limits = decision.Limits
 }
 
-func (w *world) changeController() {
+func (w *simulation) grantNextController() {
 	c := w.controllers[w.step/100%len(w.controllers)]
-	w.boot(c)
+	w.restart(c)
 	c.reconciler.ChangesPerHour = changesPerHour
 	w.grant(c)
 }
 
-func (w *world) newest() *controller {
+func (w *simulation) newestHolder() *controller {
 	newest := w.controllers[0]
 
 	for _, c := range w.controllers {
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -12,9 +12,9 @@
 	"monsoonlever/provider"
 )
 
-// remaining returns the tokens per second that a decision leaves without a
-// failure domain.
-func remaining(d placement.Decision, lost fleet.FailureDomain) float64 {
+// tokensWithout returns the tokens per second that a decision provides after the
+// loss of a failure domain.
+func tokensWithout(d placement.Decision, lost fleet.FailureDomain) float64 {
 	sum := 0.0
 
 	for _, t := range d.Targets {
@@ -26,22 +26,22 @@
 	return sum
 }
 
-func stateOf(t *rapid.T, need float64) placement.State {
+func drawState(t *rapid.T, need float64) placement.State {
 	load := placement.Load{TokensPerSecond: need}
 
 	return placement.State{
 		Config: placement.DefaultConfig(),
-		Offers: market(t),
+		Offers: drawOffers(t),
 		Services: []placement.ServiceState{{
 			Service: steadyService(), Forecast: placement.Forecast{Now: load, Need: load, Peak: load},
 		}},
 	}
 }
 
-func TestHoldsPlanSurvivesLossOfAnyDomain(t *testing.T) {
+func TestHoldsPlanCoversLossOfAnyDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		need := float64(rapid.IntRange(100, 9000).Draw(t, "need"))
-		s := stateOf(t, need)
+		s := drawState(t, need)
 		have := make(map[placement.Cell]int)
 
 		for _, domain := range domains {
@@ -49,15 +49,15 @@
 			have[place] = rapid.IntRange(0, 3).Draw(t, "have")
 		}
 
-		s.Services[0].Have = have
+		s.Services[0].InstanceCounts = have
 		d := placement.Plan(start, s)
 
-		if got := remaining(d, ""); got < need {
+		if got := tokensWithout(d, ""); got < need {
 			t.Errorf("carried: got %.0f, want at least %.0f", got, need)
 		}
 
 		for _, domain := range domains {
-			if got, want := remaining(d, domain), 0.8*need; got < want-1e-6 {
+			if got, want := tokensWithout(d, domain), 0.8*need; got < want-1e-6 {
 				t.Errorf("carried without %s: got %.0f, want at least %.0f", domain, got, want)
 			}
 		}
@@ -78,8 +78,8 @@
 		})
 	}
 
-	s.Refusals = s.Config.NewMemory()
-	s.Refusals.Note(start, cheap)
+	s.Refusals = s.Config.NewCellPenalties()
+	s.Refusals.Add(start, cheap)
 
 	for _, tt := range []struct {
 		desc  string
@@ -98,17 +98,17 @@
 			}
 
 			if got != tt.want {
-				t.Errorf("bought in the refused cell: got %v, want %v: %s", got, tt.want, d.Lines[0])
+				t.Errorf("bought in the refused cell: got %v, want %v: %s", got, tt.want, d.Explanations[0])
 			}
 
-			if got := strings.Contains(d.Lines[0].Text, "avoids"); got == tt.want {
-				t.Errorf("line names the refusal: got %v, want %v: %s", got, !tt.want, d.Lines[0])
+			if got := strings.Contains(d.Explanations[0].Text, "avoids"); got == tt.want {
+				t.Errorf("line names the refusal: got %v, want %v: %s", got, !tt.want, d.Explanations[0])
 			}
 		})
 	}
 }
 
-func TestForecastCopesWithTriplingDemand(t *testing.T) {
+func TestForecastFollowsTriplingDemand(t *testing.T) {
 	f := placement.NewForecaster(4 * time.Minute)
 	at := func(minute int) float64 {
 		return 1000 * (1 + 2*min(1, max(0, float64(minute-30)/15)))
@@ -117,7 +117,7 @@
 	for minute := range 60 {
 		f.Observe(start.Add(time.Duration(minute)*time.Minute), placement.Load{TokensPerSecond: at(minute)})
 
-		// The slope shows within four minutes of its start.
+		// The slope is measurable four minutes after it starts.
 		if minute < 34 {
 			continue
 		}
--- a/provider/http_log.go
+++ b/provider/http_log.go
@@ -13,8 +13,8 @@
 	"monsoonlever/httpclient"
 )
 
-// The wire format of the log service. An append posts the record's bytes and
-// gets an AppendAnswer; a read gets a BatchAnswer.
+// The wire format of the log service. An append posts the record's bytes and returns an
+// AppendResponse. A read returns a BatchResponse.
 const (
 	LogRecordsPath = "/log/records"
 	LogStreamParam = "stream"
@@ -23,19 +23,19 @@
 	LogWaitParam   = "wait"
 )
 
-// AppendResponse is the answer to an append.
+// AppendResponse is the response to an append.
 type AppendResponse struct {
 	Offset Offset `json:"offset"`
 }
 
-// RecordResponse is one record of a BatchAnswer.
+// RecordResponse is one record of a BatchResponse.
 type RecordResponse struct {
 	Offset Offset    `json:"offset"`
 	Time   time.Time `json:"time"`
 	Data   []byte    `json:"data"`
 }
 
-// BatchResponse is the answer to a read.
+// BatchResponse is the response to a read.
 type BatchResponse struct {
 	Records []RecordResponse `json:"records"`
 	First   Offset           `json:"first"`
@@ -54,16 +54,16 @@
 	return &HTTPLog{client: httpclient.New(baseURL, c)}
 }
 
-// Append adds one record. The error wraps ErrRefused where the log said that
-// it did nothing, and where no connection to it could be made.
+// Append appends one record. The error wraps ErrRefused if the log service states that the
+// append had no effect, or if the request was not sent.
 func (l *HTTPLog) Append(ctx context.Context, stream Stream, data []byte) (Offset, error) {
-	var answer AppendResponse
+	var response AppendResponse
 
 	path := LogRecordsPath + "?" + url.Values{LogStreamParam: {string(stream)}}.Encode()
 
-	err := l.client.PostBytes(ctx, path, data, &answer)
+	err := l.client.PostBytes(ctx, path, data, &response)
 	if err == nil {
-		return answer.Offset, nil
+		return response.Offset, nil
 	}
 
 	if errors.Is(err, httpclient.ErrNotSent) || hadNoEffect(err, http.StatusServiceUnavailable) {
@@ -73,7 +73,7 @@
 	return 0, merry.Prepend(err, "append to "+string(stream))
 }
 
-// Read returns up to limit records from an offset on.
+// Read returns up to limit records, starting at offset from. Log documents the wait.
 func (l *HTTPLog) Read(
 	ctx context.Context, stream Stream, from Offset, limit int, wait time.Duration,
 ) (Batch, error) {
@@ -84,15 +84,15 @@
 		LogWaitParam:   {wait.String()},
 	}
 
-	var answer BatchResponse
-	if err := l.client.Get(ctx, LogRecordsPath+"?"+query.Encode(), &answer); err != nil {
+	var response BatchResponse
+	if err := l.client.Get(ctx, LogRecordsPath+"?"+query.Encode(), &response); err != nil {
 		return Batch{}, merry.Prepend(err, "read "+string(stream))
 	}
 
-	batch := Batch{First: answer.First, Next: answer.Next}
-	batch.Records = make([]Record, 0, len(answer.Records))
+	batch := Batch{First: response.First, Next: response.Next}
+	batch.Records = make([]Record, 0, len(response.Records))
 
-	for _, r := range answer.Records {
+	for _, r := range response.Records {
 		batch.Records = append(batch.Records, Record(r))
 	}
 
--- a/replica/server.go
+++ b/replica/server.go
@@ -16,31 +16,33 @@
 )
 
 const (
-	// maxConnections bounds the connections of others: three feeds for each member of a
-	// relay, where the relay stands in for several others.
+	// maxConnections bounds the connections from other instances: three feeds for each
+	// subscriber of a relay, with room for the subscribers of several failed relays.
 	maxConnections = 600
 	// maxWait bounds how long one read waits for a change.
 	maxWait = 30 * time.Second
-	// idleTimeout is how long a connection without a request is kept, and writeTimeout bounds
-	// the writing of one frame.
+	// idleTimeout is how long a connection stays open without a request, and writeTimeout bounds
+	// the write of one frame.
 	idleTimeout  = time.Minute
 	writeTimeout = 3 * time.Second
-	// acceptPause follows a failure to accept a connection.
-	acceptPause = 100 * time.Millisecond
+	// acceptRetryDelay is the delay after a failure to accept a connection.
+	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Server answers the reads of other instances from logs. Its fields are set before Run.
+// Server serves logs to other instances. Its fields are set before Run.
 type Server struct {
 	Clock clock.Clock
+	// Feeds are the logs by the name of their feed.
 	Feeds map[string]*Log
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
-	// whole are the newest whole sets by feed.
-	whole map[string]*wholeSet
+	// snapshots are the cached encoded snapshots by feed name.
+	snapshots map[string]*snapshotCache
 }
 
-// Run serves until ctx ends, and closes the listener and all connections.
+// Run serves connections until ctx ends. It returns after the listener and all connections are
+// closed.
 func (s *Server) Run(ctx context.Context, l net.Listener) {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -49,35 +51,36 @@
 		<-ctx.Done()
 
 		_ = l.Close()
-		s.closeAll()
+		s.closeAllConns()
 	})
 
 	for ctx.Err() == nil {
 		conn, err := l.Accept()
 		if err != nil {
 			if ctx.Err() == nil {
-				klog.ErrorS(err, "connections of other instances are not accepted")
-				clock.Sleep(ctx, s.Clock, acceptPause)
+				klog.ErrorS(err, "failed to accept a connection from another instance")
+				clock.Sleep(ctx, s.Clock, acceptRetryDelay)
 			}
 
 			continue
 		}
 
-		if !s.open(ctx, conn) {
-			_ = conn.Close() // the other instance reads elsewhere
+		if !s.track(ctx, conn) {
+			_ = conn.Close() // the other instance picks another source
 
 			continue
 		}
 
 		group.Go(func() {
-			defer s.close(conn)
+			defer s.closeConn(conn)
 
 			s.serve(ctx, conn)
 		})
 	}
 }
 
-func (s *Server) open(ctx context.Context, conn net.Conn) bool {
+// track registers an accepted connection. It reports whether the connection may be served.
+func (s *Server) track(ctx context.Context, conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -94,25 +97,25 @@
 	return true
 }
 
-func (s *Server) close(conn net.Conn) {
+func (s *Server) closeConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	delete(s.conns, conn)
 
-	_ = conn.Close() // nothing is left to be said
+	_ = conn.Close() // there is nothing left to send
 }
 
-func (s *Server) closeAll() {
+func (s *Server) closeAllConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	for conn := range s.conns {
-		_ = conn.Close() // the other side sees the end
+		_ = conn.Close() // serve returns with a read or write error
 	}
 }
 
-// serve answers the requests of one connection until it ends.
+// serve handles the requests of one connection until it is closed or ctx ends.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	reader := bufio.NewReader(conn)
 
@@ -126,7 +129,7 @@
 			return
 		}
 
-		if err := s.answer(ctx, conn, r); err != nil {
+		if err := s.respond(ctx, conn, r); err != nil {
 			klog.V(1).InfoS("read of another instance ended", "feed", r.Feed, "err", err.Error())
 
 			return
@@ -134,9 +137,9 @@
 	}
 }
 
-// answer sends what a read gets.
-func (s *Server) answer(ctx context.Context, conn net.Conn, r request) error {
-	frames, err := s.read(ctx, r)
+// respond sends the response to a request.
+func (s *Server) respond(ctx context.Context, conn net.Conn, r request) error {
+	frames, err := s.responseFrames(ctx, r)
 	if err != nil {
 		return err
 	}
@@ -154,17 +157,17 @@
 	return nil
 }
 
-// read returns the encoded frames of an answer.
-func (s *Server) read(ctx context.Context, r request) ([][]byte, error) {
+// responseFrames returns the encoded frames of the response to a request.
+func (s *Server) responseFrames(ctx context.Context, r request) ([][]byte, error) {
 	log := s.Feeds[r.Feed]
 	if log == nil {
-		return encodeAll([]frame{{Outcome: unavailable}})
+		return encodeFrames([]frame{{Outcome: unavailable}})
 	}
 
 	if r.Whole {
-		frames, err := s.wholeOf(r.Feed).read(ctx, s.Clock.Now(), log)
+		frames, err := s.snapshotOf(r.Feed).read(ctx, s.Clock.Now(), log)
 		if errors.Is(err, ErrUnavailable) {
-			return encodeAll([]frame{{Outcome: unavailable}})
+			return encodeFrames([]frame{{Outcome: unavailable}})
 		}
 
 		return frames, err
@@ -175,25 +178,25 @@
 
 	switch {
 	case errors.Is(err, feed.ErrTrimmed):
-		return encodeAll([]frame{{Outcome: trimmed}})
+		return encodeFrames([]frame{{Outcome: trimmed}})
 	case err != nil:
-		return encodeAll([]frame{{Outcome: unavailable}})
+		return encodeFrames([]frame{{Outcome: unavailable}})
 	default:
-		return encodeAll(framesOf(changes.Entries, changes.Next))
+		return encodeFrames(splitIntoFrames(changes.Entries, changes.Next))
 	}
 }
 
-func (s *Server) wholeOf(name string) *wholeSet {
+func (s *Server) snapshotOf(feedName string) *snapshotCache {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if s.whole == nil {
-		s.whole = make(map[string]*wholeSet)
+	if s.snapshots == nil {
+		s.snapshots = make(map[string]*snapshotCache)
 	}
 
-	if s.whole[name] == nil {
-		s.whole[name] = &wholeSet{}
+	if s.snapshots[feedName] == nil {
+		s.snapshots[feedName] = &snapshotCache{}
 	}
 
-	return s.whole[name]
+	return s.snapshots[feedName]
 }
--- a/replica/source.go
+++ b/replica/source.go
@@ -15,53 +15,56 @@
 	"monsoonlever/feed"
 )
 
-// frameTimeout bounds the time until the next frame of an answer, beyond the wait that was
-// asked for. The whole answer may take longer on a slow link.
+// frameTimeout bounds the time until the next frame of a response, in addition to the requested
+// wait. The complete response may take longer on a slow link.
 const frameTimeout = 3 * time.Second
 
-// catchUpTimeout bounds a read at an instance in place of the origin, so that a read of the origin
-// is not put off for long.
+// catchUpTimeout bounds a read from an instance with newer changes, so that the next read of the
+// origin is not delayed for long.
 const catchUpTimeout = 500 * time.Millisecond
 
-// Upstream is where a feed is read from.
+// Upstream selects the origin or the instance that a feed is read from.
 type Upstream struct {
-	// Origin is set where the feed is read from its origin.
+	// Origin selects the origin of the feed; Address is then ignored.
 	Origin bool
-	// Address is the instance to read from otherwise; the zero value is none.
+	// Address is the address of the instance to read from. If it is the zero value, reads fail
+	// with feed.ErrNoSource.
 	Address netip.AddrPort
 }
 
-// Source reads a feed from its origin or from another instance, and keeps what it has read in
-// a log for others. It is a feed.Source for one reader. Its fields are set before its first use.
+// Source reads a feed from its origin or from another instance, and stores the entries in a log
+// that other instances read. It is a feed.Source for one reader. Its fields are set before its
+// first use.
 type Source struct {
-	// Feed names the feed to other instances.
+	// Feed is the name of the feed in requests to other instances.
 	Feed   string
 	Origin feed.Source
 	Log    *Log
-	// Upstream is asked before each read.
+	// Upstream is called before each read.
 	Upstream func() Upstream
-	// NewerInstance is asked before each read of changes at the origin: it returns an instance that is known
-	// to have read newer ones, if there is one. The read goes there instead. Nil is none.
+	// NewerInstance is called before each read of changes from the origin. It returns the address
+	// of an instance that is known to have newer changes, if there is one; the read then goes to
+	// that instance. NewerInstance may be nil.
 	NewerInstance func() (netip.AddrPort, bool)
-	// KeepLog reports whether others read from this instance; without it the log stays empty. Nil is
-	// always.
+	// KeepLog reports whether other instances may read from this one. While it returns false, the
+	// log stays empty. If KeepLog is nil, the log is always kept.
 	KeepLog func() bool
 	Dialer  *net.Dialer
 
-	relayed atomic.Bool
-	address netip.AddrPort
-	conn    net.Conn
-	reader  *bufio.Reader
+	lastReadRelayed atomic.Bool
+	connectedTo     netip.AddrPort
+	conn            net.Conn
+	reader          *bufio.Reader
 }
 
-// LastReadRelayed reports whether the newest read went to another instance. Such a read does not show
-// that its content is the newest of the origin.
-func (s *Source) LastReadRelayed() bool { return s.relayed.Load() }
+// LastReadRelayed reports whether the last read went to another instance. Such a read does not
+// prove that its entries are the newest of the origin.
+func (s *Source) LastReadRelayed() bool { return s.lastReadRelayed.Load() }
 
 // Snapshot returns the newest entry of each key.
 func (s *Source) Snapshot(ctx context.Context) ([]feed.Entry, feed.Position, error) {
 	up := s.Upstream()
-	s.relayed.Store(!up.Origin)
+	s.lastReadRelayed.Store(!up.Origin)
 
 	var (
 		entries []feed.Entry
@@ -72,25 +75,25 @@
 	if up.Origin {
 		entries, next, err = s.Origin.Snapshot(ctx)
 	} else {
-		entries, next, err = s.ask(ctx, up.Address, request{Feed: s.Feed, Whole: true})
+		entries, next, err = s.fetch(ctx, up.Address, request{Feed: s.Feed, Whole: true})
 	}
 
 	if err != nil {
 		return nil, 0, err
 	}
 
-	if s.kept() {
+	if s.keepOrClearLog() {
 		s.Log.Replace(entries, next)
 	}
 
 	return entries, next, nil
 }
 
-// Changes returns the changes from a position on, or waits for one.
+// Changes returns the changes from a position on. If there is none, it waits up to wait for one.
 func (s *Source) Changes(ctx context.Context, from feed.Position, wait time.Duration) (feed.Changes, error) {
 	up := s.Upstream()
-	ahead, catchUp := s.ahead(up)
-	s.relayed.Store(!up.Origin || catchUp)
+	newer, found := s.newerInstance(up)
+	s.lastReadRelayed.Store(!up.Origin || found)
 
 	var (
 		changes feed.Changes
@@ -98,26 +101,26 @@
 	)
 
 	switch {
-	case catchUp:
-		changes, err = s.catchUp(ctx, ahead, from)
+	case found:
+		changes, err = s.catchUp(ctx, newer, from)
 	case up.Origin:
 		changes, err = s.Origin.Changes(ctx, from, wait)
 	default:
-		changes, err = s.askChanges(ctx, up.Address, from, wait)
+		changes, err = s.fetchChanges(ctx, up.Address, from, wait)
 	}
 
 	if err != nil {
 		return feed.Changes{}, err
 	}
 
-	if s.kept() {
+	if s.keepOrClearLog() {
 		s.Log.Append(changes.Entries, changes.Next)
 	}
 
 	return changes, nil
 }
 
-func (s *Source) ahead(up Upstream) (netip.AddrPort, bool) {
+func (s *Source) newerInstance(up Upstream) (netip.AddrPort, bool) {
 	if !up.Origin || s.NewerInstance == nil {
 		return netip.AddrPort{}, false
 	}
@@ -125,13 +128,15 @@
 	return s.NewerInstance()
 }
 
-// catchUp reads changes from an instance that has newer ones than this one. Where that fails, the
-// next read goes to the origin from the same position.
-func (s *Source) catchUp(ctx context.Context, from netip.AddrPort, position feed.Position) (feed.Changes, error) {
-	call, cancel := context.WithTimeout(ctx, catchUpTimeout)
+// catchUp reads changes from an instance that has newer ones than this instance. If that instance
+// no longer retains them, it returns ErrUnavailable instead of feed.ErrTrimmed, so that the reader
+// keeps its position and does not request a snapshot. After an error, the next read goes to the
+// origin from the same position unless NewerInstance returns an instance again.
+func (s *Source) catchUp(ctx context.Context, to netip.AddrPort, from feed.Position) (feed.Changes, error) {
+	readCtx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 
-	changes, err := s.askChanges(call, from, position, 0)
+	changes, err := s.fetchChanges(readCtx, to, from, 0)
 	if errors.Is(err, feed.ErrTrimmed) {
 		return feed.Changes{}, ErrUnavailable
 	}
@@ -139,10 +144,10 @@
 	return changes, err
 }
 
-// askChanges reads changes from another instance. What has come before the read broke off is kept,
-// so that a long read over a slow link goes on instead of beginning anew.
-func (s *Source) askChanges(ctx context.Context, to netip.AddrPort, from feed.Position, wait time.Duration) (feed.Changes, error) {
-	entries, next, err := s.ask(ctx, to, request{Feed: s.Feed, From: from, WaitMilliseconds: wait.Milliseconds()})
+// fetchChanges reads changes from another instance. If the read fails midway, it returns the
+// entries received so far, so that a long read over a slow link resumes instead of starting over.
+func (s *Source) fetchChanges(ctx context.Context, to netip.AddrPort, from feed.Position, wait time.Duration) (feed.Changes, error) {
+	entries, next, err := s.fetch(ctx, to, request{Feed: s.Feed, From: from, WaitMilliseconds: wait.Milliseconds()})
 	if err == nil {
 		return feed.Changes{Entries: entries, Next: next, End: next}, nil
 	}
@@ -151,7 +156,7 @@
 		return feed.Changes{}, err
 	}
 
-	// Others at the last position may be missing.
+	// Further entries at the last position may be missing: the next read repeats that position.
 	last := entries[len(entries)-1].At
 	entries = slices.DeleteFunc(entries, func(e feed.Entry) bool { return e.At == last })
 
@@ -162,9 +167,9 @@
 	return feed.Changes{Entries: entries, Next: last, End: last + 1}, nil
 }
 
-// kept reports whether the log is kept, and empties it otherwise. A log that is kept again has to
-// begin with a whole set.
-func (s *Source) kept() bool {
+// keepOrClearLog reports whether the log is kept, and clears it if not. A cleared log is filled
+// again only by a full snapshot.
+func (s *Source) keepOrClearLog() bool {
 	if s.KeepLog == nil || s.KeepLog() {
 		return true
 	}
@@ -174,17 +179,17 @@
 	return false
 }
 
-// ask sends one request to another instance and collects its answer. With an error it returns the
-// entries that came before it.
-func (s *Source) ask(ctx context.Context, to netip.AddrPort, r request) ([]feed.Entry, feed.Position, error) {
+// fetch sends one request to another instance and collects the response. If the connection fails,
+// it returns the entries received so far together with the error.
+func (s *Source) fetch(ctx context.Context, to netip.AddrPort, r request) ([]feed.Entry, feed.Position, error) {
 	if !to.IsValid() {
 		return nil, 0, feed.ErrNoSource
 	}
 
 	entries, next, err := s.exchange(ctx, to, r)
 	if err != nil && !errors.Is(err, feed.ErrTrimmed) && !errors.Is(err, ErrUnavailable) {
-		// What else comes on the connection belongs to this read.
-		s.hangUp()
+		// Late frames of this response must not be read as the response to the next request.
+		s.disconnect()
 	}
 
 	return entries, next, merry.Prependf(err, "read %s from %s", s.Feed, to)
@@ -217,7 +222,7 @@
 			return entries, 0, err
 		}
 
-		entries = append(entries, entriesOf(f.Entries)...)
+		entries = append(entries, feedEntries(f.Entries)...)
 
 		switch f.Outcome {
 		case partial:
@@ -235,27 +240,27 @@
 	}
 }
 
-// connect opens a connection to an instance unless there is one.
+// connect opens a connection to an instance unless one is already open.
 func (s *Source) connect(ctx context.Context, to netip.AddrPort) error {
-	if s.conn != nil && s.address == to {
+	if s.conn != nil && s.connectedTo == to {
 		return nil
 	}
 
-	s.hangUp()
+	s.disconnect()
 
 	conn, err := s.Dialer.DialContext(ctx, "tcp4", to.String())
 	if err != nil {
 		return err
 	}
 
-	s.conn, s.address, s.reader = conn, to, bufio.NewReader(conn)
+	s.conn, s.connectedTo, s.reader = conn, to, bufio.NewReader(conn)
 
 	return nil
 }
 
-func (s *Source) hangUp() {
+func (s *Source) disconnect() {
 	if s.conn != nil {
-		_ = s.conn.Close() // it is not used again
+		_ = s.conn.Close() // the connection is not used again
 		s.conn = nil
 	}
 }
--- a/routing/health.go
+++ b/routing/health.go
@@ -5,50 +5,51 @@
 	"time"
 )
 
-// maxSamples is how many outcomes are remembered, so that a busy server is found
-// faulty as soon as an idle one.
+// maxSamples caps the total weight of the outcomes, so that a fault of a busy server is
+// detected as soon as that of an idle one.
 const maxSamples = 50
 
-// health is what the outcomes of calls say of a server. Old outcomes fade with
-// a half-life and with newer ones.
+// health is the outcome statistics of a server and its ejection state. The weight of an
+// outcome decays with Policy.OutcomeHalfLife and as newer outcomes push the total over
+// maxSamples.
 type health struct {
-	done    float64
-	failed  float64
-	latency float64
-	at      time.Time
+	succeeded  float64
+	failed     float64
+	latencySum float64
+	updatedAt  time.Time
 
 	ejections int
 	probeAt   time.Time
-	// suspectUntil is when a server that can't be dialled is tried again,
-	// although it couldn't be ejected.
-	suspectUntil time.Time
+	// dialFailedUntil is when a server that can't be dialed, but couldn't be ejected
+	// because of the limit on ejections, loses its dialFailed mark.
+	dialFailedUntil time.Time
 }
 
-func (h *health) add(now time.Time, halfLife time.Duration, o outcomes) {
-	fade := 1.0
-	if !h.at.IsZero() {
-		fade = math.Exp2(-float64(now.Sub(h.at)) / float64(halfLife))
+func (h *health) addOutcomes(now time.Time, halfLife time.Duration, o outcomeCounts) {
+	factor := 1.0
+	if !h.updatedAt.IsZero() {
+		factor = math.Exp2(-float64(now.Sub(h.updatedAt)) / float64(halfLife))
 	}
 
-	h.at = now
-	h.fade(fade)
-	h.done += float64(o.done)
+	h.updatedAt = now
+	h.scale(factor)
+	h.succeeded += float64(o.succeeded)
 	h.failed += float64(o.failed)
-	h.latency += float64(o.latency)
+	h.latencySum += float64(o.latencySum)
 
 	if n := h.samples(); n > maxSamples {
-		h.fade(maxSamples / n)
+		h.scale(maxSamples / n)
 	}
 }
 
-func (h *health) fade(part float64) {
-	h.done *= part
-	h.failed *= part
-	h.latency *= part
+func (h *health) scale(factor float64) {
+	h.succeeded *= factor
+	h.failed *= factor
+	h.latencySum *= factor
 }
 
 func (h *health) samples() float64 {
-	return h.done + h.failed
+	return h.succeeded + h.failed
 }
 
 func (h *health) errorRate() float64 {
@@ -59,16 +60,17 @@
 	return h.failed / h.samples()
 }
 
-// meanLatency is per token where calls report tokens.
+// meanLatency returns the mean latency of successful calls, per token where the calls
+// reported tokens.
 func (h *health) meanLatency() float64 {
-	if h.done == 0 {
+	if h.succeeded == 0 {
 		return 0
 	}
 
-	return h.latency / h.done
+	return h.latencySum / h.succeeded
 }
 
-// clear forgets the outcomes but not how often the server was ejected.
-func (h *health) clear() {
-	h.fade(0)
+// clearOutcomes discards the outcomes, but keeps the number of ejections.
+func (h *health) clearOutcomes() {
+	h.scale(0)
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// cause tells why a server is ejected; a smaller one goes first.
-type cause int
+// ejectionCause is the reason to eject a server. Outliers with a lower value are
+// ejected first.
+type ejectionCause int
 
 const (
-	causeDial cause = iota
+	causeDial ejectionCause = iota
 	causeErrors
 	causeLatency
 	causeNone
@@ -18,73 +19,77 @@
 
 type outlier struct {
 	server *server
-	cause  cause
-	// excess orders outliers of one cause.
-	excess float64
+	cause  ejectionCause
+	// severity orders outliers with the same cause; the highest is ejected first.
+	severity float64
 }
 
-// outlierOf compares a server with what is typical for its pool.
-func (t *Table) outlierOf(s *server, typical typical) outlier {
-	if s.suspect.Load() {
+// classify compares the health of a server with the medians of its pool.
+func (t *Table) classify(s *server, medians poolMedians) outlier {
+	if s.dialFailed.Load() {
 		return outlier{server: s, cause: causeDial}
 	}
 
 	h := &s.health
 
-	// A comparison with NaN is false, so that too few peers eject nobody.
-	if h.samples() >= t.policy.MinSamples && h.errorRate() > typical.errorRate+t.policy.ErrorMargin {
-		return outlier{server: s, cause: causeErrors, excess: h.errorRate()}
+	// A comparison with NaN is false, so a pool with too few measured servers for a
+	// median has no outliers by errors or latency.
+	if h.samples() >= t.policy.MinSamples && h.errorRate() > medians.errorRate+t.policy.ErrorMargin {
+		return outlier{server: s, cause: causeErrors, severity: h.errorRate()}
 	}
 
-	if h.done >= t.policy.MinSamples && h.meanLatency() > typical.latency*t.policy.LatencyFactor {
-		return outlier{server: s, cause: causeLatency, excess: h.meanLatency()}
+	if h.succeeded >= t.policy.MinSamples && h.meanLatency() > medians.latency*t.policy.LatencyFactor {
+		return outlier{server: s, cause: causeLatency, severity: h.meanLatency()}
 	}
 
 	return outlier{server: s, cause: causeNone}
 }
 
-// maxEjected returns how many servers of a pool may be ejected at once.
+// maxEjected returns the maximum number of servers of a pool that may be ejected at the
+// same time.
 func (t *Table) maxEjected(p *pool) int {
 	return int(t.policy.MaxEjectedShare * float64(len(p.members.items)))
 }
 
-// ejectOutliers ejects the worst servers, as far as the bound of the pool allows.
-func (t *Table) ejectOutliers(now time.Time, random Random, p *pool, typical typical) {
+// ejectOutliers ejects the worst outliers of a pool, up to its limit of ejected
+// servers.
+func (t *Table) ejectOutliers(now time.Time, random Random, p *pool, medians poolMedians) {
 	var outliers []outlier
 
-	room := t.maxEjected(p)
+	allowance := t.maxEjected(p)
 
 	for _, m := range p.members.items {
 		if m.server.ejected.Load() {
-			room--
+			allowance--
 
 			continue
 		}
 
-		if o := t.outlierOf(m.server, typical); o.cause != causeNone {
+		if o := t.classify(m.server, medians); o.cause != causeNone {
 			outliers = append(outliers, o)
 		}
 	}
 
 	slices.SortStableFunc(outliers, func(a, b outlier) int {
-		return cmp.Or(cmp.Compare(a.cause, b.cause), cmp.Compare(b.excess, a.excess))
+		return cmp.Or(cmp.Compare(a.cause, b.cause), cmp.Compare(b.severity, a.severity))
 	})
 
-	room = min(max(room, 0), len(outliers))
+	allowance = min(max(allowance, 0), len(outliers))
 
-	for _, o := range outliers[:room] {
+	for _, o := range outliers[:allowance] {
 		t.eject(now, random, o)
 	}
 
-	for _, o := range outliers[room:] {
-		t.counters.overBound.Inc()
-		t.keep(now, random, o)
+	for _, o := range outliers[allowance:] {
+		t.counters.ejectionsOverBound.Inc()
+		t.keepOutlier(now, random, o)
 	}
 }
 
-// keep leaves an outlier in the pool. One that can't be dialled is chosen after
-// all others until it is tried again.
-func (t *Table) keep(now time.Time, random Random, o outlier) {
+// keepOutlier handles an outlier that the limit of the pool protects from ejection. If
+// it can't be dialed, it keeps its dialFailed mark, by which all other servers are
+// preferred to it, until a backoff has passed.
+func (t *Table) keepOutlier(now time.Time, random Random, o outlier) {
 	if o.cause != causeDial {
 		return
 	}
@@ -92,27 +97,27 @@
 	h := &o.server.health
 
 	switch {
-	case h.suspectUntil.IsZero():
-		h.suspectUntil = now.Add(t.backoff(random, 1))
-	case now.After(h.suspectUntil):
-		h.suspectUntil = time.Time{}
-		o.server.suspect.Store(false)
+	case h.dialFailedUntil.IsZero():
+		h.dialFailedUntil = now.Add(t.backoff(random, 1))
+	case now.After(h.dialFailedUntil):
+		h.dialFailedUntil = time.Time{}
+		o.server.dialFailed.Store(false)
 	}
 }
 
 func (t *Table) eject(now time.Time, random Random, o outlier) {
 	s := o.server
 	s.ejected.Store(true)
-	s.health.suspectUntil = time.Time{}
+	s.health.dialFailedUntil = time.Time{}
 	s.health.ejections++
 	s.health.probeAt = now.Add(t.backoff(random, s.health.ejections))
 
 	switch o.cause {
 	case causeDial:
-		t.counters.ejectedDial.Inc()
+		t.counters.ejectionsDial.Inc()
 	case causeErrors:
-		t.counters.ejectedError.Inc()
+		t.counters.ejectionsErrors.Inc()
 	default:
-		t.counters.ejectedSlow.Inc()
+		t.counters.ejectionsLatency.Inc()
 	}
 }
--- a/routing/pick_bench_test.go
+++ b/routing/pick_bench_test.go
@@ -17,7 +17,7 @@
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			table := newTestTable(size, 8)
 			random := newTestRandom()
-			request := NewRequest(testKey).WithRepeatable()
+			request := NewRequest(testKey).WithIdempotent()
 			b.ReportAllocs()
 
 			for b.Loop() {
@@ -38,7 +38,7 @@
 
 			for range 3 {
 				choice, _ := table.Pick(testStart, random, request)
-				choice.Sent(testStart)
+				choice.Begin(testStart)
 			}
 
 			b.ReportAllocs()
@@ -52,8 +52,8 @@
 	}
 }
 
-// BenchmarkPickAfterRetry excludes a failure domain and a server that was tried.
-func BenchmarkPickAfterRetry(b *testing.B) {
+// BenchmarkPickForRetry excludes a failure domain and a server, as a retry does.
+func BenchmarkPickForRetry(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			table := newTestTable(size, 8)
@@ -80,7 +80,7 @@
 
 	for b.Loop() {
 		choice, _ := table.Pick(testStart, random, request)
-		choice.Sent(testStart)
+		choice.Begin(testStart)
 		choice.Done(testStart, time.Millisecond, 0)
 	}
 }
@@ -113,11 +113,11 @@
 	}
 }
 
-// TestPickAllocatesNothing keeps the path of a request free of allocations.
+// TestPickAllocatesNothing guards against heap allocations on the request path.
 func TestPickAllocatesNothing(t *testing.T) {
 	table := newTestTable(1600, 8)
 	random := newTestRandom()
-	request := NewRequest(testKey).WithPrefix(42).WithRepeatable()
+	request := NewRequest(testKey).WithPrefix(42).WithIdempotent()
 
 	got := testing.AllocsPerRun(1000, func() {
 		_, _ = table.Pick(testStart, random, request)
@@ -140,8 +140,8 @@
 	}
 }
 
-// BenchmarkMemory reports what a table keeps for each server, and its memory of
-// prefixes once that is full.
+// BenchmarkMemory reports the memory of a table per server, and that of its prefix
+// index when full.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
@@ -150,8 +150,8 @@
 				table := newTestTable(size, 8)
 				withServers := heapInUse()
 
-				for prefix := range uint64(4 * table.policy.PrefixMemory) {
-					table.prefixes.hold(testStart, prefix, table.servers[testID(0)])
+				for prefix := range uint64(4 * table.policy.MaxPrefixes) {
+					table.prefixes.add(testStart, prefix, table.servers[testID(0)])
 				}
 
 				full := heapInUse()
--- a/routing/rebuild.go
+++ b/routing/rebuild.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// rebuild makes the snapshot anew.
+// rebuild replaces the snapshot by one that is made from the present state of all
+// servers.
 func (t *Table) rebuild(now time.Time) {
-	t.stale = false
+	t.snapshotStale = false
 	byKey := make(map[Key][]*member)
 
 	for _, s := range t.servers {
@@ -29,16 +30,16 @@
 
 		pools[key] = &pool{
 			members: newSampler(members, func(m *member) float64 { return float64(m.spec.capacity) }),
-			state:   t.state(key),
+			state:   t.poolStateOf(key),
 		}
 		t.readmitOverBound(now, pools[key])
 	}
 
-	t.current.Store(&snapshot{pools: pools, policy: t.policy, tieBreak: tieBreak{domain: t.Domain}})
+	t.current.Store(&snapshot{pools: pools, policy: t.policy, order: serverOrder{domain: t.Domain}})
 }
 
-// readmitOverBound keeps the bound of ejections where a pool has shrunk: servers
-// whose probe is next are readmitted first.
+// readmitOverBound readmits servers of a pool that has shrunk until its limit of
+// ejected servers holds again, starting with those whose probe is due first.
 func (t *Table) readmitOverBound(now time.Time, p *pool) {
 	var ejected []*server
 
@@ -57,9 +58,9 @@
 	}
 }
 
-// newMember returns nil for a server that takes no requests.
+// newMember returns nil for a server that can't take requests.
 func (t *Table) newMember(now time.Time, s *server) *member {
-	if s.leaving.Load() || s.spec.loading || s.spec.address == "" || t.lost(now, s) {
+	if s.leaving.Load() || s.spec.loading || s.spec.address == "" || t.unreachable(now, s) {
 		return nil
 	}
 
@@ -71,39 +72,41 @@
 	}
 
 	return &member{
-		server: s,
-		spec:   spec,
-		pool:   t.state(spec.key),
-		share:  1 / float64(spec.capacity),
-		peers:  int64(t.peers),
+		server:       s,
+		spec:         spec,
+		pool:         t.poolStateOf(spec.key),
+		requestShare: 1 / float64(spec.capacity),
+		otherEntries: int64(t.otherEntries),
 	}
 }
 
-// lost tells whether neither the list nor the server itself says that it lives.
-func (t *Table) lost(now time.Time, s *server) bool {
-	return s.absent && now.Sub(s.heard) > t.policy.ReportGrace
+// unreachable reports whether a server is missing from the instance list and hasn't
+// reported for Policy.ReportTimeout.
+func (t *Table) unreachable(now time.Time, s *server) bool {
+	return s.unlisted && now.Sub(s.lastSeen) > t.policy.ReportTimeout
 }
 
-// forget drops servers that are long gone, and with them the mark of leaving.
-func (t *Table) forget(now time.Time) {
+// removeExpired removes servers that have been neither listed nor seen for
+// Policy.UnlistedRetention. Their leaving mark is lost with them.
+func (t *Table) removeExpired(now time.Time) {
 	for id, s := range t.servers {
-		last := s.listed
-		if s.heard.After(last) {
-			last = s.heard
+		last := s.lastListed
+		if s.lastSeen.After(last) {
+			last = s.lastSeen
 		}
 
-		if s.absent && now.Sub(last) > t.policy.ForgetAfter {
+		if s.unlisted && now.Sub(last) > t.policy.UnlistedRetention {
 			s.member.Store(nil)
 			delete(t.servers, id)
 		}
 	}
 }
 
-func (t *Table) state(key Key) *poolState {
-	s, ok := t.states[key]
+func (t *Table) poolStateOf(key Key) *poolState {
+	s, ok := t.poolStates[key]
 	if !ok {
 		s = &poolState{}
-		t.states[key] = s
+		t.poolStates[key] = s
 	}
 
 	return s
--- a/routing/table.go
+++ b/routing/table.go
@@ -10,32 +10,34 @@
 	"monsoonlever/provider"
 )
 
-// Table chooses backend servers. Its exported fields are set before its first
-// use. Pick and the methods of Choice take no lock; the steps that bring news
-// may be called from any goroutine and wait for each other.
+// Table chooses backend servers. Its exported fields must be set before its first use.
+// Pick and the methods of Choice take no lock. The methods that update the table are
+// safe for concurrent use and exclude each other.
 type Table struct {
 	// Domain is the failure domain of this entry instance.
 	Domain fleet.FailureDomain
-	// Self names this entry instance; entry instances with different names keep
-	// different holders of a common prefix.
+	// Self is the id of this entry instance. Entry instances with different ids index
+	// different servers for a prefix that many servers have cached.
 	Self fleet.InstanceID
-	// Policy holds the settings; zero fields stand for defaults.
+	// Policy holds the settings; zero fields select defaults.
 	Policy Policy
-	// Metrics receives the counters, unless it is nil.
+	// Metrics is the set in which the counters are registered. If nil, a private set is
+	// used.
 	Metrics *metrics.Set
 
 	current  atomic.Pointer[snapshot]
-	prefixes *prefixes
+	prefixes *prefixIndex
 	counters *counters
 
-	mu     sync.Mutex
-	policy Policy
-	peers  int
-	// stale tells that the snapshot lacks news which can wait for a tick.
-	stale   bool
-	servers map[fleet.InstanceID]*server
-	states  map[Key]*poolState
-	prices  map[offerKey]float64
+	mu           sync.Mutex
+	policy       Policy
+	otherEntries int
+	// snapshotStale is set if the snapshot lacks a change that can wait for the next
+	// Tick.
+	snapshotStale bool
+	servers       map[fleet.InstanceID]*server
+	poolStates    map[Key]*poolState
+	prices        map[offerKey]float64
 }
 
 type offerKey struct {
@@ -43,9 +45,9 @@
 	domain fleet.FailureDomain
 }
 
-// prepare fills what the zero value lacks. Pick reads none of it before the
-// first snapshot is there.
-func (t *Table) prepare() {
+// initialize sets up the unexported fields on first use. Pick doesn't need it, since it
+// reads no such field before the first snapshot exists.
+func (t *Table) initialize() {
 	if t.servers != nil {
 		return
 	}
@@ -56,8 +58,8 @@
 
 	t.policy = t.Policy.withDefaults()
 	t.counters = newCounters(t.Metrics)
-	t.prefixes = newPrefixes(t.policy.PrefixMemory, t.policy.PrefixLifetime)
+	t.prefixes = newPrefixIndex(t.policy.MaxPrefixes, t.policy.PrefixTTL)
 	t.servers = make(map[fleet.InstanceID]*server)
-	t.states = make(map[Key]*poolState)
+	t.poolStates = make(map[Key]*poolState)
 	t.prices = make(map[offerKey]float64)
 }
--- a/window/counter_test.go
+++ b/window/counter_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestCounterSumsTheNewestBuckets(t *testing.T) {
+func TestCounterSumsNewestBuckets(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 
 	tests := []struct {
@@ -18,9 +18,9 @@
 	}{
 		{desc: "same bucket", at: 0, sumAt: 999 * time.Millisecond, n: 1, want: 3},
 		{desc: "bucket before", at: 0, sumAt: time.Second, n: 1, want: 0},
-		{desc: "bucket before in span", at: 0, sumAt: time.Second, n: 2, want: 3},
+		{desc: "bucket before in window", at: 0, sumAt: time.Second, n: 2, want: 3},
 		{desc: "last bucket of the ring", at: 0, sumAt: 3 * time.Second, n: 4, want: 3},
-		{desc: "a whole turn later", at: 0, sumAt: 4 * time.Second, n: 4, want: 0},
+		{desc: "after a full pass over the ring", at: 0, sumAt: 4 * time.Second, n: 4, want: 0},
 	}
 
 	for _, tt := range tests {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestCounterRecoversFromAClockSetBack(t *testing.T) {
+func TestCounterRecoversAfterClockSetBack(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	c := NewCounter(time.Second, 4)
 	c.Add(start.Add(time.Hour), 7)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestCounterLosesNothingUnderConcurrency(t *testing.T) {
+func TestCounterCountsConcurrentAdds(t *testing.T) {
 	const workers, adds = 4, 1000
 
 	now := time.Unix(1_000_000, 0)
