--- a/currency/currency.go
+++ b/currency/currency.go
@@ -9,7 +9,7 @@
 //
 // # Usage
 //
-//	c := &currency.Tracker{Clock: clk, Bound: 4 * time.Second}
+//	c := &currency.Tracker{Clock: clk, MaxAge: 4 * time.Second}
 //	requestedAt := clk.Now()
 //	// Read to the end of the operators' records.
 //	c.Confirm(requestedAt)
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -11,7 +11,7 @@
 	Fence    lease.Fence `msgpack:"fence"`
 	Sequence uint64      `msgpack:"sequence"`
 	Intents  []Intent    `msgpack:"intents"`
-	// VoluntaryPurchases and GivenUp hold the times of the voluntary
+	// VoluntaryPurchases and VoluntaryRetirements hold the times of the voluntary
 	// changes of the last hour.
 	VoluntaryPurchases   []time.Time `msgpack:"moves"`
 	VoluntaryRetirements []time.Time `msgpack:"givenUp"`
